--- a/crates/sageshed-types/tests/document.rs
+++ b/crates/sageshed-types/tests/document.rs
@@ -1,9 +1,9 @@
-//! What is shown of a configuration.
+//! The debug output of a configuration.
 
 use sageshed_types::document::Document;
 
 #[test]
-fn what_is_printed_of_a_document_leaves_its_text_out() {
+fn debug_output_of_a_document_omits_its_text() {
     let document = Document {
         version: 3,
         text: "{\"keys\":[\"sesame\"]}".to_owned(),
--- a/crates/sageshed-types/tests/verdict.rs
+++ b/crates/sageshed-types/tests/verdict.rs
@@ -1,8 +1,8 @@
-//! The words of verdicts and reasons, which callers, operators and messages share.
+//! The names of verdicts and reasons, which are the same for callers, for operators and in messages.
 
 use sageshed_types::verdict::{Reason, Verdict};
 
-/// Every reason. A new one is added here and in the operators' page on refusals.
+/// The reasons that are checked. A new one is added here and to the operators' guide on refusals.
 const REASONS: [Reason; 22] = [
     Reason::BadRequest,
     Reason::Unauthorized,
@@ -28,10 +28,10 @@
     Reason::Internal,
 ];
 
-/// A caller was told `too_many_requests_open`, and `sageshed explain` showed the same refusal as
-/// `too_many_open`: one word came from `Display`, the other from serde.
+/// Guards against different names from `Display` and serde: callers got `too_many_requests_open` while
+/// `sageshed explain` showed the same refusal as `too_many_open`.
 #[test]
-fn a_reason_is_called_the_same_in_answers_and_in_messages() {
+fn a_reason_has_the_same_name_in_responses_and_in_messages() {
     for reason in REASONS {
         let in_messages = serde_json::to_value(reason).unwrap();
         assert_eq!(in_messages, reason.to_string(), "{reason:?}");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn of_two_tries_the_verdict_that_promises_less_holds() {
+fn the_verdict_of_two_attempts_is_the_one_that_guarantees_less() {
     for (one, other, both) in [
         (Verdict::NotRun, Verdict::NotRun, Verdict::NotRun),
         (Verdict::NotRun, Verdict::MayHaveRun, Verdict::MayHaveRun),
