--- a/crates/sageshed-types/src/endpoints.rs
+++ b/crates/sageshed-types/src/endpoints.rs
@@ -1,11 +1,11 @@
-//! What endpoints say of themselves, and the orders they take.
+//! Registration and reports of endpoints, and orders to engines.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::time;
 
-/// Counts the starts of one endpoint or process; a later start has a greater number.
+/// Identifies one start of an endpoint or process. A later start has a greater number.
 #[derive(
     Debug,
     Clone,
@@ -23,8 +23,8 @@
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Grows with every leader of the control group and every order, so that an endpoint which checks
-/// it can refuse what an earlier leader sent late.
+/// A fencing token: increases with every new leader of the control group and every order, so that an
+/// endpoint that checks it can refuse delayed orders of an earlier leader.
 #[derive(
     Debug,
     Clone,
@@ -42,7 +42,7 @@
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// Names one order; never used twice.
+/// Identifies one order. Ids are never reused.
 #[derive(
     Debug,
     Clone,
@@ -60,157 +60,158 @@
 #[serde(transparent)]
 pub struct OrderId(pub u64);
 
-/// What kind of endpoint it is.
+/// The kind of an endpoint, with the properties specific to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
     /// A model engine.
     Engine {
-        /// The pool it belongs to.
+        /// The pool that the engine belongs to.
         pool: String,
         /// Its accelerator memory, in MiB.
         memory_mib: u64,
-        /// How many accelerators it runs on.
+        /// The number of accelerators it uses.
         accelerators: u32,
     },
     /// An instance of a plain service.
     Service {
-        /// The service's name in the path.
+        /// The service's name in request paths.
         service: String,
     },
 }
 
-/// What an endpoint announces when it starts, and repeats with every report.
+/// The static properties of an endpoint, announced when it starts and repeated in every report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Unique among endpoints.
+    /// The endpoint's name, unique among endpoints.
     pub endpoint: String,
-    /// Grows with each start.
+    /// The endpoint's current incarnation.
     pub incarnation: Incarnation,
-    /// `IP:port` on which it takes requests and orders.
+    /// `IP:port` on which it accepts requests and orders.
     pub address: String,
-    /// Where it stands.
+    /// The availability zone in which it runs.
     pub availability_zone: String,
-    /// What it is.
+    /// The kind of endpoint.
     pub kind: Kind,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing token.
     pub checks_fence: bool,
 }
 
-/// A model or adapter that an engine holds, or is loading.
+/// A model or adapter that an engine holds, is loading or is unloading.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resident {
-    /// Its name.
+    /// The name of the model or adapter.
     pub model: String,
-    /// Which version.
+    /// Its version.
     pub version: u32,
-    /// How far it is.
+    /// Whether it can serve.
     pub phase: Phase,
-    /// The memory it takes, in MiB.
+    /// The memory it occupies, in MiB.
     pub memory_mib: u64,
 }
 
-/// How far a model is on an engine.
+/// The state of a model on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Takes memory, cannot serve yet.
+    /// Occupies memory and cannot serve yet.
     Loading,
-    /// Serves.
+    /// Serves requests.
     Ready,
-    /// Takes memory, serves no new request.
+    /// Still occupies memory and accepts no new requests.
     Unloading,
 }
 
-/// What became of an order, by the endpoint's own word.
+/// The outcome of an order, as reported by the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// Which order.
+    /// The order's id.
     pub order: OrderId,
-    /// The outcome.
+    /// Its outcome.
     pub outcome: OrderOutcome,
 }
 
-/// The outcomes of an order.
+/// The progress or final outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// Under way.
+    /// In progress.
     Running,
-    /// Done; the resident models show it.
+    /// Completed. The list of resident models reflects it.
     Done,
-    /// Refused and not carried out.
+    /// Refused and not executed.
     Refused {
-        /// The endpoint's words.
+        /// The endpoint's explanation.
         problem: String,
     },
 }
 
-/// What an endpoint reports, again and again. Later reports of an incarnation have greater `sequence`.
+/// The periodic report of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Who.
+    /// The endpoint's static properties.
     pub identity: Identity,
-    /// Grows with each report of this incarnation.
+    /// Increases with each report of an incarnation.
     pub sequence: u64,
-    /// Age of the figures when the report was sent, in milliseconds.
+    /// Age of the measurements when the report was sent, in milliseconds.
     pub age_ms: time::Millis,
-    /// Requests running.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests waiting inside the endpoint.
+    /// The number of requests queued inside the endpoint.
     pub waiting: u32,
-    /// Tokens generated a second over the last few seconds, all requests together.
+    /// Tokens generated per second over the last few seconds, summed over all requests.
     pub tokens_per_second: u32,
-    /// What it holds.
+    /// The models and adapters in its memory.
     pub resident: Vec<Resident>,
-    /// The last orders it has seen, newest last; at least the last 32.
+    /// The orders it received most recently, newest last. At least the last 32.
     pub orders: Vec<OrderResult>,
-    /// It takes no new work from now on and will go.
+    /// Whether the endpoint accepts no new requests and is about to shut down.
     pub leaving: bool,
 }
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Names it; the endpoint carries out one order id at most once.
+    /// The order's id. The endpoint executes an order id at most once.
     pub order: OrderId,
-    /// The endpoint meant.
+    /// The endpoint it is addressed to.
     pub endpoint: String,
-    /// The incarnation meant; another one refuses it.
+    /// The incarnation it is addressed to. Any other incarnation refuses the order.
     pub incarnation: Incarnation,
-    /// An endpoint that checks it refuses what is lower than the highest it has seen.
+    /// An endpoint that checks fencing tokens refuses an order whose token is lower than the highest it
+    /// has seen.
     pub fence: Fence,
-    /// What to do.
+    /// What the endpoint is to do.
     pub task: Task,
 }
 
-/// What an order asks for.
+/// The operation that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Task {
-    /// Loads a model, an adapter or a version.
+    /// Loads a version of a model or adapter.
     Load {
-        /// Its name.
+        /// The name of the model or adapter.
         model: String,
-        /// Which version.
+        /// The version to load.
         version: u32,
-        /// The memory it will take, in MiB.
+        /// The memory it will occupy, in MiB.
         memory_mib: u64,
-        /// For an adapter: the model it sits on.
+        /// For an adapter: its base model.
         base: Option<String>,
     },
-    /// Unloads one.
+    /// Unloads a version of a model or adapter.
     Unload {
-        /// Its name.
+        /// The name of the model or adapter.
         model: String,
-        /// Which version.
+        /// The version to unload.
         version: u32,
     },
-    /// Changes the engine's role.
+    /// Moves the engine to another pool.
     ChangeRole {
-        /// The pool that it belongs to from then on.
+        /// The pool that the engine belongs to afterwards.
         pool: String,
     },
 }
--- a/crates/sageshed-types/src/fault.rs
+++ b/crates/sageshed-types/src/fault.rs
@@ -1,40 +1,40 @@
-//! What can go wrong on the way to an endpoint and back.
+//! Failures of an attempt to send a request to an endpoint.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// How one sending of a request failed. A closed set, so that retries and ejections are decided by
-/// the kind of failure and not by the wording of a library's error.
+/// How an attempt to send a request failed. A closed set, so that retries and outlier ejection depend
+/// on the kind of failure and not on the text of a library's error.
 ///
-/// A fault alone does not say whether the request ran: an endpoint's own answer may, so a
-/// [`crate::verdict::Verdict`] stands beside it.
+/// The kind of failure alone does not tell whether the request ran, while the endpoint's response
+/// may. So it is accompanied by a [`crate::verdict::Verdict`].
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// No connection was made: nothing listens there, or the address is of no use.
+    /// No connection was made: nothing listens at the address, or the address is unusable.
     #[display("connect_refused")]
     ConnectRefused,
-    /// No connection was made in the time that connecting may take.
+    /// No connection was made within the connect timeout.
     #[display("connect_timeout")]
     ConnectTimeout,
-    /// The connection failed while the request went out or before the answer began.
+    /// The connection failed while the request was sent or before the response began.
     #[display("send_failed")]
     SendFailed,
-    /// The request went out and no byte of an answer came in time.
+    /// The request was sent and no byte of a response arrived in time.
     #[display("no_first_byte")]
     NoFirstByte,
-    /// The answer began and then fell silent.
+    /// The response began, then no more data arrived in time.
     #[display("stalled")]
     Stalled,
-    /// The answer ended before it was whole.
+    /// The response ended before it was complete.
     #[display("cut")]
     Cut,
-    /// The answer breaks the protocol or belongs to another request or run.
+    /// The response violates the protocol or belongs to another request or run.
     #[display("corrupt")]
     Corrupt,
-    /// The endpoint answered with this HTTP status, which is not a success.
+    /// The endpoint responded with this HTTP status, which is not a success.
     #[display("status_{_0}")]
     Status(u16),
 }
--- a/crates/sageshed-types/src/mark.rs
+++ b/crates/sageshed-types/src/mark.rs
@@ -1,19 +1,20 @@
-//! How far one process knows what another one counts.
+//! Positions in the sequence of changes of another process's state.
 
 use serde::{Deserialize, Serialize};
 
-/// Up to where a peer knows something that a process keeps and counts the changes of.
+/// How many changes of a process's state a peer has received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The start of the process that keeps it: its counts mean nothing after another.
+    /// Identifies the start of the process that owns the state. Its counts are not comparable with those
+    /// of another start.
     pub start: u64,
-    /// Changes of it that are known.
+    /// The number of the last change that was received.
     pub change: u64,
 }
 
 impl Mark {
-    /// The changes that are known of what the process keeps that was started at `start`; zero where another start
-    /// is known.
+    /// The last change received from the process start `start`. Zero if the position refers to another
+    /// start.
     #[must_use]
     pub fn of(self, start: u64) -> u64 {
         if self.start == start { self.change } else { 0 }
--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between the system's own processes. Each is one rmp-serde body over HTTP POST.
+//! Messages between the system's own processes. Each is an rmp-serde body sent by HTTP POST.
 //!
-//! | path | from, to | request | answer |
+//! | path | from, to | request | response |
 //! |---|---|---|---|
 //! | `/vms/sync` | any, any | [`SyncReq`] | [`SyncResp`] |
 //! | `/vms/claim` | entry, control | [`crate::claims::Claim`] | [`Routed`] of [`crate::claims::ClaimOutcome`] |
@@ -15,136 +15,141 @@
 
 use crate::{account, catalog, endpoints, mark, quarantine, rules, time};
 
-/// The path of each message.
+/// The HTTP path of each message.
 pub mod paths {
-    /// Takes [`super::SyncReq`].
+    /// Accepts [`super::SyncReq`].
     pub const SYNC: &str = "/vms/sync";
-    /// Takes [`crate::claims::Claim`].
+    /// Accepts [`crate::claims::Claim`].
     pub const CLAIM: &str = "/vms/claim";
-    /// Takes [`crate::claims::Settle`].
+    /// Accepts [`crate::claims::Settle`].
     pub const SETTLE: &str = "/vms/settle";
-    /// Takes [`super::Envelope`].
+    /// Accepts [`super::Envelope`].
     pub const REPLICATE: &str = "/vms/replicate";
-    /// Takes [`super::Hello`].
+    /// Accepts [`super::Hello`].
     pub const HELLO: &str = "/vms/hello";
-    /// Takes a request id.
+    /// Accepts a request id.
     pub const EXPLAIN: &str = "/vms/explain";
 }
 
-/// What a process is.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Serves the requests of callers.
     Entry,
-    /// Holds the replicated control state.
+    /// Holds a replica of the control state.
     Control,
 }
 
-/// One process of the system, as it names itself.
+/// Identifies one process of the system.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Process {
     /// The VM's name.
     pub vm: String,
-    /// What the process is. A VM may run one of each.
+    /// The role of the process. A VM may run one process of each role.
     pub role: Role,
-    /// Grows with each start.
+    /// The current incarnation of the process.
     pub incarnation: endpoints::Incarnation,
 }
 
-/// The heartbeat: an entry process sends it to each control process and to each other entry process.
+/// The heartbeat that an entry process sends to each control process and to each other entry process.
 ///
-/// It brings what the sender knows first-hand of endpoints, and asks for what the receiver knows.
+/// It carries the reports that the sender received from endpoints directly, and requests those that
+/// the receiver has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncReq {
-    /// Who asks.
+    /// The sender.
     pub from: Process,
-    /// The asker's address for `/vms/...`.
+    /// The sender's address for requests to `/vms/...`.
     pub address: String,
-    /// The newest revision that the asker has in force.
+    /// The newest revision of the rules in force at the sender.
     pub revision: rules::Revision,
-    /// Position in the receiver's directory up to which the asker has read it; 0 for all.
+    /// Up to which change the sender has read the receiver's directory. Version 0 requests all of it.
     pub directory_seen: DirectoryMark,
-    /// Reports that reached the asker straight from endpoints since the receiver last confirmed.
+    /// Reports that the sender received directly from endpoints since the last sync that the receiver
+    /// confirmed.
     pub reports: Vec<endpoints::Report>,
-    /// How much was asked for at this entry process; sent to control processes only.
+    /// The demand at this entry process, by model. Sent to control processes only.
     pub demand: Vec<Demand>,
-    /// The asker is shutting down.
+    /// Whether the sender is shutting down.
     pub draining: bool,
-    /// Whether the asker serves callers now.
+    /// Whether the sender serves callers now.
     pub ready: bool,
-    /// Up to where the asker knows which crashes the receiver remembers; none if it does not take them.
+    /// Up to which change the sender knows the receiver's recorded crashes. None if the sender does not
+    /// accept crashes.
     #[serde(default)]
     pub crashes_known: Option<mark::Mark>,
-    /// Crashes that the receiver was not told of.
+    /// Crashes that were not yet sent to the receiver.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
 }
 
-/// Where in a process's directory a reader stands.
+/// Up to which change a reader has read a process's directory of endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryMark {
-    /// The start of the process that keeps the directory; another start begins anew.
+    /// The incarnation of the process that owns the directory. Versions start again with each incarnation.
     pub incarnation: endpoints::Incarnation,
-    /// Counts changes of the directory in that start.
+    /// The number of changes of the directory in that incarnation.
     pub version: u64,
 }
 
-/// The answer to [`SyncReq`].
+/// The response to [`SyncReq`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncResp {
-    /// Who answers.
+    /// The responding process.
     pub from: Process,
-    /// Reports newer than the asker's mark.
+    /// Reports added to the directory after [`SyncReq::directory_seen`].
     pub reports: Vec<endpoints::Report>,
-    /// The asker's new mark.
+    /// The new position of the requesting process in the directory.
     pub directory: DirectoryMark,
-    /// From a control process: the configuration and its lease.
+    /// From a control process: the lease and the state of the control group.
     pub control: Option<ControlPart>,
-    /// The newest revision in force at the answerer.
+    /// The newest revision of the rules in force at the responding process.
     pub revision: rules::Revision,
-    /// The committed configuration, if the answerer's is newer than the asker's. Entry processes
-    /// pass it on too, so that it reaches those that no control process can reach.
+    /// The committed configuration, if it is newer than that of the requesting process. Entry processes
+    /// also forward it, so that it reaches entry processes that no control process can reach.
     pub config: Option<ConfigUpdate>,
-    /// Whether the answerer has heard, within a heartbeat or two, a leader that itself hears a
-    /// majority of the voters.
+    /// Whether the responding process has heard, within the last one or two heartbeats, from a leader
+    /// that is itself in contact with a majority of the voters.
     pub hears_leader: bool,
-    /// Whether the answerer, an entry process, was confirmed since it started. One that was not
-    /// does not know what it missed, and vouches for nobody.
+    /// Whether the responding entry process has had its configuration confirmed since it started. One
+    /// that has not may have missed changes, and cannot confirm the configuration of others.
     #[serde(default)]
     pub was_confirmed: bool,
-    /// Up to where the answerer's crashes are known with this; none if it tells nothing of them.
+    /// Up to which change the requesting process knows the crashes after this response. None if the
+    /// responding process does not share crashes.
     #[serde(default)]
     pub crashes_mark: Option<mark::Mark>,
-    /// What it learnt of them since the asker's mark.
+    /// Crashes recorded after [`SyncReq::crashes_known`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
 }
 
-/// What a control process says to an entry process about the configuration.
+/// The part of a [`SyncResp`] that only control processes send: a lease on the configuration, and the
+/// state of the control group on which it depends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControlPart {
-    /// The voters by the newest membership in this process's log, committed or not.
+    /// The voters in the newest membership in this process's log, committed or not.
     pub voters: Vec<Voter>,
-    /// The disk generation of this process: a grant counts only for this one.
+    /// The disk generation of this process. Its grant counts only for the voter with this generation.
     pub generation: u64,
-    /// Whether this process may grant leases now: it is one of `voters`.
+    /// Whether this process may grant leases now, because it is one of `voters`.
     pub grants: bool,
-    /// The lease granted, counted from when the asker sent the request, in milliseconds.
+    /// The duration of the lease from the time when the request was sent, in milliseconds.
     pub lease: time::Millis,
-    /// The newest revision in this process's log, committed or not. The lease counts only for an
-    /// entry process that has this revision or a later one in force: a change that a majority holds
-    /// is thereby known to at least one of any majority that grants.
+    /// The newest revision in this process's log, committed or not. The lease is valid only for an
+    /// entry process that has this revision or a later one in force. A change held by a majority is
+    /// thereby known to at least one process of any majority that grants.
     pub required: rules::Revision,
-    /// Who leads, if known.
+    /// The leader's VM, if known.
     pub leader: Option<String>,
     /// The term of that leader.
     pub term: u64,
-    /// Entry VMs that an operator drains.
+    /// The entry VMs that an operator is draining.
     pub draining: Vec<String>,
 }
 
-/// A voter: a VM with one generation of its disk.
+/// A voter of the control group, identified by its VM and the generation of the VM's disk.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The VM's name.
@@ -153,47 +158,47 @@
     pub generation: u64,
 }
 
-/// Committed configuration on its way to an entry process.
+/// An update that brings an entry process to the committed configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigUpdate {
-    /// The changes after the asker's revision, oldest first.
+    /// The changes after the revision of the requesting process, oldest first.
     Delta(Vec<rules::Accepted>),
-    /// The whole, since the asker is too far behind.
+    /// The complete rules, sent to a process that is too far behind.
     Snapshot(rules::RuleSet),
 }
 
-/// What one entry process was asked for, by model.
+/// The demand for one model at one entry process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The model, adapter or service.
     pub model: String,
-    /// Requests that came since the last sync with this receiver was confirmed.
+    /// Requests that arrived since the last sync that this receiver confirmed.
     pub arrived: u32,
-    /// Of these, refused because no engine held the model in time.
+    /// How many of these were refused because no engine held the model in time.
     pub unserved: u32,
     /// Requests waiting now because no engine holds the model.
     pub waiting: u32,
-    /// Mean time that one request holds a slot, in milliseconds.
+    /// Mean time for which a request occupies a slot, in milliseconds.
     pub service_time: time::Millis,
 }
 
-/// An answer from a control process that only the leader can give.
+/// A control process's reply to a request that only the leader can serve.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routed<T> {
-    /// The answer. What it depends on is committed.
+    /// The result. The log entries that it depends on are committed.
     Done(T),
-    /// Another process leads; nothing was done here. Ask that VM, or any if none is named.
+    /// Another process leads and nothing was done. Retry at that VM, or at any VM if none is named.
     NotLeader {
         /// The leader's VM, if known.
         leader: Option<String>,
     },
-    /// It was proposed here and its fate is not known: ask again with the same content.
+    /// The command was proposed and its outcome is not known. Retry with the same content.
     Unknown,
 }
 
-/// Messages of the replicated log, in the codec of `sageshed-quorum`.
+/// Messages of the replicated log between two control processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sending VM.
@@ -206,61 +211,61 @@
     pub messages: Vec<Vec<u8>>,
 }
 
-/// What control processes tell each other while one of them is not a member of the group: at the
-/// very first start, and when a disk was lost.
+/// The handshake between control processes of which at least one is not a member of the group: at the
+/// first start of the group, and after the loss of a disk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The sender, as a voter it is or would be.
+    /// The identity under which the sender votes or would vote.
     pub from: Voter,
-    /// The voters that the group was formed with; empty if the sender knows of no group.
+    /// The voters with which the group was formed. Empty if the sender knows of no group.
     pub formed: Vec<Voter>,
     /// Whether the sender was started to form a new group.
     pub forming: bool,
-    /// Addresses of control processes that the sender knows, where no list of VMs is kept.
+    /// Addresses of control processes that the sender knows. Used where the settings list no VMs.
     #[serde(default)]
     pub known: Vec<net::Ipv4Addr>,
 }
 
-/// What `sageshed status` shows, gathered by one control process.
+/// The data shown by `sageshed status`, collected by one control process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The control process that answers.
+    /// The VM of the control process that responds.
     pub answered_by: String,
-    /// Who leads, if known.
+    /// The leader's VM, if known.
     pub leader: Option<String>,
     /// The term of that leader.
     pub term: u64,
     /// The newest committed revision.
     pub revision: rules::Revision,
-    /// The voters and learners.
+    /// The voters and learners of the control group.
     pub voters: Vec<VoterStatus>,
-    /// The processes that have been heard.
+    /// The processes from which heartbeats were received.
     pub vms: Vec<VmStatus>,
-    /// The endpoints.
+    /// The latest report of each endpoint.
     pub endpoints: Vec<endpoints::Report>,
 }
 
-/// A member of the control group.
+/// The status of a member of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterStatus {
-    /// The VM.
+    /// The member's VM.
     pub vm: String,
     /// Its disk generation.
     pub generation: u64,
     /// `voter` or `learner`.
     pub standing: String,
-    /// Log entries that it lacks, where the leader knows.
+    /// The number of log entries that it lacks, if the responding process is the leader.
     pub lag: Option<u64>,
 }
 
-/// A process that has been heard.
+/// The status of a process from which heartbeats were received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmStatus {
     /// The process.
     pub process: Process,
-    /// The revision that it has in force.
+    /// The revision of the rules that it has in force.
     pub revision: rules::Revision,
-    /// Since it was last heard, in milliseconds.
+    /// Time since its last heartbeat, in milliseconds.
     pub silent: time::Millis,
     /// Whether it serves callers.
     pub ready: bool,
@@ -268,29 +273,29 @@
     pub draining: bool,
 }
 
-/// Where one model is, for `sageshed models`.
+/// The placement of one model, as shown by `sageshed models`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelStatus {
-    /// The model or adapter, as the settings offer it.
+    /// The model or adapter, as the settings define it.
     pub model: catalog::Model,
     /// The engines that hold it.
     pub holders: Vec<HolderStatus>,
-    /// Orders under way or wanted, each with its reason.
+    /// Orders in progress or planned, each with its reason.
     pub moves: Vec<String>,
-    /// Requests a second, as estimated.
+    /// The estimated demand in requests per second.
     pub demand: f64,
 }
 
-/// One engine that holds a model.
+/// An engine that holds a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderStatus {
-    /// The engine.
+    /// The engine's name.
     pub endpoint: String,
     /// Its availability zone.
     pub availability_zone: String,
-    /// What it holds.
+    /// The state of the model on the engine.
     pub resident: endpoints::Resident,
 }
 
-/// Re-exported for the codec of [`paths::EXPLAIN`].
+/// The response at [`paths::EXPLAIN`]: none if the process has no record of the request.
 pub type ExplainResp = Option<account::Account>;
--- a/crates/sageshed-types/src/quarantine.rs
+++ b/crates/sageshed-types/src/quarantine.rs
@@ -1,11 +1,13 @@
-//! Requests under which endpoints end, as processes tell each other of them and as the control group keeps them.
+//! Requests that crash endpoints, as processes report them to each other and the control group
+//! records them.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::time;
 
-/// Equal for requests that ask the same, and hardly ever for others. The same on all processes of one build.
+/// A hash of a request's content: equal for requests with the same content, and almost never for
+/// others. All processes of one build compute the same value.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -13,24 +15,24 @@
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
-/// A start of an endpoint ended while it ran a request.
+/// An endpoint terminated while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// What the request asks.
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// The start of the endpoint, by its short name.
+    /// The hash that identifies the endpoint and its start.
     pub endpoint: u64,
-    /// How long ago.
+    /// How long ago it happened, in milliseconds.
     pub age: time::Millis,
-    /// The request was answered whole later on: it was not the cause.
+    /// Whether the same request has since been answered completely, so that it was not the cause.
     pub is_cleared: bool,
 }
 
-/// A request that is passed on no more.
+/// A quarantined request: entry processes no longer forward it to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Held {
-    /// What it asks.
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// The starts of endpoints that have ended under it, by their short names.
+    /// The hashes that identify the endpoint starts which terminated while they ran it.
     pub endpoints: Vec<u64>,
 }
