--- a/crates/sageshed-types/src/claims.rs
+++ b/crates/sageshed-types/src/claims.rs
@@ -1,51 +1,53 @@
 //! Claims on requests that may run at most once.
 //!
-//! Before any byte of such a request leaves an entry process, the control group commits a claim on
-//! its key. Only the holder of the claim may send it, and only once.
+//! Before an entry process sends any byte of such a request to an endpoint, the control group
+//! commits a claim on the request's key. Only the holder of the claim may send the request, and only
+//! once.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{endpoints, time};
 
-/// What a claim is on: the key is the caller's own, so two callers never collide.
+/// The key of a claim. It includes the caller, so that the keys of two callers never collide.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The caller's name.
     pub caller: String,
-    /// The idempotency key, or the request id where the caller gave none.
+    /// The idempotency key, or the request id if the caller gave none.
     pub key: String,
 }
 
-/// Who holds a claim: one arrival of a request at one entry process.
+/// The holder of a claim: one arrival of a request at one entry process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The entry VM.
     pub vm: String,
-    /// The start of its process.
+    /// The incarnation of the entry process.
     pub incarnation: endpoints::Incarnation,
-    /// The request id of the arrival.
+    /// The id assigned to the request on this arrival.
     pub request_id: String,
 }
 
-/// Asks for a claim.
+/// Requests a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// On what.
+    /// The key to claim.
     pub key: ClaimKey,
-    /// For whom.
+    /// Who will hold the claim.
     pub holder: Holder,
-    /// A digest of method, path and body: the same key with other content is an error.
+    /// A digest of method, path and body. The same key with a different digest is an error.
     pub digest: u64,
-    /// How long the claim is kept after it is settled, by the settings of the asker, in milliseconds.
+    /// How long the claim is kept after it is settled, in milliseconds. Taken from the settings of the
+    /// entry process that requests the claim.
     pub retention: time::Millis,
 }
 
-/// Says how a claimed request ended.
+/// Records how a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Settle {
-    /// Which claim.
+    /// The key of the claim.
     pub key: ClaimKey,
-    /// Who holds it; another's word is not taken.
+    /// The holder. A message that names another holder than the claim's is ignored.
     pub holder: Holder,
     /// How it ended.
     pub end: End,
@@ -55,18 +57,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It ran. The answer is kept if it is small enough.
+    /// It ran. The response is stored if it is small enough.
     Ran {
-        /// The answer, or none if it was larger than the bound.
+        /// The response, or none if it exceeds the size limit.
         answer: Option<RecordedAnswer>,
     },
-    /// Not a byte of it went out: the claim is given back.
+    /// No byte of it was sent: the claim is released.
     NotRun,
-    /// It went out and its end is unknown.
+    /// It was sent, and whether it ran is not known.
     Unknown,
 }
 
-/// An answer kept for later arrivals of the same key.
+/// A response stored for later arrivals of the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// HTTP status.
@@ -77,26 +79,26 @@
     pub body: Vec<u8>,
 }
 
-/// What the control group says to a claim.
+/// The control group's reply to a [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimOutcome {
-    /// Committed: this arrival may send the request, once.
+    /// The claim is committed: this arrival may send the request, once.
     Granted,
-    /// Another arrival holds it and has not said how it ended.
+    /// Another arrival holds the claim and has not settled it.
     Running {
-        /// The other.
+        /// The arrival that holds the claim.
         holder: Holder,
     },
-    /// It ran; here is the answer, if it was kept.
+    /// The request ran.
     Ran {
-        /// The answer.
+        /// The response, if it was stored.
         answer: Option<RecordedAnswer>,
     },
-    /// It may have run, and nobody will learn more.
+    /// The request may have run. This is final.
     Unknown,
-    /// The key came before with other content.
+    /// The key was used before with a different digest.
     OtherContent,
-    /// No more claims can be kept. Nothing was recorded.
+    /// The claim table is full. Nothing was recorded.
     Full,
 }
--- a/crates/sageshed-types/src/refusal.rs
+++ b/crates/sageshed-types/src/refusal.rs
@@ -1,41 +1,41 @@
-//! The account that goes with every refusal.
+//! The description of a refusal, sent to the caller with every refused request.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{rules, time, verdict};
 
-/// The name that an account gives where no operator's rule matched.
+/// The rule id that is reported when no rule of the operators matched.
 pub const DEFAULT_RULE: &str = "default";
 
-/// Why a request was refused, and what is known of it. The body of the answer.
+/// Why a request was refused, and whether it may have run. The body of the response.
 ///
-/// Serialised by `sageshed-http` as `application/problem+json` (RFC 9457).
+/// Serialized by `sageshed-http` as `application/problem+json` (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// HTTP status. Equals `reason.status()` but where a rule or an endpoint chose another.
+    /// HTTP status. Equals `reason.status()` unless a rule or an endpoint set another one.
     pub status: u16,
-    /// Why.
+    /// Why the request was refused.
     pub reason: verdict::Reason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: verdict::Verdict,
-    /// One sentence for people, with the names and figures of this case.
+    /// One human-readable sentence with the names and figures of this case.
     pub detail: String,
-    /// The rule that decided, [`DEFAULT_RULE`], or none if it was refused before any rule was asked.
+    /// The rule that decided, [`DEFAULT_RULE`], or none if it was refused before any rule was evaluated.
     pub rule: Option<String>,
-    /// The revision of the rules that decided it.
+    /// The revision of the rules that were applied.
     pub revision: rules::Revision,
-    /// When coming back can help, in milliseconds from now.
+    /// After which time a retry may succeed, in milliseconds from now.
     pub retry_after: Option<time::Millis>,
 }
 
 impl Refusal {
-    /// A refusal of a request that no endpoint has seen.
+    /// A refusal of a request that was not sent to any endpoint.
     #[must_use]
     pub fn not_run(reason: verdict::Reason, detail: impl Into<String>) -> Self {
         Self::new(reason, verdict::Verdict::NotRun, detail)
     }
 
-    /// A refusal with the status of its reason, decided by no rule and with no time to come back.
+    /// A refusal with the HTTP status of its reason, without a rule and without a retry time.
     #[must_use]
     pub fn new(
         reason: verdict::Reason,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Names the rule and revision that decided.
+    /// Sets the rule and the revision that decided.
     #[must_use]
     pub fn decided_by(mut self, rule: &str, revision: rules::Revision) -> Self {
         self.rule = Some(rule.to_owned());
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Says when coming back can help.
+    /// Sets the time after which a retry may succeed.
     #[must_use]
     pub fn retry_after(mut self, span: time::Millis) -> Self {
         self.retry_after = Some(span);
--- a/crates/sageshed-types/src/rules.rs
+++ b/crates/sageshed-types/src/rules.rs
@@ -1,14 +1,14 @@
-//! Ordered rules as data: what operators write, what the control group replicates.
+//! Ordered rules as data: operators write them and the control group replicates them.
 //!
-//! The first rule whose `when` holds decides; later ones are not asked. The compiled form that the
-//! request path uses is in `sageshed-decide`.
+//! The first rule whose conditions match a request decides, and later rules are not evaluated. The
+//! compiled form used on the request path is in `sageshed-decide`.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::time;
 
-/// Counts accepted changes of the rules. Only grows.
+/// The number of accepted changes of the rules. Never decreases.
 #[derive(
     Debug,
     Clone,
@@ -26,27 +26,27 @@
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// One rule: when this holds, do that.
+/// One rule: conditions, and an action for requests that match them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Unique among the rules in force. Letters, digits, `-`, `_` and `.`; `default` is taken.
+    /// Unique among the rules in force. Letters, digits, `-`, `_` and `.`. The id `default` is reserved.
     pub id: String,
-    /// What must hold. Empty: always.
+    /// The conditions. Empty conditions match every request.
     #[serde(default, skip_serializing_if = "When::is_empty")]
     pub when: When,
-    /// What to do then.
+    /// What to do with a matching request.
     #[serde(rename = "do")]
     pub action: Action,
     /// Marks the request as one that may not be repeated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub not_repeatable: Option<bool>,
-    /// Time the request has from its arrival, in milliseconds, unless the caller gave less.
+    /// The deadline in milliseconds after arrival, unless the caller set an earlier one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<time::Millis>,
 }
 
-/// Conditions; all that are given must hold, and a list holds if any of its members does.
+/// The conditions of a rule. All given conditions must match. A list matches if any of its values does.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct When {
@@ -56,7 +56,7 @@
     /// Names of classes.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub class: Vec<String>,
-    /// Names of models: the request names the model, or an adapter on it.
+    /// Names of models. Matches requests for the model and for adapters based on it.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub model: Vec<String>,
     /// Names of adapters.
@@ -65,10 +65,10 @@
     /// Names of plain services.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub service: Vec<String>,
-    /// Availability zones of the entry process that took the request.
+    /// Availability zones of the entry process that received the request.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub availability_zone: Vec<String>,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller requested a streamed response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub streaming: Option<bool>,
     /// Bounds on the estimated number of prompt tokens.
@@ -83,14 +83,14 @@
 }
 
 impl When {
-    /// Whether it holds for every request.
+    /// Whether there are no conditions, so that every request matches.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Inclusive bounds; a bound not given is open.
+/// An inclusive range. A missing bound is unlimited.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Range {
@@ -103,13 +103,13 @@
 }
 
 impl Range {
-    /// Whether `value` is inside.
+    /// Whether `value` is in the range.
     #[must_use]
     pub fn contains(self, value: u32) -> bool {
         self.min.is_none_or(|min| min <= value) && self.max.is_none_or(|max| value <= max)
     }
 
-    /// Whether every value inside `other` is inside this range too.
+    /// Whether this range contains all values of `other`.
     #[must_use]
     pub fn covers(self, other: Self) -> bool {
         let least = self.min.unwrap_or(0) <= other.min.unwrap_or(0);
@@ -117,97 +117,97 @@
     }
 }
 
-/// What a rule does. Written in TOML as `do = { route = { pool = "callout" } }`.
+/// The action of a rule. Written in TOML as `do = { route = { pool = "callout" } }`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
-    /// Sends the request on.
+    /// Forwards the request, with the given overrides.
     Route(Route),
-    /// Refuses it.
+    /// Refuses the request.
     Refuse(Refuse),
-    /// Sends it by the default route while the limit lasts, refuses it past that.
+    /// Forwards the request by the default route within the rate limit, and refuses it above the limit.
     Limit(Limit),
 }
 
-/// Where a rule sends a request. What is not given stays as the request has it.
+/// How a rule forwards a request. Values that are not given are taken from the request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Route {
     /// The only pool whose engines may serve it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
-    /// The model or adapter to ask in place of the one named.
+    /// The model or adapter to use instead of the one named in the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The priority in place of its class's: 0 is the least urgent, 9 the most.
+    /// The priority to use instead of the class's: 0 is the least urgent, 9 the most.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
 }
 
-/// How a rule refuses.
+/// How a rule refuses a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Refuse {
-    /// The operator's words, shown to the caller.
+    /// The operator's explanation, shown to the caller.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub reason: String,
-    /// When coming back can help, in milliseconds.
+    /// After which time a retry may succeed, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<time::Millis>,
 }
 
-/// A token bucket. Each entry process holds its share of the rate.
+/// A rate limit, enforced by token buckets. Each entry process enforces its share of the rate.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Requests a second over all entry processes.
+    /// Requests per second over all entry processes.
     pub rate: f64,
-    /// Requests that may come at once after a pause, over all entry processes.
+    /// The bucket's capacity in requests, over all entry processes.
     pub burst: f64,
-    /// What has a bucket of its own.
+    /// Which requests share a bucket.
     #[serde(default)]
     pub per: Per,
 }
 
-/// What each has a bucket of its own under a [`Limit`].
+/// Which requests share a token bucket under a [`Limit`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Per {
-    /// All requests that match the rule share one.
+    /// All requests that match the rule share one bucket.
     #[default]
     Rule,
-    /// One for each caller.
+    /// One bucket for each caller.
     Caller,
-    /// One for each model or adapter.
+    /// One bucket for each model or adapter.
     Model,
-    /// One for each class.
+    /// One bucket for each class.
     Class,
 }
 
-/// The rules in force at one revision, in the order they are asked.
+/// The rules in force at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleSet {
-    /// Which revision this is.
+    /// The revision.
     pub revision: Revision,
-    /// First match wins.
+    /// The rules in the order of evaluation. The first match decides.
     pub rules: Vec<Rule>,
 }
 
-/// Where a rule goes in the order.
+/// The position of a rule in the order of evaluation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Position {
-    /// Before every other.
+    /// Before all other rules.
     First,
-    /// After every other.
+    /// After all other rules.
     Last,
-    /// Right before the rule with this id.
+    /// Immediately before the rule with this id.
     Before(String),
-    /// Right after the rule with this id.
+    /// Immediately after the rule with this id.
     After(String),
 }
 
-/// One change that an operator asks for.
+/// An edit of the rules that an operator requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
@@ -215,74 +215,74 @@
     Add {
         /// The new rule.
         rule: Box<Rule>,
-        /// Where it goes.
+        /// Its position.
         position: Position,
     },
     /// Moves a rule.
     Move {
-        /// Which rule.
+        /// The rule's id.
         id: String,
-        /// Where it goes.
+        /// Its new position.
         position: Position,
     },
-    /// Withdraws a rule.
+    /// Removes a rule.
     Withdraw {
-        /// Which rule.
+        /// The rule's id.
         id: String,
     },
-    /// Replaces all rules by these.
+    /// Replaces all rules.
     ReplaceAll {
         /// The new rules, in order.
         rules: Vec<Rule>,
     },
 }
 
-/// A change as it reaches the control group.
+/// A change as submitted to the control group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Chosen by the operator's client; a resend carries the same one.
+    /// Chosen by the operator's client, which uses the same id when it sends the change again.
     pub change_id: String,
-    /// The revision that the operator saw. The change is taken only on top of it.
+    /// The revision that the operator saw. The change is accepted only if it is still the newest.
     pub base_revision: Revision,
-    /// What to change.
+    /// The edit.
     pub edit: Edit,
-    /// Who asked, by the name of the operator's token.
+    /// The operator, by the name of the operator's token.
     pub operator: String,
 }
 
-/// An accepted change, as the history shows it.
+/// An accepted change in the history of the rules.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The revision that it made.
+    /// The revision that the change produced.
     pub revision: Revision,
     /// The change.
     pub change: Change,
 }
 
-/// What became of a change.
+/// The outcome of a submitted change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// It is committed, as this revision. A resend of the same change gets the same answer.
+    /// The change is committed. Sending the same change again returns the same outcome.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change produced.
         revision: Revision,
     },
-    /// Others came in between: the base revision is not the newest.
+    /// The base revision is not the newest, because other changes were accepted in between.
     Conflict {
         /// The newest revision.
         revision: Revision,
-        /// What was accepted after the base revision, oldest first, as far as the history reaches.
+        /// The changes accepted after the base revision, oldest first, as far as the history reaches.
         between: Vec<Accepted>,
     },
-    /// The same change id came before with other content.
+    /// The change id was used before for a change with other content.
     ChangeIdReused {
-        /// The revision that the first one made.
+        /// The revision that the earlier change produced.
         revision: Revision,
     },
-    /// The change cannot be applied, for this reason.
+    /// The change cannot be applied.
     Invalid {
-        /// What is wrong and what to do.
+        /// What is wrong and how to correct it.
         problem: String,
     },
 }
--- a/crates/sageshed-types/src/verdict.rs
+++ b/crates/sageshed-types/src/verdict.rs
@@ -1,12 +1,12 @@
-//! Whether a request may have run.
+//! Whether a request may have run, and why a request was refused.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// What is known of a request that got no full answer.
+/// Whether a request that got no complete response was run.
 ///
-/// `NotRun` is a promise: no endpoint has run the request and none will. Whatever cannot be promised
-/// is `MayHaveRun`.
+/// `NotRun` is a guarantee: no endpoint has run the request and none will. Where that cannot be
+/// guaranteed, the verdict is `MayHaveRun`.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -15,7 +15,7 @@
     /// No endpoint ran it and none will.
     #[display("not_run")]
     NotRun,
-    /// Bytes of it went to an endpoint and the outcome is unknown.
+    /// Bytes of it were sent to an endpoint and the outcome is unknown.
     #[display("may_have_run")]
     MayHaveRun,
     /// An endpoint ran it.
@@ -24,14 +24,14 @@
 }
 
 impl Verdict {
-    /// The verdict over two tries of one request: the one that promises less about not running.
+    /// The combined verdict of two attempts of one request: the one that guarantees less.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         self.max(other)
     }
 }
 
-/// Why a request was refused or given up on. A closed set: operators find each in the rules guide.
+/// Why a request was refused or abandoned. A closed set: the operators' guide documents each reason.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
@@ -40,77 +40,77 @@
     /// The request itself is not valid.
     #[display("bad_request")]
     BadRequest,
-    /// No bearer token, or one that belongs to no caller.
+    /// There is no bearer token, or it belongs to no caller.
     #[display("unauthorized")]
     Unauthorized,
-    /// The body or the head is larger than the limit.
+    /// The body or the header section is larger than the limit.
     #[display("too_large")]
     TooLarge,
-    /// The request did not arrive whole in time.
+    /// The request did not arrive completely in time.
     #[display("request_timeout")]
     RequestTimeout,
-    /// No such path, or the path does not take this method.
+    /// The path does not exist or does not support the method.
     #[display("not_found")]
     NotFound,
-    /// No model, adapter or service of that name is offered.
+    /// No model, adapter or service has this name.
     #[display("unknown_model")]
     UnknownModel,
     /// A rule refuses it.
     #[display("rule_refused")]
     RuleRefused,
-    /// A rule's limit is used up.
+    /// A rule's rate limit is exhausted.
     #[display("rule_limit")]
     RuleLimit,
-    /// The caller's own limit is used up.
+    /// The caller's own rate limit is exhausted.
     #[display("caller_limit")]
     CallerLimit,
-    /// No endpoint that may serve it is known, or none has the model and none can load it in time.
+    /// No endpoint that may serve it is known, or no engine has the model and none can load it in time.
     #[display("no_route")]
     NoRoute,
     /// The queue of its class is full.
     #[display("queue_full")]
     QueueFull,
-    /// It could not have been finished by its deadline.
+    /// It could not have been completed by its deadline.
     #[display("deadline_unmeetable")]
     DeadlineUnmeetable,
     /// Its deadline passed while it ran.
     #[display("deadline_passed")]
     DeadlinePassed,
-    /// The endpoint failed, and no other try was allowed or left.
+    /// The endpoint failed, and no further attempt was allowed or possible.
     #[display("endpoint_failed")]
     EndpointFailed,
-    /// Endpoints ended under the same request, and it is passed on no more.
+    /// Endpoints crashed while they ran the same request, so that it is no longer forwarded.
     #[display("quarantined")]
     Quarantined,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint returned an error response.
     #[display("endpoint_refused")]
     EndpointRefused,
     /// This entry process cannot confirm that its configuration is in force.
     #[display("not_confirmed")]
     NotConfirmed,
-    /// The control group could not record the claim of a request that may not be repeated.
+    /// The control group could not commit the claim of a request that may not be repeated.
     #[display("claim_unavailable")]
     ClaimUnavailable,
     /// A request with the same idempotency key is running or has run.
     #[display("duplicate")]
     Duplicate,
-    /// The same idempotency key came with other content.
+    /// The idempotency key was used before for a request with other content.
     #[display("key_reused")]
     KeyReused,
     /// This entry process is shutting down.
     #[display("draining")]
     Draining,
-    /// This entry process serves as many requests as it is set to.
+    /// This entry process has reached its limit of open requests.
     #[display("too_many_requests_open")]
     #[serde(rename = "too_many_requests_open")]
     TooManyOpen,
-    /// A fault inside the system.
+    /// An internal error of the system.
     #[display("internal")]
     Internal,
 }
 
 impl Reason {
-    /// The HTTP status of an answer that refuses for this reason.
+    /// The HTTP status of a response with this reason.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A short title for people, the same for every refusal with this reason.
+    /// A short human-readable title, the same for every refusal with this reason.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
