--- a/crates/sageshed-types/src/account.rs
+++ b/crates/sageshed-types/src/account.rs
@@ -1,63 +1,63 @@
-//! What happened to one request, kept for `sageshed explain`.
+//! The record of one request, kept for `sageshed explain`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{refusal, rules, time, verdict};
 
-/// The account of one request, from arrival to answer.
+/// The record of one request, from its arrival to the end of its response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// The id that the answer carried. Begins with the name of the entry VM.
+    /// The request id returned in the response. Begins with the name of the entry VM.
     pub request_id: String,
-    /// When it came, in milliseconds since 1970.
+    /// Arrival time, in milliseconds since 1970.
     pub arrived_unix_ms: u64,
-    /// The caller's name, or none if it was not known.
+    /// The caller's name, or none if it could not be identified.
     pub caller: Option<String>,
-    /// The class it was put in.
+    /// The class assigned to the request.
     pub class: Option<String>,
-    /// The model, adapter or service it named.
+    /// The model, adapter or service named in the request.
     pub target: Option<String>,
     /// The rule that decided, or `default`.
     pub rule: Option<String>,
-    /// The revision of the rules that decided.
+    /// The revision of the rules that were applied.
     pub revision: rules::Revision,
-    /// Whether it was treated as one that may not be repeated.
+    /// Whether the request was treated as not repeatable.
     pub not_repeatable: bool,
-    /// Time it had from its arrival, in milliseconds.
+    /// The deadline, in milliseconds after arrival.
     pub deadline: time::Millis,
-    /// How long it waited in this entry process before it was first sent, in milliseconds.
+    /// How long it waited in this entry process before the first attempt, in milliseconds.
     pub queued: time::Millis,
-    /// The endpoints that were weighed for the first try.
+    /// The endpoints considered for the first attempt.
     pub candidates: Vec<Candidate>,
-    /// Each time it was sent, in order.
+    /// The attempts, in order.
     pub tries: Vec<Try>,
     /// How it ended.
     pub end: End,
-    /// From arrival to the end of the answer, in milliseconds.
+    /// Time from arrival to the end of the response, in milliseconds.
     pub took: time::Millis,
 }
 
-/// An endpoint that was weighed.
+/// An endpoint that was considered for a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// Its name.
+    /// The endpoint's name.
     pub endpoint: String,
-    /// Estimated time to the full answer, in milliseconds.
+    /// Estimated time to the complete response, in milliseconds.
     pub estimate: time::Millis,
-    /// Why it was not taken, or none if it was.
+    /// Why it was not chosen, or none if it was.
     pub passed_over: Option<String>,
 }
 
-/// One sending of a request to an endpoint.
+/// One attempt to run a request on an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Try {
-    /// To whom.
+    /// The endpoint's name.
     pub endpoint: String,
-    /// Milliseconds after arrival.
+    /// When the attempt began, in milliseconds after the request's arrival.
     pub started: time::Millis,
-    /// Whether it may have run there.
+    /// Whether the endpoint may have run the request.
     pub verdict: verdict::Verdict,
-    /// What came of it, in a few words.
+    /// A short description of the result.
     pub outcome: String,
 }
 
@@ -65,17 +65,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// Still under way.
+    /// Still in progress.
     Open,
-    /// Answered whole.
+    /// The complete response was sent to the caller.
     Answered {
         /// HTTP status.
         status: u16,
         /// Bytes of the body.
         bytes: u64,
     },
-    /// Refused or given up on, with this account.
+    /// Refused or abandoned, for the reason given here.
     Refused(refusal::Refusal),
-    /// The caller went away first.
+    /// The caller disconnected before the response was complete.
     CallerGone,
 }
--- a/crates/sageshed-types/src/arena.rs
+++ b/crates/sageshed-types/src/arena.rs
@@ -1,21 +1,20 @@
-//! Names turned into small `Copy` keys, and storage indexed by them.
+//! Interned names: each distinct name gets a small `Copy` key.
 //!
-//! Names travel between processes as strings, since each process fills its own arena in its own
-//! order. Inside a process the request path handles only keys: comparing two models is comparing
-//! two `u32`.
+//! Processes exchange names as strings, since each process interns names in its own order. Inside a
+//! process the request path handles only keys, so that comparing two models compares two `u32`.
 
 use std::{collections, fmt, hash, marker};
 
-/// A key of an arena: a small number with a type of its own.
+/// A typed index of an interned name.
 pub trait Key: Copy + Eq + hash::Hash + fmt::Debug {
-    /// Makes a key of its position in the arena.
+    /// Converts a position in the interner to a key.
     fn from_index(index: usize) -> Self;
 
-    /// The position in the arena.
+    /// The position in the interner.
     fn index(self) -> usize;
 }
 
-/// Declares key types, one for each kind of thing that has a name.
+/// Declares key types, one for each kind of named object.
 macro_rules! keys {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
@@ -35,7 +34,7 @@
 }
 
 keys! {
-    /// A model or an adapter: both are named in a request's `model` member.
+    /// A model or an adapter: a request names either in its `model` member.
     ModelKey,
     /// A plain service.
     ServiceKey,
@@ -45,13 +44,13 @@
     PoolKey,
     /// An availability zone.
     ZoneKey,
-    /// A caller, known by its bearer token.
+    /// A caller, identified by its bearer token.
     CallerKey,
     /// A class of requests.
     ClassKey,
 }
 
-/// Distinct names, each with its key in the order they came.
+/// Assigns keys to distinct names, in the order in which they are added.
 #[derive(Debug, Clone)]
 pub struct Names<K> {
     by_index: Vec<String>,
@@ -70,7 +69,7 @@
 }
 
 impl<K: Key> Names<K> {
-    /// The key of `name`, made now if the name is new.
+    /// The key of `name`, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(key) = self.get(name) {
             return key;
@@ -84,7 +83,7 @@
         key
     }
 
-    /// The key of `name`, if it was interned.
+    /// The key of `name`, if it was added before.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<K> {
         self.keys
@@ -92,25 +91,25 @@
             .map(|index| K::from_index(*index as usize))
     }
 
-    /// The name behind `key`, which must come from this arena.
+    /// The name of `key`, which must come from this interner.
     #[must_use]
     pub fn name(&self, key: K) -> &str {
         &self.by_index[key.index()]
     }
 
-    /// How many names there are.
+    /// The number of names.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_index.len()
     }
 
-    /// Whether there is no name.
+    /// Whether no name was added yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_index.is_empty()
     }
 
-    /// Every key with its name, in order of interning.
+    /// All keys with their names, in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (K, &str)> {
         self.by_index
             .iter()
--- a/crates/sageshed-types/src/document.rs
+++ b/crates/sageshed-types/src/document.rs
@@ -1,20 +1,20 @@
-//! A fleet's configuration as the operator sent it.
+//! A fleet's configuration as the operator submitted it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A configuration under its number. It is kept and passed on as it came, so that it reads back the
-/// same.
+/// A numbered configuration. The text is stored and forwarded unchanged, so that reading it back
+/// returns exactly what was submitted.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The operator's number. The highest is in force.
+    /// The number given by the operator. The configuration with the highest number is in force.
     pub version: u64,
-    /// The text.
+    /// The text of the configuration.
     pub text: String,
 }
 
-/// Leaves the text out: it may hold the keys of callers.
+/// Omits the text, since it may contain the API keys of callers.
 impl fmt::Debug for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let bytes = self.text.len();
--- a/crates/sageshed-types/src/headers.rs
+++ b/crates/sageshed-types/src/headers.rs
@@ -1,7 +1,7 @@
-//! Names of HTTP headers that more than one package has to know.
+//! Names of HTTP headers that are used by more than one package.
 
-/// Headers that belong to one connection and not to the message (RFC 9110, section 7.6.1), and those
-/// that the sender of the next message sets anew. In lower case.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that each sender of a message sets
+/// itself. They are not forwarded. In lower case.
 pub const OF_CONNECTION: [&str; 12] = [
     "connection",
     "content-length",
@@ -17,6 +17,6 @@
     "upgrade",
 ];
 
-/// The header with a caller's token for this system. Whoever gets it could act as the caller, so it
-/// is never passed on. In lower case.
+/// The header with the caller's bearer token. It is never forwarded, since whoever receives the token
+/// could act as the caller. In lower case.
 pub const TOKEN: &str = "authorization";
--- a/crates/sageshed-types/src/lib.rs
+++ b/crates/sageshed-types/src/lib.rs
@@ -1,12 +1,25 @@
-//! Types that every other package shares.
+//! Types shared by all other packages.
 //!
-//! Nothing in this package does I/O or reads a clock. It holds the words in which the packages talk
-//! to each other: keys and arenas ([`arena`]), the verdict about a request ([`verdict`]), the
-//! account of a refusal ([`refusal`]), rules as data ([`rules`]), what endpoints say of themselves
-//! ([`endpoints`]), how a sending to one of them fails ([`fault`]), the catalog of what is offered ([`catalog`]), claims on requests that may not be
-//! repeated ([`claims`]), what happened to one request ([`account`]), a fleet's configuration as it was sent ([`document`]), requests that
-//! have ended endpoints ([`quarantine`]), keys by their digests ([`secret`]), how far one process knows what another counts ([`mark`]) and the messages between the
-//! system's own processes ([`messages`]).
+//! Nothing in this package does I/O or reads a clock.
+//!
+//! | module | contents |
+//! |---|---|
+//! | [`account`] | the record of one request, kept for `sageshed explain` |
+//! | [`arena`] | interned names and the keys that stand for them |
+//! | [`catalog`] | models, adapters, classes and callers, as the settings define them |
+//! | [`claims`] | claims on requests that may run at most once |
+//! | [`document`] | a fleet's configuration as the operator submitted it |
+//! | [`endpoints`] | registration and reports of endpoints, orders to engines |
+//! | [`fault`] | how an attempt to send a request to an endpoint failed |
+//! | [`headers`] | names of HTTP headers |
+//! | [`mark`] | up to which change one process has read another's state |
+//! | [`messages`] | messages between the system's own processes |
+//! | [`quarantine`] | requests that crashed endpoints |
+//! | [`refusal`] | the body of a refused request's response |
+//! | [`rules`] | routing rules as data, and changes of them |
+//! | [`secret`] | API keys, stored as digests |
+//! | [`time`] | instants and durations in milliseconds |
+//! | [`verdict`] | whether a request may have run, and why it was refused |
 
 pub mod account;
 pub mod arena;
--- a/crates/sageshed-types/src/secret.rs
+++ b/crates/sageshed-types/src/secret.rs
@@ -1,14 +1,14 @@
-//! Keys of callers and operators, known by their digests alone.
+//! API keys of callers and operators, represented by their digests only.
 //!
-//! Whoever has a key can act as its owner, so nothing that is kept, printed or sent holds one: a key is
-//! turned into its digest where it is read, and keys are told apart by digests. The time that a comparison
-//! of digests takes says nothing of the key, since nobody can make a key for a digest.
+//! Whoever has a key can act as its owner, so no key is stored, printed or forwarded: a key is replaced
+//! by its digest where it is read, and keys are compared by digest. The comparison need not take constant
+//! time: an attacker who learns a digest by timing cannot compute a key from it.
 
 use std::fmt::{self, Write as _};
 
 use sha2::Digest;
 
-/// Bytes of a digest.
+/// The length of a digest in bytes.
 const BYTES: usize = 32;
 
 /// The SHA-256 of a key.
@@ -22,7 +22,7 @@
         Self(sha2::Sha256::digest(key).into())
     }
 
-    /// The digest written as 64 hexadecimal digits of either case. None if `text` is not that.
+    /// Parses a digest of 64 hexadecimal digits in either case. None if `text` has another form.
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
@@ -36,11 +36,11 @@
         Some(Self(bytes))
     }
 
-    /// As 64 hexadecimal digits in lower case, as it stands in settings.
+    /// Formats the digest as 64 hexadecimal digits in lower case, the form used in settings.
     ///
     /// # Panics
     ///
-    /// Never: a string takes all text.
+    /// Never, since writing to a string cannot fail.
     #[must_use]
     pub fn to_hex(&self) -> String {
         let mut hex = String::with_capacity(2 * BYTES);
@@ -51,19 +51,19 @@
     }
 }
 
-/// What a request shows of who sends it.
+/// The credential that a request presents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Credential {
-    /// Nothing.
+    /// There is no `Authorization` header.
     #[default]
     Missing,
-    /// The key of `Authorization: Bearer KEY` (RFC 6750, section 2.1), by its digest.
+    /// The digest of the key in `Authorization: Bearer KEY` (RFC 6750, section 2.1).
     Bearer(KeyDigest),
-    /// An `Authorization` that shows no key: why.
+    /// The `Authorization` header contains no key, for this reason.
     Malformed(&'static str),
 }
 
-/// Tells nothing: a short key could be found by its digest.
+/// Omits the digest, since a short key could be found from it by trial.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
--- a/crates/sageshed-types/src/time.rs
+++ b/crates/sageshed-types/src/time.rs
@@ -1,18 +1,18 @@
-//! Points in time and spans, in milliseconds, as the pure packages see them.
+//! Instants and durations in milliseconds, for packages that do not read a clock themselves.
 
 use std::{ops, time};
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one process's monotonic clock, in milliseconds since that process started.
+/// A reading of a process's monotonic clock, in milliseconds since the process started.
 ///
-/// Never compared between processes.
+/// Readings of different processes are not comparable.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Instant(pub u64);
 
-/// A span of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,8 +20,8 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// A span in whole milliseconds, rounded up. What is less than nothing, or no number, is nothing; the longest are
-    /// some thirty thousand years.
+    /// Rounds `ms` up to whole milliseconds. Negative values and NaN become 0. The largest result is
+    /// 10^15 ms, about 30,000 years.
     #[must_use]
     pub fn rounded_up(ms: f64) -> Self {
         #[expect(
@@ -35,7 +35,7 @@
 }
 
 impl Instant {
-    /// The span since `earlier`, or zero if `earlier` is later.
+    /// The time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
