--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on requests that run at most once.
+//! Claims on requests that may run at most once.
 
 use sageshed_state::{claim_table, command};
 use sageshed_types::{claims, endpoints, time};
@@ -98,10 +98,10 @@
     claim_table::Claimed::Answer(claims::ClaimOutcome::Running { holder })
 }
 
-// The answer that grants a claim is lost and the entry asks again. Told that the claim is held, it
-// would refuse a request that nobody runs.
+// Guards against refusing a holder's repeated claim. If the reply that grants the claim is lost, the
+// entry process claims again. A refusal would make it refuse a request that nobody runs.
 #[test]
-fn the_holder_that_asks_again_is_granted_again() {
+fn a_repeated_claim_of_the_same_holder_is_granted() {
     let mut table = table();
     assert_eq!(ask(&mut table, "k", first()), granted());
     assert_eq!(ask(&mut table, "k", first()), granted());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_same_key_with_other_content_is_told_so_in_every_state() {
+fn the_same_key_with_other_content_is_rejected_in_every_state() {
     let other = claim_table::Claimed::Answer(claims::ClaimOutcome::OtherContent);
     let ends = [None, Some(ran(b"x")), Some(claims::End::Unknown)];
     for end in ends {
@@ -127,11 +127,11 @@
     }
 }
 
-// An entry gives up on a claim whose proposal hangs at a leader that is cut off, or its process
-// ends; then the proposal is committed. Granted, nobody would ever settle it, and each retry of the
-// caller would hear that the request is running.
+// Guards against granting a claim that is committed late. The proposal is delayed at a partitioned
+// leader, and meanwhile the entry process abandons it or ends. Nobody would settle the claim, and each
+// retry of the caller would be told that the request is running.
 #[test]
-fn a_claim_that_comes_after_its_holder_gave_up_is_not_granted() {
+fn a_claim_committed_after_its_holder_gave_up_is_not_granted() {
     let mut table = table();
     settle(&mut table, "k", first(), claims::End::NotRun);
     assert_eq!(ask(&mut table, "k", first()), claim_table::Claimed::TooLate);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn holders_that_gave_up_are_remembered_up_to_the_bound() {
+fn released_holders_are_recorded_up_to_the_limit() {
     let mut table = table();
     for request_id in ["a", "b", "c"] {
         settle(
@@ -161,9 +161,10 @@
     assert_eq!(ask(&mut table, "k", holder("vm1", 5, "a")), granted());
 }
 
-// The table is full. Forgetting the oldest claim to make room would let its request run again.
+// Guards against evicting claims from a full table, which would let the evicted claim's request run
+// again.
 #[test]
-fn a_full_table_refuses_new_claims_and_forgets_none() {
+fn a_full_table_refuses_new_claims_and_evicts_none() {
     let mut table = table();
     for on in ["a", "b", "c"] {
         assert_eq!(ask(&mut table, on, first()), granted());
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn answers_are_bounded_in_sum_and_the_room_comes_back() {
+fn the_total_size_of_responses_is_bounded_and_freed_on_expiry() {
     let mut table = table();
     for on in ["a", "b"] {
         ask(&mut table, on, first());
--- a/crates/sageshed-state/tests/control.rs
+++ b/crates/sageshed-state/tests/control.rs
@@ -1,4 +1,4 @@
-//! The whole state: orders, drains, pins, replay, and its bytes.
+//! The whole state: orders, drains, pins, replay of the log, and the encoding.
 
 use sageshed_state::{codec, command, control};
 use sageshed_types::{claims, endpoints, quarantine, rules, time};
@@ -45,8 +45,9 @@
     state.orders().open().map(|order| order.order.0).collect()
 }
 
-// A leader is cut off with a proposal on its way. Its successor gives the memory to another model,
-// then the old proposal is committed: issued, both models would be loaded into the same memory.
+// Guards against issuing orders of a replaced leader. The leader is partitioned with a proposal in
+// flight, its successor assigns the memory to another model, then the old proposal is committed. Both
+// models would be loaded into the same memory.
 #[test]
 fn orders_of_an_old_leader_that_commit_late_are_not_issued() {
     let mut state = control::ControlState::default();
@@ -60,7 +61,7 @@
     let late = apply(&mut state, issue(4, &[load("e1", 1, "b")]));
     let refused = command::IssueOutcome::StaleTerm { highest: 6 };
     assert_eq!(late, command::Outcome::Issue(refused.clone()));
-    // The old leader's first command, late as well, does not bring its term back.
+    // The old leader's first command, committed late, does not lower the highest started term.
     apply(&mut state, started(5));
     let late = apply(&mut state, issue(5, &[load("e1", 1, "b")]));
     assert_eq!(late, command::Outcome::Issue(refused));
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn ids_and_fences_grow_with_every_order_and_every_leader() {
+fn ids_and_fencing_tokens_increase_with_every_order_and_every_leader() {
     let mut state = control::ControlState::default();
     let first = fence(&apply(
         &mut state,
@@ -99,8 +100,8 @@
     assert!(ids.is_sorted_by(|a, b| a < b), "{ids:?}");
 }
 
-// A leader proposes a load, does not learn what came of it, and proposes it again. Two orders would
-// be sent, and the memory counted twice.
+// Guards against issuing one order twice. A leader proposes a load, does not learn the outcome and
+// proposes it again. Two orders would be sent, and the memory would be counted twice.
 #[test]
 fn an_order_that_equals_an_open_one_is_not_issued_again() {
     let mut state = control::ControlState::default();
@@ -173,10 +174,10 @@
     }
 }
 
-// An operator drains a VM, loses the answer, ends the drain, and the resend of the drain arrives
-// last: the VM would be drained with nobody aware of it.
+// Guards against applying a delayed retry of a drain. An operator drains a VM, the reply is lost, the
+// drain is ended, and the retry of the first command arrives last. The VM would be drained unnoticed.
 #[test]
-fn a_drain_that_is_sent_again_late_changes_nothing() {
+fn a_delayed_retry_of_a_drain_changes_nothing() {
     struct Case {
         on: bool,
         change_id: &'static str,
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn pins_come_and_go() {
+fn pins_are_added_and_removed() {
     let mut state = control::ControlState::default();
     let pin = |zone: &str| command::Command::Pin {
         model: "m".to_owned(),
@@ -251,10 +252,10 @@
     assert_eq!(state.pins().count(), 0);
 }
 
-// A control process restarts and applies its log on top of a snapshot that holds the first entries
-// already. Applied twice, an order would be issued twice.
+// Guards against applying entries twice. A control process restarts and applies its log on top of a
+// snapshot that already includes the first entries. An order applied twice would be issued twice.
 #[test]
-fn an_entry_that_the_state_holds_is_not_applied_again() {
+fn an_entry_included_in_the_snapshot_is_not_applied_again() {
     let mut state = control::ControlState::default();
     state.apply(5, issue(1, &[load("e1", 1, "a")]));
     state.apply(
@@ -348,7 +349,7 @@
 }
 
 #[test]
-fn state_and_commands_come_back_from_their_bytes() {
+fn state_and_commands_are_unchanged_by_encoding_and_decoding() {
     let mut state = control::ControlState::default();
     let mut twin = control::ControlState::default();
     for command in commands() {
@@ -382,10 +383,10 @@
     assert!(matches!(read(cut), Err(codec::Error::Read { .. })));
 }
 
-// All control processes are killed. What they knew of requests under which endpoints end has to be in the state
-// that they start from, and a state of an earlier build has none of it.
+// Guards against losing the quarantined requests when all control processes are killed: they must be
+// part of the encoded state.
 #[test]
-fn held_requests_outlive_a_restart() {
+fn quarantined_requests_survive_a_restart() {
     let mut state = control::ControlState::default();
     let held = quarantine::Held {
         content: quarantine::Fingerprint(7),
--- a/crates/sageshed-state/tests/rules.rs
+++ b/crates/sageshed-state/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Changes of the rules: races, resends, and copies brought up to date.
+//! Changes of the rules: concurrent changes, retries, and updates of copies.
 
 use sageshed_state::{rule_log, update};
 use sageshed_types::{messages, rules};
@@ -48,10 +48,11 @@
     log
 }
 
-// An entry was away for more changes than the history keeps, though fewer than a delta may carry.
-// Sent those that are left, it would meet a gap each time it asks, and never catch up.
+// Guards against a delta with a gap. An entry process missed more changes than the history holds, but
+// fewer than a delta may contain. Given only those in the history, it would find a gap each time it
+// asks and never catch up.
 #[test]
-fn a_copy_that_the_history_does_not_reach_is_sent_the_whole() {
+fn a_copy_older_than_the_history_gets_a_snapshot() {
     let mut log = rule_log::RuleLog::new(2, KEPT_IDS);
     for (base, id) in ["a", "b", "c"].into_iter().enumerate() {
         log.change(change(id, base as u64, add(rule(id))));
@@ -62,7 +63,7 @@
     assert_eq!(log.updates_since(rules::Revision(0)), whole);
 }
 
-/// A log at `revision` whose only rule was added and withdrawn in turn.
+/// A log at `revision` whose only rule was alternately added and withdrawn.
 fn long(revision: u64) -> rule_log::RuleLog {
     let mut log = rule_log::RuleLog::new(KEPT_CHANGES, KEPT_IDS);
     for base in 0..revision {
@@ -84,10 +85,10 @@
     ids.join(" ")
 }
 
-// Two operators see revision 3 and both send a change. One is accepted; the other, judged by its
-// number alone, would be put in force on top of rules that its operator never saw.
+// Guards against applying a change to rules that its operator has not seen. Two operators see revision
+// 3 and both submit a change. The second one must be refused with the changes in between.
 #[test]
-fn the_second_of_two_racing_changes_is_told_what_came_between() {
+fn the_second_of_two_concurrent_changes_gets_the_changes_in_between() {
     let mut log = abc();
     let first = change("first", 3, add(rule("d")));
     assert_eq!(log.change(first.clone()), accepted(4));
@@ -106,10 +107,10 @@
     assert_eq!(ids(log.current()), "a b c d");
 }
 
-// An operator's change is accepted and the answer is lost. Others are accepted, then the operator
-// sends the change again: judged by its base revision it is a conflict with itself.
+// Guards against refusing a retry as a conflict with the change itself. An operator's change is
+// accepted and the reply is lost. Other changes are accepted, then the operator sends the change again.
 #[test]
-fn a_change_that_is_sent_again_gets_the_first_answer() {
+fn a_retried_change_gets_the_first_outcome() {
     let mut log = abc();
     let first = change("first", 3, add(rule("d")));
     assert_eq!(log.change(first.clone()), accepted(4));
@@ -137,10 +138,10 @@
     assert_eq!(log.current().revision, rules::Revision(5));
 }
 
-// The memory of change ids is full. A change that fell out of it comes again: it must not be
-// applied a second time, and is refused as a conflict.
+// Guards against applying a change twice after its id was removed from the full record of change ids.
+// The retry must be refused as a conflict.
 #[test]
-fn a_change_id_that_is_forgotten_is_a_conflict_and_not_a_second_change() {
+fn a_retry_with_an_evicted_change_id_is_a_conflict() {
     let mut log = long(KEPT_IDS as u64 + 1);
     let state = log.clone();
     let again = log.change(change("change-0", 0, add(rule("a"))));
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_copy_is_sent_the_changes_it_lacks_or_the_whole() {
+fn a_copy_gets_the_changes_it_lacks_or_a_snapshot() {
     struct Case {
         newest: u64,
         have: u64,
@@ -227,10 +228,10 @@
     }
 }
 
-// A control process that was cut off answers an entry with what was the newest hours ago. Taken,
-// it would put withdrawn rules in force again.
+// Guards against putting withdrawn rules in force again: a control process that was partitioned may
+// send rules that are hours old.
 #[test]
-fn a_copy_never_goes_back() {
+fn a_copy_never_goes_back_to_an_older_revision() {
     struct Case {
         label: &'static str,
         update: messages::ConfigUpdate,
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_leaves_the_copy() {
+fn a_delta_that_cannot_be_applied_leaves_the_copy_unchanged() {
     let mut copy = long(5).current().clone();
     let misfit = rules::Accepted {
         revision: rules::Revision(6),
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Runs the tables of `edits/` and `claims/`.
+//! Runs the test cases in the tables of `edits/` and `claims/`.
 
 use std::{error, fs, path};
 
@@ -18,7 +18,7 @@
     case: Vec<C>,
 }
 
-/// An edit with the ids it gives or the problem it has.
+/// An edit, with the resulting order of ids or a part of the error message.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EditCase {
@@ -27,7 +27,7 @@
     says: Option<String>,
 }
 
-/// What happens to a claim, and what a second arrival hears then.
+/// The events of a claim, and the reply to a second arrival after them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClaimCase {
@@ -139,7 +139,8 @@
             }
         }
     }
-    // A VM that no step speaks of: a holder that has settled asks no more.
+    // The second arrival is at a VM that no step names, since a holder does not claim again after it has
+    // settled.
     describe(table.claim(claim("vm3")))
 }
 
