--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -1,6 +1,6 @@
-//! Claims on requests that may run at most once.
+//! The table of claims on requests that may run at most once.
 //!
-//! # Life of a claim
+//! # States of a claim
 //!
 //! ```text
 //!            Claim                    Settle Ran
@@ -10,42 +10,44 @@
 //!    '----------------' '-----------------------> Unknown -> (absent)
 //! ```
 //!
-//! Only the holder of a running claim may send the request. The same holder that asks again is
-//! granted again, since its first answer may have been lost on the way; that is safe because a
-//! holder is one arrival at one process, which sends only after a granted answer and at most once,
-//! however many such answers reach it. It settles once, at the end of the request, and does not
-//! ask again after that.
+//! Only the holder of a running claim may send the request. If the same holder claims again, the claim
+//! is granted again, since the first reply may have been lost. This is safe because a holder is one
+//! arrival at one process: it sends only after a granted reply, and at most once however many such
+//! replies it receives. It settles once, at the end of the request, and does not claim again after
+//! that.
 //!
-//! # Why a running claim never ends by time
+//! # Running claims have no timeout
 //!
-//! A process that was frozen, or whose connection to the control group was cut, may still be about
-//! to send, or have sent. No span of time tells. So a running claim ends by its holder's word or by
-//! [`ClaimTable::holder_gone`], and then as unknown, never as free: the bytes may have gone out.
-//! A holder that was declared gone wrongly and later says that the request ran is believed; one
-//! that says it did not run is not, since others have been told that it may have.
+//! A process that was suspended, or lost its connection to the control group, may have sent the
+//! request or be about to send it, and no timeout can exclude that. So a running claim ends only when
+//! its holder settles it, or by [`ClaimTable::holder_gone`]. In the latter case its outcome becomes
+//! unknown and the claim is not released, since the request may have been sent. If a holder that was
+//! wrongly declared gone reports later that the request ran, the report is recorded. A report that it
+//! did not run is ignored, since other arrivals have already been told that it may have run.
 //!
 //! # Late claims
 //!
-//! A claim may be committed after its holder has given up on it: the proposal waits at a leader
-//! that is cut off, meanwhile the holder settles by another, or dies. Granted then, nobody would
-//! ever settle it, and the caller's retries would hear "running" until the holder's process ends.
-//! So holders that gave a claim back are remembered (bounded by count, oldest first out; a
-//! forgotten one costs that wait and no second run), and so is the lowest incarnation of each VM
-//! that is not gone. Their claims come too late and record nothing.
+//! A claim may be committed after its holder has abandoned it: the proposal is delayed at a partitioned
+//! leader, and meanwhile the holder settles through another one, or its process ends. If the claim were
+//! granted then, nobody would settle it, and the caller's retries would be told "running" until the
+//! holder's process ends. So the table records the holders that released a claim, and for each VM the
+//! lowest incarnation that may still be running. Claims of released holders and of lower incarnations
+//! are rejected as too late. The record of released holders is bounded by count, and the oldest is
+//! removed first. A late claim of a removed holder causes the wait described above, but no second run.
 //!
-//! # Retention and its clock
+//! # Retention and the replicated clock
 //!
-//! The clock is the leader's, replicated by command and monotone here. While there is no leader it
-//! stands still, so a claim settled right after an outage must not be counted from that old
-//! reading: it would be forgotten by the first new one. A settled claim is therefore stamped by the
-//! next reading after it. That makes it live up to one reading longer, and never shorter than its
-//! retention as the leaders' wall clocks count it.
+//! The clock is the leader's wall clock, replicated by commands, and never goes back here. It stands
+//! still while there is no leader. If the retention of a claim settled right after an outage were
+//! counted from the last reading before the outage, the claim would expire at the next reading. So the
+//! retention of a settled claim is counted from the next reading. The claim is kept for up to one
+//! clock interval longer than its retention, and never shorter as measured by the leaders' wall clocks.
 //!
-//! # Bounds
+//! # Limits
 //!
-//! Claims are bounded by count; past that, new ones are refused and old ones stay. Bodies of
-//! answers are bounded each and in sum; past that, the claim is kept without the answer. The
-//! lengths of keys are bounded by the limits on a request's head.
+//! The number of claims is bounded: when the table is full, new claims are refused and old ones stay.
+//! Response bodies are bounded individually and in total: above these limits the claim is kept without
+//! the response. The lengths of keys are bounded by the limits on a request's header section.
 
 use std::collections;
 
@@ -54,16 +56,16 @@
 
 use crate::command;
 
-/// Bounds of the table. Every replica must have the same.
+/// Limits of the table. All replicas must use the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Limits {
-    /// Claims in any state.
+    /// The maximum number of claims in any state.
     pub claims: usize,
-    /// Bytes of one answer's body.
+    /// The maximum size of a stored response body in bytes.
     pub answer_bytes: usize,
-    /// Bytes of all answers' bodies together.
+    /// The maximum total size of all stored response bodies in bytes.
     pub all_answer_bytes: usize,
-    /// Holders that gave a claim back and are remembered.
+    /// The maximum number of recorded holders that released their claims.
     pub given_back: usize,
 }
 
@@ -78,40 +80,40 @@
     }
 }
 
-/// One claim.
+/// A claim in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Held {
-    /// Who may send the request.
+    /// The arrival that may send the request.
     pub holder: claims::Holder,
-    /// Of its content.
+    /// The digest of the request's content.
     pub digest: u64,
-    /// How far it is.
+    /// The state of the claim.
     pub state: State,
-    /// How long it is kept after it is settled, in milliseconds.
+    /// How long the claim is kept after it is settled, in milliseconds.
     pub retention: time::Millis,
 }
 
-/// How far a claim is.
+/// The state of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The holder may send it or has sent it.
+    /// The holder may send the request or has sent it.
     Running,
-    /// It ran.
+    /// The request ran.
     Ran {
-        /// The answer, if it was small enough to keep.
+        /// The response, if it was small enough to be stored.
         answer: Option<claims::RecordedAnswer>,
     },
-    /// It may have run, and nobody will learn more.
+    /// The request may have run.
     Unknown,
 }
 
-/// What became of a claim.
+/// The result of [`ClaimTable::claim`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claimed {
-    /// The asker's answer.
+    /// The reply to the process that requested the claim.
     Answer(claims::ClaimOutcome),
-    /// The holder gave it back before, or is gone. Nothing was recorded.
+    /// The holder has already released the claim, or its process has ended. Nothing was recorded.
     TooLate,
 }
 
@@ -122,18 +124,19 @@
     unix_ms: u64,
     claims: collections::BTreeMap<claims::ClaimKey, Held>,
     answer_bytes: usize,
-    /// Settled since the last reading of the clock.
+    /// Claims settled since the last clock command, which have no expiry yet.
     unstamped: Vec<claims::ClaimKey>,
-    /// When each stamped claim is forgotten, in milliseconds since 1970.
+    /// The expiries of settled claims, in milliseconds since 1970.
     expiries: collections::BTreeSet<(u64, claims::ClaimKey)>,
     given_back: collections::BTreeSet<claims::Holder>,
     given_back_oldest_first: collections::VecDeque<claims::Holder>,
-    /// By VM: the lowest incarnation that is not gone. One for each entry VM ever heard.
+    /// By VM: the lowest incarnation that may still be running. Holds each entry VM of which a process
+    /// has ever ended.
     alive_from: collections::BTreeMap<String, endpoints::Incarnation>,
 }
 
 impl ClaimTable {
-    /// No claims, at time 0.
+    /// An empty table at time 0.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -155,13 +158,13 @@
         self.claims.get(key)
     }
 
-    /// How many claims there are.
+    /// The number of claims.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no claims.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
@@ -173,7 +176,7 @@
         self.unix_ms
     }
 
-    /// Asks for a claim.
+    /// Grants a claim, or returns why it is not granted.
     pub fn claim(&mut self, claim: claims::Claim) -> Claimed {
         match self.claims.get(&claim.key) {
             Some(held) => Claimed::Answer(answer_again(held, &claim)),
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Records how a claimed request ended, if the holder says so.
+    /// Records how a claimed request ended. Ignored unless it names the claim's holder.
     pub fn settle(&mut self, settle: claims::Settle) -> command::SettleOutcome {
         let claims::Settle { key, holder, end } = settle;
         if matches!(end, claims::End::NotRun) {
@@ -199,8 +202,7 @@
         }
         match (&held.state, end) {
             (State::Running, claims::End::Ran { answer }) => self.ran(key, answer),
-            // The process was taken for dead and was not: its word adds to what is known. The
-            // time of forgetting stays.
+            // The process was wrongly declared gone and now reports the outcome. The expiry stays.
             (State::Unknown, claims::End::Ran { answer }) => self.keep_answer(&key, answer),
             (State::Running, claims::End::Unknown) => self.unknown(key),
             (State::Ran { .. }, claims::End::Ran { .. })
@@ -210,8 +212,8 @@
         command::SettleOutcome::Settled
     }
 
-    /// Holders of `vm` with a lower incarnation are gone: their running claims become unknown.
-    /// Returns how many.
+    /// Records that the holders of `vm` with a lower incarnation are gone. Their running claims become
+    /// unknown. Returns the number of these claims.
     pub fn holder_gone(&mut self, vm: &str, incarnation_below: endpoints::Incarnation) -> usize {
         let alive_from = self.alive_from.entry(vm.to_owned()).or_default();
         *alive_from = incarnation_below.max(*alive_from);
@@ -228,8 +230,8 @@
         count
     }
 
-    /// Moves the clock to `unix_ms`, or leaves it if that is earlier, and forgets the claims whose
-    /// retention is over. Returns how many.
+    /// Advances the clock to `unix_ms`, unless that is earlier, and removes the claims whose retention is
+    /// over. Returns the number of these claims.
     pub fn clock(&mut self, unix_ms: u64) -> usize {
         self.unix_ms = unix_ms.max(self.unix_ms);
         self.stamp();
@@ -266,7 +268,8 @@
         claims::ClaimOutcome::Granted
     }
 
-    /// Frees the claim if `holder` runs it, and sees that a late claim of the holder is not granted.
+    /// Releases the claim if it is running with this holder, and records the holder so that a late claim
+    /// is not granted.
     fn give_back(
         &mut self,
         key: &claims::ClaimKey,
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Counts the retention of what was settled since the last reading from this reading.
+    /// Sets the expiries of the claims that were settled since the last clock command.
     fn stamp(&mut self) {
         for key in std::mem::take(&mut self.unstamped) {
             if let Some(held) = self.claims.get(&key) {
@@ -337,7 +340,7 @@
     }
 }
 
-/// The answer to a claim on a key that is held.
+/// The reply to a claim on a key that is already claimed.
 fn answer_again(held: &Held, claim: &claims::Claim) -> claims::ClaimOutcome {
     if held.digest != claim.digest {
         return claims::ClaimOutcome::OtherContent;
