--- a/crates/sageshed-state/src/change_ids.rs
+++ b/crates/sageshed-state/src/change_ids.rs
@@ -1,8 +1,8 @@
-//! Remembers change ids, so that a change that is sent again is not applied again.
+//! A bounded record of change ids, so that a change that is sent again is not applied again.
 //!
-//! The memory is bounded by count, oldest first out. A resend that comes after so many later
-//! changes is taken for a new one; for rules it is then refused as a conflict, since its base
-//! revision is no longer the newest.
+//! When the record is full, the oldest id is removed. A change sent again after its id was removed is
+//! treated as a new one. A change of the rules is then refused as a conflict, since its base revision
+//! is no longer the newest.
 
 use std::collections;
 
@@ -11,18 +11,18 @@
 
 /// SHA-256 of a change's content.
 ///
-/// A digest of fixed definition, since replicas of different builds must agree and the hashers of
-/// the standard library may change between releases.
+/// Replicas of different builds must compute the same digest, and the hashers of the standard library
+/// may change between releases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest([u8; 32]);
 
 impl ContentDigest {
-    /// The digest of `content` in the codec of this package.
+    /// The digest of `content` as encoded by rmp-serde with named fields.
     ///
     /// # Panics
     ///
-    /// If `content` holds what the codec cannot write; no type of this package does.
+    /// Panics if `content` cannot be encoded, which is the case for no type of this package.
     #[must_use]
     pub fn of<T: Serialize>(content: &T) -> Self {
         let bytes = rmp_serde::to_vec_named(content).expect("the codec writes every content");
@@ -30,18 +30,18 @@
     }
 }
 
-/// What is known of a change id.
+/// The result of looking up a change id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Seen<V> {
-    /// Not remembered.
+    /// The id is not recorded.
     New,
-    /// It came with the same content, and this came of it.
+    /// The id is recorded with the same content and this result.
     Same(V),
-    /// It came with other content, and this came of that.
+    /// The id is recorded with other content and this result.
     Other(V),
 }
 
-/// Change ids with the digest of their content and what came of them.
+/// The most recent change ids, each with the digest of its content and the result of the change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeIds<V> {
     bound: usize,
@@ -50,7 +50,7 @@
 }
 
 impl<V: Copy> ChangeIds<V> {
-    /// An empty memory of at most `bound` ids.
+    /// An empty record of at most `bound` ids.
     #[must_use]
     pub fn new(bound: usize) -> Self {
         Self {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// What is known of `id`.
+    /// Looks up `id` and compares its content.
     #[must_use]
     pub fn seen(&self, id: &str, content: ContentDigest) -> Seen<V> {
         match self.by_id.get(id) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Remembers `id`, which must be new, and forgets the oldest past the bound.
+    /// Records `id`, which must be new, and removes the oldest ids above the bound.
     pub fn remember(&mut self, id: &str, content: ContentDigest, value: V) {
         self.by_id.insert(id.to_owned(), (content, value));
         self.oldest_first.push_back(id.to_owned());
--- a/crates/sageshed-state/src/codec.rs
+++ b/crates/sageshed-state/src/codec.rs
@@ -1,23 +1,23 @@
-//! Bytes of commands and of the whole state: a format version, then rmp-serde with named fields.
+//! Encoding of commands and of the whole state: a format version, then rmp-serde with named fields.
 //!
-//! Fields are named so that a later build may add one with a serde default and still read what an
-//! earlier build wrote. A change that defaults cannot bridge raises [`FORMAT`], and a build that
-//! meets a format it does not know refuses rather than guesses.
+//! With named fields a later build can add a field with a serde default and still read what an earlier
+//! build wrote. A change that cannot be expressed by defaults increases [`FORMAT`]. A build refuses to
+//! read a format that it does not know.
 
 use derive_more::{Display, Error};
 use serde::{Serialize, de};
 
 use crate::{command, control};
 
-/// The format that this build writes, in the first four bytes, least significant first.
+/// The format version that this build writes, as the first four bytes in little-endian order.
 pub const FORMAT: u32 = 1;
 
 const HEAD_LEN: usize = size_of::<u32>();
 
-/// Why bytes cannot be written or read.
+/// An error of encoding or decoding.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// A value could not be written.
+    /// A value could not be encoded.
     #[display("cannot write the control state or a command: {source}")]
     Write {
         /// The codec's error.
@@ -26,18 +26,18 @@
     /// The bytes end before the format version does.
     #[display("cannot read the control state or a command: {len} bytes hold no format version")]
     Short {
-        /// How many bytes there are.
+        /// The number of bytes.
         len: usize,
     },
-    /// Another format.
+    /// The format version is not that of this build.
     #[display(
         "cannot read format {found} of the control state, this build reads {FORMAT}: run the build that wrote it, or a later one"
     )]
     Format {
-        /// The format found.
+        /// The format version found.
         found: u32,
     },
-    /// The bytes are not what they should be.
+    /// The bytes could not be decoded.
     #[display("cannot read the control state or a command: {source}")]
     Read {
         /// The codec's error.
@@ -46,24 +46,24 @@
 }
 
 impl control::ControlState {
-    /// The state as bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn to_bytes(&self) -> Result<Vec<u8>, Error> {
         write(self)
     }
 
-    /// The state from the bytes of a snapshot.
+    /// Decodes the state from the bytes of a snapshot.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Error> {
         read(bytes)
     }
 }
 
 impl command::Command {
-    /// The command as bytes, for a log entry.
+    /// Encodes the command for a log entry.
     pub fn to_bytes(&self) -> Result<Vec<u8>, Error> {
         write(self)
     }
 
-    /// The command from the bytes of a log entry.
+    /// Decodes the command from the bytes of a log entry.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, Error> {
         read(bytes)
     }
--- a/crates/sageshed-state/src/command.rs
+++ b/crates/sageshed-state/src/command.rs
@@ -1,58 +1,58 @@
-//! Commands that the control group commits, and what applying each gives.
+//! Commands of the replicated control state, and the outcomes of applying them.
 
 use sageshed_types::{claims, document, endpoints, quarantine, rules};
 use serde::{Deserialize, Serialize};
 
-/// One committed command. Encoded by [`crate::codec`] as the payload of a log entry.
+/// A command of the state machine. Encoded by [`crate::codec`] as the payload of a log entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Changes the rules.
     Change(rules::Change),
-    /// Asks for a claim.
+    /// Requests a claim.
     Claim(claims::Claim),
-    /// Says how a claimed request ended.
+    /// Records how a claimed request ended.
     Settle(claims::Settle),
-    /// The holders of this VM with a lower incarnation are gone and will send nothing more.
+    /// The processes of this VM with a lower incarnation have ended and will send nothing more.
     ///
-    /// Proposed when a later incarnation is heard, or when the VM is declared dead; then
-    /// `incarnation_below` is one more than the dead process's.
+    /// Proposed when a message of a later incarnation arrives, or when the VM is declared dead. In the
+    /// latter case `incarnation_below` is the dead process's incarnation plus one.
     HolderGone {
         /// The entry VM.
         vm: String,
-        /// The lowest incarnation that is not gone.
+        /// The lowest incarnation that may still be running.
         incarnation_below: endpoints::Incarnation,
     },
-    /// The leader's wall clock, in milliseconds since 1970. Proposed every second or so.
+    /// Advances the replicated clock. The leader proposes its wall clock about once per second.
     Clock {
-        /// The reading when it was proposed.
+        /// The leader's time when it proposed the command, in milliseconds since 1970.
         unix_ms: u64,
     },
     /// The first command of a new leader.
     LeaderStarted {
-        /// Its term.
+        /// The leader's term.
         term: u64,
     },
     /// Records orders before they are sent.
     IssueOrders {
         /// The term of the leader that proposes them.
         term: u64,
-        /// The orders, without id and fencing number.
+        /// The orders, without ids and fencing tokens.
         orders: Vec<ProposedOrder>,
     },
-    /// The fate of these orders is known, by a report of the endpoint.
+    /// The endpoints have reported the outcome of these orders.
     SettleOrders(Vec<endpoints::OrderId>),
-    /// The endpoint was heard with this incarnation: orders to lower ones are void.
+    /// The endpoint has reported with this incarnation. Orders to lower incarnations are void.
     EndpointIncarnation {
-        /// Which endpoint.
+        /// The endpoint's name.
         endpoint: String,
-        /// The incarnation heard.
+        /// The incarnation in the endpoint's report.
         incarnation: endpoints::Incarnation,
     },
-    /// The endpoint is gone for good, by its own word or an operator's; never by silence alone,
-    /// since a silent engine may still be loading.
+    /// The endpoint has deregistered or an operator has removed it. Never proposed merely because the
+    /// endpoint sends no reports, since it may still be loading.
     EndpointGone {
-        /// Which endpoint.
+        /// The endpoint's name.
         endpoint: String,
     },
     /// Starts or ends the drain of an entry VM.
@@ -61,128 +61,128 @@
         vm: String,
         /// Whether it is to be drained.
         on: bool,
-        /// Chosen by the operator's client; a resend carries the same one.
+        /// Chosen by the operator's client, which uses the same id when it sends the command again.
         change_id: String,
     },
-    /// Keeps a model at a place.
+    /// Pins a model to a location.
     Pin {
         /// The model or adapter.
         model: String,
-        /// Where.
+        /// The location.
         place: Place,
     },
-    /// Takes a pin back.
+    /// Removes a pin.
     Unpin {
         /// The model or adapter.
         model: String,
-        /// Where.
+        /// The location.
         place: Place,
     },
-    /// Replaces the configuration of the fleet, if its number is higher than that of the one held.
+    /// Replaces the configuration of the fleet, if the number is higher than that of the current one.
     ReplaceFleet(document::Document),
-    /// Replaces the requests that entry processes pass on no more.
+    /// Replaces the list of quarantined requests.
     HoldRequests(Vec<quarantine::Held>),
 }
 
-/// An order as a leader proposes it. Its id and fencing number are assigned when it is applied.
+/// An order as proposed by a leader. Its id and fencing token are assigned when the command is applied.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposedOrder {
-    /// The endpoint meant.
+    /// The endpoint it is addressed to.
     pub endpoint: String,
-    /// The incarnation meant.
+    /// The incarnation it is addressed to.
     pub incarnation: endpoints::Incarnation,
-    /// What to do.
+    /// What the endpoint is to do.
     pub task: endpoints::Task,
 }
 
-/// Where a model is pinned.
+/// The location to which a model is pinned.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Place {
-    /// On this endpoint.
+    /// The endpoint with this name.
     Endpoint(String),
-    /// On some endpoint of this availability zone.
+    /// At least one endpoint in this availability zone.
     AvailabilityZone(String),
 }
 
-/// What applying a command gave. The leader answers from it; followers drop it.
+/// The outcome of applying a command. The leader replies with it, followers discard it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// Of [`Command::Change`].
     Change(rules::ChangeOutcome),
     /// Of [`Command::Claim`].
     Claim(claims::ClaimOutcome),
-    /// Of [`Command::Claim`]: its holder has given it back or is gone. Nothing was recorded and
-    /// the holder must not send.
+    /// Of [`Command::Claim`]: the holder has already released the claim, or its process has ended.
+    /// Nothing was recorded and the holder must not send the request.
     ClaimTooLate,
     /// Of [`Command::Settle`].
     Settle(SettleOutcome),
-    /// Of [`Command::HolderGone`]: how many running claims became unknown.
+    /// Of [`Command::HolderGone`].
     HolderGone {
-        /// The number of claims.
+        /// The number of running claims whose outcome became unknown.
         unknown: usize,
     },
     /// Of [`Command::Clock`].
     Clock {
-        /// The replicated clock after it, in milliseconds since 1970.
+        /// The new time of the replicated clock, in milliseconds since 1970.
         unix_ms: u64,
-        /// Claims forgotten at the end of their retention.
+        /// The number of claims removed at the end of their retention.
         expired: usize,
     },
     /// Of [`Command::LeaderStarted`].
     LeaderStarted {
-        /// Greater than the fencing number of every order issued before.
+        /// A fencing token greater than that of every order issued before.
         fence: endpoints::Fence,
     },
     /// Of [`Command::IssueOrders`].
     Issue(IssueOutcome),
     /// Of [`Command::SettleOrders`], [`Command::EndpointIncarnation`] and
-    /// [`Command::EndpointGone`]: the orders that are open no more.
+    /// [`Command::EndpointGone`]: the orders that were closed.
     Closed(Vec<endpoints::Order>),
     /// Of [`Command::DrainVm`].
     Drain(DrainOutcome),
     /// Of [`Command::Pin`] and [`Command::Unpin`].
     Pin {
-        /// Whether it changed anything.
+        /// Whether the pins changed.
         changed: bool,
     },
     /// Of [`Command::ReplaceFleet`].
     Fleet {
-        /// The number of the configuration that is held now.
+        /// The number of the configuration now in force.
         held: u64,
     },
-    /// Of [`Command::HoldRequests`]: it is recorded.
+    /// Of [`Command::HoldRequests`]: the list was replaced.
     RequestsHeld,
-    /// The command's log index was applied before; nothing was done.
+    /// The entry at the command's log index was applied before. Nothing was changed.
     AlreadyApplied,
 }
 
-/// What became of [`Command::Settle`].
+/// The outcome of [`Command::Settle`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SettleOutcome {
-    /// Recorded, or recorded before with the same end.
+    /// The end was recorded, now or by an earlier command.
     Settled,
-    /// The claim is another's, or gone, or was settled otherwise; nothing was recorded.
+    /// The claim has another holder, does not exist or was settled differently. Nothing was recorded.
     Ignored,
 }
 
-/// What became of [`Command::IssueOrders`].
+/// The outcome of [`Command::IssueOrders`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum IssueOutcome {
-    /// Recorded; they may be sent now.
+    /// The orders are recorded and may be sent.
     Issued(Vec<endpoints::Order>),
-    /// A later leader has started; nothing was recorded and nothing may be sent.
+    /// A later leader has started. Nothing was recorded and nothing may be sent.
     StaleTerm {
-        /// The highest term that has started.
+        /// The highest term in which a leader has started.
         highest: u64,
     },
 }
 
-/// What became of [`Command::DrainVm`].
+/// The outcome of [`Command::DrainVm`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DrainOutcome {
-    /// Recorded, now or when the same change came first.
+    /// The change was recorded, now or by an earlier command with the same change id.
     Recorded,
-    /// The same change id came before with other content; nothing was recorded.
+    /// The change id was used before with other content. Nothing was recorded.
     ChangeIdReused,
 }
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -1,4 +1,4 @@
-//! The whole of the replicated control state.
+//! The replicated control state, and how commands change it.
 
 use std::collections;
 
@@ -7,17 +7,17 @@
 
 use crate::{change_ids, claim_table, command, order_table, rule_log};
 
-/// Bounds of the state.
+/// Limits of the state.
 ///
-/// Replicas with other bounds would come to other states by the same commands, so they are no
-/// setting: production takes the default, tests take less. They travel inside snapshots.
+/// Replicas with different limits would reach different states by the same commands. So the limits are
+/// not settings: production uses the defaults, and tests use lower ones. They are part of snapshots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Limits {
-    /// Of the claims.
+    /// The limits of the claim table.
     pub claims: claim_table::Limits,
-    /// Accepted changes of the rules that are kept whole.
+    /// The maximum number of accepted changes in the history of the rules.
     pub history: usize,
-    /// Change ids that are remembered, for rules and drains each.
+    /// The maximum number of recorded change ids, each for rules and for drains.
     pub change_ids: usize,
 }
 
@@ -41,10 +41,10 @@
     pins: collections::BTreeMap<String, collections::BTreeSet<command::Place>>,
     draining: collections::BTreeSet<String>,
     drain_ids: change_ids::ChangeIds<bool>,
-    /// The configuration of the fleet; number zero until there is one.
+    /// The configuration of the fleet. Its number is zero until one is submitted.
     #[serde(default)]
     fleet: document::Document,
-    /// The requests that entry processes of the fleet pass on no more.
+    /// The quarantined requests, which entry processes of the fleet no longer forward.
     #[serde(default)]
     held_requests: Vec<quarantine::Held>,
 }
@@ -72,59 +72,59 @@
         }
     }
 
-    /// The log index of the last command applied.
+    /// The log index of the last applied command.
     #[must_use]
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The rules.
+    /// The rules with their history.
     #[must_use]
     pub fn rules(&self) -> &rule_log::RuleLog {
         &self.rules
     }
 
-    /// The claims.
+    /// The claims on requests that run at most once.
     #[must_use]
     pub fn claims(&self) -> &claim_table::ClaimTable {
         &self.claims
     }
 
-    /// The orders.
+    /// The open orders to engines.
     #[must_use]
     pub fn orders(&self) -> &order_table::OrderTable {
         &self.orders
     }
 
-    /// The models that are pinned, each with its places.
+    /// The pinned models, each with its locations.
     pub fn pins(&self) -> impl Iterator<Item = (&str, &collections::BTreeSet<command::Place>)> {
         self.pins
             .iter()
             .map(|(model, places)| (model.as_str(), places))
     }
 
-    /// The configuration of the fleet; number zero until there is one.
+    /// The configuration of the fleet. Its number is zero until one is submitted.
     #[must_use]
     pub fn fleet(&self) -> &document::Document {
         &self.fleet
     }
 
-    /// The requests that entry processes of the fleet pass on no more.
+    /// The quarantined requests, which entry processes of the fleet no longer forward.
     #[must_use]
     pub fn held_requests(&self) -> &[quarantine::Held] {
         &self.held_requests
     }
 
-    /// The entry VMs that an operator drains.
+    /// The entry VMs that an operator is draining.
     pub fn draining(&self) -> impl Iterator<Item = &str> {
         self.draining.iter().map(String::as_str)
     }
 
     /// Applies the command at `index` of the log.
     ///
-    /// Indexes grow, with gaps where the log holds entries that are no commands. One that is not
-    /// above the last is ignored: after a restart a log is applied on top of a snapshot that may
-    /// hold its first entries already, and an order issued twice would be loaded twice.
+    /// Indexes increase, with gaps where the log holds entries other than commands. A command at or
+    /// below the last applied index is ignored: after a restart the log is applied on top of a snapshot
+    /// that may already include its first entries, and an order issued twice would be loaded twice.
     pub fn apply(&mut self, index: u64, command: command::Command) -> command::Outcome {
         if index <= self.applied {
             return command::Outcome::AlreadyApplied;
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Only a higher number takes effect: an operator sends a change again that got no answer, and it
-    /// may come behind a later one.
+    /// Only a higher number takes effect, since an operator's client sends a change again if it got no
+    /// reply, and that may arrive after a later change.
     fn replace_fleet(&mut self, document: document::Document) -> command::Outcome {
         if document.version > self.fleet.version {
             self.fleet = document;
@@ -209,10 +209,10 @@
         command::Outcome::Closed(closed)
     }
 
-    /// Records a drain or its end, once for each change id.
+    /// Starts or ends a drain, once for each change id.
     ///
-    /// An operator drains a VM, loses the answer, ends the drain, and the first client's resend
-    /// arrives last: taken as new it would drain the VM again, with nobody aware of it.
+    /// Without the change id, a delayed retry of a drain command could arrive after the drain has been
+    /// ended, and would drain the VM again unnoticed.
     fn drain(&mut self, vm: String, on: bool, change_id: &str) -> command::DrainOutcome {
         let content = change_ids::ContentDigest::of(&(&vm, on));
         match self.drain_ids.seen(change_id, content) {
--- a/crates/sageshed-state/src/edit.rs
+++ b/crates/sageshed-state/src/edit.rs
@@ -1,23 +1,23 @@
 //! Validates edits of the rules and applies them.
 //!
-//! Only what the rules say by themselves is checked here. Whether a model, pool or caller that a
-//! rule names is offered, and whether an earlier rule shadows it, is checked against the settings
-//! before the change is proposed: settings are no part of the replicated state.
+//! Only the rules themselves are checked here. Whether the models, pools and callers named in a rule
+//! exist, and whether an earlier rule shadows it, is checked against the settings before the change is
+//! proposed, because the settings are not part of the replicated state.
 
 use derive_more::{Display, Error};
 use sageshed_types::{refusal, rules};
 
-/// The greatest priority.
+/// The highest priority.
 pub const MAX_PRIORITY: u8 = 9;
-/// The greatest length of a rule id or change id, in bytes.
+/// The maximum length of a rule id or change id, in bytes.
 pub const MAX_ID_LEN: usize = 128;
-/// The greatest number of rules in force.
+/// The maximum number of rules in force.
 pub const MAX_RULES: usize = 10_000;
 
-/// Why an edit cannot be applied, and what to do.
+/// Why an edit cannot be applied, and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Problem {
-    /// An id with characters that are not allowed, or too long, or empty.
+    /// The id is empty, too long or contains characters that are not allowed.
     #[display(
         "the id `{id}` is not valid: use 1 to {MAX_ID_LEN} letters, digits, `-`, `_` and `.`"
     )]
@@ -25,31 +25,31 @@
         /// The id.
         id: String,
     },
-    /// The id that accounts use where no rule matched.
+    /// The id is reserved: it stands for the default decision where no rule matches.
     #[display(
         "the id `{}` is taken by the system: choose another",
         refusal::DEFAULT_RULE
     )]
     ReservedId,
-    /// Two rules with one id.
+    /// The edit would result in two rules with the same id.
     #[display("a rule with the id `{id}` exists: choose another id, or withdraw that rule first")]
     DuplicateId {
         /// The id.
         id: String,
     },
-    /// No rule has this id.
+    /// The edit refers to a rule that does not exist.
     #[display("no rule has the id `{id}`: `sageshed rules list` shows the ids")]
     UnknownId {
         /// The id.
         id: String,
     },
-    /// A rule placed relative to itself.
+    /// A rule is to be placed relative to itself.
     #[display("the rule `{id}` cannot be placed next to itself: name another rule")]
     BesideItself {
         /// The id.
         id: String,
     },
-    /// A priority above the greatest.
+    /// A priority exceeds [`MAX_PRIORITY`].
     #[display("rule `{rule}`: `{key}` is {value}: use 0 to {MAX_PRIORITY}")]
     Priority {
         /// The rule.
@@ -59,19 +59,19 @@
         /// The value.
         value: u32,
     },
-    /// A range whose least value is above its greatest.
+    /// The minimum of a range exceeds its maximum.
     #[display("rule `{rule}`: `{key}` has min {min} above max {max}: swap them")]
     EmptyRange {
         /// The rule.
         rule: String,
         /// The key.
         key: &'static str,
-        /// The least value.
+        /// The minimum.
         min: u32,
-        /// The greatest value.
+        /// The maximum.
         max: u32,
     },
-    /// A rate or burst that is not a number above its least value.
+    /// A rate or burst is not finite or is too small.
     #[display("rule `{rule}`: `{key}` is {value}: use a finite number, {least}")]
     BadNumber {
         /// The rule.
@@ -80,16 +80,16 @@
         key: &'static str,
         /// The value as text.
         value: String,
-        /// What is allowed.
+        /// The lower bound as text.
         least: &'static str,
     },
-    /// A deadline of zero, which no request could meet.
+    /// The deadline is zero, which no request could meet.
     #[display("rule `{rule}`: `deadline_ms` is 0: use 1 or more, or `refuse` to refuse")]
     ZeroDeadline {
         /// The rule.
         rule: String,
     },
-    /// An empty name, which matches nothing.
+    /// A name is empty, so that it would match nothing.
     #[display("rule `{rule}`: `{key}` holds an empty name: give a name or leave the key out")]
     EmptyName {
         /// The rule.
@@ -97,15 +97,15 @@
         /// The key.
         key: &'static str,
     },
-    /// More rules than the state keeps.
+    /// The edit would result in more than [`MAX_RULES`] rules.
     #[display("there would be {count} rules: at most {MAX_RULES} are kept, withdraw some first")]
     TooMany {
-        /// The number there would be.
+        /// The number of rules that would result.
         count: usize,
     },
 }
 
-/// Applies `edit` to `rules`, or leaves them as they are and says what is wrong.
+/// Applies `edit` to `rules`. On an error the rules are unchanged.
 pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), Problem> {
     match edit {
         rules::Edit::Add { rule, position } => add(rules, rule, position),
@@ -115,7 +115,7 @@
     }
 }
 
-/// Checks the form of a rule id or a change id.
+/// Checks the syntax of a rule id or a change id.
 pub fn check_id(id: &str) -> Result<(), Problem> {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if id.is_empty() || id.len() > MAX_ID_LEN || !id.bytes().all(allowed) {
@@ -151,7 +151,7 @@
         if other == id {
             return Err(Problem::BesideItself { id: id.to_owned() });
         }
-        // Checked before the rule is taken out, so that a refused move changes nothing.
+        // Checked before the rule is removed, so that a refused move changes nothing.
         find(rules, other).ok_or_else(|| unknown(other))?;
     }
     let rule = rules.remove(from);
@@ -189,7 +189,7 @@
     Problem::UnknownId { id: id.to_owned() }
 }
 
-/// The index at which a rule placed so is inserted.
+/// The index at which a rule is inserted for `position`.
 fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, Problem> {
     match position {
         rules::Position::First => Ok(0),
@@ -267,7 +267,7 @@
     }
 }
 
-/// Refuses rates that no bucket can hold. A burst below 1 would never let a request pass.
+/// Refuses rates and bursts that a token bucket cannot have. A burst below 1 would admit no request.
 fn check_limit(rule: &str, limit: &rules::Limit) -> Result<(), Problem> {
     let bad = |key, value: f64, least| Problem::BadNumber {
         rule: rule.to_owned(),
--- a/crates/sageshed-state/src/lib.rs
+++ b/crates/sageshed-state/src/lib.rs
@@ -1,22 +1,22 @@
 //! The replicated control state and the commands that change it.
 //!
-//! Every control process applies the same committed commands in the same order, so this package is
-//! a pure function of them: no clock, no I/O, no random numbers, no map whose order of iteration
-//! varies. Time enters as the command [`command::Command::Clock`], order ids and fencing numbers
+//! Every control process applies the same committed commands in the same order, so the state must be
+//! a deterministic function of them: no clock, no I/O, no random numbers, no map with an unspecified
+//! order of iteration. Time enters through [`command::Command::Clock`]. Order ids and fencing tokens
 //! come from counters in the state.
 //!
-//! | part | what it keeps | module |
+//! | part | contents | module |
 //! |---|---|---|
 //! | rules | the ordered rules, their history, the change ids | [`rule_log`] |
-//! | claims | who may send, or has sent, a request that runs at most once | [`claim_table`] |
-//! | orders | every order to an engine whose fate is not known | [`order_table`] |
-//! | the rest | pins, drained VMs, the replicated clock | [`control`] |
+//! | claims | the holder and outcome of each request that runs at most once | [`claim_table`] |
+//! | orders | every order to an engine whose outcome is not known | [`order_table`] |
+//! | other | pins, drained VMs, the fleet's configuration, quarantined requests | [`control`] |
 //!
-//! [`control::ControlState`] holds them all. Rules carry `f64` rates, so the whole is `PartialEq`
-//! only; [`claim_table::ClaimTable`] and [`order_table::OrderTable`] are `Eq + Hash`, so that a
-//! model checker can explore them as they are.
+//! [`control::ControlState`] contains all of them. It implements `PartialEq` but not `Eq`, since rules
+//! contain `f64` rates. [`claim_table::ClaimTable`] and [`order_table::OrderTable`] implement
+//! `Eq + Hash`, so that a model checker can use them as parts of its states.
 //!
-//! [`update`] is the entry's side: it brings a copy of the rules up to date and never back.
+//! [`update`] runs in entry processes: it applies updates to their copies of the rules.
 
 pub mod change_ids;
 pub mod claim_table;
--- a/crates/sageshed-state/src/order_table.rs
+++ b/crates/sageshed-state/src/order_table.rs
@@ -1,13 +1,13 @@
-//! Orders to engines whose fate is not known.
+//! Orders to engines whose outcome is not known.
 //!
-//! An order is in this table before it is sent, so that a new leader knows every order that may
-//! still be under way and counts its memory. It leaves only when a report shows its fate, or when
-//! the endpoint's incarnation that it names is over.
+//! An order is recorded here before it is sent, so that a new leader knows every order that may still
+//! be in progress and accounts for its memory. It is removed only when a report shows its outcome, or
+//! when the incarnation of the endpoint to which it is addressed has ended.
 //!
-//! A leader that was cut off may have proposed orders that are committed only after its successor
-//! has started. Issued then, they would load a model into memory that the successor has already
-//! given away. So orders carry the proposer's term, and one below the highest started term issues
-//! nothing.
+//! Orders proposed by a leader that was partitioned may be committed only after its successor has
+//! started. If they were issued then, they would load a model into memory that the successor has
+//! already assigned to another one. So orders carry the proposer's term, and orders of a term below
+//! the highest started one are not issued.
 
 use std::collections;
 
@@ -16,7 +16,7 @@
 
 use crate::command;
 
-/// Open orders, and the counters for new ones.
+/// The open orders, and the counters from which new orders get their ids and fencing tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OrderTable {
@@ -27,13 +27,13 @@
 }
 
 impl OrderTable {
-    /// The highest term of a leader that has started.
+    /// The highest term in which a leader has started.
     #[must_use]
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The open orders, by id.
+    /// The open orders, in the order of their ids.
     pub fn open(&self) -> impl Iterator<Item = &endpoints::Order> {
         self.open.values()
     }
@@ -44,7 +44,7 @@
         self.open.get(&order)
     }
 
-    /// A leader of `term` has started. The fencing number given is greater than all before.
+    /// Records that a leader of `term` has started. Returns a fencing token greater than all earlier ones.
     pub fn leader_started(&mut self, term: u64) -> endpoints::Fence {
         self.term = self.term.max(term);
         self.next_fence()
@@ -52,9 +52,10 @@
 
     /// Records orders that a leader of `term` proposes, unless a later leader has started.
     ///
-    /// An order that equals an open one is not issued again: the open one is given back. A leader
-    /// that proposes a second time, since it did not learn what came of the first, would otherwise
-    /// have two loads of one model counted, and on an engine that ignores fencing numbers run.
+    /// For an order that equals an open one, the open one is returned instead of issuing it again. A
+    /// leader proposes an order again if it did not learn the outcome of its first proposal. Otherwise
+    /// two loads of one model would be counted, and would both run on an engine that ignores fencing
+    /// tokens.
     pub fn issue(
         &mut self,
         term: u64,
@@ -68,7 +69,7 @@
         command::IssueOutcome::Issued(issued.collect())
     }
 
-    /// Closes the orders named and returns those that were open.
+    /// Closes the given orders and returns those that were open.
     pub fn settle(&mut self, orders: &[endpoints::OrderId]) -> Vec<endpoints::Order> {
         orders
             .iter()
@@ -76,7 +77,7 @@
             .collect()
     }
 
-    /// Closes the orders to lower incarnations of `endpoint`, which refuses them.
+    /// Closes the orders to lower incarnations of `endpoint`, which would refuse them.
     pub fn endpoint_incarnation(
         &mut self,
         endpoint: &str,
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -1,13 +1,14 @@
 //! The rules in force, the history of accepted changes and the change ids.
 //!
-//! Two operators who race from the same base revision: the first to be applied wins, the second is
-//! told what came between. An operator who sends a change again after losing the answer gets the
-//! first answer: the change id is asked before the base revision, which by then is no longer the
-//! newest, so that the other order would answer the operator's own change with a conflict.
+//! If two operators submit changes with the same base revision, the first one applied is accepted and
+//! the second one is refused as a conflict, with the changes in between. An operator who sends a
+//! change again because the reply was lost gets the first reply. For that the change id is checked
+//! before the base revision: by then the base revision is no longer the newest, and the operator's
+//! own change would be reported as a conflict.
 //!
-//! The content of a change is all of it: edit, base revision and operator. A change with the same
-//! id on another base is other content, since the operator saw other rules when asking for it.
-//! Only accepted changes are remembered; a refused one, sent again, is judged again.
+//! The content of a change includes its edit, base revision and operator. A change with the same id
+//! and another base revision has other content, since the operator saw other rules. Only accepted
+//! changes are recorded. A refused change that is sent again is evaluated again.
 
 use std::collections;
 
@@ -16,10 +17,10 @@
 
 use crate::{change_ids, edit};
 
-/// Changes that a delta carries at most; an entry further behind gets the whole.
+/// The maximum number of changes in a delta. An entry process that is further behind gets a snapshot.
 pub const MAX_DELTA: usize = 256;
 
-/// The rules and how they came about.
+/// The rules in force and their history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RuleLog {
     current: rules::RuleSet,
@@ -29,7 +30,8 @@
 }
 
 impl RuleLog {
-    /// No rules, at revision 0. Keeps `history` changes and `change_ids` ids.
+    /// An empty set of rules at revision 0, with a history of at most `history` changes and a record of at
+    /// most `change_ids` change ids.
     #[must_use]
     pub fn new(history: usize, change_ids: usize) -> Self {
         Self {
@@ -46,12 +48,12 @@
         &self.current
     }
 
-    /// Accepted changes, oldest first, as far as they are kept.
+    /// The accepted changes in the history, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &rules::Accepted> {
         self.history.iter()
     }
 
-    /// Applies a change, or says why not.
+    /// Applies a change, or returns why it is refused.
     pub fn change(&mut self, change: rules::Change) -> rules::ChangeOutcome {
         let content = change_ids::ContentDigest::of(&change);
         match self.change_ids.seen(&change.change_id, content) {
@@ -61,10 +63,10 @@
         }
     }
 
-    /// What brings an entry with the rules of `revision` up to date.
+    /// The update for an entry process whose copy of the rules is at `revision`.
     ///
-    /// Empty where `revision` is the newest, or newer than what is applied here: a copy is never
-    /// sent back to an older revision.
+    /// An empty delta if `revision` is the newest, or newer than the one applied here, since a copy must
+    /// never go back to an older revision.
     #[must_use]
     pub fn updates_since(&self, revision: rules::Revision) -> messages::ConfigUpdate {
         let behind = self.current.revision.0.saturating_sub(revision.0);
--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -1,33 +1,35 @@
-//! Brings an entry's copy of the rules up to date, and never back.
+//! Applies updates to an entry process's copy of the rules.
 //!
-//! Updates reach an entry from several control processes, late and out of order; one that has been
-//! cut off may send what was the newest hours ago. Taking that would put withdrawn rules in force
-//! again. So only what is newer than the copy is ever taken, and a delta only without a gap.
+//! An entry process receives updates from several control processes, late and out of order. A control
+//! process that was partitioned may send rules that are hours old, and applying these would put
+//! withdrawn rules in force again. So an update is applied only if it is newer than the copy, and a
+//! delta only if it has no gap.
 
 use sageshed_types::{messages, rules};
 
 use crate::edit;
 
-/// What came of an update.
+/// The outcome of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Updated {
-    /// The copy is at this later revision now.
+    /// The copy was advanced to this revision.
     To(rules::Revision),
-    /// The update holds nothing newer; the copy is as it was.
+    /// The update contains nothing newer. The copy is unchanged.
     NothingNewer,
-    /// The delta begins after the copy's next revision; the copy is as it was. Ask again from the
-    /// copy's revision.
+    /// The delta begins after the copy's next revision. The copy is unchanged, and the delta must be
+    /// requested again from the copy's revision.
     Gap {
-        /// The revision that was needed.
+        /// The next revision of the copy.
         needed: rules::Revision,
-        /// The one that came.
+        /// The revision found in the delta.
         came: rules::Revision,
     },
-    /// A change does not fit the copy, which is as it was. Ask from revision 0 for the whole.
+    /// A change cannot be applied to the copy. The copy is unchanged, and a snapshot must be requested
+    /// by asking from revision 0.
     Misfit {
-        /// The revision that does not fit.
+        /// The revision of that change.
         revision: rules::Revision,
-        /// Why.
+        /// Why it cannot be applied.
         problem: edit::Problem,
     },
 }
@@ -48,7 +50,7 @@
     Updated::To(set.revision)
 }
 
-/// Applies the changes to a second copy first, so that a gap or misfit halfway leaves the first.
+/// Applies the changes to a clone, so that a failure halfway leaves the copy unchanged.
 fn advance(set: &mut rules::RuleSet, changes: &[rules::Accepted]) -> Updated {
     let newer = changes
         .iter()
