--- a/crates/sageshed-decide/src/account.rs
+++ b/crates/sageshed-decide/src/account.rs
@@ -1,6 +1,6 @@
 //! What is kept of a request for its account, and the figures for metrics.
 
-use sageshed_types::{account, rules, time};
+use sageshed_types::{request_trace, rules, time};
 
 /// The part of a request's account that is decided here.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
     /// How long it waited here before it was first sent.
     pub queued: time::Millis,
     /// The endpoints weighed for the first try.
-    pub candidates: Vec<account::Candidate>,
+    pub candidates: Vec<request_trace::Candidate>,
 }
 
 /// Figures for metrics.
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -1,6 +1,6 @@
 //! What the daemon asks: names, accounts, demand and gauges.
 
-use sageshed_types::{account as types_account, arena, messages, rules, secret, time};
+use sageshed_types::{arena, messages, request_trace as types_request_trace, rules, secret, time};
 
 use crate::{account, event, fleet, health, names, request, router};
 
@@ -85,7 +85,7 @@
         })
     }
 
-    fn candidate(&self, weighed: &request::Weighed) -> types_account::Candidate {
+    fn candidate(&self, weighed: &request::Weighed) -> types_request_trace::Candidate {
         let why = match weighed.standing {
             _ if weighed.taken => None,
             router::Standing::OtherPool => Some("the rule names another pool"),
@@ -97,7 +97,7 @@
             router::Standing::Able if !weighed.room => Some("it is full"),
             router::Standing::Able => Some("another was drawn or scored better"),
         };
-        types_account::Candidate {
+        types_request_trace::Candidate {
             endpoint: self.names.endpoints.name(weighed.endpoint).to_owned(),
             estimate: weighed.estimate,
             passed_over: why.map(str::to_owned),
--- a/crates/sageshed-operators/src/backend.rs
+++ b/crates/sageshed-operators/src/backend.rs
@@ -1,7 +1,7 @@
 //! What the control process does for operators.
 
 use derive_more::{Display, Error};
-use sageshed_types::{account, messages, rules};
+use sageshed_types::{messages, request_trace, rules};
 
 use crate::wire;
 
@@ -26,7 +26,7 @@
     fn models(&self) -> Result<Vec<messages::ModelStatus>, Trouble>;
 
     /// What happened to a request, if any entry process still knows.
-    fn explain(&self, request_id: &str) -> Result<Option<account::Account>, Trouble>;
+    fn explain(&self, request_id: &str) -> Result<Option<request_trace::RequestTrace>, Trouble>;
 
     /// Starts or ends the drain of an entry VM. A resend carries the same `change_id`.
     fn drain(&self, vm: &str, on: bool, change_id: &str) -> Result<(), Trouble>;
--- a/crates/sageshed-operators/src/client.rs
+++ b/crates/sageshed-operators/src/client.rs
@@ -10,7 +10,7 @@
 use std::{collections, io::Read, thread, time};
 
 use derive_more::{Display, Error};
-use sageshed_types::{account, endpoints, messages, rules};
+use sageshed_types::{endpoints, messages, request_trace, rules};
 use serde::{Serialize, de};
 
 use crate::wire::{self, paths};
@@ -191,7 +191,7 @@
     }
 
     /// What happened to a request.
-    pub fn explain(&self, request_id: &str) -> Result<account::Account, Error> {
+    pub fn explain(&self, request_id: &str) -> Result<request_trace::RequestTrace, Error> {
         let usual = |c: char| c.is_ascii_alphanumeric() || "-_.~:".contains(c);
         if request_id.is_empty() || !request_id.chars().all(usual) {
             let detail = format!("`{request_id}` is not a request id; take it from the answer");
--- a/crates/sageshed-operators/src/wire.rs
+++ b/crates/sageshed-operators/src/wire.rs
@@ -20,7 +20,7 @@
     pub const MODELS: &str = "/models";
     /// `GET`: a list of [`sageshed_types::endpoints::Report`].
     pub const ENDPOINTS: &str = "/endpoints";
-    /// `GET` with a request id after it: a [`sageshed_types::account::Account`].
+    /// `GET` with a request id after it: a [`sageshed_types::request_trace::RequestTrace`].
     pub const EXPLAIN: &str = "/explain/";
     /// `POST` of a [`super::DrainReq`].
     pub const DRAIN: &str = "/drain";
--- a/crates/sageshed-operators/tests/support/mod.rs
+++ b/crates/sageshed-operators/tests/support/mod.rs
@@ -13,7 +13,7 @@
     backend::{Backend, Trouble},
     client, server, tokens, wire,
 };
-use sageshed_types::{account, messages, refusal, rules, secret, verdict};
+use sageshed_types::{messages, refusal, request_trace, rules, secret, verdict};
 
 /// The token that every port of these tests takes, unless it is said otherwise.
 pub const TOKEN: &str = "spade";
@@ -172,7 +172,7 @@
         Ok(Vec::new())
     }
 
-    fn explain(&self, request_id: &str) -> Result<Option<account::Account>, Trouble> {
+    fn explain(&self, request_id: &str) -> Result<Option<request_trace::RequestTrace>, Trouble> {
         let known = request_id == "vm1-1";
         Ok(known.then(|| some_account(request_id)))
     }
@@ -200,8 +200,8 @@
     }
 }
 
-fn some_account(request_id: &str) -> account::Account {
-    account::Account {
+fn some_account(request_id: &str) -> request_trace::RequestTrace {
+    request_trace::RequestTrace {
         request_id: request_id.to_owned(),
         arrived_unix_ms: 0,
         caller: None,
@@ -214,7 +214,10 @@
         queued: sageshed_types::time::Millis(0),
         candidates: Vec::new(),
         tries: Vec::new(),
-        end: account::End::Refused(refusal::Refusal::not_run(verdict::Reason::NoRoute, "none")),
+        end: request_trace::RequestOutcome::Refused(refusal::Refusal::not_run(
+            verdict::Reason::NoRoute,
+            "none",
+        )),
         took: sageshed_types::time::Millis(0),
     }
 }
--- a/crates/sageshed-types/src/lib.rs
+++ b/crates/sageshed-types/src/lib.rs
@@ -4,7 +4,6 @@
 //!
 //! | module | contents |
 //! |---|---|
-//! | [`account`] | the record of one request, kept for `sageshed explain` |
 //! | [`arena`] | interned names and the keys that stand for them |
 //! | [`catalog`] | models, adapters, classes and callers, as the settings define them |
 //! | [`claims`] | claims on requests that may run at most once |
@@ -16,12 +15,12 @@
 //! | [`messages`] | messages between the system's own processes |
 //! | [`quarantine`] | requests that crashed endpoints |
 //! | [`refusal`] | the body of a refused request's response |
+//! | [`request_trace`] | what is recorded of one request for `sageshed explain` |
 //! | [`rules`] | routing rules as data, and changes of them |
 //! | [`secret`] | API keys, stored as digests |
 //! | [`time`] | instants and durations in milliseconds |
 //! | [`verdict`] | whether a request may have run, and why it was refused |
 
-pub mod account;
 pub mod arena;
 pub mod catalog;
 pub mod claims;
@@ -33,6 +32,7 @@
 pub mod messages;
 pub mod quarantine;
 pub mod refusal;
+pub mod request_trace;
 pub mod rules;
 pub mod secret;
 pub mod time;
--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -7,13 +7,13 @@
 //! | `/vms/settle` | entry, control | [`crate::claims::Settle`] | [`Routed`] of `()` |
 //! | `/vms/replicate` | control, control | [`Envelope`] | empty |
 //! | `/vms/hello` | control, control | [`Hello`] | [`Hello`] |
-//! | `/vms/explain` | control, entry | request id | `Option<`[`account::Account`]`>` |
+//! | `/vms/explain` | control, entry | request id | `Option<`[`request_trace::RequestTrace`]`>` |
 
 use std::net;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{account, catalog, endpoints, mark, quarantine, rules, time};
+use crate::{catalog, endpoints, mark, quarantine, request_trace, rules, time};
 
 /// The HTTP path of each message.
 pub mod paths {
@@ -298,4 +298,4 @@
 }
 
 /// The response at [`paths::EXPLAIN`]: none if the process has no record of the request.
-pub type ExplainResp = Option<account::Account>;
+pub type ExplainResp = Option<request_trace::RequestTrace>;
--- a/crates/sageshed-types/src/account.rs
+++ b/crates/sageshed-types/src/request_trace.rs
@@ -1,12 +1,12 @@
-//! The record of one request, kept for `sageshed explain`.
+//! Request traces: what is recorded of one request for `sageshed explain`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{refusal, rules, time, verdict};
 
-/// The record of one request, from its arrival to the end of its response.
+/// The trace of one request, from its arrival to the end of its response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Account {
+pub struct RequestTrace {
     /// The request id returned in the response. Begins with the name of the entry VM.
     pub request_id: String,
     /// Arrival time, in milliseconds since 1970.
@@ -30,9 +30,9 @@
     /// The endpoints considered for the first attempt.
     pub candidates: Vec<Candidate>,
     /// The attempts, in order.
-    pub tries: Vec<Try>,
+    pub tries: Vec<Attempt>,
     /// How it ended.
-    pub end: End,
+    pub end: RequestOutcome,
     /// Time from arrival to the end of the response, in milliseconds.
     pub took: time::Millis,
 }
@@ -50,7 +50,7 @@
 
 /// One attempt to run a request on an endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Try {
+pub struct Attempt {
     /// The endpoint's name.
     pub endpoint: String,
     /// When the attempt began, in milliseconds after the request's arrival.
@@ -64,7 +64,7 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum RequestOutcome {
     /// Still in progress.
     Open,
     /// The complete response was sent to the caller.
--- a/src/bin/sageshed/commands/explain.rs
+++ b/src/bin/sageshed/commands/explain.rs
@@ -4,7 +4,7 @@
 
 use gumdrop::Options;
 use sageshed::metrics_port;
-use sageshed_types::account;
+use sageshed_types::request_trace;
 
 use crate::{failure, failure::Failure, globals, table};
 
@@ -41,7 +41,7 @@
 }
 
 /// Asks one entry process after the other. The id is the caller's, so it names none of them.
-fn ask_entries(entries: &[String], id: &str) -> Result<account::Account, Failure> {
+fn ask_entries(entries: &[String], id: &str) -> Result<request_trace::RequestTrace, Failure> {
     let mut silent = Vec::new();
     for entry in entries {
         let url = format!("http://{entry}{}{id}", metrics_port::EXPLAIN);
@@ -61,12 +61,12 @@
     Err(Failure::Unknown(silent.join("\n")))
 }
 
-fn read(answer: ureq::Response) -> Result<account::Account, io::Error> {
+fn read(answer: ureq::Response) -> Result<request_trace::RequestTrace, io::Error> {
     let text = answer.into_string()?;
     Ok(serde_json::from_str(&text)?)
 }
 
-fn text(account: &account::Account) -> String {
+fn text(account: &request_trace::RequestTrace) -> String {
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
         writeln!(text, "{name:14} {value}").expect("a string takes every write");
@@ -109,14 +109,14 @@
     text
 }
 
-fn end(end: &account::End) -> String {
+fn end(end: &request_trace::RequestOutcome) -> String {
     match end {
-        account::End::Open => "still under way".to_owned(),
-        account::End::Answered { status, bytes } => {
+        request_trace::RequestOutcome::Open => "still under way".to_owned(),
+        request_trace::RequestOutcome::Answered { status, bytes } => {
             format!("answered with status {status} and {bytes} bytes")
         }
-        account::End::CallerGone => "the caller went away first".to_owned(),
-        account::End::Refused(refusal) => format!(
+        request_trace::RequestOutcome::CallerGone => "the caller went away first".to_owned(),
+        request_trace::RequestOutcome::Refused(refusal) => format!(
             "refused as {} ({}): {}",
             refusal.reason, refusal.verdict, refusal.detail
         ),
--- a/src/sageshed/accounts.rs
+++ b/src/sageshed/accounts.rs
@@ -2,14 +2,14 @@
 
 use std::collections;
 
-use sageshed_types::account;
+use sageshed_types::request_trace;
 
 /// Accounts kept for a while, the oldest dropped first.
 #[derive(Debug)]
 pub struct Accounts {
     max: usize,
     order: collections::VecDeque<String>,
-    by_id: collections::HashMap<String, account::Account>,
+    by_id: collections::HashMap<String, request_trace::RequestTrace>,
 }
 
 impl Accounts {
@@ -24,7 +24,7 @@
     }
 
     /// Keeps the account of a request that has ended.
-    pub fn keep(&mut self, account: account::Account) {
+    pub fn keep(&mut self, account: request_trace::RequestTrace) {
         let id = account.request_id.clone();
         if self.by_id.insert(id.clone(), account).is_none() {
             self.order.push_back(id);
@@ -38,7 +38,7 @@
 
     /// The account of a request, if it is still kept.
     #[must_use]
-    pub fn get(&self, request_id: &str) -> Option<&account::Account> {
+    pub fn get(&self, request_id: &str) -> Option<&request_trace::RequestTrace> {
         self.by_id.get(request_id)
     }
 
--- a/src/sageshed/control/operators.rs
+++ b/src/sageshed/control/operators.rs
@@ -7,7 +7,7 @@
     wire,
 };
 use sageshed_state::command;
-use sageshed_types::{account, messages, rules};
+use sageshed_types::{messages, request_trace, rules};
 
 use super::{
     inputs::{self, Fate, NotDone},
@@ -259,7 +259,7 @@
     }
 
     /// A request id begins with the name of the entry VM that gave it.
-    fn explain(&self, request_id: &str) -> Result<Option<account::Account>, Trouble> {
+    fn explain(&self, request_id: &str) -> Result<Option<request_trace::RequestTrace>, Trouble> {
         let Some((vm, _)) = request_id.split_once('.') else {
             return Err(Trouble::Invalid(format!(
                 "`{request_id}` is not a request id"
--- a/src/sageshed/entry/ending.rs
+++ b/src/sageshed/entry/ending.rs
@@ -2,7 +2,7 @@
 
 use sageshed_callers::reply;
 use sageshed_decide::event;
-use sageshed_types::{account, claims, refusal, time as types_time, verdict};
+use sageshed_types::{claims, refusal, request_trace, time as types_time, verdict};
 
 use super::request;
 use crate::locks;
@@ -23,12 +23,12 @@
     /// Ends it with an answer that went out whole, or to a caller who had left.
     pub fn answered(&mut self, status: u16, bytes: usize, sent: &reply::Sent) {
         let end = if sent.is_whole() {
-            account::End::Answered {
+            request_trace::RequestOutcome::Answered {
                 status,
                 bytes: bytes as u64,
             }
         } else {
-            account::End::CallerGone
+            request_trace::RequestOutcome::CallerGone
         };
         let answer = self.answer.take();
         self.end(end, claims::End::Ran { answer });
@@ -49,7 +49,7 @@
             verdict::Verdict::MayHaveRun if may_have_run => claims::End::Unknown,
             verdict::Verdict::MayHaveRun | verdict::Verdict::NotRun => claims::End::NotRun,
         };
-        self.end(account::End::Refused(refusal.clone()), end);
+        self.end(request_trace::RequestOutcome::Refused(refusal.clone()), end);
     }
 
     /// Ends it with a caller who has left; whether it ran is as the tries show.
@@ -60,7 +60,7 @@
             verdict::Verdict::NotRun => claims::End::NotRun,
             verdict::Verdict::MayHaveRun | verdict::Verdict::Ran => claims::End::Unknown,
         };
-        self.end(account::End::CallerGone, end);
+        self.end(request_trace::RequestOutcome::CallerGone, end);
     }
 
     pub(super) fn refuse(
@@ -95,7 +95,7 @@
         reply.refusal(&self.request_id, &gone)
     }
 
-    fn end(&mut self, end: account::End, claim: claims::End) {
+    fn end(&mut self, end: request_trace::RequestOutcome, claim: claims::End) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -121,27 +121,30 @@
     fn drop(&mut self) {
         if !self.ended {
             self.shared.step(event::Event::CallerGone(self.req));
-            self.end(account::End::CallerGone, claims::End::Unknown);
+            self.end(
+                request_trace::RequestOutcome::CallerGone,
+                claims::End::Unknown,
+            );
         }
         self.shared.waiters.leave(self.req);
         self.shared.watched.leave(self.req);
     }
 }
 
-fn log_end(account: &account::Account) {
+fn log_end(account: &request_trace::RequestTrace) {
     let request = account.request_id.as_str();
     let caller = account.caller.as_deref().unwrap_or("");
     let took = account.took.0;
     match &account.end {
-        account::End::Answered { status, .. } => {
+        request_trace::RequestOutcome::Answered { status, .. } => {
             log::debug!(request, caller, status, took; "entry: request answered");
         }
-        account::End::Refused(refusal) => {
+        request_trace::RequestOutcome::Refused(refusal) => {
             let rule = refusal.rule.as_deref().unwrap_or("");
             log::info!(request, caller, reason:% = refusal.reason, verdict:% = refusal.verdict, rule,
                 revision:% = refusal.revision, took; "entry: request refused");
         }
-        account::End::CallerGone | account::End::Open => {
+        request_trace::RequestOutcome::CallerGone | request_trace::RequestOutcome::Open => {
             log::info!(request, caller, took; "entry: caller left");
         }
     }
--- a/src/sageshed/entry/metrics.rs
+++ b/src/sageshed/entry/metrics.rs
@@ -4,7 +4,7 @@
 //! series is bounded; what a caller sends never becomes a label.
 
 use opentelemetry::{KeyValue, metrics as instruments};
-use sageshed_types::account;
+use sageshed_types::request_trace;
 
 use super::shared;
 use crate::{locks, metrics};
@@ -73,7 +73,7 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&self, account: &account::Account) {
+    pub fn ended(&self, account: &request_trace::RequestTrace) {
         let caller = account.caller.as_deref().unwrap_or(NONE).to_owned();
         let class = account.class.as_deref().unwrap_or(NONE).to_owned();
         let of = [
@@ -82,17 +82,17 @@
         ];
         let seconds = |span: sageshed_types::time::Millis| span.0 as f64 / 1_000.0;
         let end = match &account.end {
-            account::End::Answered { .. } => "answered",
-            account::End::Refused(_) => "refused",
-            account::End::CallerGone => "caller_gone",
-            account::End::Open => "open",
+            request_trace::RequestOutcome::Answered { .. } => "answered",
+            request_trace::RequestOutcome::Refused(_) => "refused",
+            request_trace::RequestOutcome::CallerGone => "caller_gone",
+            request_trace::RequestOutcome::Open => "open",
         };
         let mut with_end = of.to_vec();
         with_end.push(KeyValue::new("end", end));
         self.took.record(seconds(account.took), &with_end);
         self.queued.record(seconds(account.queued), &of);
         self.tries.add(account.tries.len() as u64, &of);
-        if let account::End::Refused(refusal) = &account.end {
+        if let request_trace::RequestOutcome::Refused(refusal) = &account.end {
             let mut why = of.to_vec();
             why.push(KeyValue::new("reason", refusal.reason.to_string()));
             self.refused.add(1, &why);
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -10,7 +10,7 @@
 use sageshed_decide::event;
 use sageshed_engines::classify;
 use sageshed_types::{
-    account, arena, claims, endpoints, fault, refusal, time as types_time, verdict,
+    arena, claims, endpoints, fault, refusal, request_trace, time as types_time, verdict,
 };
 
 use super::{completion, service, shared};
@@ -85,7 +85,7 @@
     pub(super) facts: event::Facts,
     pub(super) meta: Meta,
     rx: mpsc::Receiver<event::Action>,
-    pub(super) account: account::Account,
+    pub(super) account: request_trace::RequestTrace,
     pub(super) claim: Option<claims::Claim>,
     pub(super) answer: Option<claims::RecordedAnswer>,
     pub(super) ended: bool,
@@ -110,7 +110,7 @@
         meta: Meta,
     ) -> Self {
         let request_id = shared.request_id(facts.id);
-        let account = account::Account {
+        let account = request_trace::RequestTrace {
             request_id: request_id.clone(),
             arrived_unix_ms: clock::unix_ms(),
             caller: Some(caller),
@@ -123,7 +123,7 @@
             queued: types_time::Millis(0),
             candidates: Vec::new(),
             tries: Vec::new(),
-            end: account::End::Open,
+            end: request_trace::RequestOutcome::Open,
             took: types_time::Millis(0),
         };
         Self {
@@ -280,7 +280,7 @@
 
     /// Adds a try to the account.
     pub fn note_try(&mut self, order: &Order, verdict: verdict::Verdict, outcome: &str) {
-        self.account.tries.push(account::Try {
+        self.account.tries.push(request_trace::Attempt {
             endpoint: order.endpoint.clone(),
             started: order.begun,
             verdict,
--- a/src/sageshed/entry/serve.rs
+++ b/src/sageshed/entry/serve.rs
@@ -4,7 +4,7 @@
 
 use sageshed_callers::{handler, openai, reply, request as callers_request, route};
 use sageshed_decide::event;
-use sageshed_types::{account, arena, refusal, secret, time, verdict};
+use sageshed_types::{arena, refusal, request_trace, secret, time, verdict};
 use sha2::Digest;
 
 use super::{completion, request, service, shared};
@@ -50,7 +50,7 @@
     fn refuse_early(&self, refusal: refusal::Refusal) -> handler::Stamped {
         let account = self.account(None, refusal);
         let request_id = account.request_id.clone();
-        let account::End::Refused(refusal) = account.end.clone() else {
+        let request_trace::RequestOutcome::Refused(refusal) = account.end.clone() else {
             unreachable!("the account of a refusal ends with it");
         };
         self.keep(account);
@@ -273,10 +273,10 @@
     fn send_refusal(
         &self,
         reply: reply::Reply<'_>,
-        account: account::Account,
+        account: request_trace::RequestTrace,
         further: &[(&str, &str)],
     ) -> reply::Sent {
-        let account::End::Refused(refusal) = account.end.clone() else {
+        let request_trace::RequestOutcome::Refused(refusal) = account.end.clone() else {
             unreachable!("the account of a refusal ends with it");
         };
         let request_id = account.request_id.clone();
@@ -285,10 +285,14 @@
     }
 
     /// The account of a request that was refused before any rule was asked.
-    fn account(&self, caller: Option<String>, mut refusal: refusal::Refusal) -> account::Account {
+    fn account(
+        &self,
+        caller: Option<String>,
+        mut refusal: refusal::Refusal,
+    ) -> request_trace::RequestTrace {
         let revision = locks::lock(&self.shared.config).rules.revision;
         refusal.revision = revision;
-        account::Account {
+        request_trace::RequestTrace {
             request_id: self.shared.request_id(self.shared.next_req()),
             arrived_unix_ms: clock::unix_ms(),
             caller,
@@ -301,12 +305,12 @@
             queued: time::Millis(0),
             candidates: Vec::new(),
             tries: Vec::new(),
-            end: account::End::Refused(refusal),
+            end: request_trace::RequestOutcome::Refused(refusal),
             took: time::Millis(0),
         }
     }
 
-    fn keep(&self, account: account::Account) {
+    fn keep(&self, account: request_trace::RequestTrace) {
         self.shared.metrics.ended(&account);
         locks::lock(&self.shared.accounts).keep(account);
     }
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/pass/ending.rs
@@ -4,7 +4,7 @@
 
 use sageshed_fleet::{chooser, dialect};
 use sageshed_http::reply;
-use sageshed_types::{account, refusal, time, verdict};
+use sageshed_types::{refusal, request_trace, time, verdict};
 
 use super::{BACK_SOON, Life};
 use crate::{
@@ -68,7 +68,7 @@
             waited_for = self.waited_for_word(), arrivals = self.arrivals,
             repeat = if self.lacks_repeat { "none left" } else { "" }, left_ms = self.left_ms().0; "gateway: request refused");
         self.note(metrics::End::Refused, refusal.status);
-        self.keep_account(account::End::Refused(refusal.clone()));
+        self.keep_account(request_trace::RequestOutcome::Refused(refusal.clone()));
         outlet.refuse("", refusal)
     }
 
@@ -79,7 +79,7 @@
             arrivals = self.arrivals, left_ms = self.left_ms().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
         self.note(metrics::End::CallerGone, 0);
-        self.keep_account(account::End::CallerGone);
+        self.keep_account(request_trace::RequestOutcome::CallerGone);
         let detail = "the caller closed its connection";
         let refusal = self.give_up(verdict::Reason::DeadlinePassed, detail.to_owned());
         outlet.refuse("", &refusal)
@@ -99,7 +99,7 @@
         }
         let outcome = self.paces.outcome();
         self.story.came_to(verdict::Verdict::Ran, &outcome);
-        self.keep_account(account::End::Answered { status, bytes });
+        self.keep_account(request_trace::RequestOutcome::Answered { status, bytes });
         let line = self.shared.sampler.line(self.shared.clock.now());
         if let sampler::Line::WriteAfter(left_out) = line {
             ::log::info!(left_out; "gateway: successes left out of the log in the last second");
--- a/src/sageshed/gateway/pass/story.rs
+++ b/src/sageshed/gateway/pass/story.rs
@@ -1,7 +1,7 @@
 //! What happened to one request, as it goes on, for `sageshed explain`.
 
 use sageshed_fleet::{chooser, config, dialect};
-use sageshed_types::{account, rules, time, verdict};
+use sageshed_types::{request_trace, rules, time, verdict};
 
 use super::Life;
 use crate::{clock, locks};
@@ -12,19 +12,19 @@
 /// The choices and tries of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct Story {
-    chosen: Vec<account::Candidate>,
-    tries: Vec<account::Try>,
+    chosen: Vec<request_trace::Candidate>,
+    tries: Vec<request_trace::Attempt>,
 }
 
 impl Story {
     /// It is sent to `pick`, so long after it came.
     pub(super) fn sent(&mut self, pick: &chooser::Pick, started: time::Millis) {
-        self.chosen.push(account::Candidate {
+        self.chosen.push(request_trace::Candidate {
             endpoint: pick.instance.to_string(),
             estimate: pick.estimate,
             passed_over: None,
         });
-        self.tries.push(account::Try {
+        self.tries.push(request_trace::Attempt {
             endpoint: pick.instance.to_string(),
             started,
             verdict: verdict::Verdict::MayHaveRun,
@@ -43,7 +43,7 @@
 
 impl<D: dialect::Dialect> Life<'_, D> {
     /// Keeps the account of this request, which has ended.
-    pub(super) fn keep_account(&mut self, end: account::End) {
+    pub(super) fn keep_account(&mut self, end: request_trace::RequestOutcome) {
         let took = time::Millis::from(self.req.received.elapsed());
         let story = std::mem::take(&mut self.story);
         let queued = story.tries.first().map_or(took, |it| it.started);
@@ -52,7 +52,7 @@
             self.route.repeat,
             config::Repeat::Never | config::Repeat::Stream
         );
-        let account = account::Account {
+        let account = request_trace::RequestTrace {
             request_id: self.id().to_owned(),
             arrived_unix_ms: clock::unix_ms().saturating_sub(took.0),
             caller: self.workspace.as_ref().map(|it| it.name.clone()),
--- a/src/sageshed/metrics_port.rs
+++ b/src/sageshed/metrics_port.rs
@@ -1,7 +1,7 @@
 //! A port that shows what a process knows of itself: its figures, and accounts of past requests.
 
 use sageshed_http::{handler, reply, request};
-use sageshed_types::{account, refusal, verdict};
+use sageshed_types::{refusal, request_trace, verdict};
 
 /// The path of the figures.
 const METRICS: &str = "/metrics";
@@ -21,7 +21,7 @@
 impl<F, A> handler::Handler for Port<F, A>
 where
     F: Fn() -> String + Send + Sync + 'static,
-    A: Fn(&str) -> Option<account::Account> + Send + Sync + 'static,
+    A: Fn(&str) -> Option<request_trace::RequestTrace> + Send + Sync + 'static,
 {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         if req.path == METRICS {
