--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -17,7 +17,7 @@
 
 use sageshed_types::time;
 
-pub use sageshed_types::mark::Mark;
+pub use sageshed_types::cursor::SyncCursor as Mark;
 
 pub use self::instance::{Alive, Instance, InstanceId, Offer, Record, Resident, State};
 
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -32,7 +32,7 @@
 use sageshed_types::time;
 
 pub use sageshed_types::{
-    mark::Mark,
+    cursor::SyncCursor as Mark,
     quarantine::{Crash, Fingerprint, Held},
 };
 
@@ -280,7 +280,7 @@
             Telling::All => self.change,
             Telling::Held => self.held_change,
         };
-        newest > mark.of(self.start)
+        newest > mark.position_in(self.start)
     }
 
     /// What a peer is to be told that knows this process's memory up to `mark`.
@@ -289,7 +289,7 @@
         if !self.has_news(mark, telling) {
             return Vec::new();
         }
-        let after = mark.of(self.start);
+        let after = mark.position_in(self.start);
         let mut told = Vec::new();
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.told(now, *content));
--- a/crates/sageshed-types/src/mark.rs
+++ b/crates/sageshed-types/src/cursor.rs
@@ -4,7 +4,7 @@
 
 /// How many changes of a process's state a peer has received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct SyncCursor {
     /// Identifies the start of the process that owns the state. Its counts are not comparable with those
     /// of another start.
     pub start: u64,
@@ -12,11 +12,11 @@
     pub change: u64,
 }
 
-impl Mark {
+impl SyncCursor {
     /// The last change received from the process start `start`. Zero if the position refers to another
     /// start.
     #[must_use]
-    pub fn of(self, start: u64) -> u64 {
+    pub fn position_in(self, start: u64) -> u64 {
         if self.start == start { self.change } else { 0 }
     }
 }
--- a/crates/sageshed-types/src/lib.rs
+++ b/crates/sageshed-types/src/lib.rs
@@ -7,11 +7,11 @@
 //! | [`arena`] | interned names and the keys that stand for them |
 //! | [`catalog`] | models, adapters, classes and callers, as the settings define them |
 //! | [`claims`] | claims on requests that may run at most once |
+//! | [`cursor`] | up to which change one process has read the state of another |
 //! | [`document`] | a fleet's configuration as the operator submitted it |
 //! | [`endpoints`] | registration and reports of endpoints, orders to engines |
 //! | [`fault`] | how an attempt to send a request to an endpoint failed |
 //! | [`headers`] | names of HTTP headers |
-//! | [`mark`] | up to which change one process has read another's state |
 //! | [`messages`] | messages between the system's own processes |
 //! | [`quarantine`] | requests that crashed endpoints |
 //! | [`refusal`] | the body of a refused request's response |
@@ -24,11 +24,11 @@
 pub mod arena;
 pub mod catalog;
 pub mod claims;
+pub mod cursor;
 pub mod document;
 pub mod endpoints;
 pub mod fault;
 pub mod headers;
-pub mod mark;
 pub mod messages;
 pub mod quarantine;
 pub mod refusal;
--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{catalog, endpoints, mark, quarantine, request_trace, rules, time};
+use crate::{catalog, cursor, endpoints, quarantine, request_trace, rules, time};
 
 /// The HTTP path of each message.
 pub mod paths {
@@ -78,7 +78,7 @@
     /// Up to which change the sender knows the receiver's recorded crashes. None if the sender does not
     /// accept crashes.
     #[serde(default)]
-    pub crashes_known: Option<mark::Mark>,
+    pub crashes_known: Option<cursor::SyncCursor>,
     /// Crashes that were not yet sent to the receiver.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
@@ -119,7 +119,7 @@
     /// Up to which change the requesting process knows the crashes after this response. None if the
     /// responding process does not share crashes.
     #[serde(default)]
-    pub crashes_mark: Option<mark::Mark>,
+    pub crashes_mark: Option<cursor::SyncCursor>,
     /// Crashes recorded after [`SyncReq::crashes_known`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
