--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -65,7 +65,7 @@
     /// The newest revision of the rules in force at the sender.
     pub revision: rules::Revision,
     /// Up to which change the sender has read the receiver's directory. Version 0 requests all of it.
-    pub directory_seen: DirectoryMark,
+    pub directory_seen: DirectoryCursor,
     /// Reports that the sender received directly from endpoints since the last sync that the receiver
     /// confirmed.
     pub reports: Vec<endpoints::Report>,
@@ -86,7 +86,7 @@
 
 /// Up to which change a reader has read a process's directory of endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DirectoryMark {
+pub struct DirectoryCursor {
     /// The incarnation of the process that owns the directory. Versions start again with each incarnation.
     pub incarnation: endpoints::Incarnation,
     /// The number of changes of the directory in that incarnation.
@@ -101,7 +101,7 @@
     /// Reports added to the directory after [`SyncReq::directory_seen`].
     pub reports: Vec<endpoints::Report>,
     /// The new position of the requesting process in the directory.
-    pub directory: DirectoryMark,
+    pub directory: DirectoryCursor,
     /// From a control process: the lease and the state of the control group.
     pub control: Option<ControlPart>,
     /// The newest revision of the rules in force at the responding process.
--- a/examples/measure_slopes/wire.rs
+++ b/examples/measure_slopes/wire.rs
@@ -67,7 +67,7 @@
             "message report resident={held} bytes={bytes} json_bytes={json} encode_us={encode:.2} decode_us={decode:.2}"
         );
     }
-    let mark = messages::DirectoryMark {
+    let mark = messages::DirectoryCursor {
         incarnation: endpoints::Incarnation(1_700_000_000_000),
         version: 1_000_000,
     };
--- a/src/sageshed/directory.rs
+++ b/src/sageshed/directory.rs
@@ -6,7 +6,7 @@
 //!
 //! Only first-hand reports are passed on: every entry process asks every other one, so a report
 //! reaches all in one hop, and nothing goes round in circles. Reading on from a mark
-//! ([`messages::DirectoryMark`]) gives only what changed since.
+//! ([`messages::DirectoryCursor`]) gives only what changed since.
 
 use std::collections;
 
@@ -87,8 +87,8 @@
     pub fn since(
         &self,
         now: time::Instant,
-        mark: messages::DirectoryMark,
-    ) -> (Vec<endpoints::Report>, messages::DirectoryMark) {
+        mark: messages::DirectoryCursor,
+    ) -> (Vec<endpoints::Report>, messages::DirectoryCursor) {
         let seen = if mark.incarnation == self.incarnation {
             mark.version
         } else {
@@ -104,8 +104,8 @@
 
     /// Where a reader stands that has read all.
     #[must_use]
-    pub fn mark(&self) -> messages::DirectoryMark {
-        messages::DirectoryMark {
+    pub fn mark(&self) -> messages::DirectoryCursor {
+        messages::DirectoryCursor {
             incarnation: self.incarnation,
             version: self.version,
         }
--- a/src/sageshed/entry/sync.rs
+++ b/src/sageshed/entry/sync.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Default)]
 struct Marks {
     /// How far this process has read the peer's directory.
-    read: messages::DirectoryMark,
+    read: messages::DirectoryCursor,
     /// How far the peer has confirmed this process's directory.
-    sent: messages::DirectoryMark,
+    sent: messages::DirectoryCursor,
     /// What each knows of the crashes that the other remembers.
     crashes: quarantine::Link,
 }
--- a/tests/control_driver.rs
+++ b/tests/control_driver.rs
@@ -288,7 +288,7 @@
         },
         address: String::new(),
         revision: rules::Revision(revision),
-        directory_seen: messages::DirectoryMark::default(),
+        directory_seen: messages::DirectoryCursor::default(),
         reports: Vec::new(),
         demand: Vec::new(),
         draining: false,
