--- a/crates/sageshed-decide/src/names.rs
+++ b/crates/sageshed-decide/src/names.rs
@@ -57,19 +57,19 @@
 #[derive(Debug, Clone, Default)]
 pub struct Names {
     /// Models and adapters.
-    pub models: arena::Names<arena::ModelKey>,
+    pub models: arena::Interner<arena::ModelKey>,
     /// Plain services.
-    pub services: arena::Names<arena::ServiceKey>,
+    pub services: arena::Interner<arena::ServiceKey>,
     /// Callers.
-    pub callers: arena::Names<arena::CallerKey>,
+    pub callers: arena::Interner<arena::CallerKey>,
     /// Classes.
-    pub classes: arena::Names<arena::ClassKey>,
+    pub classes: arena::Interner<arena::ClassKey>,
     /// Pools, from the settings and from reports.
-    pub pools: arena::Names<arena::PoolKey>,
+    pub pools: arena::Interner<arena::PoolKey>,
     /// Availability zones, from the settings and from reports.
-    pub zones: arena::Names<arena::ZoneKey>,
+    pub zones: arena::Interner<arena::ZoneKey>,
     /// Endpoints, from reports.
-    pub endpoints: arena::Names<arena::EndpointKey>,
+    pub endpoints: arena::Interner<arena::EndpointKey>,
     model_table: Vec<Model>,
     caller_table: Vec<Caller>,
     class_table: Vec<Class>,
--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    fn unknown<K: Key>(&mut self, kind: &str, list: &[String], known: &arena::Names<K>) {
+    fn unknown<K: Key>(&mut self, kind: &str, list: &[String], known: &arena::Interner<K>) {
         for name in list.iter().filter(|name| known.get(name).is_none()) {
             self.error(
                 format!("there is no {kind} `{name}`"),
@@ -275,7 +275,7 @@
     }
 }
 
-fn members<K: Key>(names: &arena::Names<K>, holds: impl Fn(K, &str) -> bool) -> bits::Bits {
+fn members<K: Key>(names: &arena::Interner<K>, holds: impl Fn(K, &str) -> bool) -> bits::Bits {
     let mut set = bits::Bits::none(names.len());
     for (key, name) in names.iter() {
         if holds(key, name) {
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -49,10 +49,10 @@
 /// Who holds what, and what was promised.
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    models: arena::Names<ModelKey>,
-    endpoints: arena::Names<EndpointKey>,
-    pools: arena::Names<PoolKey>,
-    zones: arena::Names<ZoneKey>,
+    models: arena::Interner<ModelKey>,
+    endpoints: arena::Interner<EndpointKey>,
+    pools: arena::Interner<PoolKey>,
+    zones: arena::Interner<ZoneKey>,
     offers: Vec<Offer>,
     engines: Vec<Engine>,
     stale_after: time::Millis,
@@ -63,8 +63,8 @@
     /// nothing but memory.
     #[must_use]
     pub fn new(offered: &[catalog::Model], stale_after: time::Millis) -> Self {
-        let mut models = arena::Names::default();
-        let mut pools = arena::Names::default();
+        let mut models = arena::Interner::default();
+        let mut pools = arena::Interner::default();
         for model in offered {
             let _: ModelKey = models.intern(&model.name);
         }
@@ -78,9 +78,9 @@
             .collect();
         Self {
             models,
-            endpoints: arena::Names::default(),
+            endpoints: arena::Interner::default(),
             pools,
-            zones: arena::Names::default(),
+            zones: arena::Interner::default(),
             offers,
             engines: Vec::new(),
             stale_after,
--- a/crates/sageshed-types/src/arena.rs
+++ b/crates/sageshed-types/src/arena.rs
@@ -52,13 +52,13 @@
 
 /// Assigns keys to distinct names, in the order in which they are added.
 #[derive(Debug, Clone)]
-pub struct Names<K> {
+pub struct Interner<K> {
     by_index: Vec<String>,
     keys: collections::HashMap<String, u32>,
     kind: marker::PhantomData<K>,
 }
 
-impl<K> Default for Names<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
         Self {
             by_index: Vec::new(),
@@ -68,7 +68,7 @@
     }
 }
 
-impl<K: Key> Names<K> {
+impl<K: Key> Interner<K> {
     /// The key of `name`, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(key) = self.get(name) {
