--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -191,7 +191,7 @@
     /// Records how a claimed request ended. Ignored unless it names the claim's holder.
     pub fn settle(&mut self, settle: claims::Settle) -> command::SettleOutcome {
         let claims::Settle { key, holder, end } = settle;
-        if matches!(end, claims::End::NotRun) {
+        if matches!(end, claims::ExecutionOutcome::NotRun) {
             return self.give_back(&key, holder);
         }
         let Some(held) = self.claims.get(&key) else {
@@ -201,12 +201,14 @@
             return command::SettleOutcome::Ignored;
         }
         match (&held.state, end) {
-            (State::Running, claims::End::Ran { answer }) => self.ran(key, answer),
+            (State::Running, claims::ExecutionOutcome::Ran { answer }) => self.ran(key, answer),
             // The process was wrongly declared gone and now reports the outcome. The expiry stays.
-            (State::Unknown, claims::End::Ran { answer }) => self.keep_answer(&key, answer),
-            (State::Running, claims::End::Unknown) => self.unknown(key),
-            (State::Ran { .. }, claims::End::Ran { .. })
-            | (State::Unknown, claims::End::Unknown) => {}
+            (State::Unknown, claims::ExecutionOutcome::Ran { answer }) => {
+                self.keep_answer(&key, answer)
+            }
+            (State::Running, claims::ExecutionOutcome::Unknown) => self.unknown(key),
+            (State::Ran { .. }, claims::ExecutionOutcome::Ran { .. })
+            | (State::Unknown, claims::ExecutionOutcome::Unknown) => {}
             _ => return command::SettleOutcome::Ignored,
         }
         command::SettleOutcome::Settled
--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -63,7 +63,7 @@
     table: &mut claim_table::ClaimTable,
     on: &str,
     holder: claims::Holder,
-    end: claims::End,
+    end: claims::ExecutionOutcome,
 ) -> command::SettleOutcome {
     table.settle(claims::Settle {
         key: key(on),
@@ -72,8 +72,8 @@
     })
 }
 
-fn ran(body: &[u8]) -> claims::End {
-    claims::End::Ran {
+fn ran(body: &[u8]) -> claims::ExecutionOutcome {
+    claims::ExecutionOutcome::Ran {
         answer: Some(answer(body)),
     }
 }
@@ -115,7 +115,11 @@
 #[test]
 fn the_same_key_with_other_content_is_rejected_in_every_state() {
     let other = claim_table::Claimed::Answer(claims::ClaimOutcome::OtherContent);
-    let ends = [None, Some(ran(b"x")), Some(claims::End::Unknown)];
+    let ends = [
+        None,
+        Some(ran(b"x")),
+        Some(claims::ExecutionOutcome::Unknown),
+    ];
     for end in ends {
         let mut table = table();
         ask(&mut table, "k", first());
@@ -133,7 +137,7 @@
 #[test]
 fn a_claim_committed_after_its_holder_gave_up_is_not_granted() {
     let mut table = table();
-    settle(&mut table, "k", first(), claims::End::NotRun);
+    settle(&mut table, "k", first(), claims::ExecutionOutcome::NotRun);
     assert_eq!(ask(&mut table, "k", first()), claim_table::Claimed::TooLate);
     table.holder_gone("vm2", endpoints::Incarnation(6));
     assert_eq!(
@@ -152,7 +156,7 @@
             &mut table,
             "k",
             holder("vm1", 5, request_id),
-            claims::End::NotRun,
+            claims::ExecutionOutcome::NotRun,
         );
     }
     let late = claim_table::Claimed::TooLate;
--- a/crates/sageshed-state/tests/control.rs
+++ b/crates/sageshed-state/tests/control.rs
@@ -321,7 +321,7 @@
         command::Command::Claim(claim("a")),
         command::Command::Settle(settle(
             "a",
-            claims::End::Ran {
+            claims::ExecutionOutcome::Ran {
                 answer: Some(answer),
             },
         )),
@@ -329,8 +329,8 @@
             unix_ms: 1_700_000_000_000,
         },
         command::Command::Claim(claim("b")),
-        command::Command::Settle(settle("b", claims::End::Unknown)),
-        command::Command::Settle(settle("c", claims::End::NotRun)),
+        command::Command::Settle(settle("b", claims::ExecutionOutcome::Unknown)),
+        command::Command::Settle(settle("c", claims::ExecutionOutcome::NotRun)),
         command::Command::HolderGone {
             vm: "vm1".to_owned(),
             incarnation_below: endpoints::Incarnation(4),
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -162,9 +162,9 @@
 
 fn settle(table: &mut claim_table::ClaimTable, by: &claims::Holder, end: End) {
     let end = match end {
-        End::Unknown => claims::End::Unknown,
-        End::NotRun => claims::End::NotRun,
-        End::Ran(body) => claims::End::Ran {
+        End::Unknown => claims::ExecutionOutcome::Unknown,
+        End::NotRun => claims::ExecutionOutcome::NotRun,
+        End::Ran(body) => claims::ExecutionOutcome::Ran {
             answer: Some(claims::RecordedAnswer {
                 status: 200,
                 content_type: "text/plain".to_owned(),
--- a/crates/sageshed-types/src/claims.rs
+++ b/crates/sageshed-types/src/claims.rs
@@ -50,13 +50,13 @@
     /// The holder. A message that names another holder than the claim's is ignored.
     pub holder: Holder,
     /// How it ended.
-    pub end: End,
+    pub end: ExecutionOutcome,
 }
 
 /// How a claimed request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum ExecutionOutcome {
     /// It ran. The response is stored if it is small enough.
     Ran {
         /// The response, or none if it exceeds the size limit.
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -57,7 +57,7 @@
     claims::Settle {
         key: claim.key,
         holder: claim.holder,
-        end: claims::End::Ran { answer },
+        end: claims::ExecutionOutcome::Ran { answer },
     }
 }
 
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -224,9 +224,9 @@
 
     fn settle_holder(&mut self, holder: claims::Holder, end: End) {
         let end = match end {
-            End::Ran => claims::End::Ran { answer: None },
-            End::NotRun => claims::End::NotRun,
-            End::Unknown => claims::End::Unknown,
+            End::Ran => claims::ExecutionOutcome::Ran { answer: None },
+            End::NotRun => claims::ExecutionOutcome::NotRun,
+            End::Unknown => claims::ExecutionOutcome::Unknown,
         };
         let key = key();
         self.table.settle(claims::Settle { key, holder, end });
--- a/src/sageshed/entry/ending.rs
+++ b/src/sageshed/entry/ending.rs
@@ -31,7 +31,7 @@
             request_trace::RequestOutcome::CallerGone
         };
         let answer = self.answer.take();
-        self.end(end, claims::End::Ran { answer });
+        self.end(end, claims::ExecutionOutcome::Ran { answer });
     }
 
     /// Ends it with a refusal.
@@ -45,9 +45,11 @@
             .map(|it| it.verdict)
             .any(|it| it != verdict::Verdict::NotRun);
         let end = match refusal.verdict {
-            verdict::Verdict::Ran => claims::End::Ran { answer: None },
-            verdict::Verdict::MayHaveRun if may_have_run => claims::End::Unknown,
-            verdict::Verdict::MayHaveRun | verdict::Verdict::NotRun => claims::End::NotRun,
+            verdict::Verdict::Ran => claims::ExecutionOutcome::Ran { answer: None },
+            verdict::Verdict::MayHaveRun if may_have_run => claims::ExecutionOutcome::Unknown,
+            verdict::Verdict::MayHaveRun | verdict::Verdict::NotRun => {
+                claims::ExecutionOutcome::NotRun
+            }
         };
         self.end(request_trace::RequestOutcome::Refused(refusal.clone()), end);
     }
@@ -57,8 +59,10 @@
         let tries = self.account.tries.iter().map(|it| it.verdict);
         let verdict = tries.max().unwrap_or(verdict::Verdict::NotRun);
         let end = match verdict {
-            verdict::Verdict::NotRun => claims::End::NotRun,
-            verdict::Verdict::MayHaveRun | verdict::Verdict::Ran => claims::End::Unknown,
+            verdict::Verdict::NotRun => claims::ExecutionOutcome::NotRun,
+            verdict::Verdict::MayHaveRun | verdict::Verdict::Ran => {
+                claims::ExecutionOutcome::Unknown
+            }
         };
         self.end(request_trace::RequestOutcome::CallerGone, end);
     }
@@ -95,7 +99,7 @@
         reply.refusal(&self.request_id, &gone)
     }
 
-    fn end(&mut self, end: request_trace::RequestOutcome, claim: claims::End) {
+    fn end(&mut self, end: request_trace::RequestOutcome, claim: claims::ExecutionOutcome) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
@@ -123,7 +127,7 @@
             self.shared.step(event::Event::CallerGone(self.req));
             self.end(
                 request_trace::RequestOutcome::CallerGone,
-                claims::End::Unknown,
+                claims::ExecutionOutcome::Unknown,
             );
         }
         self.shared.waiters.leave(self.req);
