--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -227,7 +227,7 @@
     fn take_resident(
         &mut self,
         now: time::Instant,
-        resident: &[endpoints::Resident],
+        resident: &[endpoints::ResidentModel],
         names: &names::Names,
     ) {
         let mut ready = bits::Bits::none(names.models.len());
--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -149,7 +149,7 @@
                 memory_mib,
                 ..
             } => {
-                report.resident.push(endpoints::Resident {
+                report.resident.push(endpoints::ResidentModel {
                     model,
                     version,
                     phase: endpoints::Phase::Ready,
@@ -173,7 +173,7 @@
             for model in (first..self.models.min(first + 4)).map(model) {
                 let resident = &mut self.reports[index].resident;
                 if resident.iter().all(|r| r.model != model.name) {
-                    resident.push(endpoints::Resident {
+                    resident.push(endpoints::ResidentModel {
                         model: model.name,
                         version: model.version,
                         phase: endpoints::Phase::Ready,
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -409,7 +409,7 @@
                 status.holders.push(messages::HolderStatus {
                     endpoint: engine.name.clone(),
                     availability_zone: self.ledger.zone_name(engine.zone).to_owned(),
-                    resident: endpoints::Resident {
+                    resident: endpoints::ResidentModel {
                         model: self.ledger.model_name(held.model).to_owned(),
                         version: held.version,
                         phase: held.phase,
--- a/crates/sageshed-place/tests/faults.rs
+++ b/crates/sageshed-place/tests/faults.rs
@@ -590,7 +590,7 @@
     let mut engine = support::Engine::new(name, "zone-0", memory_mib, name != "u");
     engine.identity.incarnation = endpoints::Incarnation(incarnation);
     engine.sequence = sequence - 1;
-    let resident = |(model_name, version, phase): &Held| endpoints::Resident {
+    let resident = |(model_name, version, phase): &Held| endpoints::ResidentModel {
         model: (*model_name).to_owned(),
         version: *version,
         phase: *phase,
--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -60,7 +60,7 @@
 pub struct Engine {
     pub identity: endpoints::Identity,
     pub sequence: u64,
-    pub resident: Vec<endpoints::Resident>,
+    pub resident: Vec<endpoints::ResidentModel>,
     pub orders: Vec<endpoints::OrderResult>,
     pub highest: endpoints::Fence,
     pub leaving: bool,
@@ -178,7 +178,7 @@
             return;
         }
         let unloads = matches!(task, endpoints::Task::Unload { .. });
-        let this = |r: &endpoints::Resident| r.model == *name && r.version == wanted;
+        let this = |r: &endpoints::ResidentModel| r.model == *name && r.version == wanted;
         if unloads {
             self.resident.retain(|r| !this(r));
         } else if let Some(resident) = self.resident.iter_mut().find(|r| this(r)) {
@@ -197,7 +197,7 @@
                 version,
                 memory_mib,
                 ..
-            } => self.resident.push(endpoints::Resident {
+            } => self.resident.push(endpoints::ResidentModel {
                 model: model.clone(),
                 version: *version,
                 phase: endpoints::Phase::Loading,
--- a/crates/sageshed-test-support/src/memory.rs
+++ b/crates/sageshed-test-support/src/memory.rs
@@ -10,7 +10,7 @@
 /// The models and orders of one incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Memory {
-    pub(crate) resident: Vec<endpoints::Resident>,
+    pub(crate) resident: Vec<endpoints::ResidentModel>,
     pub(crate) running: collections::HashMap<String, u32>,
     pub(crate) results: collections::VecDeque<endpoints::OrderResult>,
     highest_fence: endpoints::Fence,
@@ -94,7 +94,7 @@
                 if base.as_ref().is_some_and(|base| !self.serves(base)) {
                     return Some(format!("the base of {model} is not held"));
                 }
-                self.resident.push(endpoints::Resident {
+                self.resident.push(endpoints::ResidentModel {
                     model: model.clone(),
                     version: *version,
                     phase: endpoints::Phase::Loading,
--- a/crates/sageshed-types/src/endpoints.rs
+++ b/crates/sageshed-types/src/endpoints.rs
@@ -101,7 +101,7 @@
 
 /// A model or adapter that an engine holds, is loading or is unloading.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Resident {
+pub struct ResidentModel {
     /// The name of the model or adapter.
     pub model: String,
     /// Its version.
@@ -164,7 +164,7 @@
     /// Tokens generated per second over the last few seconds, summed over all requests.
     pub tokens_per_second: u32,
     /// The models and adapters in its memory.
-    pub resident: Vec<Resident>,
+    pub resident: Vec<ResidentModel>,
     /// The orders it received most recently, newest last. At least the last 32.
     pub orders: Vec<OrderResult>,
     /// Whether the endpoint accepts no new requests and is about to shut down.
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -330,7 +330,7 @@
         held: &[String],
         checks_fence: bool,
     ) -> endpoints::Report {
-        let resident = held.iter().map(|model| endpoints::Resident {
+        let resident = held.iter().map(|model| endpoints::ResidentModel {
             model: model.clone(),
             version: 1,
             phase: endpoints::Phase::Ready,
