--- a/crates/sageshed-engines/tests/connections.rs
+++ b/crates/sageshed-engines/tests/connections.rs
@@ -160,7 +160,7 @@
         endpoint: "e1".to_owned(),
         incarnation: standin.identity("e1").incarnation,
         fence: endpoints::Fence(1),
-        task: endpoints::Task::ChangeRole {
+        task: endpoints::OrderTask::ChangeRole {
             pool: "other".to_owned(),
         },
     };
--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -126,7 +126,7 @@
 
     fn carry_out(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
     ) {
         self.orders += 1;
         let order = endpoints::Order {
@@ -143,7 +143,7 @@
             .step(self.now, place::Event::OrderCommitted(order));
         let report = &mut self.reports[index];
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
@@ -156,8 +156,10 @@
                     memory_mib,
                 });
             }
-            endpoints::Task::Unload { model, .. } => report.resident.retain(|r| r.model != model),
-            endpoints::Task::ChangeRole { .. } => {}
+            endpoints::OrderTask::Unload { model, .. } => {
+                report.resident.retain(|r| r.model != model)
+            }
+            endpoints::OrderTask::ChangeRole { .. } => {}
         }
         report.orders.push(endpoints::OrderResult {
             order: endpoints::OrderId(self.orders),
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -226,9 +226,9 @@
     }
 
     /// Turns the names of a task into keys.
-    pub fn task(&mut self, task: &endpoints::Task) -> Task {
+    pub fn task(&mut self, task: &endpoints::OrderTask) -> Task {
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
@@ -238,11 +238,11 @@
                 version: *version,
                 memory_mib: *memory_mib,
             },
-            endpoints::Task::Unload { model, version } => Task::Unload {
+            endpoints::OrderTask::Unload { model, version } => Task::Unload {
                 model: self.models.intern(model),
                 version: *version,
             },
-            endpoints::Task::ChangeRole { .. } => Task::ChangeRole,
+            endpoints::OrderTask::ChangeRole { .. } => Task::ChangeRole,
         }
     }
 
@@ -251,26 +251,26 @@
         &mut self,
         key: EndpointKey,
         task: Task,
-    ) -> Option<(String, endpoints::Incarnation, endpoints::Task)> {
+    ) -> Option<(String, endpoints::Incarnation, endpoints::OrderTask)> {
         let named = self.named(task)?;
         let engine = &mut self.engines[key.index()];
         engine.proposed.push(task);
         Some((engine.name.clone(), engine.incarnation, named))
     }
 
-    fn named(&self, task: Task) -> Option<endpoints::Task> {
+    fn named(&self, task: Task) -> Option<endpoints::OrderTask> {
         match task {
             Task::Load {
                 model,
                 version,
                 memory_mib,
-            } => Some(endpoints::Task::Load {
+            } => Some(endpoints::OrderTask::Load {
                 model: self.models.name(model).to_owned(),
                 version,
                 memory_mib,
                 base: self.offer(model)?.model.base.clone(),
             }),
-            Task::Unload { model, version } => Some(endpoints::Task::Unload {
+            Task::Unload { model, version } => Some(endpoints::OrderTask::Unload {
                 model: self.models.name(model).to_owned(),
                 version,
             }),
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Give each an id and a fence, commit them, then feed [`Event::OrderCommitted`] for each.
-    Propose(Vec<(String, endpoints::Incarnation, endpoints::Task)>),
+    Propose(Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>),
     /// Send it, then feed [`Event::OrderSent`] or [`Event::OrderNotSent`].
     SendOrder(endpoints::Order),
     /// Commit the removal of these from the table of open orders: their fate is known.
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -54,7 +54,7 @@
     /// The model.
     pub model: ModelKey,
     /// The task with its names.
-    pub named: (String, endpoints::Incarnation, endpoints::Task),
+    pub named: (String, endpoints::Incarnation, endpoints::OrderTask),
     /// Why.
     pub reason: &'static str,
 }
--- a/crates/sageshed-place/tests/faults.rs
+++ b/crates/sageshed-place/tests/faults.rs
@@ -466,7 +466,7 @@
     placement: place::Placement,
     now: time::Instant,
     table: Table,
-    proposed: Vec<(String, endpoints::Incarnation, endpoints::Task)>,
+    proposed: Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>,
 }
 
 impl Run {
@@ -545,27 +545,27 @@
     }
 }
 
-fn describe(task: &endpoints::Task) -> String {
+fn describe(task: &endpoints::OrderTask) -> String {
     match task {
-        endpoints::Task::Load { model, .. } => format!("load {model}"),
-        endpoints::Task::Unload { model, .. } => format!("unload {model}"),
-        endpoints::Task::ChangeRole { pool } => format!("role {pool}"),
+        endpoints::OrderTask::Load { model, .. } => format!("load {model}"),
+        endpoints::OrderTask::Unload { model, .. } => format!("unload {model}"),
+        endpoints::OrderTask::ChangeRole { pool } => format!("role {pool}"),
     }
 }
 
 fn order((id, name, incarnation, what): &Found) -> endpoints::Order {
     let task = match what {
-        Load(name) => endpoints::Task::Load {
+        Load(name) => endpoints::OrderTask::Load {
             model: (*name).to_owned(),
             version: 1,
             memory_mib: model(name).memory_mib,
             base: None,
         },
-        Unload(name) => endpoints::Task::Unload {
+        Unload(name) => endpoints::OrderTask::Unload {
             model: (*name).to_owned(),
             version: 1,
         },
-        Role => endpoints::Task::ChangeRole {
+        Role => endpoints::OrderTask::ChangeRole {
             pool: "listings".to_owned(),
         },
     };
--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -64,7 +64,7 @@
 
 /// What a leader has asked the control group to commit, in order.
 enum Pending {
-    Order((String, endpoints::Incarnation, endpoints::Task)),
+    Order((String, endpoints::Incarnation, endpoints::OrderTask)),
     Settle(Vec<endpoints::OrderId>),
 }
 
@@ -257,7 +257,7 @@
 
     fn send(&mut self, control: usize, order: endpoints::Order) {
         let id = order.order;
-        self.unloads += usize::from(matches!(order.task, endpoints::Task::Unload { .. }));
+        self.unloads += usize::from(matches!(order.task, endpoints::OrderTask::Unload { .. }));
         self.crowded += usize::from(self.is_crowded(&order));
         if self.lossy && self.random.percent(10) {
             self.step_at(control, place::Event::OrderNotSent(id));
--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -64,7 +64,7 @@
     pub orders: Vec<endpoints::OrderResult>,
     pub highest: endpoints::Fence,
     pub leaving: bool,
-    accepted: Vec<(endpoints::OrderId, endpoints::Task)>,
+    accepted: Vec<(endpoints::OrderId, endpoints::OrderTask)>,
 }
 
 impl Engine {
@@ -154,7 +154,7 @@
     }
 
     /// The order being carried out.
-    pub fn task(&self) -> Option<&endpoints::Task> {
+    pub fn task(&self) -> Option<&endpoints::OrderTask> {
         self.accepted.first().map(|(_, task)| task)
     }
 
@@ -164,20 +164,20 @@
             return;
         };
         let (name, wanted, begins) = match &task {
-            endpoints::Task::Load { model, version, .. } => {
+            endpoints::OrderTask::Load { model, version, .. } => {
                 (model, *version, !self.holds(model, *version))
             }
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 let ready = self.ready(model, *version);
                 (model, *version, ready)
             }
-            endpoints::Task::ChangeRole { .. } => return,
+            endpoints::OrderTask::ChangeRole { .. } => return,
         };
         if begins {
             self.begin(&task);
             return;
         }
-        let unloads = matches!(task, endpoints::Task::Unload { .. });
+        let unloads = matches!(task, endpoints::OrderTask::Unload { .. });
         let this = |r: &endpoints::ResidentModel| r.model == *name && r.version == wanted;
         if unloads {
             self.resident.retain(|r| !this(r));
@@ -190,9 +190,9 @@
         }
     }
 
-    fn begin(&mut self, task: &endpoints::Task) {
+    fn begin(&mut self, task: &endpoints::OrderTask) {
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
@@ -203,14 +203,14 @@
                 phase: endpoints::Phase::Loading,
                 memory_mib: *memory_mib,
             }),
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 for resident in &mut self.resident {
                     if resident.model == *model && resident.version == *version {
                         resident.phase = endpoints::Phase::Unloading;
                     }
                 }
             }
-            endpoints::Task::ChangeRole { .. } => {}
+            endpoints::OrderTask::ChangeRole { .. } => {}
         }
     }
 
@@ -247,7 +247,7 @@
 impl Table {
     pub fn commit(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
     ) -> endpoints::Order {
         self.committed += 1;
         let order = endpoints::Order {
--- a/crates/sageshed-state/src/command.rs
+++ b/crates/sageshed-state/src/command.rs
@@ -92,7 +92,7 @@
     /// The incarnation it is addressed to.
     pub incarnation: endpoints::Incarnation,
     /// What the endpoint is to do.
-    pub task: endpoints::Task,
+    pub task: endpoints::OrderTask,
 }
 
 /// The location to which a model is pinned.
--- a/crates/sageshed-test-support/src/memory.rs
+++ b/crates/sageshed-test-support/src/memory.rs
@@ -80,9 +80,9 @@
     /// Begins a task: takes the memory of a load, stops new requests of an unload. Gives the problem
     /// if it cannot be done. Memory past the bound is not refused: a real engine would fail there,
     /// and the stand-in counts it.
-    pub(crate) fn begin(&mut self, task: &endpoints::Task) -> Option<String> {
+    pub(crate) fn begin(&mut self, task: &endpoints::OrderTask) -> Option<String> {
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
@@ -102,14 +102,14 @@
                 });
                 None
             }
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 if !self.holds(model, *version) {
                     return Some(format!("{model} version {version} is not held"));
                 }
                 self.set_phase(model, *version, endpoints::Phase::Unloading);
                 None
             }
-            endpoints::Task::ChangeRole { .. } => None,
+            endpoints::OrderTask::ChangeRole { .. } => None,
         }
     }
 
--- a/crates/sageshed-types/src/endpoints.rs
+++ b/crates/sageshed-types/src/endpoints.rs
@@ -184,13 +184,13 @@
     /// has seen.
     pub fence: Fence,
     /// What the endpoint is to do.
-    pub task: Task,
+    pub task: OrderTask,
 }
 
 /// The operation that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Task {
+pub enum OrderTask {
     /// Loads a version of a model or adapter.
     Load {
         /// The name of the model or adapter.
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -113,13 +113,13 @@
     pub fn may_propose(
         &self,
         endpoint: &str,
-        task: &endpoints::Task,
+        task: &endpoints::OrderTask,
     ) -> Option<(EndpointKey, orders::Task)> {
         self.term?;
         let key: EndpointKey = self.ledger.endpoint(endpoint)?;
         let engine = self.ledger.engine(key);
         let (task, wanted) = match task {
-            endpoints::Task::Load { model, .. } => {
+            endpoints::OrderTask::Load { model, .. } => {
                 let (version, memory_mib) = (1, memory_mib(model));
                 let model = self.ledger.offered(model)?;
                 let task = orders::Task::Load {
@@ -129,12 +129,12 @@
                 };
                 (task, !engine.has_or_awaits(model))
             }
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 let (model, version) = (self.ledger.offered(model)?, *version);
                 let staying = engine.holds(model, version) && !engine.unloads(model, version);
                 (orders::Task::Unload { model, version }, staying)
             }
-            endpoints::Task::ChangeRole { .. } => return None,
+            endpoints::OrderTask::ChangeRole { .. } => return None,
         };
         (wanted && self.allows(engine, task)).then_some((key, task))
     }
@@ -304,11 +304,11 @@
     fn after(&self, order: &endpoints::Order) -> Vec<String> {
         let mut held = self.held().to_vec();
         match &order.task {
-            endpoints::Task::Load { model, .. } if !held.contains(model) => {
+            endpoints::OrderTask::Load { model, .. } if !held.contains(model) => {
                 held.push(model.clone());
                 held.sort();
             }
-            endpoints::Task::Unload { model, .. } => held.retain(|it| it != model),
+            endpoints::OrderTask::Unload { model, .. } => held.retain(|it| it != model),
             _ => {}
         }
         held
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -179,7 +179,13 @@
         rc::Rc::make_mut(&mut self.leaders[by])
     }
 
-    fn propose(&mut self, by: usize, endpoint: &str, task: endpoints::Task, spec: Orders) -> bool {
+    fn propose(
+        &mut self,
+        by: usize,
+        endpoint: &str,
+        task: endpoints::OrderTask,
+        spec: Orders,
+    ) -> bool {
         let leader = &self.leaders[by];
         let (Some(term), Some((key, keyed))) = (leader.term, leader.may_propose(endpoint, &task))
         else {
@@ -398,15 +404,15 @@
     }
 }
 
-fn tasks() -> impl Iterator<Item = endpoints::Task> {
+fn tasks() -> impl Iterator<Item = endpoints::OrderTask> {
     leader::MODELS.iter().flat_map(|(model, memory_mib)| {
-        let load = endpoints::Task::Load {
+        let load = endpoints::OrderTask::Load {
             model: (*model).to_owned(),
             version: 1,
             memory_mib: *memory_mib,
             base: None,
         };
-        let unload = endpoints::Task::Unload {
+        let unload = endpoints::OrderTask::Unload {
             model: (*model).to_owned(),
             version: 1,
         };
@@ -414,11 +420,11 @@
     })
 }
 
-fn shown(endpoint: &str, task: &endpoints::Task) -> String {
+fn shown(endpoint: &str, task: &endpoints::OrderTask) -> String {
     match task {
-        endpoints::Task::Load { model, .. } => format!("load {model} on {endpoint}"),
-        endpoints::Task::Unload { model, .. } => format!("unload {model} from {endpoint}"),
-        endpoints::Task::ChangeRole { .. } => format!("change the role of {endpoint}"),
+        endpoints::OrderTask::Load { model, .. } => format!("load {model} on {endpoint}"),
+        endpoints::OrderTask::Unload { model, .. } => format!("unload {model} from {endpoint}"),
+        endpoints::OrderTask::ChangeRole { .. } => format!("change the role of {endpoint}"),
     }
 }
 
--- a/src/sageshed/control/placing.rs
+++ b/src/sageshed/control/placing.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    fn propose(&mut self, wanted: Vec<(String, endpoints::Incarnation, endpoints::Task)>) {
+    fn propose(&mut self, wanted: Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>) {
         let orders =
             wanted
                 .into_iter()
