--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -98,7 +98,7 @@
     /// the requests of the others.
     fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
-            self.blame(now, sent, event::Fault::Status(status));
+            self.blame(now, sent, event::AttemptError::Status(status));
         } else {
             let endpoint = self.router.fleet.get_mut(sent.endpoint);
             endpoint.health.succeeded(now, sent.at);
@@ -123,7 +123,7 @@
         req: event::ReqId,
         sent: request::Sent,
         verdict: verdict::Verdict,
-        fault: event::Fault,
+        fault: event::AttemptError,
         out: &mut Out,
     ) {
         self.give_back(now, sent);
@@ -148,23 +148,26 @@
     ///
     /// Under load an endpoint answers later than was estimated. Counted as failures, these would
     /// eject endpoints in good order at the very moment at which all of them are needed.
-    fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
+    fn was_only_late(&self, sent: request::Sent, fault: event::AttemptError) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
         is_silence(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
     /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
     /// one.
-    fn blame(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
+    fn blame(&mut self, now: time::Instant, sent: request::Sent, fault: event::AttemptError) {
         let router = &mut self.router;
         let endpoint = router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation != sent.incarnation {
             return;
         }
-        if matches!(fault, event::Fault::Status(TOO_MANY_REQUESTS | UNAVAILABLE)) {
+        if matches!(
+            fault,
+            event::AttemptError::Status(TOO_MANY_REQUESTS | UNAVAILABLE)
+        ) {
             endpoint.pause(now + self.policy.busy_pause_ms);
         }
-        if fault != event::Fault::Status(TOO_MANY_REQUESTS) {
+        if fault != event::AttemptError::Status(TOO_MANY_REQUESTS) {
             let random = &mut router.random;
             endpoint
                 .health
@@ -203,7 +206,7 @@
         now: time::Instant,
         req: event::ReqId,
         sent: request::Sent,
-        fault: event::Fault,
+        fault: event::AttemptError,
         why: &str,
         out: &mut Out,
     ) {
@@ -231,8 +234,11 @@
 }
 
 /// Whether a fault is that nothing came in time.
-fn is_silence(fault: event::Fault) -> bool {
-    matches!(fault, event::Fault::NoFirstByte | event::Fault::Stalled)
+fn is_silence(fault: event::AttemptError) -> bool {
+    matches!(
+        fault,
+        event::AttemptError::NoFirstByte | event::AttemptError::Stalled
+    )
 }
 
 /// The least share of the time of a try that is taken to be service, whatever wait was predicted.
@@ -241,30 +247,30 @@
 /// The verdict of a failed try. Once a connection stood, bytes may have gone out, and only the
 /// endpoint's own answer can say that it did not run: `NotRun` with any other fault is a mistake of
 /// the reader of that connection, and believing it would run a request twice.
-fn at_least(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
+fn at_least(fault: event::AttemptError, verdict: verdict::Verdict) -> verdict::Verdict {
     match fault {
-        event::Fault::ConnectRefused
-        | event::Fault::ConnectTimeout
-        | event::Fault::Status(TOO_MANY_REQUESTS | UNAVAILABLE) => verdict,
-        event::Fault::SendFailed
-        | event::Fault::NoFirstByte
-        | event::Fault::Stalled
-        | event::Fault::Cut
-        | event::Fault::Corrupt
-        | event::Fault::Status(_) => verdict.and(verdict::Verdict::MayHaveRun),
+        event::AttemptError::ConnectRefused
+        | event::AttemptError::ConnectTimeout
+        | event::AttemptError::Status(TOO_MANY_REQUESTS | UNAVAILABLE) => verdict,
+        event::AttemptError::SendFailed
+        | event::AttemptError::NoFirstByte
+        | event::AttemptError::Stalled
+        | event::AttemptError::Cut
+        | event::AttemptError::Corrupt
+        | event::AttemptError::Status(_) => verdict.and(verdict::Verdict::MayHaveRun),
     }
 }
 
-fn describe(fault: event::Fault) -> String {
+fn describe(fault: event::AttemptError) -> String {
     let words = match fault {
-        event::Fault::ConnectRefused => "connection refused",
-        event::Fault::ConnectTimeout => "no connection in time",
-        event::Fault::SendFailed => "the request could not be written",
-        event::Fault::NoFirstByte => "no answer began in time",
-        event::Fault::Stalled => "the answer stopped",
-        event::Fault::Cut => "the connection closed before the answer was whole",
-        event::Fault::Corrupt => "the answer made no sense",
-        event::Fault::Status(status) => return format!("status {status}"),
+        event::AttemptError::ConnectRefused => "connection refused",
+        event::AttemptError::ConnectTimeout => "no connection in time",
+        event::AttemptError::SendFailed => "the request could not be written",
+        event::AttemptError::NoFirstByte => "no answer began in time",
+        event::AttemptError::Stalled => "the answer stopped",
+        event::AttemptError::Cut => "the connection closed before the answer was whole",
+        event::AttemptError::Corrupt => "the answer made no sense",
+        event::AttemptError::Status(status) => return format!("status {status}"),
     };
     words.to_owned()
 }
--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -7,7 +7,7 @@
 //! [`TryOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
 //! forgotten, and later events about it change nothing.
 
-pub use sageshed_types::fault::Fault;
+pub use sageshed_types::attempt_error::AttemptError;
 use sageshed_types::{arena, endpoints, refusal, time, verdict};
 
 /// A request, by a number that the daemon chooses and uses once in the life of its process.
@@ -124,7 +124,7 @@
         /// Whether it may have run there, as the connection shows it.
         verdict: verdict::Verdict,
         /// What went wrong.
-        fault: Fault,
+        fault: AttemptError,
     },
 }
 
--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -126,7 +126,7 @@
         &mut self,
         now: time::Instant,
         sent: time::Instant,
-        fault: event::Fault,
+        fault: event::AttemptError,
         policy: &settings::Policy,
         random: &mut random::Random,
     ) -> bool {
@@ -156,11 +156,11 @@
         self.tries = (self.tries + 1).min(WINDOW);
     }
 
-    fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
+    fn must_eject(&self, fault: event::AttemptError, policy: &settings::Policy) -> bool {
         let returning = matches!(self.state, State::Returning { .. });
         let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
         returning
-            || fault == event::Fault::ConnectRefused
+            || fault == event::AttemptError::ConnectRefused
             || self.in_row >= policy.eject_after_failures.max(1)
             || (self.tries >= LEAST_TRIES && share >= policy.eject_failure_share)
     }
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -190,7 +190,7 @@
         &mut self,
         req: event::ReqId,
         verdict: sageshed_types::verdict::Verdict,
-        fault: event::Fault,
+        fault: event::AttemptError,
     ) -> Vec<event::Action> {
         let outcome = event::TryOutcome::Failed { verdict, fault };
         self.step(event::Event::Ended { req, outcome })
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -13,12 +13,12 @@
     /// Whether it is streamed and its first token was passed on.
     begun: bool,
     verdict: verdict::Verdict,
-    fault: event::Fault,
+    fault: event::AttemptError,
     told: &'static str,
 }
 
-const REFUSED: event::Fault = event::Fault::ConnectRefused;
-const CUT: event::Fault = event::Fault::Cut;
+const REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
+const CUT: event::AttemptError = event::AttemptError::Cut;
 
 const FAILURES: &[Failure] = &[
     Failure {
@@ -55,7 +55,7 @@
         not_repeatable: true,
         begun: false,
         verdict: MAY_HAVE_RUN,
-        fault: event::Fault::NoFirstByte,
+        fault: event::AttemptError::NoFirstByte,
         told: "endpoint_failed may_have_run",
     },
     // Once a connection stood, `NotRun` is not believed.
@@ -70,14 +70,14 @@
         not_repeatable: true,
         begun: false,
         verdict: NOT_RUN,
-        fault: event::Fault::Status(500),
+        fault: event::AttemptError::Status(500),
         told: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
         begun: false,
         verdict: NOT_RUN,
-        fault: event::Fault::Status(429),
+        fault: event::AttemptError::Status(429),
         told: "send",
     },
 ];
@@ -189,7 +189,7 @@
 }
 
 /// A bench in which `bad` has failed `times` times and `good` has not.
-fn with_failures(times: usize, fault: event::Fault) -> common::Bench {
+fn with_failures(times: usize, fault: event::AttemptError) -> common::Bench {
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
     settings.policy.retry_burst = 0.0;
@@ -223,7 +223,7 @@
         (2, CUT, false),
         (3, CUT, true),
         (1, REFUSED, true),
-        (8, event::Fault::Status(429), false),
+        (8, event::AttemptError::Status(429), false),
     ] {
         let mut bench = with_failures(times, fault);
         bench.pass(300);
@@ -459,7 +459,7 @@
                 });
             }
             bench.pass(500);
-            let actions = bench.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
+            let actions = bench.fail(late, MAY_HAVE_RUN, event::AttemptError::NoFirstByte);
             assert_eq!(
                 common::told(&actions, late),
                 "deadline_passed may_have_run",
@@ -493,7 +493,7 @@
         }
         let span = time::Millis(3_000);
         bench.step(event::Event::AskedToRest { req, span });
-        bench.fail(req, NOT_RUN, event::Fault::Status(503));
+        bench.fail(req, NOT_RUN, event::AttemptError::Status(503));
         bench.pass(after);
         let (next, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
--- a/crates/sageshed-engines/src/classify.rs
+++ b/crates/sageshed-engines/src/classify.rs
@@ -17,7 +17,7 @@
 //! says so in an answer to this very request.
 
 use derive_more::{Display, Error};
-use sageshed_types::{fault, time, verdict};
+use sageshed_types::{attempt_error, time, verdict};
 
 /// What happened, in the terms of the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,25 +55,25 @@
 
 /// The fault and the verdict for a failure.
 #[must_use]
-pub fn classify(failure: Failure) -> (fault::Fault, verdict::Verdict) {
-    use fault::Fault;
+pub fn classify(failure: Failure) -> (attempt_error::AttemptError, verdict::Verdict) {
+    use attempt_error::AttemptError;
     use verdict::Verdict::{MayHaveRun, NotRun};
     match failure {
-        Failure::Refused => (Fault::ConnectRefused, NotRun),
-        Failure::ConnectTimedOut => (Fault::ConnectTimeout, NotRun),
-        Failure::Unsendable | Failure::NothingWritten => (Fault::SendFailed, NotRun),
-        Failure::ClosedBeforeAnswer => (Fault::SendFailed, MayHaveRun),
-        Failure::SilentBeforeAnswer => (Fault::NoFirstByte, MayHaveRun),
-        Failure::Silent => (Fault::Stalled, MayHaveRun),
-        Failure::Short => (Fault::Cut, MayHaveRun),
+        Failure::Refused => (AttemptError::ConnectRefused, NotRun),
+        Failure::ConnectTimedOut => (AttemptError::ConnectTimeout, NotRun),
+        Failure::Unsendable | Failure::NothingWritten => (AttemptError::SendFailed, NotRun),
+        Failure::ClosedBeforeAnswer => (AttemptError::SendFailed, MayHaveRun),
+        Failure::SilentBeforeAnswer => (AttemptError::NoFirstByte, MayHaveRun),
+        Failure::Silent => (AttemptError::Stalled, MayHaveRun),
+        Failure::Short => (AttemptError::Cut, MayHaveRun),
         Failure::Malformed | Failure::OtherRequest | Failure::OtherRun => {
-            (Fault::Corrupt, MayHaveRun)
+            (AttemptError::Corrupt, MayHaveRun)
         }
         Failure::Status {
             status,
             says_not_run: true,
-        } => (Fault::Status(status), NotRun),
-        Failure::Status { status, .. } => (Fault::Status(status), MayHaveRun),
+        } => (AttemptError::Status(status), NotRun),
+        Failure::Status { status, .. } => (AttemptError::Status(status), MayHaveRun),
     }
 }
 
@@ -84,7 +84,7 @@
     /// `IP:port` of the endpoint.
     pub address: String,
     /// What went wrong.
-    pub fault: fault::Fault,
+    pub fault: attempt_error::AttemptError,
     /// Whether the request may have run there.
     pub verdict: verdict::Verdict,
     /// One sentence for people: the library's error, or the start of the endpoint's own words.
--- a/crates/sageshed-engines/tests/connections.rs
+++ b/crates/sageshed-engines/tests/connections.rs
@@ -10,7 +10,7 @@
 
 use sageshed_engines::{client, connection, orders, transport};
 use sageshed_test_support::{answer_text, fault, relay};
-use sageshed_types::{endpoints, fault::Fault, verdict::Verdict};
+use sageshed_types::{attempt_error::AttemptError, endpoints, verdict::Verdict};
 
 mod common;
 
@@ -43,7 +43,7 @@
         .expect_err("the idle connection is silent");
     assert_eq!(
         (e.fault, e.verdict),
-        (Fault::NoFirstByte, Verdict::MayHaveRun)
+        (AttemptError::NoFirstByte, Verdict::MayHaveRun)
     );
     assert_eq!(client.transport().idle(), 0, "the silent one is dropped");
     assert_eq!(standin.runs_of_request("r3"), 0);
@@ -76,7 +76,7 @@
         .expect_err("the answer is late");
     assert_eq!(
         (e.fault, e.verdict),
-        (Fault::NoFirstByte, Verdict::MayHaveRun)
+        (AttemptError::NoFirstByte, Verdict::MayHaveRun)
     );
     for id in ["r2", "r3"] {
         let text = common::answer(&client, &common::call(&address, id, false)).expect("an answer");
@@ -93,7 +93,10 @@
     standin.fault("e1", fault::Fault::Swap, Some(1));
     let e = common::answer(&client, &common::call(&address, "r1", false))
         .expect_err("another request's answer");
-    assert_eq!((e.fault, e.verdict), (Fault::Corrupt, Verdict::MayHaveRun));
+    assert_eq!(
+        (e.fault, e.verdict),
+        (AttemptError::Corrupt, Verdict::MayHaveRun)
+    );
     assert_eq!(client.transport().idle(), 0);
 }
 
@@ -223,7 +226,7 @@
     let e = get("/2").expect_err("closed without an answer");
     assert_eq!(
         (e.fault, e.verdict),
-        (Fault::SendFailed, Verdict::MayHaveRun)
+        (AttemptError::SendFailed, Verdict::MayHaveRun)
     );
     get("/3").expect("an answer");
     let lines: Vec<String> = rx.iter().take(3).collect();
--- a/crates/sageshed-engines/tests/resume.rs
+++ b/crates/sageshed-engines/tests/resume.rs
@@ -4,7 +4,7 @@
 
 use sageshed_engines::client;
 use sageshed_test_support::{answer_text, config, fault};
-use sageshed_types::fault::Fault;
+use sageshed_types::attempt_error::AttemptError;
 
 mod common;
 
@@ -52,7 +52,7 @@
     let e = common::stream(&client, &call).expect_err("nothing to go on with");
     assert_eq!(
         e.fault,
-        Fault::Status(404),
+        AttemptError::Status(404),
         "the new process holds no model"
     );
     assert_eq!(standin.runs_of_request("r1"), 1);
--- a/crates/sageshed-services/tests/client.rs
+++ b/crates/sageshed-services/tests/client.rs
@@ -5,7 +5,7 @@
 use sageshed_engines::{classify, connection, transport};
 use sageshed_services::client;
 use sageshed_test_support::{config, fault, standin};
-use sageshed_types::{fault::Fault, verdict::Verdict};
+use sageshed_types::{attempt_error::AttemptError, verdict::Verdict};
 
 const LIMIT: Duration = Duration::from_secs(1);
 
@@ -91,30 +91,38 @@
 fn a_service_that_fails_may_have_run() {
     struct Case {
         fault: fault::Fault,
-        expected: (Fault, Verdict),
+        expected: (AttemptError, Verdict),
     }
     let of = |fault, expected, verdict| Case {
         fault,
         expected: (expected, verdict),
     };
     let cases = [
-        of(fault::Fault::Refuse, Fault::ConnectRefused, Verdict::NotRun),
+        of(
+            fault::Fault::Refuse,
+            AttemptError::ConnectRefused,
+            Verdict::NotRun,
+        ),
         of(
             fault::Fault::Silent,
-            Fault::NoFirstByte,
+            AttemptError::NoFirstByte,
             Verdict::MayHaveRun,
         ),
         of(
             fault::Fault::Cut { after: 0 },
-            Fault::Cut,
+            AttemptError::Cut,
             Verdict::MayHaveRun,
         ),
         of(
             fault::Fault::Stall { after: 0 },
-            Fault::Stalled,
+            AttemptError::Stalled,
+            Verdict::MayHaveRun,
+        ),
+        of(
+            fault::Fault::Swap,
+            AttemptError::Corrupt,
             Verdict::MayHaveRun,
         ),
-        of(fault::Fault::Swap, Fault::Corrupt, Verdict::MayHaveRun),
     ];
     for case in cases {
         let standin = service();
--- a/crates/sageshed-types/src/fault.rs
+++ b/crates/sageshed-types/src/attempt_error.rs
@@ -12,7 +12,7 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Fault {
+pub enum AttemptError {
     /// No connection was made: nothing listens at the address, or the address is unusable.
     #[display("connect_refused")]
     ConnectRefused,
--- a/crates/sageshed-types/src/lib.rs
+++ b/crates/sageshed-types/src/lib.rs
@@ -10,7 +10,7 @@
 //! | [`cursor`] | up to which change one process has read the state of another |
 //! | [`document`] | a fleet's configuration as the operator submitted it |
 //! | [`endpoints`] | registration and reports of endpoints, orders to engines |
-//! | [`fault`] | how an attempt to send a request to an endpoint failed |
+//! | [`attempt_error`] | how an attempt to send a request to an endpoint failed |
 //! | [`headers`] | names of HTTP headers |
 //! | [`messages`] | messages between the system's own processes |
 //! | [`quarantine`] | requests that crashed endpoints |
@@ -22,12 +22,12 @@
 //! | [`verdict`] | whether a request may have run, and why it was refused |
 
 pub mod arena;
+pub mod attempt_error;
 pub mod catalog;
 pub mod claims;
 pub mod cursor;
 pub mod document;
 pub mod endpoints;
-pub mod fault;
 pub mod headers;
 pub mod messages;
 pub mod quarantine;
--- a/src/sageshed/entry/completion.rs
+++ b/src/sageshed/entry/completion.rs
@@ -13,7 +13,7 @@
 use sageshed_callers::{openai, problem, reply};
 use sageshed_decide::event;
 use sageshed_engines::{answer, classify, client, events, paths};
-use sageshed_types::fault;
+use sageshed_types::attempt_error;
 
 use super::request::{self, Tried};
 
@@ -265,7 +265,10 @@
         if self.stream.caller_gone() {
             return Err(Broken::CallerGone);
         }
-        let silent = matches!(e.fault, fault::Fault::Stalled | fault::Fault::Cut);
+        let silent = matches!(
+            e.fault,
+            attempt_error::AttemptError::Stalled | attempt_error::AttemptError::Cut
+        );
         if !silent || self.resumes >= RESUMES {
             return Err(Broken::Engine(e));
         }
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -9,7 +9,7 @@
 use std::{collections, time as std_time};
 
 use sageshed_fleet::{neighbours, quarantine};
-use sageshed_types::{endpoints, fault, refusal, time, verdict};
+use sageshed_types::{attempt_error, endpoints, refusal, time, verdict};
 use sageshed_upstream::probe;
 
 use super::{request, shared};
@@ -97,10 +97,13 @@
     pub(super) fn note_break(
         &self,
         order: &request::Order,
-        fault: fault::Fault,
+        fault: attempt_error::AttemptError,
         verdict: verdict::Verdict,
     ) {
-        let is_closed = matches!(fault, fault::Fault::Cut | fault::Fault::SendFailed);
+        let is_closed = matches!(
+            fault,
+            attempt_error::AttemptError::Cut | attempt_error::AttemptError::SendFailed
+        );
         if !is_closed || verdict != verdict::Verdict::MayHaveRun {
             return;
         }
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -10,7 +10,7 @@
 use sageshed_decide::event;
 use sageshed_engines::classify;
 use sageshed_types::{
-    arena, claims, endpoints, fault, refusal, request_trace, time as types_time, verdict,
+    arena, attempt_error, claims, endpoints, refusal, request_trace, time as types_time, verdict,
 };
 
 use super::{completion, service, shared};
@@ -263,7 +263,7 @@
     }
 
     fn note_failure(&mut self, order: &Order, e: &classify::CallError) {
-        if let fault::Fault::Status(status) = e.fault {
+        if let attempt_error::AttemptError::Status(status) = e.fault {
             self.note_rest(status, e.retry_after);
         }
         self.note_try(order, e.verdict, &e.to_string());
@@ -333,7 +333,7 @@
 
 /// The refusal of a request that an endpoint failed, where the decider was not asked again.
 #[must_use]
-pub fn endpoint_failed(fault: fault::Fault, detail: &str) -> refusal::Refusal {
+pub fn endpoint_failed(fault: attempt_error::AttemptError, detail: &str) -> refusal::Refusal {
     let detail = format!("the endpoint failed ({fault}) after its answer had begun: {detail}");
     refusal::Refusal::new(
         verdict::Reason::EndpointFailed,
