--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -103,7 +103,7 @@
     /// The new position of the requesting process in the directory.
     pub directory: DirectoryCursor,
     /// From a control process: the lease and the state of the control group.
-    pub control: Option<ControlPart>,
+    pub control: Option<LeaseInfo>,
     /// The newest revision of the rules in force at the responding process.
     pub revision: rules::Revision,
     /// The committed configuration, if it is newer than that of the requesting process. Entry processes
@@ -128,7 +128,7 @@
 /// The part of a [`SyncResp`] that only control processes send: a lease on the configuration, and the
 /// state of the control group on which it depends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ControlPart {
+pub struct LeaseInfo {
     /// The voters in the newest membership in this process's log, committed or not.
     pub voters: Vec<Voter>,
     /// The disk generation of this process. Its grant counts only for the voter with this generation.
--- a/examples/measure_slopes/wire.rs
+++ b/examples/measure_slopes/wire.rs
@@ -35,12 +35,12 @@
     }
 }
 
-fn control_part(voters: usize) -> messages::ControlPart {
+fn control_part(voters: usize) -> messages::LeaseInfo {
     let voter = |n| messages::Voter {
         vm: format!("region-0-vm-{n:03}"),
         generation: 1_700_000_000_000,
     };
-    messages::ControlPart {
+    messages::LeaseInfo {
         voters: (0..voters).map(voter).collect(),
         generation: 1_700_000_000_000,
         grants: true,
@@ -220,7 +220,7 @@
     });
     let part = control_part(voters);
     for voter in &part.voters {
-        let part = messages::ControlPart {
+        let part = messages::LeaseInfo {
             generation: voter.generation,
             ..part.clone()
         };
--- a/spec/src/leases.rs
+++ b/spec/src/leases.rs
@@ -221,7 +221,7 @@
             } else {
                 0
             };
-            let part = messages::ControlPart {
+            let part = messages::LeaseInfo {
                 voters,
                 generation: grant.from.generation,
                 grants: true,
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -174,10 +174,10 @@
 
     /// The lease. The view is read as one: a revision in the log is published in it before the
     /// entry is acknowledged, so a grant made after the acknowledgement names that revision.
-    fn control_part(&self, leader: Option<String>, draining: Vec<String>) -> messages::ControlPart {
+    fn control_part(&self, leader: Option<String>, draining: Vec<String>) -> messages::LeaseInfo {
         let view = locks::read(&self.shared.view);
         let own = self.shared.voter(self.shared.node);
-        messages::ControlPart {
+        messages::LeaseInfo {
             grants: view.voters.contains(&own),
             voters: view.voters.clone(),
             generation: own.generation,
--- a/src/sageshed/entry/freshness.rs
+++ b/src/sageshed/entry/freshness.rs
@@ -127,7 +127,7 @@
         sent: time::Instant,
         now: time::Instant,
         vm: &str,
-        part: &messages::ControlPart,
+        part: &messages::LeaseInfo,
     ) {
         if part.leader.as_deref() == Some(vm) {
             self.leader_heard = Some(now);
--- a/src/sageshed/entry/sync.rs
+++ b/src/sageshed/entry/sync.rs
@@ -214,7 +214,7 @@
 /// A voter that is cut off from it knows nothing of a drain that came since; with each one's word
 /// taken as it comes, `/readyz` would change with every heartbeat, and the balancer would go on
 /// sending callers here.
-fn take_from_leader(shared: &shared::Shared, peer: &Peer, part: &messages::ControlPart) {
+fn take_from_leader(shared: &shared::Shared, peer: &Peer, part: &messages::LeaseInfo) {
     shared.claims.note_leader(&peer.vm);
     let drained = part.draining.contains(&shared.process.vm);
     let flag = &shared.stage.drained;
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -403,7 +403,7 @@
 fn take(freshness: &mut Freshness, heard: &Heard) {
     match heard {
         Heard::Control(grant) => {
-            let part = messages::ControlPart {
+            let part = messages::LeaseInfo {
                 voters: voters(grant.voters),
                 generation: grant.from.1,
                 grants: grant.grants,
