--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -3,8 +3,8 @@
 //! | path | from, to | request | response |
 //! |---|---|---|---|
 //! | `/vms/sync` | any, any | [`SyncReq`] | [`SyncResp`] |
-//! | `/vms/claim` | entry, control | [`crate::claims::Claim`] | [`Routed`] of [`crate::claims::ClaimOutcome`] |
-//! | `/vms/settle` | entry, control | [`crate::claims::Settle`] | [`Routed`] of `()` |
+//! | `/vms/claim` | entry, control | [`crate::claims::Claim`] | [`LeaderReply`] of [`crate::claims::ClaimOutcome`] |
+//! | `/vms/settle` | entry, control | [`crate::claims::Settle`] | [`LeaderReply`] of `()` |
 //! | `/vms/replicate` | control, control | [`Envelope`] | empty |
 //! | `/vms/hello` | control, control | [`Hello`] | [`Hello`] |
 //! | `/vms/explain` | control, entry | request id | `Option<`[`request_trace::RequestTrace`]`>` |
@@ -186,7 +186,7 @@
 /// A control process's reply to a request that only the leader can serve.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Routed<T> {
+pub enum LeaderReply<T> {
     /// The result. The log entries that it depends on are committed.
     Done(T),
     /// Another process leads and nothing was done. Retry at that VM, or at any VM if none is named.
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -189,20 +189,20 @@
         }
     }
 
-    fn claim(&self, claim: claims::Claim) -> messages::Routed<claims::ClaimOutcome> {
+    fn claim(&self, claim: claims::Claim) -> messages::LeaderReply<claims::ClaimOutcome> {
         match self.commit(command::Command::Claim(claim)) {
             Fate::Applied(Some(outcome)) => match *outcome {
-                command::Outcome::Claim(outcome) => messages::Routed::Done(outcome),
+                command::Outcome::Claim(outcome) => messages::LeaderReply::Done(outcome),
                 // Its holder gave it back before, or a later start of it is known.
-                _ => messages::Routed::Unknown,
+                _ => messages::LeaderReply::Unknown,
             },
             other => self.routed(&other),
         }
     }
 
-    fn settle(&self, settle: claims::Settle) -> messages::Routed<()> {
+    fn settle(&self, settle: claims::Settle) -> messages::LeaderReply<()> {
         match self.commit(command::Command::Settle(settle)) {
-            Fate::Applied(_) => messages::Routed::Done(()),
+            Fate::Applied(_) => messages::LeaderReply::Done(()),
             other => self.routed(&other),
         }
     }
@@ -219,12 +219,12 @@
         fate
     }
 
-    fn routed<T>(&self, fate: &Fate) -> messages::Routed<T> {
+    fn routed<T>(&self, fate: &Fate) -> messages::LeaderReply<T> {
         match fate {
-            Fate::NotDone(_) => messages::Routed::NotLeader {
+            Fate::NotDone(_) => messages::LeaderReply::NotLeader {
                 leader: self.shared.leader(),
             },
-            Fate::Applied(_) | Fate::Unknown => messages::Routed::Unknown,
+            Fate::Applied(_) | Fate::Unknown => messages::LeaderReply::Unknown,
         }
     }
 
--- a/src/sageshed/entry/claims.rs
+++ b/src/sageshed/entry/claims.rs
@@ -124,12 +124,14 @@
             let control = self.whom_to_ask(turn).ok_or(Unavailable)?;
             let limit = left.min(CALL_LIMIT);
             match self.client.call(&control.address, path, message, limit) {
-                Ok(messages::Routed::Done(answer)) => {
+                Ok(messages::LeaderReply::Done(answer)) => {
                     self.note_leader(&control.vm);
                     return Ok(answer);
                 }
-                Ok(messages::Routed::NotLeader { leader }) => *locks::lock(&self.leader) = leader,
-                Ok(messages::Routed::Unknown) => {}
+                Ok(messages::LeaderReply::NotLeader { leader }) => {
+                    *locks::lock(&self.leader) = leader
+                }
+                Ok(messages::LeaderReply::Unknown) => {}
                 Err(e) => {
                     log::debug!(vm = control.vm.as_str(), error:% = e; "entry: no word on a claim");
                     self.forget_leader(&control.vm);
--- a/tests/control_driver.rs
+++ b/tests/control_driver.rs
@@ -602,8 +602,9 @@
         else {
             panic!("no answer");
         };
-        let answer: messages::Routed<claims::ClaimOutcome> = sageshed_vms::decode(&answer).unwrap();
-        let refused = matches!(answer, messages::Routed::NotLeader { .. });
+        let answer: messages::LeaderReply<claims::ClaimOutcome> =
+            sageshed_vms::decode(&answer).unwrap();
+        let refused = matches!(answer, messages::LeaderReply::NotLeader { .. });
         assert!(refused, "{answer:?}");
     });
 }
--- a/tests/testsuite/control_kill.rs
+++ b/tests/testsuite/control_kill.rs
@@ -135,12 +135,12 @@
     while time::Instant::now() < end {
         let answer = client.call(address, messages::paths::CLAIM, &claim, limit);
         match answer {
-            Ok(messages::Routed::<claims::ClaimOutcome>::Done(_)) => return,
-            Ok(messages::Routed::Unknown) => {
+            Ok(messages::LeaderReply::<claims::ClaimOutcome>::Done(_)) => return,
+            Ok(messages::LeaderReply::Unknown) => {
                 open.fetch_add(1, atomic::Ordering::Relaxed);
             }
             // Not proposed, or not taken in by a busy machine.
-            Ok(messages::Routed::NotLeader { .. }) | Err(_) => {
+            Ok(messages::LeaderReply::NotLeader { .. }) | Err(_) => {
                 thread::sleep(time::Duration::from_millis(20));
             }
         }
