--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -33,7 +33,7 @@
 
 pub use sageshed_types::{
     cursor::SyncCursor as Mark,
-    quarantine::{Crash, Fingerprint, Held},
+    quarantine::{Crash, Fingerprint, QuarantinedRequest},
 };
 
 /// Starts of endpoints that end under a request until it is held. One end may be anybody's, and two happen to a
@@ -213,11 +213,11 @@
     }
 
     /// What the control group keeps of it.
-    fn kept(&self, now: time::Instant, content: Fingerprint) -> Held {
+    fn kept(&self, now: time::Instant, content: Fingerprint) -> QuarantinedRequest {
         let crashes = self.crashes.iter().filter(|it| it.counts(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
         endpoints.sort_unstable();
-        Held { content, endpoints }
+        QuarantinedRequest { content, endpoints }
     }
 
     /// By which change something of it was learnt last.
@@ -405,7 +405,7 @@
     /// The requests that are held, in order, to be kept by the control group: [`MOST_HELD_KEPT`] at the most,
     /// those that were held last.
     #[must_use]
-    pub fn held(&self, now: time::Instant) -> Vec<Held> {
+    pub fn held(&self, now: time::Instant) -> Vec<QuarantinedRequest> {
         let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
         let mut held: Vec<_> = held.collect();
         held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.last()), **content));
@@ -419,7 +419,7 @@
     }
 
     /// Takes what the control group has kept. When it happened is not known any more: it counts from now.
-    pub fn restore(&mut self, now: time::Instant, held: &[Held]) {
+    pub fn restore(&mut self, now: time::Instant, held: &[QuarantinedRequest]) {
         for it in held {
             for endpoint in &it.endpoints {
                 let crash = Crash {
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -1,7 +1,9 @@
 //! How fast entry processes learn of a request under which endpoints end, while processes are started anew and calls
 //! between them are lost.
 
-use sageshed_fleet::quarantine::{Crash, ENDS, Fingerprint, Held, Link, Mark, Quarantine, Telling};
+use sageshed_fleet::quarantine::{
+    Crash, ENDS, Fingerprint, Link, Mark, Quarantine, QuarantinedRequest, Telling,
+};
 use sageshed_types::time::{Instant, Millis};
 
 /// The request that ends each endpoint that runs it.
@@ -57,7 +59,7 @@
     control: Vec<Process>,
     /// How far each control process knows each other one.
     known: Vec<Vec<Mark>>,
-    log: Vec<Held>,
+    log: Vec<QuarantinedRequest>,
     /// Ends of endpoints, and arrivals at them by processes in touch.
     ends: Vec<u64>,
     arrivals: Vec<u64>,
--- a/crates/sageshed-state/src/command.rs
+++ b/crates/sageshed-state/src/command.rs
@@ -81,7 +81,7 @@
     /// Replaces the configuration of the fleet, if the number is higher than that of the current one.
     ReplaceFleet(document::Document),
     /// Replaces the list of quarantined requests.
-    HoldRequests(Vec<quarantine::Held>),
+    HoldRequests(Vec<quarantine::QuarantinedRequest>),
 }
 
 /// An order as proposed by a leader. Its id and fencing token are assigned when the command is applied.
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -46,7 +46,7 @@
     fleet: document::Document,
     /// The quarantined requests, which entry processes of the fleet no longer forward.
     #[serde(default)]
-    held_requests: Vec<quarantine::Held>,
+    held_requests: Vec<quarantine::QuarantinedRequest>,
 }
 
 impl Default for ControlState {
@@ -111,7 +111,7 @@
 
     /// The quarantined requests, which entry processes of the fleet no longer forward.
     #[must_use]
-    pub fn held_requests(&self) -> &[quarantine::Held] {
+    pub fn held_requests(&self) -> &[quarantine::QuarantinedRequest] {
         &self.held_requests
     }
 
--- a/crates/sageshed-state/tests/control.rs
+++ b/crates/sageshed-state/tests/control.rs
@@ -388,7 +388,7 @@
 #[test]
 fn quarantined_requests_survive_a_restart() {
     let mut state = control::ControlState::default();
-    let held = quarantine::Held {
+    let held = quarantine::QuarantinedRequest {
         content: quarantine::Fingerprint(7),
         endpoints: vec![1, 2, 3],
     };
--- a/crates/sageshed-types/src/quarantine.rs
+++ b/crates/sageshed-types/src/quarantine.rs
@@ -30,7 +30,7 @@
 
 /// A quarantined request: entry processes no longer forward it to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct QuarantinedRequest {
     /// The fingerprint of the request.
     pub content: Fingerprint,
     /// The hashes that identify the endpoint starts which terminated while they ran it.
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -389,7 +389,7 @@
     }
 
     /// Takes which requests are held by the replicated log.
-    pub fn restore_held(&self, now: time::Instant, held: &[quarantine::Held]) {
+    pub fn restore_held(&self, now: time::Instant, held: &[quarantine::QuarantinedRequest]) {
         let is_news = self.change(|inner| {
             let before = inner.quarantine.mark();
             inner.quarantine.restore(now, held);
--- a/src/sageshed/control/keeping.rs
+++ b/src/sageshed/control/keeping.rs
@@ -36,7 +36,7 @@
 }
 
 /// Takes what the log holds, so that nothing of it is lost by what this process keeps next.
-fn restore(shared: &shared::Shared, kept: &[quarantine::Held]) {
+fn restore(shared: &shared::Shared, kept: &[quarantine::QuarantinedRequest]) {
     let now = shared.clock.now();
     shared.hub.restore_held(now, kept);
 }
@@ -45,7 +45,7 @@
 fn keep(
     shared: &shared::Shared,
     inputs: &inputs::Inputs,
-    kept: &[quarantine::Held],
+    kept: &[quarantine::QuarantinedRequest],
 ) -> std_time::Duration {
     let now = shared.clock.now();
     let held = shared.hub.with_quarantine(|it| it.held(now));
