--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -230,14 +230,18 @@
     }
 }
 
-fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::Owner {
+fn owner(per: types_rules::LimitScope, slot: u32, request: &request::Request) -> limits::Owner {
     let class: arena::ClassKey = request.class;
     match (per, request.facts.target) {
-        (types_rules::Per::Rule, _) => limits::Owner::Rule(slot),
-        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.facts.caller),
-        (types_rules::Per::Class, _) => limits::Owner::RuleClass(slot, class),
-        (types_rules::Per::Model, event::Target::Model(key)) => limits::Owner::RuleModel(slot, key),
-        (types_rules::Per::Model, event::Target::Service(key)) => {
+        (types_rules::LimitScope::Rule, _) => limits::Owner::Rule(slot),
+        (types_rules::LimitScope::Caller, _) => {
+            limits::Owner::RuleCaller(slot, request.facts.caller)
+        }
+        (types_rules::LimitScope::Class, _) => limits::Owner::RuleClass(slot, class),
+        (types_rules::LimitScope::Model, event::Target::Model(key)) => {
+            limits::Owner::RuleModel(slot, key)
+        }
+        (types_rules::LimitScope::Model, event::Target::Service(key)) => {
             limits::Owner::RuleService(slot, key)
         }
     }
--- a/crates/sageshed-state/tests/control.rs
+++ b/crates/sageshed-state/tests/control.rs
@@ -276,7 +276,7 @@
         action: rules::Action::Limit(rules::Limit {
             rate: 0.1,
             burst: 1.0,
-            per: rules::Per::Caller,
+            per: rules::LimitScope::Caller,
         }),
         not_repeatable: Some(true),
         deadline_ms: None,
--- a/crates/sageshed-types/src/rules.rs
+++ b/crates/sageshed-types/src/rules.rs
@@ -166,13 +166,13 @@
     pub burst: f64,
     /// Which requests share a bucket.
     #[serde(default)]
-    pub per: Per,
+    pub per: LimitScope,
 }
 
 /// Which requests share a token bucket under a [`Limit`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Per {
+pub enum LimitScope {
     /// All requests that match the rule share one bucket.
     #[default]
     Rule,
