--- a/crates/sageshed-operators/src/backend.rs
+++ b/crates/sageshed-operators/src/backend.rs
@@ -11,7 +11,7 @@
     fn rules(&self) -> Result<rules::RuleSet, Trouble>;
 
     /// The accepted changes after `after`, oldest first, as far as the history reaches.
-    fn history(&self, after: rules::Revision) -> Result<Vec<rules::Accepted>, Trouble>;
+    fn history(&self, after: rules::Revision) -> Result<Vec<rules::AcceptedChange>, Trouble>;
 
     /// Proposes a change and waits for its outcome.
     fn change(&self, change: rules::Change) -> Result<rules::ChangeOutcome, Trouble>;
--- a/crates/sageshed-operators/src/client.rs
+++ b/crates/sageshed-operators/src/client.rs
@@ -153,7 +153,7 @@
     }
 
     /// The accepted changes after `after`, oldest first.
-    pub fn history(&self, after: rules::Revision) -> Result<Vec<rules::Accepted>, Error> {
+    pub fn history(&self, after: rules::Revision) -> Result<Vec<rules::AcceptedChange>, Error> {
         self.get(format!("{}?after={after}", paths::HISTORY))
     }
 
--- a/crates/sageshed-operators/src/describe.rs
+++ b/crates/sageshed-operators/src/describe.rs
@@ -4,7 +4,7 @@
 
 /// One accepted change on one line.
 #[must_use]
-pub fn accepted(accepted: &rules::Accepted) -> String {
+pub fn accepted(accepted: &rules::AcceptedChange) -> String {
     let change = &accepted.change;
     format!(
         "revision {} by {}: {} (change id {})",
@@ -42,7 +42,7 @@
 pub fn conflict(
     base: rules::Revision,
     newest: rules::Revision,
-    between: &[rules::Accepted],
+    between: &[rules::AcceptedChange],
 ) -> String {
     if base > newest {
         return format!(
--- a/crates/sageshed-operators/src/wire.rs
+++ b/crates/sageshed-operators/src/wire.rs
@@ -8,7 +8,7 @@
 pub mod paths {
     /// `GET`: a [`sageshed_types::rules::RuleSet`].
     pub const RULES: &str = "/rules";
-    /// `GET` with `after=N`: a list of [`sageshed_types::rules::Accepted`].
+    /// `GET` with `after=N`: a list of [`sageshed_types::rules::AcceptedChange`].
     pub const HISTORY: &str = "/rules/history";
     /// `POST` of a [`super::ChangeReq`]: a [`sageshed_types::rules::ChangeOutcome`].
     pub const CHANGES: &str = "/rules/changes";
--- a/crates/sageshed-operators/tests/support/mod.rs
+++ b/crates/sageshed-operators/tests/support/mod.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 struct State {
     rules: rules::RuleSet,
-    history: Vec<rules::Accepted>,
+    history: Vec<rules::AcceptedChange>,
     acts: collections::VecDeque<Act>,
     always: Option<Trouble>,
     calls: Vec<String>,
@@ -103,7 +103,7 @@
         }
         let newest = self.rules.revision;
         if change.base_revision != newest {
-            let after = |it: &&rules::Accepted| it.revision > change.base_revision;
+            let after = |it: &&rules::AcceptedChange| it.revision > change.base_revision;
             return rules::ChangeOutcome::Conflict {
                 revision: newest,
                 between: self.history.iter().filter(after).cloned().collect(),
@@ -119,7 +119,8 @@
         if let rules::Edit::Add { rule, .. } = &change.edit {
             self.rules.rules.push((**rule).clone());
         }
-        self.history.push(rules::Accepted { revision, change });
+        self.history
+            .push(rules::AcceptedChange { revision, change });
         rules::ChangeOutcome::Accepted { revision }
     }
 }
@@ -131,7 +132,7 @@
         Ok(state.rules.clone())
     }
 
-    fn history(&self, after: rules::Revision) -> Result<Vec<rules::Accepted>, Trouble> {
+    fn history(&self, after: rules::Revision) -> Result<Vec<rules::AcceptedChange>, Trouble> {
         let state = self.state.lock().unwrap();
         let newer = state.history.iter().filter(|it| it.revision > after);
         Ok(newer.cloned().collect())
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -25,7 +25,7 @@
 pub struct RuleLog {
     current: rules::RuleSet,
     history_bound: usize,
-    history: collections::VecDeque<rules::Accepted>,
+    history: collections::VecDeque<rules::AcceptedChange>,
     change_ids: change_ids::ChangeIds<rules::Revision>,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// The accepted changes in the history, oldest first.
-    pub fn history(&self) -> impl Iterator<Item = &rules::Accepted> {
+    pub fn history(&self) -> impl Iterator<Item = &rules::AcceptedChange> {
         self.history.iter()
     }
 
@@ -97,7 +97,8 @@
         let revision = self.current.revision;
         self.change_ids
             .remember(&change.change_id, content, revision);
-        self.history.push_back(rules::Accepted { revision, change });
+        self.history
+            .push_back(rules::AcceptedChange { revision, change });
         if self.history.len() > self.history_bound {
             self.history.pop_front();
         }
@@ -109,7 +110,7 @@
         edit::apply(&mut self.current.rules, &change.edit)
     }
 
-    fn after(&self, revision: rules::Revision) -> Vec<rules::Accepted> {
+    fn after(&self, revision: rules::Revision) -> Vec<rules::AcceptedChange> {
         self.history
             .iter()
             .filter(|accepted| accepted.revision > revision)
--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -51,7 +51,7 @@
 }
 
 /// Applies the changes to a clone, so that a failure halfway leaves the copy unchanged.
-fn advance(set: &mut rules::RuleSet, changes: &[rules::Accepted]) -> Updated {
+fn advance(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> Updated {
     let newer = changes
         .iter()
         .filter(|accepted| accepted.revision > set.revision);
--- a/crates/sageshed-state/tests/rules.rs
+++ b/crates/sageshed-state/tests/rules.rs
@@ -93,7 +93,7 @@
     let first = change("first", 3, add(rule("d")));
     assert_eq!(log.change(first.clone()), accepted(4));
     let second = log.change(change("second", 3, add(rule("e"))));
-    let between = vec![rules::Accepted {
+    let between = vec![rules::AcceptedChange {
         revision: rules::Revision(4),
         change: first,
     }];
@@ -295,7 +295,7 @@
 #[test]
 fn a_delta_that_cannot_be_applied_leaves_the_copy_unchanged() {
     let mut copy = long(5).current().clone();
-    let misfit = rules::Accepted {
+    let misfit = rules::AcceptedChange {
         revision: rules::Revision(6),
         change: change("x", 5, rules::Edit::Withdraw { id: "x".to_owned() }),
     };
--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -163,7 +163,7 @@
 #[serde(rename_all = "snake_case")]
 pub enum ConfigUpdate {
     /// The changes after the revision of the requesting process, oldest first.
-    Delta(Vec<rules::Accepted>),
+    Delta(Vec<rules::AcceptedChange>),
     /// The complete rules, sent to a process that is too far behind.
     Snapshot(rules::RuleSet),
 }
--- a/crates/sageshed-types/src/rules.rs
+++ b/crates/sageshed-types/src/rules.rs
@@ -252,7 +252,7 @@
 
 /// An accepted change in the history of the rules.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// The revision that the change produced.
     pub revision: Revision,
     /// The change.
@@ -273,7 +273,7 @@
         /// The newest revision.
         revision: Revision,
         /// The changes accepted after the base revision, oldest first, as far as the history reaches.
-        between: Vec<Accepted>,
+        between: Vec<AcceptedChange>,
     },
     /// The change id was used before for a change with other content.
     ChangeIdReused {
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -155,7 +155,7 @@
     let revision = rules::Revision(1);
     let pair = changes[..2].iter().map(|change| {
         let change = change.clone();
-        sageshed_vms::encode(&rules::Accepted { revision, change }).map(|bytes| bytes.len())
+        sageshed_vms::encode(&rules::AcceptedChange { revision, change }).map(|bytes| bytes.len())
     });
     let pair = pair.sum::<std::result::Result<usize, _>>()?;
     let begun = cpu()?;
--- a/src/bin/sageshed/commands/rules/send.rs
+++ b/src/bin/sageshed/commands/rules/send.rs
@@ -100,7 +100,11 @@
     }
 }
 
-fn conflict(base: rules::Revision, newest: rules::Revision, between: &[rules::Accepted]) -> String {
+fn conflict(
+    base: rules::Revision,
+    newest: rules::Revision,
+    between: &[rules::AcceptedChange],
+) -> String {
     let between: Vec<String> = between
         .iter()
         .map(|accepted| format!("  {}\n", describe::accepted(accepted)))
--- a/src/sageshed/control/operators.rs
+++ b/src/sageshed/control/operators.rs
@@ -161,7 +161,7 @@
         Ok(locks::read(&self.shared.state).rules().current().clone())
     }
 
-    fn history(&self, after: rules::Revision) -> Result<Vec<rules::Accepted>, Trouble> {
+    fn history(&self, after: rules::Revision) -> Result<Vec<rules::AcceptedChange>, Trouble> {
         self.read()?;
         let state = locks::read(&self.shared.state);
         let history = state.rules().history();
