--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -149,7 +149,7 @@
         };
         let mut refusal = refusal::Refusal::new(cause.reason, request.verdict, cause.detail);
         if let Some(rule) = &request.rule {
-            refusal = refusal.decided_by(rule, request.revision);
+            refusal = refusal.with_rule(rule, request.revision);
         }
         refusal.revision = request.revision;
         refusal.retry_after = cause.retry_after;
--- a/crates/sageshed-http/src/overflow.rs
+++ b/crates/sageshed-http/src/overflow.rs
@@ -72,7 +72,7 @@
         );
         queue.added.push(Excess {
             link,
-            refusal: refusal.retry_after(RETRY_AFTER),
+            refusal: refusal.with_retry_after(RETRY_AFTER),
             shared: Arc::clone(shared),
             since: time::Instant::now(),
             answered: false,
--- a/crates/sageshed-http/tests/problems.rs
+++ b/crates/sageshed-http/tests/problems.rs
@@ -6,8 +6,8 @@
 #[test]
 fn a_refusal_has_exactly_the_members_promised() {
     let refusal = refusal::Refusal::not_run(verdict::Reason::QueueFull, "64 wait already")
-        .decided_by("night", rules::Revision(12))
-        .retry_after(time::Millis(1_200));
+        .with_rule("night", rules::Revision(12))
+        .with_retry_after(time::Millis(1_200));
     let body = problem::body("e1-5", &refusal);
     assert_eq!(
         String::from_utf8(body).expect("text"),
--- a/crates/sageshed-types/src/refusal.rs
+++ b/crates/sageshed-types/src/refusal.rs
@@ -55,7 +55,7 @@
 
     /// Sets the rule and the revision that decided.
     #[must_use]
-    pub fn decided_by(mut self, rule: &str, revision: rules::Revision) -> Self {
+    pub fn with_rule(mut self, rule: &str, revision: rules::Revision) -> Self {
         self.rule = Some(rule.to_owned());
         self.revision = revision;
         self
@@ -63,7 +63,7 @@
 
     /// Sets the time after which a retry may succeed.
     #[must_use]
-    pub fn retry_after(mut self, span: time::Millis) -> Self {
+    pub fn with_retry_after(mut self, span: time::Millis) -> Self {
         self.retry_after = Some(span);
         self
     }
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -100,7 +100,7 @@
             }
             Outcome::Later(why) => {
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotConfirmed, why)
-                    .retry_after(COME_BACK);
+                    .with_retry_after(COME_BACK);
                 reply.refusal("", &refusal)
             }
             Outcome::Invalid(why) => {
--- a/src/sageshed/entry/claiming.rs
+++ b/src/sageshed/entry/claiming.rs
@@ -177,17 +177,17 @@
                 Verdict::MayHaveRun,
                 format!("the control group cannot be asked; {EARLIER_UNKNOWN}"),
             )
-            .retry_after(CLAIM_RETRY),
+            .with_retry_after(CLAIM_RETRY),
             Self::Unavailable | Self::Late => Refusal::not_run(
                 Reason::ClaimUnavailable,
                 "the control group did not record in time that the request runs; it was not sent",
             )
-            .retry_after(CLAIM_RETRY),
+            .with_retry_after(CLAIM_RETRY),
             Self::Full => Refusal::not_run(
                 Reason::ClaimUnavailable,
                 "the control group keeps as many idempotency keys as it may",
             )
-            .retry_after(CLAIM_RETRY),
+            .with_retry_after(CLAIM_RETRY),
             Self::Held(claims::ClaimOutcome::OtherContent) => Refusal::not_run(
                 Reason::KeyReused,
                 "the idempotency key came before with another method, path or body",
@@ -207,7 +207,7 @@
                 Verdict::MayHaveRun,
                 "the request is running; ask again with the same idempotency key for its answer",
             )
-            .retry_after(ASK_AGAIN),
+            .with_retry_after(ASK_AGAIN),
         }
     }
 }
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -146,7 +146,7 @@
             std_time::Duration::from(left).as_secs()
         );
         let refusal = refusal::Refusal::not_run(verdict::Reason::Quarantined, detail);
-        Some(refusal.retry_after(left))
+        Some(refusal.with_retry_after(left))
     }
 
     fn content(&self) -> quarantine::Fingerprint {
--- a/src/sageshed/entry/shared.rs
+++ b/src/sageshed/entry/shared.rs
@@ -170,7 +170,10 @@
             }
         };
         let refusal = refusal::Refusal::not_run(verdict::Reason::NotConfirmed, why);
-        Some(refusal.retry_after(self.settings.common.lease.sync_interval_ms + time::Millis(750)))
+        Some(
+            refusal
+                .with_retry_after(self.settings.common.lease.sync_interval_ms + time::Millis(750)),
+        )
     }
 
     /// Whether the balancer should send callers here.
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/pass/ending.rs
@@ -38,7 +38,7 @@
         let refusal = self.give_up(verdict::Reason::NoRoute, detail.to_owned());
         match refusal.retry_after {
             // There will be room when the load is done, and not before.
-            Some(soon) => refusal.retry_after(soon.max(load)),
+            Some(soon) => refusal.with_retry_after(soon.max(load)),
             None => refusal,
         }
     }
--- a/src/sageshed/gateway/pass/held.rs
+++ b/src/sageshed/gateway/pass/held.rs
@@ -58,7 +58,7 @@
         let refusal = self.give_up(verdict::Reason::Quarantined, detail);
         // One that has run here is told nothing of when to come back: it may have run.
         Some(match refusal.retry_after {
-            Some(_) => refusal.retry_after(left),
+            Some(_) => refusal.with_retry_after(left),
             None => refusal,
         })
     }
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -77,6 +77,6 @@
             expected.0, left.0
         );
         let refusal = self.give_up(verdict::Reason::DeadlineUnmeetable, detail);
-        Some(refusal.retry_after(expected.max(BACK_SOON)))
+        Some(refusal.with_retry_after(expected.max(BACK_SOON)))
     }
 }
--- a/src/sageshed/gateway/pass/quota.rs
+++ b/src/sageshed/gateway/pass/quota.rs
@@ -117,6 +117,6 @@
     let status = verdict::Reason::CallerLimit.status();
     refusal::Refusal {
         status,
-        ..refusal.retry_after(after)
+        ..refusal.with_retry_after(after)
     }
 }
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -263,7 +263,7 @@
         );
         let refusal = self.give_up(verdict::Reason::DeadlineUnmeetable, detail);
         // Before those that wait now are read there is no room.
-        Some(refusal.retry_after(expected.max(BACK_SOON)))
+        Some(refusal.with_retry_after(expected.max(BACK_SOON)))
     }
 
     /// Whether a request that waits for an engine to have read can't be reached in its time, by those
--- a/src/sageshed/gateway/refuse.rs
+++ b/src/sageshed/gateway/refuse.rs
@@ -39,6 +39,6 @@
 ) -> refusal::Refusal {
     refusal::Refusal {
         status: 503,
-        ..refusal::Refusal::not_run(reason, detail).retry_after(after)
+        ..refusal::Refusal::not_run(reason, detail).with_retry_after(after)
     }
 }
