--- a/crates/sageshed-http/src/head.rs
+++ b/crates/sageshed-http/src/head.rs
@@ -256,7 +256,7 @@
 /// A doubled header leaves open who asks, even where both are the same: a proxy in between may have checked
 /// one and not the other.
 fn credential(list: &[request::Header]) -> secret::Credential {
-    let mut found = values(list, headers::TOKEN);
+    let mut found = values(list, headers::AUTHORIZATION);
     let (first, second) = (found.next(), found.next());
     match (first, second) {
         (None, _) => secret::Credential::Missing,
--- a/crates/sageshed-http/src/request.rs
+++ b/crates/sageshed-http/src/request.rs
@@ -48,7 +48,7 @@
     /// Whether it shows who sends the request, and is for this system alone.
     #[must_use]
     pub fn is_credential(&self) -> bool {
-        self.name.eq_ignore_ascii_case(headers::TOKEN)
+        self.name.eq_ignore_ascii_case(headers::AUTHORIZATION)
     }
 }
 
@@ -86,7 +86,7 @@
 
     fn stays_here(&self, name: &str) -> bool {
         let is = |kept: &&str| name.eq_ignore_ascii_case(kept);
-        let fixed = is(&headers::TOKEN) || headers::OF_CONNECTION.iter().any(is);
+        let fixed = is(&headers::AUTHORIZATION) || headers::HOP_BY_HOP.iter().any(is);
         fixed || self.is_connection_option(name)
     }
 
--- a/crates/sageshed-services/src/filter.rs
+++ b/crates/sageshed-services/src/filter.rs
@@ -7,7 +7,7 @@
 #[must_use]
 pub fn to_service(headers: &[(String, String)]) -> Vec<(&str, &str)> {
     passed(headers)
-        .filter(|(name, _)| !name.eq_ignore_ascii_case(own::TOKEN))
+        .filter(|(name, _)| !name.eq_ignore_ascii_case(own::AUTHORIZATION))
         .collect()
 }
 
@@ -23,7 +23,7 @@
         .map(|(name, value)| (name.as_str(), value.as_str()))
         .filter(move |(name, _)| {
             let is = |other: &&str| name.eq_ignore_ascii_case(other);
-            let own = own::OF_CONNECTION.iter().any(&is);
+            let own = own::HOP_BY_HOP.iter().any(&is);
             let ours = is(&headers::REQUEST_ID);
             !own && !ours && !named.iter().any(&is)
         })
--- a/crates/sageshed-types/src/headers.rs
+++ b/crates/sageshed-types/src/headers.rs
@@ -2,7 +2,7 @@
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that each sender of a message sets
 /// itself. They are not forwarded. In lower case.
-pub const OF_CONNECTION: [&str; 12] = [
+pub const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "content-length",
     "expect",
@@ -19,4 +19,4 @@
 
 /// The header with the caller's bearer token. It is never forwarded, since whoever receives the token
 /// could act as the caller. In lower case.
-pub const TOKEN: &str = "authorization";
+pub const AUTHORIZATION: &str = "authorization";
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -139,10 +139,8 @@
 
     fn passes_on(&self, name: &str) -> bool {
         let is = |it: &&str| name.eq_ignore_ascii_case(it);
-        let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
-        !of_connection
-            && !self.req.is_connection_option(name)
-            && !self.shared.dialect.stays_here(name)
+        let hop_by_hop = headers::HOP_BY_HOP.iter().any(is) && !is(&"host");
+        !hop_by_hop && !self.req.is_connection_option(name) && !self.shared.dialect.stays_here(name)
     }
 
     /// Passes over answers to earlier requests on the same connection.
