--- a/src/sageshed/control/fleet/mod.rs
+++ b/src/sageshed/control/fleet/mod.rs
@@ -35,13 +35,13 @@
     limits: &limits::Limits,
     dialect: D,
 ) -> Result<Ports, StartError> {
-    let port = port::Port {
+    let handler = port::FleetHandler {
         shared: sync::Arc::clone(shared),
         inputs: inputs.clone(),
         dialect,
         port: settings.fleet_listen.port(),
     };
-    let fleet = listen(settings.fleet_listen, limits, sync::Arc::new(port))?;
+    let fleet = listen(settings.fleet_listen, limits, sync::Arc::new(handler))?;
     let metrics = settings
         .metrics_listen
         .map(|address| {
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -24,7 +24,7 @@
 
 /// Takes the calls of the operator and of endpoints.
 #[derive(Debug)]
-pub struct Port<D> {
+pub struct FleetHandler<D> {
     /// What this process publishes.
     pub shared: sync::Arc<shared::Shared>,
     /// To the driver of the log.
@@ -47,7 +47,7 @@
     Invalid(String),
 }
 
-impl<D: dialect::Dialect> handler::Handler for Port<D> {
+impl<D: dialect::Dialect> handler::Handler for FleetHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let call = self.dialect.control_call(&req.method, &req.path);
         let outcome = match call {
@@ -75,7 +75,7 @@
     }
 }
 
-impl<D: dialect::Dialect> Port<D> {
+impl<D: dialect::Dialect> FleetHandler<D> {
     fn answer(
         &self,
         req: &request::Request,
--- a/src/sageshed/gateway/mod.rs
+++ b/src/sageshed/gateway/mod.rs
@@ -4,7 +4,7 @@
 //! their answers back. It keeps nothing on disk: what it knows it has from control processes
 //! ([`watch`]), and it goes on with what it knows while none of them can be reached.
 //!
-//! One thread serves one connection of a caller, and with it one request at a time ([`pass`]). It
+//! One thread serves one connection of a caller, and with it one request at a time ([`proxy`]). It
 //! blocks while it waits for a place, a load or an answer, and looks several times a second whether
 //! the caller is still there.
 
@@ -14,7 +14,7 @@
 mod fetch;
 pub mod metrics;
 pub mod neighbours;
-mod pass;
+mod proxy;
 mod ready;
 mod refuse;
 pub mod routing;
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -8,7 +8,7 @@
 use sageshed_types::{headers, time, verdict};
 use sageshed_upstream::{exchange, failure};
 
-use super::{Life, Sending};
+use super::{ProxiedRequest, Sending};
 use crate::gateway::{answer::Outlet, neighbours};
 
 /// The largest answer that is not a stream, in bytes.
@@ -33,7 +33,7 @@
 /// A rejection that was not a run is worth another try after this long.
 const AFTER_REJECTION: std_time::Duration = std_time::Duration::from_millis(8);
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Sends the request to `pick` and passes the answer on.
     pub(super) fn send<'c>(
         &mut self,
--- a/src/sageshed/gateway/pass/story.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -3,7 +3,7 @@
 use sageshed_fleet::{chooser, config, dialect};
 use sageshed_types::{account, rules, time, verdict};
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::{clock, locks};
 
 /// What a try is called until something came of it.
@@ -11,12 +11,12 @@
 
 /// The choices and tries of one request so far.
 #[derive(Debug, Default)]
-pub(super) struct Story {
+pub(super) struct AttemptLog {
     chosen: Vec<account::Candidate>,
     tries: Vec<account::Try>,
 }
 
-impl Story {
+impl AttemptLog {
     /// It is sent to `pick`, so long after it came.
     pub(super) fn sent(&mut self, pick: &chooser::Pick, started: time::Millis) {
         self.chosen.push(account::Candidate {
@@ -41,7 +41,7 @@
     }
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Keeps the account of this request, which has ended.
     pub(super) fn keep_account(&mut self, end: account::End) {
         let took = time::Millis::from(self.req.received.elapsed());
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -3,13 +3,13 @@
 use sageshed_fleet::{allowance, chooser, dialect};
 use sageshed_types::time;
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::gateway::allowances;
 
 /// How long an endpoint with a limit is left alone where no process answers that keeps it.
 const NOBODY_KEEPS_IT: time::Millis = time::Millis(1_000);
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Takes note of what the endpoint of `pick` says of itself in an answer.
     pub(super) fn heed(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
         if !answered.is_of(&pick.instance) {
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -6,13 +6,13 @@
 use sageshed_http::reply;
 use sageshed_types::{account, refusal, time, verdict};
 
-use super::{BACK_SOON, Life};
+use super::{BACK_SOON, ProxiedRequest};
 use crate::{
     gateway::{answer::Outlet, metrics, refuse},
     sampler,
 };
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// The final answer for a request whose time is over.
     pub(super) fn out_of_time(&self) -> refusal::Refusal {
         self.give_up(
--- a/src/sageshed/gateway/pass/held.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -4,9 +4,9 @@
 use sageshed_types::{refusal, time, verdict};
 use sageshed_upstream::{failure, probe};
 
-use super::Life;
+use super::ProxiedRequest;
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Remembers that the endpoint of `pick` has ended under this request, if it has.
     ///
     /// A connection that is closed inside an answer says little: links break, and endpoints spoil answers. An
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/proxy/home.rs
@@ -5,7 +5,7 @@
 use sageshed_fleet::{chooser, dialect, neighbours};
 use sageshed_types::{refusal, time, verdict};
 
-use super::{BACK_SOON, Life, waiting::READ_RESERVE};
+use super::{BACK_SOON, ProxiedRequest, waiting::READ_RESERVE};
 use crate::gateway::{self, state};
 
 /// Between two questions to the home of a model on behalf of one request that waits.
@@ -30,7 +30,7 @@
     advised.unwrap_or_else(|| core.chooser.choose(now, ask))
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Asks the home of the model where the request is to go, and not again within [`ASK_AGAIN`].
     pub(super) fn ask_home(
         &self,
--- a/src/sageshed/gateway/pass/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -3,7 +3,7 @@
 use sageshed_fleet::{config, dialect, workspaces};
 use sageshed_types::{refusal, secret, verdict};
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::gateway::routing;
 
 /// Who sends a request on `route`, by the configuration of `routing`.
@@ -23,7 +23,7 @@
     })
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Asks again who sends the request, if another configuration is in force than when it came. Returns its
     /// refusal where its key was taken away meanwhile.
     ///
--- a/src/sageshed/gateway/pass/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -9,13 +9,13 @@
 //! may have been.
 
 mod attempt;
+mod attempt_log;
 mod backpressure;
-mod ending;
-mod held;
+mod completion;
+mod crash_quarantine;
 mod home;
 mod identity;
 mod quota;
-mod story;
 mod stream;
 mod waiting;
 
@@ -39,11 +39,11 @@
 
 /// Takes callers' requests.
 #[derive(Debug)]
-pub(super) struct Port<D> {
+pub(super) struct RequestHandler<D> {
     pub(super) shared: sync::Arc<state::Shared<D>>,
 }
 
-impl<D: dialect::Dialect> handler::Handler for Port<D> {
+impl<D: dialect::Dialect> handler::Handler for RequestHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let watch = reply.watch();
         let passing = self.shared.dialect.passing(|name| req.header(name));
@@ -91,7 +91,7 @@
             .service(service)
             .and_then(|it| it.engines.as_ref());
         let identity = identity::identify(&routing, route, req.credential);
-        let mut life = Life::new(
+        let mut proxied = ProxiedRequest::new(
             &self.shared,
             &req,
             &passing,
@@ -102,10 +102,10 @@
         );
         match identity {
             Ok(workspace) => {
-                life.workspace = workspace;
-                life.run(reply)
+                proxied.workspace = workspace;
+                proxied.run(reply)
             }
-            Err(refusal) => life.refused(Outlet::Fresh(reply), &refusal),
+            Err(refusal) => proxied.refused(Outlet::Fresh(reply), &refusal),
         }
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-impl<D: dialect::Dialect> Port<D> {
+impl<D: dialect::Dialect> RequestHandler<D> {
     /// Refuses a request before a route was found for it.
     fn refuse_unrouted(
         &self,
@@ -158,7 +158,7 @@
 }
 
 /// One request.
-struct Life<'a, D> {
+struct ProxiedRequest<'a, D> {
     shared: &'a state::Shared<D>,
     req: &'a request::Request,
     passing: &'a dialect::Passing,
@@ -196,7 +196,7 @@
     /// What it waits for here, or waited for last.
     waited_for: Option<chooser::Missing>,
     paces: Paces,
-    story: story::Story,
+    story: attempt_log::AttemptLog,
 }
 
 /// When the pieces of a stream came, for the log: a stream is late by one long pause.
@@ -239,7 +239,7 @@
     }
 }
 
-impl<'a, D: dialect::Dialect> Life<'a, D> {
+impl<'a, D: dialect::Dialect> ProxiedRequest<'a, D> {
     fn new(
         shared: &'a state::Shared<D>,
         req: &'a request::Request,
@@ -279,7 +279,7 @@
             lacks_repeat: false,
             waited_for: None,
             paces: Paces::default(),
-            story: story::Story::default(),
+            story: attempt_log::AttemptLog::default(),
         }
     }
 
--- a/src/sageshed/gateway/pass/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -10,7 +10,7 @@
 use sageshed_fleet::{allowance, config, dialect};
 use sageshed_types::{refusal, time, verdict};
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::gateway::allowances;
 
 /// After this a charge is given back and taken anew before the request is sent. Sixteen of it fit into the span
@@ -28,7 +28,7 @@
     at: std_time::Instant,
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Takes what the request needs of its workspace's quota for its next sending, unless it has that. Returns
     /// the refusal if that is used up.
     pub(super) fn charge(&mut self) -> Option<refusal::Refusal> {
--- a/src/sageshed/gateway/pass/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -6,14 +6,14 @@
 use sageshed_types::time;
 use sageshed_upstream::{exchange, failure};
 
-use super::{Life, Sending};
+use super::{ProxiedRequest, Sending};
 use crate::gateway::{answer::Outlet, neighbours};
 
 /// A stream that may go on elsewhere does so after this silence between two events: callers leave a
 /// stream after two seconds of it.
 const STREAM_SILENCE: std_time::Duration = std_time::Duration::from_secs(1);
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Passes a stream on, event by event.
     pub(super) fn stream<'c>(
         &mut self,
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -1,7 +1,7 @@
 //! Where a request goes next, and how long it waits for that.
 //!
 //! A request waits here only while what it waits for can come in its time; see
-//! [`Life`].
+//! [`ProxiedRequest`].
 
 use std::{net, sync::atomic, time as std_time};
 
@@ -9,7 +9,7 @@
 use sageshed_http::reply;
 use sageshed_types::{refusal, time, verdict};
 
-use super::{BACK_SOON, Life, Step, home};
+use super::{BACK_SOON, ProxiedRequest, Step, home};
 use crate::gateway::state::LOOK;
 
 /// What must be left of the time for a late request to let others go first. Callers leave a stream of
@@ -44,7 +44,7 @@
     Refused(refusal::Refusal),
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Chooses where to send the request next, and waits as long as that makes sense.
     pub(super) fn next(&mut self, watch: &reply::Watch) -> Step {
         let mut ticket = None;
--- a/src/sageshed/gateway/ready.rs
+++ b/src/sageshed/gateway/ready.rs
@@ -10,11 +10,11 @@
 
 /// Answers every question with 200 or 503.
 #[derive(Debug)]
-pub(super) struct Port<D> {
+pub(super) struct ReadinessHandler<D> {
     pub(super) shared: sync::Arc<state::Shared<D>>,
 }
 
-impl<D: dialect::Dialect> handler::Handler for Port<D> {
+impl<D: dialect::Dialect> handler::Handler for ReadinessHandler<D> {
     fn handle(&self, _req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let (status, text) = if self.shared.is_ready() {
             (200, "ready\n")
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -12,7 +12,7 @@
 use sageshed_fleet::dialect;
 use sageshed_http::{handler, limits, server};
 
-use super::{allowances, neighbours, pass, ready, state, watch};
+use super::{allowances, neighbours, proxy, ready, state, watch};
 use crate::{context, locks, metrics_port, settings};
 
 /// Descriptors that are not for callers: control processes, idle connections to endpoints, ports.
@@ -59,11 +59,11 @@
 ) -> Result<(), StartError> {
     let listen = settings.listen;
     let shared = sync::Arc::new(state::Shared::new(settings, dialect));
-    let ready = ready::Port {
+    let ready = ready::ReadinessHandler {
         shared: sync::Arc::clone(&shared),
     };
     let ready = start(listen.ready, ready_limits(), ready)?;
-    let port = pass::Port {
+    let port = proxy::RequestHandler {
         shared: sync::Arc::clone(&shared),
     };
     let callers = start(listen.callers, caller_limits(&shared.settings), port)?;
