--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -14,7 +14,7 @@
 
 /// How long an entry process counts as there after it was heard. It watches without a pause, and a
 /// watch lasts a second at the most.
-const ENTRY_KEPT: time::Millis = time::Millis(3_000);
+const ENTRY_TIMEOUT: time::Millis = time::Millis(3_000);
 
 /// What is known, and who waits for a change of it. A watcher is answered by a `W`.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     watchers: watchers::Watchers<W>,
     directory: directory::Directory,
     /// Records of the directory as they travel.
-    packed: collections::HashMap<directory::InstanceId, Packed>,
+    packed: collections::HashMap<directory::InstanceId, EncodedRecord>,
     /// Configurations that were held here.
     versions: versions::Versions,
     /// Entry processes that this process hears itself.
@@ -56,7 +56,7 @@
     at: time::Instant,
     /// The version of the configuration in force there.
     config: u64,
-    /// Whether it was behind for [`LAGGING`] when it was heard last.
+    /// Whether it was behind for [`LAGGING_AFTER`] when it was heard last.
     is_lagging: bool,
 }
 
@@ -70,22 +70,22 @@
 }
 
 /// An entry process whose configuration is older than the newest for this long is logged.
-const LAGGING: time::Millis = time::Millis(1_000);
+const LAGGING_AFTER: time::Millis = time::Millis(1_000);
 
 /// Records in one answer to an entry process. The answers to all watchers that know nothing yet, after a start, have to
 /// fit into the memory of the smallest VMs at once, and each into the time that its watcher waits.
-const MOST_RECORDS: usize = 200;
+const MAX_RECORDS: usize = 200;
 
 /// Bytes of these records, if it is more than one. That of an engine with copies of hundreds of models has 15 KB.
-const MOST_RECORD_BYTES: usize = 64 * 1024;
+const MAX_RECORD_BYTES: usize = 64 * 1024;
 
 /// How long a record is passed on as it was encoded. It tells how old the word of its endpoint was at that moment; the
 /// shortest time that is judged by that is several times as long.
-const PACKED_KEPT: time::Millis = time::Millis(500);
+const ENCODED_LIFETIME: time::Millis = time::Millis(500);
 
 /// A record as it travels.
 #[derive(Debug)]
-struct Packed {
+struct EncodedRecord {
     /// The change that it tells of.
     number: u64,
     at: time::Instant,
@@ -93,7 +93,7 @@
 }
 
 /// Lines a second on words that could not be read.
-const MISREAD_LOGGED: u64 = 5;
+const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
 /// Inputs for planning that may wait. What entry processes report comes again.
 const PLANNING_QUEUE: usize = 4_096;
@@ -104,7 +104,7 @@
     pub fn new(start: u64) -> Self {
         let (planning_tx, planning_rx) = mpsc::sync_channel(PLANNING_QUEUE);
         Self {
-            misread: sampler::Sampler::new(MISREAD_LOGGED),
+            misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             inner: sync::Mutex::new(Inner {
                 watchers: watchers::Watchers::default(),
                 directory: directory::Directory::new(start),
@@ -192,14 +192,14 @@
             is_news
         });
         if is_news {
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Now);
         }
     }
 
     /// Takes those for gone that were silent for too long. Returns their ids.
     pub fn expire(&self, now: time::Instant) -> Vec<directory::InstanceId> {
         self.change(|inner| {
-            let recent = |at: &time::Instant| now.since(*at) < ENTRY_KEPT;
+            let recent = |at: &time::Instant| now.since(*at) < ENTRY_TIMEOUT;
             inner.entries.retain(|_, entry| recent(&entry.at));
             inner.entries_elsewhere.retain(|_, at| recent(at));
             let directory = &inner.directory;
@@ -211,10 +211,10 @@
     /// The process stops: nobody is kept waiting.
     pub fn stop(&self) {
         self.change(|inner| inner.is_stopping = true);
-        self.announce_news(watchers::Urgency::Now);
+        self.notify_watchers(watchers::Urgency::Now);
     }
 
-    fn announce_news(&self, urgency: watchers::Urgency) {
+    fn notify_watchers(&self, urgency: watchers::Urgency) {
         if self.change(|inner| inner.watchers.note_news(urgency)) {
             self.due.notify_one();
         }
@@ -223,7 +223,7 @@
     /// Has `to` answered once something is newer than what `req` knows, or its patience is over.
     pub fn watch(&self, req: messages::WatchReq, to: W) {
         let is_due_sooner = self.change(|inner| {
-            let has_news = inner.is_newer(&req);
+            let has_news = inner.has_updates_for(&req);
             let was_noted = has_news && inner.watchers.note_news(watchers::Urgency::Collect);
             inner.watchers.add(std_time::Instant::now(), req, to) || was_noted
         });
@@ -255,7 +255,7 @@
     /// Takes note of who watches.
     pub fn heard(&self, now: time::Instant, req: &messages::WatchReq) {
         self.change(|inner| match req.watcher {
-            messages::Watcher::Entry => inner.hear_entry(now, req),
+            messages::Watcher::Entry => inner.record_entry(now, req),
             messages::Watcher::Control => {
                 let zone = req.availability_zone.clone();
                 inner.control_zones.insert(req.ip, zone);
@@ -302,15 +302,15 @@
             messages::Wants::Digest => None,
         };
         let (most, most_bytes) = match req.watcher {
-            messages::Watcher::Entry => (MOST_RECORDS, MOST_RECORD_BYTES),
+            messages::Watcher::Entry => (MAX_RECORDS, MAX_RECORD_BYTES),
             // Few, and each needs every sign of life in time: by half of them endpoints seem silent.
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
         let portion = passing.map(|it| inner.directory.portion(req.mark, it, most));
         let told = portion.map_or_else(
             // Without the records nothing more is known than before.
-            || Told::nothing(req.mark),
-            |it| inner.pack(now, req, it, most_bytes),
+            || DirectoryUpdate::nothing(req.mark),
+            |it| inner.encode_portion(now, req, it, most_bytes),
         );
         News {
             mark: told.mark,
@@ -323,7 +323,7 @@
             config: inner.versions.newest(),
             crashes_mark: inner.quarantine.mark(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
-                inner.quarantine.since(now, mark, telling(req))
+                inner.quarantine.since(now, mark, sync_scope(req))
             }),
         }
     }
@@ -384,7 +384,7 @@
             ::log::info!(content:% = content; "control: request is held no more, it was answered");
         }
         if taken.is_news {
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Now);
         }
     }
 
@@ -397,7 +397,7 @@
         });
         if is_news {
             ::log::info!(requests = held.len(); "control: requests are held by the log");
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Now);
         }
     }
 
@@ -428,7 +428,7 @@
             (made, inner.directory.has_news(before))
         });
         if is_news {
-            self.announce_news(watchers::Urgency::Collect);
+            self.notify_watchers(watchers::Urgency::Collect);
         }
         made
     }
@@ -442,20 +442,20 @@
     /// Takes the watchers that are to be answered now.
     fn take_due(&mut self, now: std_time::Instant) -> Vec<watchers::Watcher<W>> {
         let mut watchers = std::mem::take(&mut self.watchers);
-        let due = watchers.take_due(now, |req| self.is_newer(req));
+        let due = watchers.take_due(now, |req| self.has_updates_for(req));
         self.watchers = watchers;
         due
     }
 
     /// The records of a portion as they travel, as many as so many bytes hold, and one at least.
-    fn pack(
+    fn encode_portion(
         &mut self,
         now: time::Instant,
         req: &messages::WatchReq,
         portion: directory::Portion,
         most_bytes: usize,
-    ) -> Told {
-        let mut told = Told::nothing(portion.mark);
+    ) -> DirectoryUpdate {
+        let mut told = DirectoryUpdate::nothing(portion.mark);
         told.has_more = !portion.is_last;
         let mut bytes = 0;
         let mut last = None;
@@ -466,7 +466,7 @@
                 told.alive.push(alive);
                 continue;
             }
-            let record = self.pack_one(now, &change);
+            let record = self.encode_record(now, &change);
             bytes += record.as_ref().map_or(0, |it| it.0.len());
             if let Some(number) = last.filter(|_| bytes > most_bytes) {
                 told.mark.change = number;
@@ -483,19 +483,20 @@
     ///
     /// Encoded for each of some hundred watchers anew, the records of a fleet took all of the processor, and the watchers
     /// were answered too late.
-    fn pack_one(
+    fn encode_record(
         &mut self,
         now: time::Instant,
         change: &directory::Change,
     ) -> Option<messages::Packed> {
         let known = self.packed.get(&change.id);
-        let is_fresh = |it: &&Packed| it.number == change.number && now.since(it.at) < PACKED_KEPT;
+        let is_fresh =
+            |it: &&EncodedRecord| it.number == change.number && now.since(it.at) < ENCODED_LIFETIME;
         if let Some(packed) = known.filter(is_fresh) {
             return Some(packed.record.clone());
         }
         let record = self.directory.record(now, &change.id);
         let record = record.and_then(|it| records::pack(&it))?;
-        let packed = Packed {
+        let packed = EncodedRecord {
             number: change.number,
             at: now,
             record: record.clone(),
@@ -505,9 +506,9 @@
     }
 
     /// Takes note of an entry process, and logs when its configuration becomes or no longer is out of date.
-    fn hear_entry(&mut self, now: time::Instant, req: &messages::WatchReq) {
+    fn record_entry(&mut self, now: time::Instant, req: &messages::WatchReq) {
         let behind = self.versions.behind(now, req.config);
-        let is_lagging = behind.is_some_and(|it| it >= LAGGING);
+        let is_lagging = behind.is_some_and(|it| it >= LAGGING_AFTER);
         let entry = Entry {
             at: now,
             config: req.config,
@@ -533,17 +534,17 @@
     }
 
     /// Whether there is something for a watcher.
-    fn is_newer(&self, req: &messages::WatchReq) -> bool {
+    fn has_updates_for(&self, req: &messages::WatchReq) -> bool {
         let has_news = req.wants != messages::Wants::Digest && self.directory.has_news(req.mark);
         let crashes_known = req.crashes_known;
         let has_crashes =
-            crashes_known.is_some_and(|it| self.quarantine.has_news(it, telling(req)));
+            crashes_known.is_some_and(|it| self.quarantine.has_news(it, sync_scope(req)));
         has_news || has_crashes || self.has_config_for(req) || self.is_stopping
     }
 }
 
 /// What of the crashes a watcher is to be told.
-fn telling(req: &messages::WatchReq) -> quarantine::Telling {
+fn sync_scope(req: &messages::WatchReq) -> quarantine::Telling {
     match req.watcher {
         messages::Watcher::Control => quarantine::Telling::All,
         messages::Watcher::Entry => quarantine::Telling::Held,
@@ -552,7 +553,7 @@
 
 /// What a watcher is told of the directory.
 #[derive(Debug)]
-struct Told {
+struct DirectoryUpdate {
     /// Up to where it knows the directory then.
     mark: directory::Mark,
     records: Vec<messages::Packed>,
@@ -560,7 +561,7 @@
     has_more: bool,
 }
 
-impl Told {
+impl DirectoryUpdate {
     fn nothing(mark: directory::Mark) -> Self {
         Self {
             mark,
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -12,29 +12,29 @@
 use crate::{control::shared, locks};
 
 /// Between two looks at what there is to do. A want is looked at when it comes.
-const TICK: std_time::Duration = std_time::Duration::from_millis(50);
+const PLANNING_INTERVAL: std_time::Duration = std_time::Duration::from_millis(50);
 
 /// Between two lines in the log on what a leader sees.
-const SUMMARY: std_time::Duration = std_time::Duration::from_secs(2);
+const SUMMARY_INTERVAL: std_time::Duration = std_time::Duration::from_secs(2);
 
 /// Inputs taken in before one look.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 
 /// Threads that give orders to engines.
 const ORDER_THREADS: usize = 6;
 
-/// Threads that ask engines for their reports. An order never waits behind a question.
+/// Threads that ask engines for their reports. An order never waits behind a query.
 const REPORT_THREADS: usize = 6;
 
 /// The part of the time that looks may take: after each, others follow only once so many times its own length
 /// has passed. A look walks all engines.
-const REST_AFTER_LOOK: u32 = 4;
+const PAUSE_PER_PASS: u32 = 4;
 
-/// How long an engine may take to answer an order or a question.
-const CALL_LIMIT: std_time::Duration = std_time::Duration::from_millis(500);
+/// How long an engine may take to answer an order or a query.
+const CALL_TIMEOUT: std_time::Duration = std_time::Duration::from_millis(500);
 
 /// The largest answer of an engine, in bytes.
-const ANSWER_BYTES: usize = 256 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
 /// Something for the planner.
 #[derive(Debug)]
@@ -48,12 +48,12 @@
     /// An engine's report, if it gave one.
     Reported(directory::InstanceId, Option<dialect::Report>),
     /// What an engine says of itself in an answer.
-    Said(directory::InstanceId, dialect::Notice),
+    Notice(directory::InstanceId, dialect::Notice),
 }
 
-/// A question for the report of an engine.
+/// A query for the report of an engine.
 #[derive(Debug)]
-struct Question {
+struct ReportQuery {
     instance: directory::InstanceId,
     address: net::SocketAddrV4,
 }
@@ -66,8 +66,8 @@
     config: Option<config::FleetConfig>,
     term: u64,
     orders: mpsc::Sender<dialect::Order>,
-    questions: mpsc::Sender<Question>,
-    told: std_time::Instant,
+    queries: mpsc::Sender<ReportQuery>,
+    last_summary: std_time::Instant,
 }
 
 /// Runs until the process stops.
@@ -80,16 +80,13 @@
         return ::log::error!("control: planning was started twice");
     };
     let pool = pool::Pool::new(pool::Settings::default());
-    let orders = start_callers(shared, "orders", ORDER_THREADS, {
+    let orders = start_workers(shared, "orders", ORDER_THREADS, {
         let pool = pool.clone();
-        move |shared, order| give(shared, dialect, &pool, order)
+        move |shared, order| send_order(shared, dialect, &pool, order)
+    });
+    let queries = start_workers(shared, "reports", REPORT_THREADS, move |shared, query| {
+        query_report(shared, dialect, &pool, query)
     });
-    let questions = start_callers(
-        shared,
-        "reports",
-        REPORT_THREADS,
-        move |shared, question| ask(shared, dialect, &pool, question),
-    );
     let mut planning = Planning {
         planner: planner::Planner::new(policy, &shared.process.vm),
         shared: sync::Arc::clone(shared),
@@ -97,22 +94,22 @@
         config: None,
         term: 0,
         orders,
-        questions,
-        told: std_time::Instant::now(),
+        queries,
+        last_summary: std_time::Instant::now(),
     };
     while !shared.is_stopping() {
-        let first = inputs.recv_timeout(TICK).ok();
-        let more = inputs.try_iter().take(BATCH);
+        let first = inputs.recv_timeout(PLANNING_INTERVAL).ok();
+        let more = inputs.try_iter().take(MAX_BATCH);
         let batch: Vec<_> = first.into_iter().chain(more).collect();
-        planning.take(batch);
+        planning.apply_inputs(batch);
         let begun = std_time::Instant::now();
-        planning.look();
-        thread::sleep((begun.elapsed() * REST_AFTER_LOOK).min(TICK));
+        planning.run_pass();
+        thread::sleep((begun.elapsed() * PAUSE_PER_PASS).min(PLANNING_INTERVAL));
     }
 }
 
 impl<D: dialect::Dialect> Planning<D> {
-    fn take(&mut self, inputs: Vec<Input>) {
+    fn apply_inputs(&mut self, inputs: Vec<Input>) {
         let now = self.shared.clock.now();
         for input in inputs {
             match input {
@@ -121,7 +118,7 @@
                 Input::Reported(instance, report) => {
                     self.planner.reported(now, &instance, report);
                 }
-                Input::Said(instance, notice) => {
+                Input::Notice(instance, notice) => {
                     ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.rest,
                         leaves = notice.leaves; "control: endpoint asks for something in an answer");
                     self.planner.heed(now, &instance, notice);
@@ -137,7 +134,7 @@
         }
     }
 
-    fn look(&mut self) {
+    fn run_pass(&mut self) {
         let now = self.shared.clock.now();
         for id in self.shared.hub.expire(now) {
             ::log::warn!(endpoint:% = id; "control: endpoint was silent for too long");
@@ -153,12 +150,12 @@
         let present: Vec<&directory::Instance> = present.iter().map(|it| &**it).collect();
         self.planner.know_restarted(self.shared.hub.restarted());
         let actions = self.planner.tick(now, config, &present);
-        if self.told.elapsed() >= SUMMARY {
-            self.told = std_time::Instant::now();
+        if self.last_summary.elapsed() >= SUMMARY_INTERVAL {
+            self.last_summary = std_time::Instant::now();
             for it in self.planner.summary(now, config, &present) {
                 ::log::info!(service = it.service.as_str(), engines = it.engines,
                     free_for_orders = it.free_for_orders, short:? = it.short,
-                    busiest:% = busiest(&it.busiest),
+                    busiest:% = describe_busiest(&it.busiest),
                     store_is_free = it.store_is_free, work:% = format_args!("{:.1}", it.work),
                     wants = it.wants; "control: placement");
             }
@@ -199,7 +196,9 @@
         for action in actions {
             match action {
                 planner::Action::Amend { instance, task } => {
-                    self.shared.hub.amend(now, &instance, |it| apply(it, &task));
+                    self.shared
+                        .hub
+                        .amend(now, &instance, |it| apply_task(it, &task));
                 }
                 planner::Action::Order(order) => {
                     if self.orders.send(order).is_err() {
@@ -207,7 +206,11 @@
                     }
                 }
                 planner::Action::AskReport { instance, address } => {
-                    if self.questions.send(Question { instance, address }).is_err() {
+                    if self
+                        .queries
+                        .send(ReportQuery { instance, address })
+                        .is_err()
+                    {
                         ::log::error!("control: no thread asks for reports");
                     }
                 }
@@ -217,7 +220,7 @@
 }
 
 /// The busiest models in a few words: copies and those on their way, and the engines kept busy.
-fn busiest(models: &[planner::Busy]) -> String {
+fn describe_busiest(models: &[planner::Busy]) -> String {
     let models = models.iter().map(|it| {
         let planner::Busy {
             model,
@@ -231,7 +234,7 @@
 }
 
 /// Shows in an engine's record what an order did to it.
-fn apply(instance: &mut directory::Instance, task: &dialect::Task) {
+fn apply_task(instance: &mut directory::Instance, task: &dialect::Task) {
     match task {
         dialect::Task::Load(_) => {}
         dialect::Task::Unload(model) => instance.models.retain(|it| it.model != *model),
@@ -251,7 +254,7 @@
 }
 
 /// Starts threads that carry out calls to engines, each by `call`, and hand what came of them to the planner.
-fn start_callers<T: Send + 'static>(
+fn start_workers<T: Send + 'static>(
     shared: &sync::Arc<shared::Shared>,
     name: &str,
     threads: usize,
@@ -279,7 +282,7 @@
 }
 
 /// Gives an order to an engine.
-fn give<D: dialect::Dialect>(
+fn send_order<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
     pool: &pool::Pool,
@@ -302,13 +305,13 @@
 }
 
 /// Asks an engine for its report.
-fn ask<D: dialect::Dialect>(
+fn query_report<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
     pool: &pool::Pool,
-    question: Question,
+    query: ReportQuery,
 ) -> Input {
-    let Question { instance, address } = question;
+    let ReportQuery { instance, address } = query;
     let answer = exchange_with(pool, address, &dialect.ask_report(&instance));
     let report = match answer {
         Ok((head, body)) => {
@@ -359,7 +362,7 @@
             .hub
             .leaves(shared.clock.now(), std::slice::from_ref(instance));
     }
-    shared.hub.plan(Input::Said(instance.clone(), notice));
+    shared.hub.plan(Input::Notice(instance.clone(), notice));
 }
 
 fn exchange_with(
@@ -381,14 +384,14 @@
         body: &call.body,
     };
     let patience = exchange::Patience {
-        until: std_time::Instant::now() + CALL_LIMIT,
+        until: std_time::Instant::now() + CALL_TIMEOUT,
         stop: &|| false,
     };
     // A connection that the engine closes in this very moment would leave the fate of an order open.
     let max_age = std_time::Duration::from_secs(1);
     let mut answer = pool.exchange(address, &req, max_age, &patience)?;
     let head = answer.head.clone();
-    let body = answer.read_whole(ANSWER_BYTES, &patience)?;
+    let body = answer.read_whole(MAX_RESPONSE_BYTES, &patience)?;
     pool.keep(address, answer);
     Ok((head, body))
 }
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -16,11 +16,11 @@
 };
 
 /// When to come back while there is no leader or the group can't commit.
-const COME_BACK: time::Millis = time::Millis(300);
+const RETRY_AFTER: time::Millis = time::Millis(300);
 
 /// The largest announcement that is read, in bytes. An engine that holds three of 500 models and copies of
 /// all of them announces some 15 KB; each is passed on to all entry processes.
-const ANNOUNCEMENT_BYTES: usize = 64 * 1024;
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
 /// Takes the calls of the operator and of endpoints.
 #[derive(Debug)]
@@ -40,9 +40,9 @@
     /// Done.
     Ok(String),
     /// The leader answers this.
-    Elsewhere(net::Ipv4Addr),
+    Redirect(net::Ipv4Addr),
     /// It can't be done now; it was not done, or may have been where that does no harm.
-    Later(&'static str),
+    Unavailable(&'static str),
     /// It can't be done.
     Invalid(String),
 }
@@ -88,7 +88,7 @@
                 content_type: "application/json",
                 body: body.into_bytes(),
             }),
-            Outcome::Elsewhere(leader) => {
+            Outcome::Redirect(leader) => {
                 let location = format!("http://{leader}:{}{}", self.port, req.path);
                 let head = reply::Head {
                     request_id: "",
@@ -98,9 +98,9 @@
                 };
                 reply.whole(&head, b"")
             }
-            Outcome::Later(why) => {
+            Outcome::Unavailable(why) => {
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotConfirmed, why)
-                    .retry_after(COME_BACK);
+                    .retry_after(RETRY_AFTER);
                 reply.refusal("", &refusal)
             }
             Outcome::Invalid(why) => {
@@ -117,7 +117,7 @@
     }
 
     fn announce(&self, endpoint: &str, body: &[u8]) -> Outcome {
-        let read = if body.len() > ANNOUNCEMENT_BYTES {
+        let read = if body.len() > MAX_ANNOUNCEMENT_BYTES {
             Err(dialect::Malformed {
                 what: "an announcement",
                 problem: format!("{} bytes are too many", body.len()),
@@ -127,7 +127,7 @@
         };
         let instance = match read {
             Ok(instance) => instance,
-            Err(e) => return self.refuse_word(endpoint, &e),
+            Err(e) => return self.refuse_malformed(endpoint, &e),
         };
         let (id, service) = (instance.id.clone(), instance.service.clone());
         let (address, state, sequence) = (instance.address, instance.state, instance.sequence);
@@ -144,7 +144,7 @@
             directory::Offer::Full => {
                 ::log::warn!(endpoint:% = id, kept = directory::MOST_KEPT;
                     "control: too many endpoints, one is not taken in");
-                return Outcome::Later("as many endpoints are known as are kept");
+                return Outcome::Unavailable("as many endpoints are known as are kept");
             }
         }
         Outcome::Ok("{}".to_owned())
@@ -153,7 +153,7 @@
     fn leave(&self, endpoint: &str, body: &[u8]) -> Outcome {
         let id = match self.dialect.leaving(endpoint, body) {
             Ok(id) => id,
-            Err(e) => return self.refuse_word(endpoint, &e),
+            Err(e) => return self.refuse_malformed(endpoint, &e),
         };
         self.shared.hub.leave(self.shared.clock.now(), &id);
         ::log::info!(endpoint:% = id; "control: endpoint leaves");
@@ -162,7 +162,7 @@
 
     /// What can't be read names no endpoint, and what is believed stays. A writer that goes wrong may
     /// send such words without end, so few of them are logged.
-    fn refuse_word(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
+    fn refuse_malformed(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
                 ::log::warn!(endpoint, error:% = e; "control: word of an endpoint not understood");
@@ -190,11 +190,13 @@
         let Ok(text) = String::from_utf8(body.to_vec()) else {
             return refuse_config("it is not UTF-8".to_owned());
         };
-        if let Some(elsewhere) = self.elsewhere() {
-            return elsewhere;
+        if let Some(redirect) = self.redirect_unless_leader() {
+            return redirect;
         }
         if !self.is_large_enough() {
-            return Outcome::Later("too few control processes have joined to keep a change safe");
+            return Outcome::Unavailable(
+                "too few control processes have joined to keep a change safe",
+            );
         }
         let version = config.version;
         let document = document::Document { version, text };
@@ -205,11 +207,11 @@
             }
             Fate::Applied(None) | Fate::Unknown => {
                 ::log::warn!(version; "control: configuration may be in force or not");
-                Outcome::Later("it is not known whether the change was accepted")
+                Outcome::Unavailable("it is not known whether the change was accepted")
             }
             Fate::NotDone(why) => {
                 ::log::warn!(version, why:? = why; "control: configuration not accepted");
-                Outcome::Later("the change can't be committed now")
+                Outcome::Unavailable("the change can't be committed now")
             }
         }
     }
@@ -224,34 +226,34 @@
 
     /// The configuration, once a majority has confirmed that this process still leads.
     fn read(&self) -> Outcome {
-        if let Some(elsewhere) = self.elsewhere() {
-            return elsewhere;
+        if let Some(redirect) = self.redirect_unless_leader() {
+            return redirect;
         }
         match self.inputs.read() {
             Fate::Applied(_) => {
                 let state = locks::read(&self.shared.state);
                 let fleet = state.fleet();
                 if fleet.version == 0 {
-                    return Outcome::Later("there is no configuration yet");
+                    return Outcome::Unavailable("there is no configuration yet");
                 }
                 Outcome::Ok(fleet.text.clone())
             }
             Fate::NotDone(_) | Fate::Unknown => {
-                Outcome::Later("it can't be confirmed which configuration is the newest")
+                Outcome::Unavailable("it can't be confirmed which configuration is the newest")
             }
         }
     }
 
     /// Where to send a call that only the leader answers, if this process is not it.
-    fn elsewhere(&self) -> Option<Outcome> {
+    fn redirect_unless_leader(&self) -> Option<Outcome> {
         if self.shared.leads() {
             return None;
         }
         let own = self.shared.process.vm.as_str();
         let leader = self.shared.leader().filter(|leader| leader != own);
         match leader.and_then(|it| it.parse().ok()) {
-            Some(ip) => Some(Outcome::Elsewhere(ip)),
-            None => Some(Outcome::Later("no control process leads")),
+            Some(ip) => Some(Outcome::Redirect(ip)),
+            None => Some(Outcome::Unavailable("no control process leads")),
         }
     }
 }
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -14,24 +14,24 @@
 use crate::{control::shared, locks, records};
 
 /// How long a watch is kept where nothing is new. A watcher takes a connection for lost soon after.
-const PATIENCE: time::Millis = time::Millis(800);
+const WATCH_TIMEOUT: time::Millis = time::Millis(800);
 
 /// The same at the leader, which is told then what callers asked for: loads take seconds, and begin late
 /// where a rise of demand is known late.
-const LEADER_PATIENCE: time::Millis = time::Millis(200);
+const LEADER_WATCH_TIMEOUT: time::Millis = time::Millis(200);
 
 /// Added to the patience of a call: the way there and back, and a pause of either process.
 const CALL_MARGIN: std_time::Duration = std_time::Duration::from_millis(400);
 
 /// Between two looks for control processes that are not watched yet.
-const LOOK: std_time::Duration = std_time::Duration::from_millis(200);
+const PEER_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(200);
 
 /// Between two tries to watch one that can't be reached.
-const RETRY: std_time::Duration = std_time::Duration::from_millis(300);
+const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(300);
 
 /// A control process that could not be reached for this long is watched no longer, until it is heard
 /// of again.
-const LOST: std_time::Duration = std_time::Duration::from_secs(30);
+const PEER_LOST_AFTER: std_time::Duration = std_time::Duration::from_secs(30);
 
 /// Takes a watch, which is answered by [`answer_watchers`] once there is something new.
 pub fn take(shared: &shared::Shared, mut req: messages::WatchReq, later: sageshed_vms::Later) {
@@ -43,7 +43,7 @@
     if req.watcher == messages::Watcher::Control {
         shared.hear_of([req.ip]);
     }
-    req.patience = req.patience.min(PATIENCE);
+    req.patience = req.patience.min(WATCH_TIMEOUT);
     shared.hub.watch(req, later);
 }
 
@@ -51,7 +51,7 @@
 pub fn answer_watchers(shared: &shared::Shared) {
     loop {
         let due = shared.hub.next_round();
-        let common = Common::of(shared);
+        let common = RoundData::of(shared);
         for watcher in due {
             let resp = common.answer(shared, &watcher.req);
             watcher.to.answer(sageshed_vms::Answer::message(&resp));
@@ -60,7 +60,7 @@
 }
 
 /// What the answers of one round have in common.
-struct Common {
+struct RoundData {
     control: Vec<messages::ControlVm>,
     leader: Option<net::Ipv4Addr>,
     entries: Vec<net::Ipv4Addr>,
@@ -69,13 +69,13 @@
     peers: Vec<(net::Ipv4Addr, directory::Mark)>,
 }
 
-impl Common {
+impl RoundData {
     fn of(shared: &shared::Shared) -> Self {
         let entries = shared.hub.entries();
         Self {
             control: control_vms(shared),
             leader: shared.leader().and_then(|it| it.parse().ok()),
-            entries_number: number(&entries),
+            entries_number: entries_hash(&entries),
             entries,
             peers: shared.hub.peers(),
         }
@@ -128,7 +128,7 @@
 /// Answers with a chunk of the newest configuration, or of the one that is being fetched.
 #[must_use]
 pub fn chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> messages::ConfigResp {
-    let chunk = match look_up(shared, req) {
+    let chunk = match lookup_chunk(shared, req) {
         changes::Answer::Chunk(chunk) => Some(chunk),
         changes::Answer::Nothing => None,
         changes::Answer::Compress(_) => {
@@ -140,13 +140,13 @@
     messages::ConfigResp { chunk }
 }
 
-fn look_up(shared: &shared::Shared, req: &messages::ConfigReq) -> changes::Answer {
+fn lookup_chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> changes::Answer {
     locks::lock(&shared.config_history).answer(shared.clock.now(), req)
 }
 
 /// Makes the payload, unless another thread has made it meanwhile, and takes the chunk of it.
 fn compress(shared: &shared::Shared, req: &messages::ConfigReq) -> Option<transfer::Chunk> {
-    if let changes::Answer::Compress(job) = look_up(shared, req) {
+    if let changes::Answer::Compress(job) = lookup_chunk(shared, req) {
         match job.run() {
             Ok(bytes) => {
                 let mut history = locks::lock(&shared.config_history);
@@ -155,7 +155,7 @@
             Err(e) => ::log::error!(error:% = e; "control: configuration not sent"),
         }
     }
-    match look_up(shared, req) {
+    match lookup_chunk(shared, req) {
         changes::Answer::Chunk(chunk) => Some(chunk),
         changes::Answer::Nothing | changes::Answer::Compress(_) => None,
     }
@@ -189,7 +189,7 @@
 }
 
 /// Equal for equal lists, and hardly ever for others.
-fn number(entries: &[net::Ipv4Addr]) -> u64 {
+fn entries_hash(entries: &[net::Ipv4Addr]) -> u64 {
     let mut hasher = hash_map::DefaultHasher::new();
     entries.hash(&mut hasher);
     hasher.finish()
@@ -215,7 +215,7 @@
                 ::log::error!(error:% = e; "control: no thread to watch another control process");
             }
         }
-        thread::sleep(LOOK);
+        thread::sleep(PEER_CHECK_INTERVAL);
     }
 }
 
@@ -224,11 +224,11 @@
         return;
     };
     let address = address.to_string();
-    let limit = std_time::Duration::from(PATIENCE) + CALL_MARGIN;
+    let limit = std_time::Duration::from(WATCH_TIMEOUT) + CALL_MARGIN;
     let mut mark = directory::Mark::default();
     let mut crashes_known = quarantine::Mark::default();
     let mut heard = std_time::Instant::now();
-    while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < LOST {
+    while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < PEER_LOST_AFTER {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
         let demand = if is_leader {
             shared.hub.with_tally(tally::Tally::take)
@@ -245,7 +245,11 @@
             config_told: None,
             mark,
             entries_known: 0,
-            patience: if is_leader { LEADER_PATIENCE } else { PATIENCE },
+            patience: if is_leader {
+                LEADER_WATCH_TIMEOUT
+            } else {
+                WATCH_TIMEOUT
+            },
             entries: shared.hub.own_entries(),
             demand,
             crashes_known: Some(crashes_known),
@@ -277,7 +281,7 @@
                 ::log::debug!(error:% = e; "control: another control process is not watched");
                 let now = shared.clock.now();
                 shared.hub.with_tally(|it| it.put_back(now, req.demand));
-                thread::sleep(RETRY);
+                thread::sleep(RETRY_INTERVAL);
             }
         }
     }
--- a/src/sageshed/control/fleet/watchers.rs
+++ b/src/sageshed/control/fleet/watchers.rs
@@ -38,7 +38,7 @@
 pub struct Watchers<W> {
     waiting: Vec<Watcher<W>>,
     /// The end of the shortest patience.
-    earliest: Option<time::Instant>,
+    next_timeout: Option<time::Instant>,
     last_round: Option<time::Instant>,
     news: Option<Urgency>,
 }
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             waiting: Vec::new(),
-            earliest: None,
+            next_timeout: None,
             last_round: None,
             news: None,
         }
@@ -59,9 +59,9 @@
     pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, to: W) -> bool {
         let until = now + req.patience.into();
         self.waiting.push(Watcher { req, to, until });
-        let is_sooner = self.earliest.is_none_or(|it| until < it);
+        let is_sooner = self.next_timeout.is_none_or(|it| until < it);
         if is_sooner {
-            self.earliest = Some(until);
+            self.next_timeout = Some(until);
         }
         is_sooner
     }
@@ -85,7 +85,7 @@
         let due = match self.news {
             Some(Urgency::Now) => return Some(time::Duration::ZERO),
             Some(Urgency::Collect) => now,
-            None => self.earliest?,
+            None => self.next_timeout?,
         };
         let due = self.last_round.map_or(due, |it| due.max(it + ROUND));
         Some(due.saturating_duration_since(now))
@@ -105,7 +105,7 @@
         self.last_round = Some(now);
         let is_due = |it: &mut Watcher<W>| it.until <= now || (has_news && is_newer(&it.req));
         let due = self.waiting.extract_if(.., is_due).collect();
-        self.earliest = self.waiting.iter().map(|it| it.until).min();
+        self.next_timeout = self.waiting.iter().map(|it| it.until).min();
         due
     }
 }
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -7,10 +7,10 @@
 use super::state;
 
 /// Between two looks at the pots of this process: a part of [`allowance::DRAW_EVERY`].
-const TICK: time::Duration = time::Duration::from_millis(100);
+const REFILL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// The same where the configuration has no allowance.
-const IDLE: time::Duration = time::Duration::from_secs(1);
+const IDLE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The allowances of a configuration.
 pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::Terms)> {
@@ -150,7 +150,11 @@
                 if let Some(neighbours) = &filling.neighbours {
                     neighbours.pull(pulls);
                 }
-                thread::sleep(if has_any { TICK } else { IDLE });
+                thread::sleep(if has_any {
+                    REFILL_INTERVAL
+                } else {
+                    IDLE_INTERVAL
+                });
             }
         });
     if let Err(e) = spawned {
--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -20,7 +20,7 @@
             ::log::info!(content:% = content; "gateway: request is held no more, it was answered");
         }
         if !taken.held.is_empty() {
-            self.place_freed();
+            self.wake_waiting();
         }
     }
 }
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -12,26 +12,26 @@
 use crate::locks;
 
 /// How long a chunk may take, on a link that callers fill as well.
-const CALL_LIMIT: std_time::Duration = std_time::Duration::from_secs(1);
+const CHUNK_TIMEOUT: std_time::Duration = std_time::Duration::from_secs(1);
 
 /// Between two looks whether the process stops.
-const LOOK: std_time::Duration = std_time::Duration::from_millis(500);
+const STOP_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(500);
 
 /// Between two tries where the answer was of no use.
-const RETRY: std_time::Duration = std_time::Duration::from_millis(30);
+const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(30);
 
 /// What is being fetched, and what is known of newer configurations.
 #[derive(Debug, Default)]
-pub struct Fetching {
-    inner: sync::Mutex<Inner>,
+pub struct ConfigFetcher {
+    inner: sync::Mutex<FetchState>,
     changed: sync::Condvar,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct FetchState {
     incoming: transfer::Receiver,
     /// The control process that is reached best.
-    near: Option<net::Ipv4Addr>,
+    preferred: Option<net::Ipv4Addr>,
 }
 
 /// Starts the thread, which runs until the process stops.
@@ -45,9 +45,9 @@
     }
 }
 
-impl Fetching {
+impl ConfigFetcher {
     /// A control process tells that it holds `version`.
-    pub fn told(&self, now: time::Instant, by: net::Ipv4Addr, version: u64) {
+    pub fn announce(&self, now: time::Instant, by: net::Ipv4Addr, version: u64) {
         if locks::lock(&self.inner).incoming.told(now, by, version) {
             self.changed.notify_all();
         }
@@ -67,12 +67,12 @@
 
     /// Notes which control process is reached best.
     /// The control process that was near last, if any was.
-    pub fn near(&self) -> Option<net::Ipv4Addr> {
-        locks::lock(&self.inner).near
+    pub fn preferred(&self) -> Option<net::Ipv4Addr> {
+        locks::lock(&self.inner).preferred
     }
 
-    pub fn prefer(&self, near: net::Ipv4Addr) {
-        locks::lock(&self.inner).near = Some(near);
+    pub fn prefer(&self, preferred: net::Ipv4Addr) {
+        locks::lock(&self.inner).preferred = Some(preferred);
     }
 }
 
@@ -82,7 +82,7 @@
         let held = locks::lock(&shared.document).version;
         let next = {
             let mut inner = locks::lock(&fetching.inner);
-            let near = inner.near;
+            let near = inner.preferred;
             inner.incoming.next(held, near)
         };
         match next {
@@ -106,11 +106,13 @@
 }
 
 /// Waits until a newer version than `held` is told of, or it is time for a look.
-fn wait(fetching: &Fetching, held: u64) {
+fn wait(fetching: &ConfigFetcher, held: u64) {
     let inner = locks::lock(&fetching.inner);
     let (_inner, _timeout) = fetching
         .changed
-        .wait_timeout_while(inner, LOOK, |it| it.incoming.newest() <= held)
+        .wait_timeout_while(inner, STOP_CHECK_INTERVAL, |it| {
+            it.incoming.newest() <= held
+        })
         .unwrap_or_else(sync::PoisonError::into_inner);
 }
 
@@ -123,13 +125,14 @@
     let address = net::SocketAddrV4::new(to, shared.settings.discovery.vms_port).to_string();
     let path = messages::paths::CONFIG;
     let begun = shared.clock.now();
-    let resp: Result<messages::ConfigResp, _> = shared.client.call(&address, path, req, CALL_LIMIT);
+    let resp: Result<messages::ConfigResp, _> =
+        shared.client.call(&address, path, req, CHUNK_TIMEOUT);
     let chunk = match resp {
         Ok(resp) => resp.chunk,
         Err(e) => {
             ::log::warn!(control:% = to, offset = req.offset, error:% = e; "gateway: chunk of a configuration not fetched");
             locks::lock(&fetching.inner).incoming.lost(to);
-            return thread::sleep(RETRY);
+            return thread::sleep(RETRY_INTERVAL);
         }
     };
     let Some(chunk) = chunk else {
@@ -143,7 +146,7 @@
         Err(e) => {
             ::log::warn!(control:% = to, error:% = e; "gateway: configuration is fetched anew");
             locks::lock(&fetching.inner).incoming.lost(to);
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
     }
 }
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -8,16 +8,16 @@
 use crate::{locks, metrics};
 
 /// Upper bounds of the buckets of times, in seconds.
-const SECONDS: [f64; 12] = [
+const DURATION_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
 /// Workspaces that are counted by name, the first that ask. With three ends each they take 200 lines of the
 /// text, as many as all other figures.
-const WORKSPACES_NAMED: usize = 64;
+const MAX_NAMED_WORKSPACES: usize = 64;
 
 /// What all other workspaces are counted under.
-const OTHERS: &str = "(others)";
+const OTHER_WORKSPACES: &str = "(others)";
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,12 +49,12 @@
     by_workspace: instruments::Counter<u64>,
     /// Workspaces that are counted by name.
     workspaces: sync::Mutex<collections::HashSet<String>>,
-    now: Now,
+    gauges: Gauges,
 }
 
 /// What holds at the moment in which the figures are asked for.
 #[derive(Debug)]
-struct Now {
+struct Gauges {
     ready: metrics::Gauge,
     version: metrics::Gauge,
     behind: metrics::Gauge,
@@ -79,7 +79,7 @@
             .f64_histogram("sageshed_gateway_request")
             .with_description("From arrival to the end of the answer")
             .with_unit("s")
-            .with_boundaries(SECONDS.to_vec())
+            .with_boundaries(DURATION_BUCKETS_S.to_vec())
             .build();
         let ended = meter
             .u64_counter("sageshed_gateway_requests")
@@ -90,7 +90,7 @@
             .with_description("Requests that ended, by who sent them")
             .build();
         let gauge = |name, help| registry.gauge(name, help);
-        let now = Now {
+        let gauges = Gauges {
             ready: gauge(
                 "sageshed_gateway_ready",
                 "1 while callers are taken, else 0",
@@ -139,7 +139,7 @@
             ended,
             by_workspace,
             workspaces: sync::Mutex::default(),
-            now,
+            gauges,
         }
     }
 }
@@ -158,17 +158,17 @@
     }
 
     /// Counts a request of a workspace that has ended; of none where the name is empty.
-    pub fn of_workspace(&self, name: &str, end: End) {
+    pub fn workspace_ended(&self, name: &str, end: End) {
         if name.is_empty() {
             return;
         }
         let mut named = locks::lock(&self.workspaces);
         let is_named = named.contains(name) || {
-            let has_room = named.len() < WORKSPACES_NAMED;
+            let has_room = named.len() < MAX_NAMED_WORKSPACES;
             has_room && named.insert(name.to_owned())
         };
         drop(named);
-        let name = if is_named { name } else { OTHERS };
+        let name = if is_named { name } else { OTHER_WORKSPACES };
         let of = [
             KeyValue::new("workspace", name.to_owned()),
             KeyValue::new("end", end.label()),
@@ -187,27 +187,34 @@
             core.budget.left(now, entries)
         });
         for (service, left) in left {
-            self.now.repeats.set_for("service", &service, left);
+            self.gauges.repeats.set_for("service", &service, left);
         }
-        for (workspace, left) in allowances::pots(shared).into_iter().take(WORKSPACES_NAMED) {
-            self.now.quotas.set_for("workspace", &workspace, left);
+        for (workspace, left) in allowances::pots(shared)
+            .into_iter()
+            .take(MAX_NAMED_WORKSPACES)
+        {
+            self.gauges.quotas.set_for("workspace", &workspace, left);
         }
         let waiting = shared.waiting.load(std::sync::atomic::Ordering::Relaxed);
-        self.now.waiting.set(waiting as f64);
-        self.now.silence.set(shared.silence().0 as f64 / 1_000.0);
-        self.now.ready.set(f64::from(u8::from(shared.is_ready())));
-        self.now.version.set(shared.version() as f64);
+        self.gauges.waiting.set(waiting as f64);
+        self.gauges
+            .silence
+            .set(shared.control_silence().0 as f64 / 1_000.0);
+        self.gauges
+            .ready
+            .set(f64::from(u8::from(shared.is_ready())));
+        self.gauges.version.set(shared.version() as f64);
         let behind = shared.behind().unwrap_or_default();
-        self.now.behind.set(behind.0 as f64 / 1_000.0);
-        self.now.entries.set(entries as f64);
-        self.now.endpoints.set(known as f64);
-        self.now.open_endpoints.set(open as f64);
+        self.gauges.behind.set(behind.0 as f64 / 1_000.0);
+        self.gauges.entries.set(entries as f64);
+        self.gauges.endpoints.set(known as f64);
+        self.gauges.open_endpoints.set(open as f64);
         let limited = shared.with_core(|core| core.chooser.count_limited());
-        self.now.limited_endpoints.set(limited as f64);
-        self.now.connections.set(shared.pool.opened() as f64);
-        self.now.idle.set(shared.pool.idle() as f64);
+        self.gauges.limited_endpoints.set(limited as f64);
+        self.gauges.connections.set(shared.pool.opened() as f64);
+        self.gauges.idle.set(shared.pool.idle() as f64);
         let held = shared.with_core(|core| core.quarantine.count_held(now));
-        self.now.held.set(held as f64);
+        self.gauges.held.set(held as f64);
         self.registry.text()
     }
 }
--- a/src/sageshed/gateway/mod.rs
+++ b/src/sageshed/gateway/mod.rs
@@ -9,7 +9,6 @@
 //! the caller is still there.
 
 mod allowances;
-mod answer;
 mod crashes;
 mod fetch;
 pub mod metrics;
@@ -17,6 +16,7 @@
 mod proxy;
 mod ready;
 mod refuse;
+mod response;
 pub mod routing;
 mod run;
 pub mod state;
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -14,20 +14,20 @@
 use crate::{locks, sampler};
 
 /// The largest datagram that is read, in bytes. A question with a prompt of eight parts has some 300.
-const LARGEST: usize = 1_200;
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// Parts of a prompt that a question names. What comes behind counts as not kept.
-const MOST_PARTS: usize = 8;
+const MAX_PROMPT_PARTS: usize = 8;
 
 /// How long an answer is waited for: several times the way there and back between availability zones, and
 /// short beside the time in which an answer is to begin.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(25);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
 /// How long a home that did not answer is passed over.
-const LOST: time::Duration = time::Duration::from_secs(1);
+const UNRESPONSIVE_PERIOD: time::Duration = time::Duration::from_secs(1);
 
 /// How often the thread that listens looks whether the process stops.
-const LOOK: time::Duration = time::Duration::from_millis(500);
+const STOP_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Who waits for which answer.
 type Asked<T> = sync::Mutex<collections::HashMap<u64, mpsc::SyncSender<T>>>;
@@ -50,7 +50,7 @@
     /// Opens the socket at `ip`, on the port that the system's processes use among themselves.
     pub fn open(ip: net::Ipv4Addr, port: u16) -> io::Result<Self> {
         let socket = net::UdpSocket::bind((ip, port))?;
-        socket.set_read_timeout(Some(LOOK))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         Ok(Self {
             socket,
             port,
@@ -119,14 +119,14 @@
         let (tx, rx) = mpsc::sync_channel(1);
         locks::lock(asked).insert(id, tx);
         self.send(question, &[home]);
-        let answer = rx.recv_timeout(ANSWER_LIMIT).ok();
+        let answer = rx.recv_timeout(REPLY_TIMEOUT).ok();
         locks::lock(asked).remove(&id);
         answer
     }
 
     fn first_there(&self, homes: &[net::Ipv4Addr]) -> Option<net::Ipv4Addr> {
         let mut lost = locks::lock(&self.lost);
-        lost.retain(|_, since| since.elapsed() < LOST);
+        lost.retain(|_, since| since.elapsed() < UNRESPONSIVE_PERIOD);
         homes.iter().copied().find(|it| !lost.contains_key(it))
     }
 
@@ -139,7 +139,7 @@
     }
 
     fn listen<D: dialect::Dialect>(&self, shared: &state::Shared<D>) {
-        let mut buf = [0; LARGEST];
+        let mut buf = [0; MAX_DATAGRAM_BYTES];
         while !shared.is_stopping() {
             match self.socket.recv_from(&mut buf) {
                 Ok((len, net::SocketAddr::V4(from))) => take(shared, from, &buf[..len]),
@@ -147,7 +147,7 @@
                 Err(e) if is_timeout(&e) => {}
                 Err(e) => {
                     ::log::warn!(error:% = e; "gateway: no datagram could be read");
-                    thread::sleep(LOOK);
+                    thread::sleep(STOP_CHECK_INTERVAL);
                 }
             }
         }
@@ -256,7 +256,7 @@
     if homes.is_empty() {
         return None;
     }
-    let parts = ask.parts.iter().take(MOST_PARTS);
+    let parts = ask.parts.iter().take(MAX_PROMPT_PARTS);
     let question = words::Ask {
         id: 0,
         request,
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -8,65 +8,65 @@
 use sageshed_types::{headers, time, verdict};
 use sageshed_upstream::{exchange, failure};
 
-use super::{ProxiedRequest, Sending};
-use crate::gateway::{answer::Outlet, neighbours};
+use super::{AttemptResult, ProxiedRequest};
+use crate::gateway::{neighbours, response::ResponseSink};
 
 /// The largest answer that is not a stream, in bytes.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// How long a kept connection may have been idle for a request that must not run twice: if the
 /// endpoint closes it in that moment, the request is lost and can't be sent again.
-const YOUNG: std_time::Duration = std_time::Duration::from_millis(1_500);
+const MAX_IDLE_NOT_REPEATABLE: std_time::Duration = std_time::Duration::from_millis(1_500);
 
 /// The same for a request that may be sent again.
-const KEPT: std_time::Duration = std_time::Duration::from_secs(10);
+const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
 
 /// Silence for this many times the objective sends an idempotent request to another endpoint.
-const SILENT_OBJECTIVES: u64 = 3;
+const SILENCE_PER_OBJECTIVE: u64 = 3;
 
 /// The shortest silence that does, in milliseconds.
-const SHORTEST_SILENCE: std_time::Duration = std_time::Duration::from_millis(300);
+const MIN_SILENCE: std_time::Duration = std_time::Duration::from_millis(300);
 
 /// Added to the estimate of a request before it leaves an endpoint that says nothing at all.
-const MOVED_AFTER: std_time::Duration = std_time::Duration::from_millis(700);
+const ESTIMATE_MARGIN: std_time::Duration = std_time::Duration::from_millis(700);
 
 /// A rejection that was not a run is worth another try after this long.
-const AFTER_REJECTION: std_time::Duration = std_time::Duration::from_millis(8);
+const REJECTION_DELAY: std_time::Duration = std_time::Duration::from_millis(8);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Sends the request to `pick` and passes the answer on.
     pub(super) fn send<'c>(
         &mut self,
         pick: &chooser::Pick,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         watch: &reply::Watch,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         let sent_at = std_time::Instant::now();
         neighbours::tell(self.shared, pick);
-        self.count_sending(pick);
-        self.use_charge();
+        self.count_send(pick);
+        self.commit_charge();
         let waited = self.req.received.elapsed();
-        self.story.sent(pick, waited.into());
-        let expected = std_time::Duration::from(pick.estimate) + MOVED_AFTER;
-        let silence = self.silence();
+        self.attempt_log.record_attempt(pick, waited.into());
+        let expected = std_time::Duration::from(pick.estimate) + ESTIMATE_MARGIN;
+        let silence = self.silence_limit();
         let stop = || {
             let waited = sent_at.elapsed();
             let is_silent = silence.is_some_and(|longest| waited > longest);
             let is_late = is_silent || (waited > expected && self.is_suspected(pick));
-            watch.caller_gone() || (is_late && self.may_move())
+            watch.caller_gone() || (is_late && self.may_switch_endpoint())
         };
         let patience = exchange::Patience {
-            until: self.until,
+            until: self.deadline,
             stop: &stop,
         };
-        let resume = outlet.last_id().map(str::to_owned);
+        let resume = sink.last_id().map(str::to_owned);
         let answer = self.exchange(pick, resume.as_deref(), &patience);
-        let exchange = match answer.and_then(|it| self.own_answer(pick, it, &patience)) {
+        let exchange = match answer.and_then(|it| self.skip_stale_responses(pick, it, &patience)) {
             Ok(exchange) => exchange,
-            Err(failure) => return self.failed(pick, outlet, failure, watch),
+            Err(failure) => return self.handle_missing_response(pick, sink, failure, watch),
         };
-        self.arrivals += 1;
-        self.judge(pick, exchange, outlet, sent_at, watch)
+        self.deliveries += 1;
+        self.handle_response(pick, exchange, sink, sent_at, watch)
     }
 
     fn is_suspected(&self, pick: &chooser::Pick) -> bool {
@@ -76,19 +76,19 @@
     }
 
     /// Whether the request could go to another endpoint now, while it runs at one.
-    fn may_move(&self) -> bool {
+    fn may_switch_endpoint(&self) -> bool {
         let may_run_again = self.route.repeat.may_run_again();
-        may_run_again && self.runs + 1 < self.route.attempts && self.has_repeat()
+        may_run_again && self.possible_runs + 1 < self.route.attempts && self.can_retry()
     }
 
     /// How long an endpoint may be silent before an idempotent request goes elsewhere.
-    fn silence(&self) -> Option<std_time::Duration> {
+    fn silence_limit(&self) -> Option<std_time::Duration> {
         if self.route.repeat != config::Repeat::Idempotent {
             return None;
         }
         let objective = std_time::Duration::from(self.route.objective);
-        let factor = u32::try_from(SILENT_OBJECTIVES).unwrap_or(1);
-        Some((objective * factor).max(SHORTEST_SILENCE))
+        let factor = u32::try_from(SILENCE_PER_OBJECTIVE).unwrap_or(1);
+        Some((objective * factor).max(MIN_SILENCE))
     }
 
     fn exchange<S: Fn() -> bool>(
@@ -99,7 +99,7 @@
     ) -> Result<exchange::Exchange, failure::Failure> {
         let onward = dialect::Onward {
             instance: &pick.instance,
-            time_left: self.left_ms(),
+            time_left: self.time_left(),
             urgency: Some(self.priority().min(9)),
             resume_behind,
             workspace: self.workspace.as_ref().map(|it| it.name.as_str()),
@@ -112,7 +112,7 @@
                 .any(|(name, _)| header.name.eq_ignore_ascii_case(name));
             // Whoever gets a key can act as its holder.
             let is_key = self.asks_for_keys && header.is_credential();
-            if !is_set && !is_key && self.passes_on(&header.name) {
+            if !is_set && !is_key && self.forwards_header(&header.name) {
                 list.push((&header.name, &header.value));
             }
         }
@@ -128,16 +128,16 @@
             body: &self.req.body,
         };
         let max_age = if self.route.repeat.may_run_again() {
-            KEPT
+            MAX_IDLE_REPEATABLE
         } else {
-            YOUNG
+            MAX_IDLE_NOT_REPEATABLE
         };
         self.shared
             .pool
             .exchange(pick.address, &req, max_age, patience)
     }
 
-    fn passes_on(&self, name: &str) -> bool {
+    fn forwards_header(&self, name: &str) -> bool {
         let is = |it: &&str| name.eq_ignore_ascii_case(it);
         let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
         !of_connection
@@ -146,7 +146,7 @@
     }
 
     /// Passes over answers to earlier requests on the same connection.
-    fn own_answer<S: Fn() -> bool>(
+    fn skip_stale_responses<S: Fn() -> bool>(
         &self,
         pick: &chooser::Pick,
         mut exchange: exchange::Exchange,
@@ -155,34 +155,34 @@
         loop {
             let head = &exchange.head;
             let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
-            self.heed(pick, &answered);
-            if !self.is_foreign(&answered) {
+            self.apply_notice(pick, &answered);
+            if !self.is_for_another_request(&answered) {
                 return Ok(exchange);
             }
             ::log::warn!(request = self.id(); "gateway: answer to another request passed over");
-            exchange = exchange.next_answer(ANSWER_BYTES, patience)?;
+            exchange = exchange.next_answer(MAX_RESPONSE_BYTES, patience)?;
         }
     }
 
-    fn is_foreign(&self, answered: &dialect::Answered<'_>) -> bool {
+    fn is_for_another_request(&self, answered: &dialect::Answered<'_>) -> bool {
         let id = answered.id;
         id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
     }
 
     /// Decides by the head of an answer what becomes of it.
-    fn judge<'c>(
+    fn handle_response<'c>(
         &mut self,
         pick: &chooser::Pick,
         mut exchange: exchange::Exchange,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         sent_at: std_time::Instant,
         watch: &reply::Watch,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         let stop = &|| watch.caller_gone();
         let head = exchange.head.clone();
         let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
         let patience = exchange::Patience {
-            until: self.until,
+            until: self.deadline,
             stop,
         };
         let is_rejected = matches!(
@@ -190,53 +190,54 @@
             dialect::Word::NotRun | dialect::Word::Misdirected
         );
         if is_rejected {
-            if exchange.read_whole(ANSWER_BYTES, &patience).is_ok() {
+            if exchange.read_whole(MAX_RESPONSE_BYTES, &patience).is_ok() {
                 self.shared.pool.keep(pick.address, exchange);
             }
-            return self.rejected(pick, outlet, &answered, head.status);
+            return self.handle_rejection(pick, sink, &answered, head.status);
         }
-        self.runs += 1;
+        self.possible_runs += 1;
         let is_success = (200..300).contains(&head.status);
         let is_vouched = answered.word == dialect::Word::Vouched;
         if is_success && !is_vouched {
             let detail = "a success that the endpoint does not vouch for";
-            return self.unusable(pick, outlet, detail.to_owned());
+            return self.handle_unusable_response(pick, sink, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
-        let may_go_elsewhere = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+        let may_go_elsewhere =
+            self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
         if !is_success && (claims_not_run || !is_vouched) {
             let detail = format!("the endpoint answered with status {}", head.status);
-            return self.unusable(pick, outlet, detail);
+            return self.handle_unusable_response(pick, sink, detail);
         }
         if head.status >= 500 && may_go_elsewhere {
             let detail = format!("the endpoint failed with status {}", head.status);
-            return self.unusable(pick, outlet, detail);
+            return self.handle_unusable_response(pick, sink, detail);
         }
         let is_events = head
             .get("content-type")
             .is_some_and(|it| it.starts_with("text/event-stream"));
         if is_success && is_events {
-            return self.stream(pick, exchange, outlet, sent_at, stop, answered.load);
+            return self.stream(pick, exchange, sink, sent_at, stop, answered.load);
         }
-        match exchange.read_whole(ANSWER_BYTES, &patience) {
+        match exchange.read_whole(MAX_RESPONSE_BYTES, &patience) {
             Ok(body) => {
-                self.began(pick, sent_at, answered.load);
+                self.record_start(pick, sent_at, answered.load);
                 let failed = head.status >= 500;
                 let how = if failed {
                     chooser::Ended::Failed
                 } else {
                     chooser::Ended::Answered
                 };
-                self.ended(pick, true, how);
+                self.end_attempt(pick, true, how);
                 self.shared.pool.keep(pick.address, exchange);
-                self.answered(pick, head.status, body.len() as u64, sent_at);
-                Sending::Done(outlet.whole(&head, &body))
+                self.finish_answered(pick, head.status, body.len() as u64, sent_at);
+                AttemptResult::Done(sink.send_whole(&head, &body))
             }
-            Err(failure) => self.failed_after_run(pick, outlet, false, &failure),
+            Err(failure) => self.handle_failed_run(pick, sink, false, &failure),
         }
     }
 
-    pub(super) fn began(
+    pub(super) fn record_start(
         &self,
         pick: &chooser::Pick,
         sent_at: std_time::Instant,
@@ -257,19 +258,19 @@
             Some(read) => neighbours::tell_read(self.shared, pick, read, took, load),
             None => neighbours::tell(self.shared, pick),
         }
-        self.shared.place_freed();
+        self.shared.wake_waiting();
     }
 
-    pub(super) fn ended(&self, pick: &chooser::Pick, began: bool, how: chooser::Ended) {
+    pub(super) fn end_attempt(&self, pick: &chooser::Pick, began: bool, how: chooser::Ended) {
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
-        neighbours::tell_ended(self.shared, pick, began, self.trouble(how));
-        self.shared.place_freed();
+        neighbours::tell_ended(self.shared, pick, began, self.fault_to_report(how));
+        self.shared.wake_waiting();
     }
 
     /// What others are to know of an engine after a request of this kind has ended `how`.
-    fn trouble(&self, how: chooser::Ended) -> Option<words::Trouble> {
+    fn fault_to_report(&self, how: chooser::Ended) -> Option<words::Trouble> {
         let model = self.wanted.map(|it| words::key(&it.model))?;
         match how {
             chooser::Ended::Answered | chooser::Ended::GivenUp => None,
@@ -287,63 +288,64 @@
     }
 
     /// The endpoint says that it has not run the request.
-    fn rejected<'c>(
+    fn handle_rejection<'c>(
         &mut self,
         pick: &chooser::Pick,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         answered: &dialect::Answered<'_>,
         status: u16,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
             "gateway: endpoint rejected the request and has not run it");
-        self.last = format!(
+        self.last_failure = format!(
             "endpoint {} rejected it with status {status}",
             pick.instance
         );
-        self.story.came_to(verdict::Verdict::NotRun, &self.last);
-        self.unuse_charge();
+        self.attempt_log
+            .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
+        self.restore_charge();
         let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
         if answered.word == dialect::Word::Misdirected && is_replaced {
-            self.ended(pick, false, chooser::Ended::GivenUp);
-            self.shared.replaced(&pick.instance);
+            self.end_attempt(pick, false, chooser::Ended::GivenUp);
+            self.shared.mark_replaced(&pick.instance);
         } else if answered.word == dialect::Word::Misdirected {
-            self.ended(pick, false, chooser::Ended::Misdirected);
+            self.end_attempt(pick, false, chooser::Ended::Misdirected);
         } else {
-            self.ended(pick, false, chooser::Ended::Refused);
-            self.tried.push(pick.key);
-            std::thread::sleep(AFTER_REJECTION);
+            self.end_attempt(pick, false, chooser::Ended::Refused);
+            self.tried_endpoints.push(pick.key);
+            std::thread::sleep(REJECTION_DELAY);
         }
-        Sending::Again(outlet)
+        AttemptResult::Retry(sink)
     }
 
     /// An answer came that can't be passed on; the request may have run.
-    fn unusable<'c>(
+    fn handle_unusable_response<'c>(
         &mut self,
         pick: &chooser::Pick,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         detail: String,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         let failure = failure::Failure {
             cause: failure::Cause::Malformed,
             is_sent: true,
             detail,
         };
-        self.failed_after_run(pick, outlet, false, &failure)
+        self.handle_failed_run(pick, sink, false, &failure)
     }
 
     /// No head of an answer came.
-    fn failed<'c>(
+    fn handle_missing_response<'c>(
         &mut self,
         pick: &chooser::Pick,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         mut failure: failure::Failure,
         watch: &reply::Watch,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         let began = false;
         let is_interrupted = failure.cause == failure::Cause::Interrupted;
         if is_interrupted && watch.caller_gone() {
-            self.ended(pick, began, chooser::Ended::GivenUp);
-            return Sending::Gone(outlet);
+            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            return AttemptResult::CallerGone(sink);
         }
         if is_interrupted {
             // The caller waits still: the endpoint said nothing, to this request or any other.
@@ -352,55 +354,57 @@
         if !failure.is_sent {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, error:% = failure;
                 "gateway: endpoint not reached, the request was not sent");
-            self.last = format!("endpoint {} was not reached: {failure}", pick.instance);
-            self.story.came_to(verdict::Verdict::NotRun, &self.last);
-            self.unuse_charge();
-            self.ended(pick, began, chooser::Ended::Unreachable);
+            self.last_failure = format!("endpoint {} was not reached: {failure}", pick.instance);
+            self.attempt_log
+                .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
+            self.restore_charge();
+            self.end_attempt(pick, began, chooser::Ended::Unreachable);
             self.shared.pool.forget(pick.address);
-            self.tried.push(pick.key);
-            return Sending::Again(outlet);
+            self.tried_endpoints.push(pick.key);
+            return AttemptResult::Retry(sink);
         }
-        self.arrivals += 1;
-        self.runs += 1;
-        self.failed_after_run(pick, outlet, began, &failure)
+        self.deliveries += 1;
+        self.possible_runs += 1;
+        self.handle_failed_run(pick, sink, began, &failure)
     }
 
     /// The request may have run, and no whole answer came.
-    pub(super) fn failed_after_run<'c>(
+    pub(super) fn handle_failed_run<'c>(
         &mut self,
         pick: &chooser::Pick,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         began: bool,
         failure: &failure::Failure,
-    ) -> Sending<'c> {
+    ) -> AttemptResult<'c> {
         if failure.cause == failure::Cause::Interrupted {
-            self.ended(pick, began, chooser::Ended::GivenUp);
-            return Sending::Gone(outlet);
+            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            return AttemptResult::CallerGone(sink);
         }
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, error:% = failure,
-            runs = self.runs, begun = outlet.is_begun(); "gateway: endpoint failed, the request may have run");
-        self.last = format!("endpoint {} failed: {failure}", pick.instance);
-        self.story.came_to(verdict::Verdict::MayHaveRun, &self.last);
-        self.note_end(pick, failure.cause);
-        let is_over = self.left_ms() == time::Millis(0);
+            runs = self.possible_runs, begun = sink.has_started(); "gateway: endpoint failed, the request may have run");
+        self.last_failure = format!("endpoint {} failed: {failure}", pick.instance);
+        self.attempt_log
+            .record_outcome(verdict::Verdict::MayHaveRun, &self.last_failure);
+        self.note_crash(pick, failure.cause);
+        let is_over = self.time_left() == time::Millis(0);
         let how = match failure.cause {
             failure::Cause::Silent if !began => chooser::Ended::Silent,
             _ => chooser::Ended::Failed,
         };
-        self.ended(pick, began, how);
-        self.tried.push(pick.key);
-        let goes_on = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+        self.end_attempt(pick, began, how);
+        self.tried_endpoints.push(pick.key);
+        let goes_on = self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
         // Without the id of an event nothing says where the stream would go on.
-        let can_resume = !outlet.is_begun() || outlet.last_id().is_some();
+        let can_resume = !sink.has_started() || sink.last_id().is_some();
         if goes_on && can_resume && !is_over {
-            return Sending::Again(outlet);
+            return AttemptResult::Retry(sink);
         }
         let refusal = if is_over {
             self.out_of_time()
         } else {
-            let detail = self.last.clone();
-            self.give_up(verdict::Reason::EndpointFailed, detail)
+            let detail = self.last_failure.clone();
+            self.final_refusal(verdict::Reason::EndpointFailed, detail)
         };
-        Sending::Refuse(outlet, refusal)
+        AttemptResult::Refuse(sink, refusal)
     }
 }
--- a/src/sageshed/gateway/proxy/attempt_log.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -7,7 +7,7 @@
 use crate::{clock, locks};
 
 /// What a try is called until something came of it.
-const UNDER_WAY: &str = "under way";
+const IN_PROGRESS: &str = "under way";
 
 /// The choices and tries of one request so far.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
 
 impl AttemptLog {
     /// It is sent to `pick`, so long after it came.
-    pub(super) fn sent(&mut self, pick: &chooser::Pick, started: time::Millis) {
+    pub(super) fn record_attempt(&mut self, pick: &chooser::Pick, started: time::Millis) {
         self.chosen.push(account::Candidate {
             endpoint: pick.instance.to_string(),
             estimate: pick.estimate,
@@ -28,12 +28,12 @@
             endpoint: pick.instance.to_string(),
             started,
             verdict: verdict::Verdict::MayHaveRun,
-            outcome: UNDER_WAY.to_owned(),
+            outcome: IN_PROGRESS.to_owned(),
         });
     }
 
     /// What came of the latest try.
-    pub(super) fn came_to(&mut self, verdict: verdict::Verdict, outcome: &str) {
+    pub(super) fn record_outcome(&mut self, verdict: verdict::Verdict, outcome: &str) {
         if let Some(last) = self.tries.last_mut() {
             last.verdict = verdict;
             outcome.clone_into(&mut last.outcome);
@@ -45,9 +45,9 @@
     /// Keeps the account of this request, which has ended.
     pub(super) fn keep_account(&mut self, end: account::End) {
         let took = time::Millis::from(self.req.received.elapsed());
-        let story = std::mem::take(&mut self.story);
+        let story = std::mem::take(&mut self.attempt_log);
         let queued = story.tries.first().map_or(took, |it| it.started);
-        let span = self.until.saturating_duration_since(self.req.received);
+        let span = self.deadline.saturating_duration_since(self.req.received);
         let not_repeatable = matches!(
             self.route.repeat,
             config::Repeat::Never | config::Repeat::Stream
@@ -57,7 +57,10 @@
             arrived_unix_ms: clock::unix_ms().saturating_sub(took.0),
             caller: self.workspace.as_ref().map(|it| it.name.clone()),
             class: Some(self.route.name.clone()),
-            target: Some(self.wanted.map_or_else(|| self.service.to_owned(), name_of)),
+            target: Some(
+                self.wanted
+                    .map_or_else(|| self.service.to_owned(), target_name),
+            ),
             rule: Some(format!("route {}", self.route.name)),
             revision: rules::Revision(self.shared.version()),
             not_repeatable,
@@ -72,7 +75,7 @@
     }
 }
 
-fn name_of(wanted: &dialect::Wanted) -> String {
+fn target_name(wanted: &dialect::Wanted) -> String {
     match &wanted.adapter {
         Some(adapter) => format!("{}/{adapter}", wanted.model),
         None => wanted.model.clone(),
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -7,16 +7,16 @@
 use crate::gateway::allowances;
 
 /// How long an endpoint with a limit is left alone where no process answers that keeps it.
-const NOBODY_KEEPS_IT: time::Millis = time::Millis(1_000);
+const UNKNOWN_LIMIT_PAUSE: time::Millis = time::Millis(1_000);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Takes note of what the endpoint of `pick` says of itself in an answer.
-    pub(super) fn heed(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
+    pub(super) fn apply_notice(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
         if !answered.is_of(&pick.instance) {
             return;
         }
         if answered.notice.leaves {
-            self.shared.leaves(&pick.instance);
+            self.shared.mark_leaving(&pick.instance);
         }
         if let Some(span) = answered.notice.rest {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
@@ -50,7 +50,7 @@
         let span = match allowances::ask(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
-            allowance::Next::Nobody => NOBODY_KEEPS_IT,
+            allowance::Next::Nobody => UNKNOWN_LIMIT_PAUSE,
         };
         ::log::debug!(request = self.id(), endpoint:% = pick.instance, span_ms = span.0;
             "gateway: endpoint is left alone");
@@ -61,7 +61,7 @@
     }
 
     /// Counts a request that goes to an endpoint with a limit.
-    pub(super) fn count_sending(&self, pick: &chooser::Pick) {
+    pub(super) fn count_send(&self, pick: &chooser::Pick) {
         let now = self.shared.clock.now();
         let change = self
             .shared
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -6,16 +6,16 @@
 use sageshed_http::reply;
 use sageshed_types::{account, refusal, time, verdict};
 
-use super::{BACK_SOON, ProxiedRequest};
+use super::{DEFAULT_RETRY_AFTER, ProxiedRequest};
 use crate::{
-    gateway::{answer::Outlet, metrics, refuse},
+    gateway::{metrics, refuse, response::ResponseSink},
     sampler,
 };
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// The final answer for a request whose time is over.
     pub(super) fn out_of_time(&self) -> refusal::Refusal {
-        self.give_up(
+        self.final_refusal(
             verdict::Reason::DeadlinePassed,
             "its time is over".to_owned(),
         )
@@ -35,7 +35,7 @@
                 "all endpoints that could take it have asked for nothing more for now"
             }
         };
-        let refusal = self.give_up(verdict::Reason::NoRoute, detail.to_owned());
+        let refusal = self.final_refusal(verdict::Reason::NoRoute, detail.to_owned());
         match refusal.retry_after {
             // There will be room when the load is done, and not before.
             Some(soon) => refusal.retry_after(soon.max(load)),
@@ -44,9 +44,13 @@
     }
 
     /// What a request is told that is given up. The status says truly whether it may have run.
-    pub(super) fn give_up(&self, reason: verdict::Reason, detail: String) -> refusal::Refusal {
-        if self.runs == 0 {
-            return refuse::not_run(reason, detail, BACK_SOON);
+    pub(super) fn final_refusal(
+        &self,
+        reason: verdict::Reason,
+        detail: String,
+    ) -> refusal::Refusal {
+        if self.possible_runs == 0 {
+            return refuse::not_run(reason, detail, DEFAULT_RETRY_AFTER);
         }
         let verdict = verdict::Verdict::MayHaveRun;
         let reason = match reason {
@@ -56,49 +60,50 @@
         refusal::Refusal::new(reason, verdict, detail)
     }
 
-    pub(super) fn refused(
+    pub(super) fn finish_refused(
         &mut self,
-        outlet: Outlet<'_>,
+        sink: ResponseSink<'_>,
         refusal: &refusal::Refusal,
     ) -> reply::Sent {
-        self.give_charge_back();
+        self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
             workspace = self.workspace_name(), config = self.shared.version(), model = self.model_name(), status = refusal.status,
             reason:% = refusal.reason, detail = refusal.detail.as_str(), verdict:% = refusal.verdict,
-            waited_for = self.waited_for_word(), arrivals = self.arrivals,
-            repeat = if self.lacks_repeat { "none left" } else { "" }, left_ms = self.left_ms().0; "gateway: request refused");
-        self.note(metrics::End::Refused, refusal.status);
+            waited_for = self.waited_for_word(), arrivals = self.deliveries,
+            repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0; "gateway: request refused");
+        self.record_end(metrics::End::Refused, refusal.status);
         self.keep_account(account::End::Refused(refusal.clone()));
-        outlet.refuse("", refusal)
+        sink.refuse("", refusal)
     }
 
-    pub(super) fn left(&mut self, outlet: Outlet<'_>) -> reply::Sent {
-        self.give_charge_back();
+    pub(super) fn finish_caller_gone(&mut self, sink: ResponseSink<'_>) -> reply::Sent {
+        self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
             workspace = self.workspace_name(), model = self.model_name(), waited_for = self.waited_for_word(),
-            arrivals = self.arrivals, left_ms = self.left_ms().0,
+            arrivals = self.deliveries, left_ms = self.time_left().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
-        self.note(metrics::End::CallerGone, 0);
+        self.record_end(metrics::End::CallerGone, 0);
         self.keep_account(account::End::CallerGone);
         let detail = "the caller closed its connection";
-        let refusal = self.give_up(verdict::Reason::DeadlinePassed, detail.to_owned());
-        outlet.refuse("", &refusal)
+        let refusal = self.final_refusal(verdict::Reason::DeadlinePassed, detail.to_owned());
+        sink.refuse("", &refusal)
     }
 
     /// Notes a request that is answered, with what its endpoint was chosen by.
-    pub(super) fn answered(
+    pub(super) fn finish_answered(
         &mut self,
         pick: &chooser::Pick,
         status: u16,
         bytes: u64,
         sent_at: std_time::Instant,
     ) {
-        let took = self.note(metrics::End::Answered, status);
+        let took = self.record_end(metrics::End::Answered, status);
         if (200..300).contains(&status) {
-            self.clear_of_ends();
+            self.clear_crash_suspicion();
         }
-        let outcome = self.paces.outcome();
-        self.story.came_to(verdict::Verdict::Ran, &outcome);
+        let outcome = self.timings.describe();
+        self.attempt_log
+            .record_outcome(verdict::Verdict::Ran, &outcome);
         self.keep_account(account::End::Answered { status, bytes });
         let line = self.shared.sampler.line(self.shared.clock.now());
         if let sampler::Line::WriteAfter(left_out) = line {
@@ -112,9 +117,9 @@
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
             model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
             waited_for = self.waited_for_word(), objective_ms = self.route.objective.0,
-            pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.runs, sent_ms = time::Millis::from(sent).0,
-            first_ms = time::Millis::from(self.paces.first).0,
-            pause_ms = time::Millis::from(self.paces.longest).0,
+            pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
+            first_ms = time::Millis::from(self.timings.first_event).0,
+            pause_ms = time::Millis::from(self.timings.longest_pause).0,
             took_ms = time::Millis::from(took).0; "gateway: request answered");
     }
 
@@ -135,12 +140,14 @@
     }
 
     /// Counts a request that has ended. Returns how long it took.
-    fn note(&self, end: metrics::End, status: u16) -> std_time::Duration {
+    fn record_end(&self, end: metrics::End, status: u16) -> std_time::Duration {
         let took = self.req.received.elapsed();
         self.shared
             .metrics
             .ended(self.service, self.priority(), end, status, took);
-        self.shared.metrics.of_workspace(self.workspace_name(), end);
+        self.shared
+            .metrics
+            .workspace_ended(self.workspace_name(), end);
         took
     }
 }
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -11,7 +11,7 @@
     ///
     /// A connection that is closed inside an answer says little: links break, and endpoints spoil answers. An
     /// endpoint at whose port nobody listens any more, and which did not say that it stops, has crashed.
-    pub(super) fn note_end(&self, pick: &chooser::Pick, cause: failure::Cause) {
+    pub(super) fn note_crash(&self, pick: &chooser::Pick, cause: failure::Cause) {
         let is_closed = matches!(
             cause,
             failure::Cause::ClosedBeforeAnswer | failure::Cause::ClosedInAnswer
@@ -35,7 +35,7 @@
     }
 
     /// The request was answered whole: it is not what has ended endpoints that it ran at.
-    pub(super) fn clear_of_ends(&self) {
+    pub(super) fn clear_crash_suspicion(&self) {
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.quarantine.answered(now, self.content));
@@ -45,7 +45,7 @@
     ///
     /// Looked at before each sending, not only when the request comes: what waits here or goes on elsewhere may
     /// be held by what was learnt meanwhile.
-    pub(super) fn refuse_held(&self) -> Option<refusal::Refusal> {
+    pub(super) fn refuse_quarantined(&self) -> Option<refusal::Refusal> {
         let now = self.shared.clock.now();
         let left = self
             .shared
@@ -55,7 +55,7 @@
             quarantine::ENDS,
             left.0 / 1_000
         );
-        let refusal = self.give_up(verdict::Reason::Quarantined, detail);
+        let refusal = self.final_refusal(verdict::Reason::Quarantined, detail);
         // One that has run here is told nothing of when to come back: it may have run.
         Some(match refusal.retry_after {
             Some(_) => refusal.retry_after(left),
--- a/src/sageshed/gateway/proxy/home.rs
+++ b/src/sageshed/gateway/proxy/home.rs
@@ -5,11 +5,11 @@
 use sageshed_fleet::{chooser, dialect, neighbours};
 use sageshed_types::{refusal, time, verdict};
 
-use super::{BACK_SOON, ProxiedRequest, waiting::READ_RESERVE};
+use super::{DEFAULT_RETRY_AFTER, ProxiedRequest, waiting::PREFILL_RESERVE};
 use crate::gateway::{self, state};
 
 /// Between two questions to the home of a model on behalf of one request that waits.
-const ASK_AGAIN: std_time::Duration = std_time::Duration::from_millis(40);
+const QUERY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(40);
 
 /// Follows the advice of the home of the model, where it gave one, and else chooses by what is known here.
 pub(super) fn decide(
@@ -31,24 +31,27 @@
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Asks the home of the model where the request is to go, and not again within [`ASK_AGAIN`].
-    pub(super) fn ask_home(
+    /// Asks the home of the model where the request is to go, and not again within [`QUERY_INTERVAL`].
+    pub(super) fn query_coordinator(
         &self,
         ask: &chooser::Ask<'_>,
-        asked_at: &mut Option<std_time::Instant>,
+        queried_at: &mut Option<std_time::Instant>,
     ) -> Option<neighbours::Place> {
-        if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
+        if queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
             return Some(neighbours::Place::Wait { expected: None });
         }
         let request = neighbours::key(self.id());
         let place = gateway::neighbours::ask(self.shared, request, ask);
-        *asked_at = place.map(|_| std_time::Instant::now());
+        *queried_at = place.map(|_| std_time::Instant::now());
         place
     }
 
     /// Counts what the request asks for, once.
-    pub(super) fn count(&self, place: Option<neighbours::Place>) {
-        let Some(wanted) = self.wanted.filter(|_| !self.is_counted.replace(true)) else {
+    pub(super) fn count_demand(&self, place: Option<neighbours::Place>) {
+        let Some(wanted) = self
+            .wanted
+            .filter(|_| !self.is_demand_counted.replace(true))
+        else {
             return;
         };
         let kept = match place {
@@ -56,11 +59,11 @@
             _ => None,
         };
         self.shared
-            .with_core(|core| core.ask(self.service, wanted, self.passing, kept));
+            .with_core(|core| core.count_demand(self.service, wanted, self.passing, kept));
     }
 
     /// The refusal of a request that can't be reached in its time, by all that wait for its model anywhere.
-    pub(super) fn hopeless_by_home(
+    pub(super) fn refuse_by_coordinator(
         &self,
         place: Option<neighbours::Place>,
         left: time::Millis,
@@ -69,14 +72,14 @@
             return None;
         };
         let expected = expected.unwrap_or_default();
-        if expected + READ_RESERVE <= left {
+        if expected + PREFILL_RESERVE <= left {
             return None;
         }
         let detail = format!(
             "those that wait for the model take {} ms, and {} ms are left",
             expected.0, left.0
         );
-        let refusal = self.give_up(verdict::Reason::DeadlineUnmeetable, detail);
-        Some(refusal.retry_after(expected.max(BACK_SOON)))
+        let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
+        Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 }
--- a/src/sageshed/gateway/proxy/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -29,7 +29,7 @@
     ///
     /// A request may wait for seconds. Sent by what held when it came, it would run for a workspace that has
     /// lost the key, or under the name of the one that held the key before.
-    pub(super) fn refuse_withdrawn(&mut self) -> Option<refusal::Refusal> {
+    pub(super) fn refuse_revoked_key(&mut self) -> Option<refusal::Refusal> {
         let routing = self.shared.routing()?;
         if routing.config.version == self.identified_by {
             return None;
@@ -41,10 +41,10 @@
                 self.workspace = workspace;
                 None
             }
-            Err(refusal) if self.runs == 0 => Some(refusal),
+            Err(refusal) if self.possible_runs == 0 => Some(refusal),
             Err(refusal) => {
-                let detail = format!("{}; {}", self.last, refusal.detail);
-                Some(self.give_up(verdict::Reason::EndpointFailed, detail))
+                let detail = format!("{}; {}", self.last_failure, refusal.detail);
+                Some(self.final_refusal(verdict::Reason::EndpointFailed, detail))
             }
         }
     }
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -29,13 +29,13 @@
 use sageshed_http::{handler, reply, request};
 use sageshed_types::{arena, refusal, time, verdict};
 
-use super::{answer::Outlet, refuse, routing, state};
+use super::{refuse, response::ResponseSink, routing, state};
 
 /// When a request comes back that was turned away since it can't be in time now.
-const BACK_SOON: time::Millis = time::Millis(300);
+const DEFAULT_RETRY_AFTER: time::Millis = time::Millis(300);
 
 /// How often the events of one stream tell that its endpoint lives.
-const TOLD_EVERY: std_time::Duration = std_time::Duration::from_millis(200);
+const ACTIVITY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(200);
 
 /// Takes callers' requests.
 #[derive(Debug)]
@@ -53,12 +53,14 @@
             .routing_soon(req.received, deadline, || watch.caller_gone());
         let Some(routing) = routing else {
             let detail = "no configuration is known here yet";
-            let refusal = refuse::not_run(verdict::Reason::NotConfirmed, detail, BACK_SOON);
+            let refusal =
+                refuse::not_run(verdict::Reason::NotConfirmed, detail, DEFAULT_RETRY_AFTER);
             return self.refuse_unrouted(&req, reply, &refusal);
         };
         if self.shared.is_out_of_date() {
             let detail = "a newer configuration is in force, and is not known here yet";
-            let refusal = refuse::not_run(verdict::Reason::NotConfirmed, detail, BACK_SOON);
+            let refusal =
+                refuse::not_run(verdict::Reason::NotConfirmed, detail, DEFAULT_RETRY_AFTER);
             return self.refuse_unrouted(&req, reply, &refusal);
         }
         // A stream that began before the stop has promised to keep its connection, and its caller may
@@ -105,7 +107,7 @@
                 proxied.workspace = workspace;
                 proxied.run(reply)
             }
-            Err(refusal) => proxied.refused(Outlet::Fresh(reply), &refusal),
+            Err(refusal) => proxied.finish_refused(ResponseSink::NotStarted(reply), &refusal),
         }
     }
 
@@ -136,25 +138,25 @@
 }
 
 /// What to do next with a request.
-enum Step {
+enum NextStep {
     /// Send it.
     Send(chooser::Pick),
     /// Give it up.
     Refuse(refusal::Refusal),
     /// Nobody waits for it any more.
-    Gone,
+    CallerGone,
 }
 
 /// What came of sending a request.
-enum Sending<'c> {
+enum AttemptResult<'c> {
     /// It is answered.
     Done(reply::Sent),
     /// It goes on elsewhere.
-    Again(Outlet<'c>),
+    Retry(ResponseSink<'c>),
     /// It is given up.
-    Refuse(Outlet<'c>, refusal::Refusal),
+    Refuse(ResponseSink<'c>, refusal::Refusal),
     /// Nobody waits for it any more.
-    Gone(Outlet<'c>),
+    CallerGone(ResponseSink<'c>),
 }
 
 /// One request.
@@ -176,64 +178,66 @@
     /// The model that it is for, as the configuration offers it.
     model: Option<&'a config::Model>,
     /// When its final answer is due.
-    until: std_time::Instant,
-    tried: Vec<arena::EndpointKey>,
+    deadline: std_time::Instant,
+    tried_endpoints: Vec<arena::EndpointKey>,
     /// Endpoints that may have run it.
-    runs: u32,
+    possible_runs: u32,
     /// Endpoints that it arrived at.
-    arrivals: u32,
-    last: String,
+    deliveries: u32,
+    last_failure: String,
     /// What it asks for was counted for the leader.
-    is_counted: cell::Cell<bool>,
+    is_demand_counted: cell::Cell<bool>,
     /// What was taken of its workspace's quota for its next sending.
-    charge: Option<quota::Charge>,
+    next_charge: Option<quota::Charge>,
     /// The same for the sending under way.
-    used: Option<quota::Charge>,
+    committed_charge: Option<quota::Charge>,
     /// A repeat was taken out of the budget for its next sending.
-    repeat_in_hand: bool,
+    has_retry_token: bool,
     /// It could have been sent once more, and the budget for repeats was spent.
-    lacks_repeat: bool,
+    is_retry_budget_spent: bool,
     /// What it waits for here, or waited for last.
     waited_for: Option<chooser::Missing>,
-    paces: Paces,
-    story: attempt_log::AttemptLog,
+    timings: StreamTimings,
+    attempt_log: attempt_log::AttemptLog,
 }
 
 /// When the pieces of a stream came, for the log: a stream is late by one long pause.
 #[derive(Debug, Default)]
-struct Paces {
-    first: std_time::Duration,
-    longest: std_time::Duration,
-    last: Option<std_time::Instant>,
-    told: Option<std_time::Instant>,
+struct StreamTimings {
+    first_event: std_time::Duration,
+    longest_pause: std_time::Duration,
+    last_chunk: Option<std_time::Instant>,
+    activity_recorded: Option<std_time::Instant>,
 }
 
-impl Paces {
+impl StreamTimings {
     /// The stream has begun; not for the first time where it goes on elsewhere.
-    fn begun(&mut self, received: std_time::Instant) {
-        if self.last.is_none() {
-            self.first = received.elapsed();
+    fn record_start(&mut self, received: std_time::Instant) {
+        if self.last_chunk.is_none() {
+            self.first_event = received.elapsed();
         }
     }
 
     /// The paces of an answer in a few words.
-    fn outcome(&self) -> String {
-        if self.last.is_none() {
+    fn describe(&self) -> String {
+        if self.last_chunk.is_none() {
             return "answered".to_owned();
         }
-        let (first, longest) = (self.first.as_millis(), self.longest.as_millis());
+        let (first, longest) = (self.first_event.as_millis(), self.longest_pause.as_millis());
         format!("answered; its stream began after {first} ms, its longest pause was {longest} ms")
     }
 
     /// Notes a piece. Returns whether it is time to tell that the endpoint lives.
-    fn piece(&mut self) -> bool {
+    fn record_chunk(&mut self) -> bool {
         let now = std_time::Instant::now();
-        if let Some(last) = self.last.replace(now) {
-            self.longest = self.longest.max(now - last);
+        if let Some(last) = self.last_chunk.replace(now) {
+            self.longest_pause = self.longest_pause.max(now - last);
         }
-        let is_due = self.told.is_none_or(|at| now - at >= TOLD_EVERY);
+        let is_due = self
+            .activity_recorded
+            .is_none_or(|at| now - at >= ACTIVITY_INTERVAL);
         if is_due {
-            self.told = Some(now);
+            self.activity_recorded = Some(now);
         }
         is_due
     }
@@ -267,43 +271,45 @@
             service,
             wanted,
             model: named.next(),
-            until: req.received + span.into(),
-            tried: Vec::new(),
-            runs: 0,
-            arrivals: 0,
-            last: String::new(),
-            is_counted: cell::Cell::new(false),
-            charge: None,
-            used: None,
-            repeat_in_hand: false,
-            lacks_repeat: false,
+            deadline: req.received + span.into(),
+            tried_endpoints: Vec::new(),
+            possible_runs: 0,
+            deliveries: 0,
+            last_failure: String::new(),
+            is_demand_counted: cell::Cell::new(false),
+            next_charge: None,
+            committed_charge: None,
+            has_retry_token: false,
+            is_retry_budget_spent: false,
             waited_for: None,
-            paces: Paces::default(),
-            story: attempt_log::AttemptLog::default(),
+            timings: StreamTimings::default(),
+            attempt_log: attempt_log::AttemptLog::default(),
         }
     }
 
     fn run(mut self, reply: reply::Reply<'_>) -> reply::Sent {
         let watch = reply.watch();
-        let mut outlet = Outlet::Fresh(reply);
+        let mut sink = ResponseSink::NotStarted(reply);
         let now = self.shared.clock.now();
         self.shared.with_core(|core| {
             core.budget.request(now, self.service);
         });
-        if let Some(refusal) = self.charge() {
-            return self.refused(outlet, &refusal);
+        if let Some(refusal) = self.charge_quota() {
+            return self.finish_refused(sink, &refusal);
         }
         loop {
             let pick = match self.next(&watch) {
-                Step::Send(pick) => pick,
-                Step::Refuse(refusal) => return self.refused(outlet, &refusal),
-                Step::Gone => return self.left(outlet),
+                NextStep::Send(pick) => pick,
+                NextStep::Refuse(refusal) => return self.finish_refused(sink, &refusal),
+                NextStep::CallerGone => return self.finish_caller_gone(sink),
             };
-            match self.send(&pick, outlet, &watch) {
-                Sending::Done(sent) => return sent,
-                Sending::Again(back) => outlet = back,
-                Sending::Refuse(outlet, refusal) => return self.refused(outlet, &refusal),
-                Sending::Gone(outlet) => return self.left(outlet),
+            match self.send(&pick, sink, &watch) {
+                AttemptResult::Done(sent) => return sent,
+                AttemptResult::Retry(back) => sink = back,
+                AttemptResult::Refuse(sink, refusal) => {
+                    return self.finish_refused(sink, &refusal);
+                }
+                AttemptResult::CallerGone(sink) => return self.finish_caller_gone(sink),
             }
         }
     }
@@ -312,9 +318,9 @@
         self.passing.id.as_deref().unwrap_or_default()
     }
 
-    fn left_ms(&self) -> time::Millis {
+    fn time_left(&self) -> time::Millis {
         let left = self
-            .until
+            .deadline
             .saturating_duration_since(std_time::Instant::now());
         left.into()
     }
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -15,10 +15,10 @@
 
 /// After this a charge is given back and taken anew before the request is sent. Sixteen of it fit into the span
 /// over which quotas are judged.
-const RENEWED_AFTER: std_time::Duration = std_time::Duration::from_millis(500);
+const CHARGE_LIFETIME: std_time::Duration = std_time::Duration::from_millis(500);
 
 /// After this a charge is not given back any more: that much may have grown anew, and be in use.
-const GIVEN_BACK_WITHIN: std_time::Duration = std_time::Duration::from_secs(2);
+const REFUND_WINDOW: std_time::Duration = std_time::Duration::from_secs(2);
 
 /// What was taken of a quota for one sending.
 #[derive(Debug, Clone, Copy)]
@@ -31,19 +31,19 @@
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Takes what the request needs of its workspace's quota for its next sending, unless it has that. Returns
     /// the refusal if that is used up.
-    pub(super) fn charge(&mut self) -> Option<refusal::Refusal> {
+    pub(super) fn charge_quota(&mut self) -> Option<refusal::Refusal> {
         let workspace = self.workspace.clone()?;
-        let units = self.units(workspace.quota?.unit);
+        let units = self.quota_units(workspace.quota?.unit);
         let of = allowance::Key::of_workspace(&workspace.name);
-        if self.charge.is_some_and(|it| it.of != of) {
+        if self.next_charge.is_some_and(|it| it.of != of) {
             // The key has moved to another workspace while the request waited.
-            self.give_charge_back();
+            self.refund_charge();
         }
-        let is_fresh = |it: Charge| it.at.elapsed() < RENEWED_AFTER;
-        if self.charge.is_some_and(is_fresh) {
+        let is_fresh = |it: Charge| it.at.elapsed() < CHARGE_LIFETIME;
+        if self.next_charge.is_some_and(is_fresh) {
             return None;
         }
-        let held = self.charge.take();
+        let held = self.next_charge.take();
         let draw = allowance::Draw {
             id: 0,
             of,
@@ -58,26 +58,26 @@
                     "the quota of workspace {} is used up; this request takes {units} of it",
                     workspace.name
                 );
-                let refusal = self.give_up(verdict::Reason::CallerLimit, detail);
-                Some(after_quota(refusal, after))
+                let refusal = self.final_refusal(verdict::Reason::CallerLimit, detail);
+                Some(with_quota_delay(refusal, after))
             }
             allowance::Next::Nobody => {
                 let detail = format!(
                     "no process answers that keeps the quota of workspace {}",
                     workspace.name
                 );
-                Some(self.give_up(verdict::Reason::NotConfirmed, detail))
+                Some(self.final_refusal(verdict::Reason::NotConfirmed, detail))
             }
             allowance::Next::Granted | allowance::Next::Ask(..) => {
                 let at = std_time::Instant::now();
-                self.charge = Some(Charge { of, units, at });
+                self.next_charge = Some(Charge { of, units, at });
                 None
             }
         }
     }
 
     /// What the request takes of a quota in this unit.
-    fn units(&self, unit: config::Unit) -> f64 {
+    fn quota_units(&self, unit: config::Unit) -> f64 {
         let (prompt, output) = (self.passing.prompt_tokens, self.passing.output_tokens);
         // A caller may declare any number: wrapped around, the largest would count as none.
         let declared = prompt.saturating_add(output);
@@ -89,19 +89,19 @@
     }
 
     /// The request goes out: what was taken is used, unless the endpoint says that it has not run.
-    pub(super) fn use_charge(&mut self) {
-        self.used = self.charge.take();
+    pub(super) fn commit_charge(&mut self) {
+        self.committed_charge = self.next_charge.take();
     }
 
     /// The request has not run and never will: what was taken for it is there for its next sending.
-    pub(super) fn unuse_charge(&mut self) {
-        self.charge = self.used.take();
+    pub(super) fn restore_charge(&mut self) {
+        self.next_charge = self.committed_charge.take();
     }
 
     /// Gives back what was taken for a sending that does not take place.
-    pub(super) fn give_charge_back(&mut self) {
-        let charge = self.charge.take();
-        let charge = charge.filter(|it| it.at.elapsed() < GIVEN_BACK_WITHIN);
+    pub(super) fn refund_charge(&mut self) {
+        let charge = self.next_charge.take();
+        let charge = charge.filter(|it| it.at.elapsed() < REFUND_WINDOW);
         if let Some(Charge { of, units, .. }) = charge {
             allowances::give_back(self.shared, of, units);
         }
@@ -110,7 +110,7 @@
 
 /// A refusal for want of quota says when that will have grown; one of a request that may have run says nothing of
 /// when to come back.
-fn after_quota(refusal: refusal::Refusal, after: time::Millis) -> refusal::Refusal {
+fn with_quota_delay(refusal: refusal::Refusal, after: time::Millis) -> refusal::Refusal {
     if refusal.verdict != verdict::Verdict::NotRun {
         return refusal;
     }
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -6,12 +6,12 @@
 use sageshed_types::time;
 use sageshed_upstream::{exchange, failure};
 
-use super::{ProxiedRequest, Sending};
-use crate::gateway::{answer::Outlet, neighbours};
+use super::{AttemptResult, ProxiedRequest};
+use crate::gateway::{neighbours, response::ResponseSink};
 
 /// A stream that may go on elsewhere does so after this silence between two events: callers leave a
 /// stream after two seconds of it.
-const STREAM_SILENCE: std_time::Duration = std_time::Duration::from_secs(1);
+const MAX_EVENT_GAP: std_time::Duration = std_time::Duration::from_secs(1);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Passes a stream on, event by event.
@@ -19,33 +19,33 @@
         &mut self,
         pick: &chooser::Pick,
         mut exchange: exchange::Exchange,
-        outlet: Outlet<'c>,
+        sink: ResponseSink<'c>,
         sent_at: std_time::Instant,
         stop: &impl Fn() -> bool,
         load: Option<dialect::Load>,
-    ) -> Sending<'c> {
-        let can_resume = !outlet.is_begun() || outlet.last_id().is_some();
-        let mut piece = match self.next_piece(pick, &mut exchange, stop, can_resume) {
+    ) -> AttemptResult<'c> {
+        let can_resume = !sink.has_started() || sink.last_id().is_some();
+        let mut piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
             Ok(piece) => piece,
-            Err(failure) => return self.failed_after_run(pick, outlet, false, &failure),
+            Err(failure) => return self.handle_failed_run(pick, sink, false, &failure),
         };
-        self.began(pick, sent_at, load);
-        self.paces.begun(self.req.received);
-        let (mut stream, mut events) = outlet.begin(&exchange.head);
+        self.record_start(pick, sent_at, load);
+        self.timings.record_start(self.req.received);
+        let (mut stream, mut events) = sink.start_stream(&exchange.head);
         let mut passed_on: u64 = 0;
         loop {
             match piece {
                 exchange::Piece::Bytes(bytes) => {
                     let whole = events.push(self.shared.dialect, &bytes);
                     passed_on += whole.len() as u64;
-                    if self.paces.piece() {
+                    if self.timings.record_chunk() {
                         let now = self.shared.clock.now();
                         self.shared
                             .with_core(|core| core.chooser.heard_from(now, pick));
                     }
                     if stream.send(&whole).is_err() {
-                        self.ended(pick, true, chooser::Ended::GivenUp);
-                        return Sending::Gone(Outlet::Begun(stream, events));
+                        self.end_attempt(pick, true, chooser::Ended::GivenUp);
+                        return AttemptResult::CallerGone(ResponseSink::Streaming(stream, events));
                     }
                 }
                 exchange::Piece::End => {
@@ -54,23 +54,23 @@
                     if stream.send(&rest).is_err() {
                         ::log::info!(request = self.id(); "gateway: caller left at the end of its stream");
                     }
-                    self.ended(pick, true, chooser::Ended::Answered);
-                    self.tell_pause(pick);
+                    self.end_attempt(pick, true, chooser::Ended::Answered);
+                    self.record_pauses(pick);
                     let exchange_status = exchange.head.status;
                     self.shared.pool.keep(pick.address, exchange);
-                    self.answered(pick, exchange_status, bytes, sent_at);
-                    return Sending::Done(stream.finish());
+                    self.finish_answered(pick, exchange_status, bytes, sent_at);
+                    return AttemptResult::Done(stream.finish());
                 }
             }
             let can_resume = events.last_id.is_some();
-            piece = match self.next_piece(pick, &mut exchange, stop, can_resume) {
+            piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
                 Ok(piece) => piece,
                 Err(failure) => {
                     events.drop_rest();
                     // Closed before the stream goes on elsewhere, so that the run there ends.
                     drop(exchange);
-                    let outlet = Outlet::Begun(stream, events);
-                    return self.failed_after_run(pick, outlet, true, &failure);
+                    let sink = ResponseSink::Streaming(stream, events);
+                    return self.handle_failed_run(pick, sink, true, &failure);
                 }
             };
         }
@@ -81,7 +81,7 @@
     /// A stream that is silent for long is left only for an engine that could go on with it, and with a repeat in
     /// hand. Most often its engine has much to read and the stream goes on by itself; left without either it goes on
     /// nowhere, and its caller loses an answer of which the rest was to come.
-    fn next_piece<S: Fn() -> bool>(
+    fn next_chunk<S: Fn() -> bool>(
         &mut self,
         pick: &chooser::Pick,
         exchange: &mut exchange::Exchange,
@@ -89,25 +89,26 @@
         can_resume: bool,
     ) -> Result<exchange::Piece, failure::Failure> {
         loop {
-            let goes_on = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+            let goes_on =
+                self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
             let may_leave = goes_on && can_resume;
             let until = if may_leave {
-                self.until.min(std_time::Instant::now() + STREAM_SILENCE)
+                self.deadline.min(std_time::Instant::now() + MAX_EVENT_GAP)
             } else {
-                self.until
+                self.deadline
             };
             let read = exchange.read(&exchange::Patience { until, stop });
             let is_silent = matches!(&read, Err(e) if e.cause == failure::Cause::Silent);
-            let is_over = self.left_ms() == time::Millis(0);
-            if !is_silent || is_over || (self.has_free_beside(pick) && self.take_repeat()) {
+            let is_over = self.time_left() == time::Millis(0);
+            if !is_silent || is_over || (self.has_free_alternative(pick) && self.acquire_retry()) {
                 return read;
             }
         }
     }
 
     /// Whether an endpoint other than that of `pick` could begin with the request now.
-    fn has_free_beside(&self, pick: &chooser::Pick) -> bool {
-        let mut tried = self.tried.clone();
+    fn has_free_alternative(&self, pick: &chooser::Pick) -> bool {
+        let mut tried = self.tried_endpoints.clone();
         tried.push(pick.key);
         let ask = chooser::Ask {
             service: self.service,
@@ -115,7 +116,7 @@
             parts: &self.passing.parts,
             prompt_tokens: self.passing.prompt_tokens,
             tried: &tried,
-            left: self.left_ms(),
+            left: self.time_left(),
             patience: time::Millis(0),
             on_time: time::Millis(0),
             may_be_late: false,
@@ -127,12 +128,12 @@
     }
 
     /// Lets the chooser learn from the pauses of a stream that came whole.
-    fn tell_pause(&self, pick: &chooser::Pick) {
+    fn record_pauses(&self, pick: &chooser::Pick) {
         let Some(limit) = self.route.pause else {
             return;
         };
         let now = self.shared.clock.now();
-        let (first, longest) = (self.paces.first, self.paces.longest);
+        let (first, longest) = (self.timings.first_event, self.timings.longest_pause);
         let lasted = self.req.received.elapsed().saturating_sub(first);
         let pauses = chooser::Pauses {
             lasted: lasted.into(),
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -9,44 +9,44 @@
 use sageshed_http::reply;
 use sageshed_types::{refusal, time, verdict};
 
-use super::{BACK_SOON, ProxiedRequest, Step, home};
-use crate::gateway::state::LOOK;
+use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, home};
+use crate::gateway::state::CALLER_CHECK_INTERVAL;
 
 /// What must be left of the time for a late request to let others go first. Callers leave a stream of
 /// which nothing came for two seconds and more.
-const LATE_RESERVE: time::Millis = time::Millis(2_000);
+const MIN_TIME_LEFT_IF_LATE: time::Millis = time::Millis(2_000);
 
 /// What must be left once the requests before it are read, for a request to wait on.
-pub(super) const READ_RESERVE: time::Millis = time::Millis(800);
+pub(super) const PREFILL_RESERVE: time::Millis = time::Millis(800);
 
 /// Added to the time of a load: room has to be made first, and others may load too.
-const LOAD_SLACK: time::Millis = time::Millis(3_000);
+const LOAD_MARGIN: time::Millis = time::Millis(3_000);
 
 /// The part of its objective that a request waits for an engine that reads little, in hundredths.
-const CALM_PATIENCE: u64 = 35;
+const IDLE_ENGINE_WAIT_PERCENT: u64 = 35;
 
 /// How often an adapter is asked for on behalf of one request.
-const FETCHES: u32 = 3;
+const MAX_ADAPTER_REQUESTS: u32 = 3;
 
 /// How long one such question is given. An adapter is there after some 30 ms.
-const FETCH_WAIT: std_time::Duration = std_time::Duration::from_millis(80);
+const ADAPTER_REQUEST_WAIT: std_time::Duration = std_time::Duration::from_millis(80);
 
 /// The part of its objective that a request waits for a place, in hundredths.
-const PLACE_PATIENCE: u64 = 60;
+const SLOT_WAIT_PERCENT: u64 = 60;
 
 /// Whether a request may be sent to the endpoint that was chosen.
-enum Leave {
+enum Permission {
     /// It may, and what it takes for that is taken.
-    Given,
+    Granted,
     /// Not to this one, for now.
-    Elsewhere,
+    OtherEndpoint,
     /// Nowhere.
     Refused(refusal::Refusal),
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Chooses where to send the request next, and waits as long as that makes sense.
-    pub(super) fn next(&mut self, watch: &reply::Watch) -> Step {
+    pub(super) fn next(&mut self, watch: &reply::Watch) -> NextStep {
         let mut ticket = None;
         let step = self.next_with(watch, &mut ticket);
         if let Some(ticket) = ticket {
@@ -55,27 +55,27 @@
                 .shared
                 .with_core(|core| core.backlog.leave(model, ticket));
             if others_wait {
-                self.shared.place_freed();
+                self.shared.wake_waiting();
             }
         }
         step
     }
 
-    fn next_with(&mut self, watch: &reply::Watch, ticket: &mut Option<u64>) -> Step {
+    fn next_with(&mut self, watch: &reply::Watch, ticket: &mut Option<u64>) -> NextStep {
         let arrived = std_time::Instant::now();
-        let mut told_waiting = false;
-        let mut asked_at = None;
-        let mut fetches = 0;
+        let mut reported_waiting = false;
+        let mut queried_at = None;
+        let mut adapter_requests = 0;
         // Where the adapter was asked for first. Of engines that are equal another might be chosen the
         // next time, and the adapter be loaded on both.
-        let mut fetched_on: Option<directory::InstanceId> = None;
+        let mut adapter_engine: Option<directory::InstanceId> = None;
         loop {
             if watch.caller_gone() {
-                return Step::Gone;
+                return NextStep::CallerGone;
             }
-            let left = self.left_ms();
-            if let Some(refusal) = self.may_wait_no_more(left) {
-                return Step::Refuse(refusal);
+            let left = self.time_left();
+            if let Some(refusal) = self.refuse_ended_wait(left) {
+                return NextStep::Refuse(refusal);
             }
             let now = self.shared.clock.now();
             let ask = chooser::Ask {
@@ -83,20 +83,20 @@
                 wanted: self.wanted,
                 parts: &self.passing.parts,
                 prompt_tokens: self.passing.prompt_tokens,
-                tried: &self.tried,
+                tried: &self.tried_endpoints,
                 left,
                 patience: time::Millis::from(
-                    self.calm_patience().saturating_sub(arrived.elapsed()),
+                    self.idle_engine_wait().saturating_sub(arrived.elapsed()),
                 ),
                 on_time: self.on_time(),
-                may_be_late: left > LATE_RESERVE,
-                may_fetch: fetches < FETCHES,
+                may_be_late: left > MIN_TIME_LEFT_IF_LATE,
+                may_fetch: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
-            let in_line = self.waiter(now);
-            let place = self.ask_home(&ask, &mut asked_at);
-            self.count(place);
+            let queued_here = self.queued_request(now);
+            let place = self.query_coordinator(&ask, &mut queried_at);
+            self.count_demand(place);
             let (choice, seen) = self.shared.with_core(|core| {
-                let is_preceded = in_line.as_ref().is_some_and(|it| {
+                let is_preceded = queued_here.as_ref().is_some_and(|it| {
                     let model = self.model_name();
                     core.backlog.is_preceded(now, model, it, *ticket)
                 });
@@ -108,12 +108,12 @@
                 (choice, core.changes())
             });
             let missing = match choice {
-                chooser::Choice::Send(pick) => match self.may_send(&pick) {
-                    Leave::Given => return Step::Send(pick),
-                    Leave::Refused(refusal) => return Step::Refuse(refusal),
-                    Leave::Elsewhere => {
+                chooser::Choice::Send(pick) => match self.permission_to_send(&pick) {
+                    Permission::Granted => return NextStep::Send(pick),
+                    Permission::Refused(refusal) => return NextStep::Refuse(refusal),
+                    Permission::OtherEndpoint => {
                         // The home is to name another, and not to be waited for.
-                        asked_at = None;
+                        queried_at = None;
                         continue;
                     }
                 },
@@ -122,90 +122,97 @@
                         "the answer would begin in {} ms, and {} ms are left",
                         estimate.0, left.0
                     );
-                    return Step::Refuse(self.give_up(verdict::Reason::DeadlineUnmeetable, detail));
+                    return NextStep::Refuse(
+                        self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail),
+                    );
                 }
                 chooser::Choice::Fetch { instance } => {
-                    fetches += 1;
-                    self.want(now, fetched_on.get_or_insert(instance).clone());
-                    let _changes = self.shared.wait(seen, FETCH_WAIT.min(left.into()));
+                    adapter_requests += 1;
+                    self.request_adapter(now, adapter_engine.get_or_insert(instance).clone());
+                    let _changes = self
+                        .shared
+                        .wait(seen, ADAPTER_REQUEST_WAIT.min(left.into()));
                     continue;
                 }
                 chooser::Choice::Wait(missing) => missing,
             };
             self.waited_for = Some(missing);
             let waited = arrived.elapsed();
-            if missing.is_of_model() && !told_waiting {
-                told_waiting = true;
-                self.tell_waiting();
+            if missing.is_of_model() && !reported_waiting {
+                reported_waiting = true;
+                self.report_waiting();
             }
             if self.shared.settings.routing.turn_away {
-                let queued = in_line.filter(|_| missing == chooser::Missing::Place);
+                let queued = queued_here.filter(|_| missing == chooser::Missing::Place);
                 let refusal = self
-                    .closed_too_long(missing, left)
-                    .or_else(|| self.hopeless_by_home(place, left))
-                    .or_else(|| self.hopeless_here(now, queued?, left, ticket));
+                    .refuse_closed_endpoints(missing, left)
+                    .or_else(|| self.refuse_by_coordinator(place, left))
+                    .or_else(|| self.refuse_by_local_queue(now, queued?, left, ticket));
                 if let Some(refusal) = refusal {
-                    return Step::Refuse(refusal);
+                    return NextStep::Refuse(refusal);
                 }
             }
             let load = self.load_time(missing);
-            if waited >= self.patience(missing, load) || left <= load {
-                return Step::Refuse(self.not_served(missing, load));
+            if waited >= self.wait_limit(missing, load) || left <= load {
+                return NextStep::Refuse(self.not_served(missing, load));
             }
-            let limit = LOOK.min(left.into());
+            let limit = CALLER_CHECK_INTERVAL.min(left.into());
             let waiting = &self.shared.waiting;
             waiting.fetch_add(1, atomic::Ordering::Relaxed);
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
             if missing == chooser::Missing::Adapter {
                 // The leader may have been lost with the question.
-                fetches = 0;
+                adapter_requests = 0;
             }
         }
     }
 
     /// The refusal of a request that is not to be sent at all any more, whatever it waits for.
-    fn may_wait_no_more(&mut self, left: time::Millis) -> Option<refusal::Refusal> {
+    fn refuse_ended_wait(&mut self, left: time::Millis) -> Option<refusal::Refusal> {
         if left == time::Millis(0) {
             return Some(self.out_of_time());
         }
         if self.shared.ending.load(atomic::Ordering::Relaxed) {
             let detail = "this entry process ends before the request could be answered";
-            return Some(self.give_up(verdict::Reason::Draining, detail.to_owned()));
+            return Some(self.final_refusal(verdict::Reason::Draining, detail.to_owned()));
         }
-        self.refuse_held().or_else(|| self.refuse_withdrawn())
+        self.refuse_quarantined()
+            .or_else(|| self.refuse_revoked_key())
     }
 
     /// Whether the request may be sent to `pick` now, by the bounds that all entry processes keep together.
-    fn may_send(&mut self, pick: &chooser::Pick) -> Leave {
-        let leave = self.leave_for(pick);
-        if !matches!(leave, Leave::Given) {
-            self.ended(pick, false, chooser::Ended::GivenUp);
+    fn permission_to_send(&mut self, pick: &chooser::Pick) -> Permission {
+        let leave = self.acquire_permission(pick);
+        if !matches!(leave, Permission::Granted) {
+            self.end_attempt(pick, false, chooser::Ended::GivenUp);
         }
         leave
     }
 
     /// The second and each further arrival at an endpoint takes from the budget.
-    fn leave_for(&mut self, pick: &chooser::Pick) -> Leave {
-        if let Some(refusal) = self.charge() {
-            return Leave::Refused(refusal);
+    fn acquire_permission(&mut self, pick: &chooser::Pick) -> Permission {
+        if let Some(refusal) = self.charge_quota() {
+            return Permission::Refused(refusal);
         }
-        if self.arrivals > 0 && !self.take_repeat() {
-            self.lacks_repeat = true;
-            let detail = format!("{}, and no repeat is left in the budget", self.last);
-            return Leave::Refused(self.give_up(verdict::Reason::EndpointFailed, detail));
+        if self.deliveries > 0 && !self.acquire_retry() {
+            self.is_retry_budget_spent = true;
+            let detail = format!("{}, and no repeat is left in the budget", self.last_failure);
+            return Permission::Refused(
+                self.final_refusal(verdict::Reason::EndpointFailed, detail),
+            );
         }
         // Last, since what is taken for an endpoint is lost where the request goes to another.
         if !self.is_within_limit(pick) {
-            return Leave::Elsewhere;
+            return Permission::OtherEndpoint;
         }
-        self.repeat_in_hand = false;
-        Leave::Given
+        self.has_retry_token = false;
+        Permission::Granted
     }
 
     /// The refusal of a request that no endpoint takes before its time is over, as these have asked for nothing
     /// more for longer, unless its model can be loaded elsewhere before.
-    fn closed_too_long(
+    fn refuse_closed_endpoints(
         &self,
         missing: chooser::Missing,
         left: time::Millis,
@@ -217,27 +224,27 @@
             .model
             .is_some()
             .then(|| self.load_time(chooser::Missing::Model));
-        let reading = self.wanted.map_or(time::Millis(0), |_| READ_RESERVE);
-        if opens + reading < left || load.is_some_and(|it| it + LOAD_SLACK < left) {
+        let reading = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
+        if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
             return None;
         }
         Some(self.not_served(missing, opens))
     }
 
     /// Takes a repeat out of the budget, unless one is in hand. Returns whether one is.
-    pub(super) fn take_repeat(&mut self) -> bool {
-        if !self.repeat_in_hand {
+    pub(super) fn acquire_retry(&mut self) -> bool {
+        if !self.has_retry_token {
             let now = self.shared.clock.now();
-            self.repeat_in_hand = self.shared.with_core(|core| {
+            self.has_retry_token = self.shared.with_core(|core| {
                 let entries = core.entries.len();
                 core.budget.spend(now, self.service, entries)
             });
         }
-        self.repeat_in_hand
+        self.has_retry_token
     }
 
     /// Whether a repeat is in hand or could be had.
-    pub(super) fn has_repeat(&self) -> bool {
+    pub(super) fn can_retry(&self) -> bool {
         let now = self.shared.clock.now();
         let is_left = || {
             self.shared.with_core(|core| {
@@ -245,30 +252,30 @@
                 core.budget.has_one(now, self.service, entries)
             })
         };
-        self.repeat_in_hand || is_left()
+        self.has_retry_token || is_left()
     }
 
     /// The refusal of a request that can't be reached in its time, by those that wait here before it.
-    fn hopeless_here(
+    fn refuse_by_local_queue(
         &self,
         now: time::Instant,
         waiter: backlog::Waiter,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<refusal::Refusal> {
-        let expected = self.hopeless(now, waiter, left, ticket)?;
+        let expected = self.unmeetable_wait(now, waiter, left, ticket)?;
         let detail = format!(
             "those before it take {} ms, and {} ms are left",
             expected.0, left.0
         );
-        let refusal = self.give_up(verdict::Reason::DeadlineUnmeetable, detail);
+        let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
         // Before those that wait now are read there is no room.
-        Some(refusal.retry_after(expected.max(BACK_SOON)))
+        Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 
     /// Whether a request that waits for an engine to have read can't be reached in its time, by those
     /// that wait here before it. Returns how long it would take.
-    fn hopeless(
+    fn unmeetable_wait(
         &self,
         now: time::Instant,
         waiter: backlog::Waiter,
@@ -280,11 +287,11 @@
             let ticket = ticket.get_or_insert_with(|| core.backlog.enter(now, model, waiter));
             core.backlog.expected(now, model, *ticket)
         })?;
-        (expected + READ_RESERVE > left).then_some(expected)
+        (expected + PREFILL_RESERVE > left).then_some(expected)
     }
 
     /// This request among those that wait for an engine; none where it needs no model.
-    fn waiter(&self, now: time::Instant) -> Option<backlog::Waiter> {
+    fn queued_request(&self, now: time::Instant) -> Option<backlog::Waiter> {
         let wanted = self.wanted?;
         Some(backlog::Waiter {
             tokens: self.passing.prompt_tokens,
@@ -295,15 +302,15 @@
     }
 
     /// How long to wait for what is missing.
-    fn patience(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
+    fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
         let objective = self.route.objective.0;
         match missing {
-            chooser::Missing::Model => (load + LOAD_SLACK).into(),
+            chooser::Missing::Model => (load + LOAD_MARGIN).into(),
             chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
             // It waits while it has time: an engine that can read it comes free by and by.
             chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
             chooser::Missing::Place | chooser::Missing::Endpoint => {
-                std_time::Duration::from_millis(objective * PLACE_PATIENCE / 100)
+                std_time::Duration::from_millis(objective * SLOT_WAIT_PERCENT / 100)
             }
         }
     }
@@ -325,12 +332,12 @@
     }
 
     /// How long a request waits for an engine that reads little, before it makes do with any.
-    fn calm_patience(&self) -> std_time::Duration {
-        std_time::Duration::from_millis(self.route.objective.0 * CALM_PATIENCE / 100)
+    fn idle_engine_wait(&self) -> std_time::Duration {
+        std_time::Duration::from_millis(self.route.objective.0 * IDLE_ENGINE_WAIT_PERCENT / 100)
     }
 
     /// Lets the leader know of a request that waits for its model.
-    fn tell_waiting(&self) {
+    fn report_waiting(&self) {
         if let Some(wanted) = self.wanted {
             self.shared
                 .with_core(|core| core.tally.wait(self.service, &wanted.model));
@@ -338,7 +345,7 @@
     }
 
     /// Asks the leader to have the adapter of this request loaded on an engine.
-    fn want(&self, now: time::Instant, engine: directory::InstanceId) {
+    fn request_adapter(&self, now: time::Instant, engine: directory::InstanceId) {
         let Some((model, adapter)) = self
             .wanted
             .and_then(|it| Some((it.model.clone(), it.adapter.clone()?)))
@@ -352,14 +359,17 @@
             engine: Some(engine),
         };
         let adapter = want.adapter.as_str();
-        if !self.shared.with_core(|core| core.says_want(now, &want)) {
+        if !self
+            .shared
+            .with_core(|core| core.should_request_adapter(now, &want))
+        {
             return;
         }
         // The near one passes it on; the leader is asked where that is lost or does not know who leads.
-        let near = self.shared.fetching.near();
+        let near = self.shared.fetching.preferred();
         let leader = self.shared.leader().filter(|it| Some(*it) != near);
         for control in near.into_iter().chain(leader) {
-            match self.want_of(control, &want) {
+            match self.send_adapter_request(control, &want) {
                 Ok(messages::WantResp::Taken) => {
                     return ::log::debug!(request = self.id(), adapter; "gateway: adapter wanted");
                 }
@@ -371,7 +381,7 @@
         }
     }
 
-    fn want_of(
+    fn send_adapter_request(
         &self,
         control: net::Ipv4Addr,
         want: &messages::WantReq,
@@ -379,6 +389,11 @@
         let port = self.shared.settings.discovery.vms_port;
         let address = net::SocketAddrV4::new(control, port).to_string();
         let client = &self.shared.client;
-        client.call(&address, messages::paths::WANT, want, LOOK * 3)
+        client.call(
+            &address,
+            messages::paths::WANT,
+            want,
+            CALLER_CHECK_INTERVAL * 3,
+        )
     }
 }
--- a/src/sageshed/gateway/answer.rs
+++ b/src/sageshed/gateway/response.rs
@@ -9,23 +9,23 @@
 
 /// Where an answer goes: to a caller that has seen nothing yet, or on behind what it has seen.
 #[derive(Debug)]
-pub(super) enum Outlet<'c> {
+pub(super) enum ResponseSink<'c> {
     /// No byte went out.
-    Fresh(reply::Reply<'c>),
+    NotStarted(reply::Reply<'c>),
     /// A stream has begun.
-    Begun(reply::Stream<'c>, Events),
+    Streaming(reply::Stream<'c>, EventBuffer),
 }
 
 /// The events of a stream that go out whole.
 #[derive(Debug, Default)]
-pub(super) struct Events {
+pub(super) struct EventBuffer {
     /// The beginning of an event of which the rest has not come.
     pending: Vec<u8>,
     /// The id of the last event that went out.
     pub(super) last_id: Option<String>,
 }
 
-impl Events {
+impl EventBuffer {
     /// Takes bytes of a stream and gives out what ends with a whole event. An engine may break off
     /// inside one, and the stream then goes on elsewhere from the last whole one.
     pub(super) fn push<D: dialect::Dialect>(&mut self, dialect: D, bytes: &[u8]) -> Vec<u8> {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Where the last whole event ends. Events end with an empty line.
+/// Where the last whole event ends. EventBuffer end with an empty line.
 fn end_of_last_event(bytes: &[u8]) -> usize {
     let after = |pattern: &[u8]| {
         let found = bytes.windows(pattern.len()).rposition(|it| it == pattern);
@@ -58,48 +58,48 @@
     after(b"\n\n").max(after(b"\n\r\n"))
 }
 
-impl<'c> Outlet<'c> {
+impl<'c> ResponseSink<'c> {
     /// Ends with a refusal, or with a cut where the caller has seen a part of its answer.
     pub(super) fn refuse(self, request_id: &str, refusal: &refusal::Refusal) -> reply::Sent {
         match self {
-            Self::Fresh(reply) => refuse::send(reply, request_id, refusal),
-            Self::Begun(stream, _) => stream.abort(),
+            Self::NotStarted(reply) => refuse::send(reply, request_id, refusal),
+            Self::Streaming(stream, _) => stream.abort(),
         }
     }
 
     /// The id of the last event that went out.
     pub(super) fn last_id(&self) -> Option<&str> {
         match self {
-            Self::Fresh(_) => None,
-            Self::Begun(_, events) => events.last_id.as_deref(),
+            Self::NotStarted(_) => None,
+            Self::Streaming(_, events) => events.last_id.as_deref(),
         }
     }
 
     /// Whether the caller has seen a part of its answer.
-    pub(super) fn is_begun(&self) -> bool {
-        matches!(self, Self::Begun(..))
+    pub(super) fn has_started(&self) -> bool {
+        matches!(self, Self::Streaming(..))
     }
 
     /// Begins a stream with the head of an endpoint's answer, unless it has begun.
-    pub(super) fn begin(self, head: &exchange::Head) -> (reply::Stream<'c>, Events) {
+    pub(super) fn start_stream(self, head: &exchange::Head) -> (reply::Stream<'c>, EventBuffer) {
         match self {
-            Self::Fresh(reply) => {
+            Self::NotStarted(reply) => {
                 let headers = headers(head);
                 let stream = reply.stream(&reply_head(head, &headers));
-                (stream, Events::default())
+                (stream, EventBuffer::default())
             }
-            Self::Begun(stream, events) => (stream, events),
+            Self::Streaming(stream, events) => (stream, events),
         }
     }
 
     /// Answers with an endpoint's whole answer.
-    pub(super) fn whole(self, head: &exchange::Head, body: &[u8]) -> reply::Sent {
+    pub(super) fn send_whole(self, head: &exchange::Head, body: &[u8]) -> reply::Sent {
         match self {
-            Self::Fresh(reply) => {
+            Self::NotStarted(reply) => {
                 let headers = headers(head);
                 reply.whole(&reply_head(head, &headers), body)
             }
-            Self::Begun(stream, _) => stream.abort(),
+            Self::Streaming(stream, _) => stream.abort(),
         }
     }
 }
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -10,26 +10,26 @@
 
 use super::{
     allowances,
-    state::{LOOK, Shared},
+    state::{CALLER_CHECK_INTERVAL, Shared},
 };
 use crate::locks;
 
 /// How long a request waits for the first configuration of this process, whose caller does not say how long it
 /// waits: a third of the time of the least patient ones.
-const FIRST_ROUTING: time::Millis = time::Millis(200);
+const FIRST_CONFIG_WAIT: time::Millis = time::Millis(200);
 
 /// The longest that a request waits for it, however patient its caller: a group that lost power as a whole leads
 /// and has told entry processes within some 600 ms of its start. One that takes longer may take long.
-const FIRST_ROUTING_MOST: time::Millis = time::Millis(800);
+const MAX_FIRST_CONFIG_WAIT: time::Millis = time::Millis(800);
 
 /// The part of its caller's time that a request waits for it.
-const FIRST_ROUTING_PART: u64 = 3;
+const FIRST_CONFIG_WAIT_DIVISOR: u64 = 3;
 
 /// The part of the time in which a change is to be in force, after which callers are taken no more until it is.
-const OUT_OF_DATE_PART: f64 = 0.8;
+const OUT_OF_DATE_RATIO: f64 = 0.8;
 
 /// Requests that wait for it at the most.
-const MOST_WAIT_FOR_ROUTING: usize = 256;
+const MAX_WAITING_FOR_CONFIG: usize = 256;
 
 /// A configuration in force, indexed.
 #[derive(Debug)]
@@ -80,7 +80,7 @@
     #[must_use]
     pub fn is_out_of_date(&self) -> bool {
         let in_force_ms = self.settings.configuration.in_force_ms.0 as f64;
-        let limit = time::Millis::rounded_up(in_force_ms * OUT_OF_DATE_PART);
+        let limit = time::Millis::rounded_up(in_force_ms * OUT_OF_DATE_RATIO);
         self.behind().is_some_and(|it| it >= limit)
     }
 
@@ -99,7 +99,7 @@
         *current = Some(routing);
         drop(current);
         // Requests that came before the first one wait for it.
-        self.place_freed();
+        self.wake_waiting();
         ::log::info!(version, before = held, routes = count; "gateway: configuration in force");
     }
 
@@ -120,20 +120,20 @@
         if let Some(routing) = self.routing() {
             return Some(routing);
         }
-        let part = deadline.map(|it| time::Millis(it.0 / FIRST_ROUTING_PART));
-        let span = part.map_or(FIRST_ROUTING, |it| it.min(FIRST_ROUTING_MOST));
+        let part = deadline.map(|it| time::Millis(it.0 / FIRST_CONFIG_WAIT_DIVISOR));
+        let span = part.map_or(FIRST_CONFIG_WAIT, |it| it.min(MAX_FIRST_CONFIG_WAIT));
         let until = since + span.into();
         while !gone() {
             // Read before the look, so that a configuration which comes behind it ends the wait.
             let seen = self.with_core(|core| core.changes());
             let routing = self.routing();
             let left = until.saturating_duration_since(std_time::Instant::now());
-            let is_full = self.waiting.load(atomic::Ordering::Relaxed) >= MOST_WAIT_FOR_ROUTING;
+            let is_full = self.waiting.load(atomic::Ordering::Relaxed) >= MAX_WAITING_FOR_CONFIG;
             if routing.is_some() || left.is_zero() || is_full {
                 return routing;
             }
             self.waiting.fetch_add(1, atomic::Ordering::Relaxed);
-            let _changes = self.wait(seen, left.min(LOOK));
+            let _changes = self.wait(seen, left.min(CALLER_CHECK_INTERVAL));
             self.waiting.fetch_sub(1, atomic::Ordering::Relaxed);
         }
         None
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -16,7 +16,7 @@
 use crate::{context, locks, metrics_port, settings};
 
 /// Descriptors that are not for callers: control processes, idle connections to endpoints, ports.
-const OTHER_DESCRIPTORS: usize = 400;
+const RESERVED_DESCRIPTORS: usize = 400;
 
 /// Kilobytes that one connection of a caller may need: the touched part of its thread's stack, its
 /// buffers and the socket's.
@@ -30,13 +30,13 @@
 
 /// How long before its end the process sends no more requests that waited here. Most streams last less;
 /// what waits is told to go elsewhere while its caller has time.
-const SENT_BEFORE_END: time::Duration = time::Duration::from_secs(2);
+const LAST_SEND_BEFORE_END: time::Duration = time::Duration::from_secs(2);
 
 /// How long before the end of the grace period the process ends by itself.
-const LAST_MOMENT: time::Duration = time::Duration::from_millis(400);
+const EXIT_MARGIN: time::Duration = time::Duration::from_millis(400);
 
 /// Between two sweeps of idle connections.
-const SWEEP: time::Duration = time::Duration::from_secs(1);
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// An entry process that could not start.
 #[derive(Debug, Display, Error)]
@@ -86,7 +86,7 @@
     allowances::start(&shared);
     ::log::info!(vm = shared.settings.vm.as_str(), callers:% = callers.local_addr(),
         ready:% = ready.local_addr(); "gateway: listens");
-    while !cx.stop.wait_timeout(SWEEP) {
+    while !cx.stop.wait_timeout(SWEEP_INTERVAL) {
         shared.pool.sweep();
     }
     stop(cx, &shared, &callers);
@@ -112,14 +112,14 @@
     shared.refusing.store(true, sync::atomic::Ordering::Relaxed);
     callers.stop_accepting();
     callers.close_idle();
-    let end = grace.saturating_sub(LAST_MOMENT);
-    let last_sends = end.saturating_sub(SENT_BEFORE_END);
+    let end = grace.saturating_sub(EXIT_MARGIN);
+    let last_sends = end.saturating_sub(LAST_SEND_BEFORE_END);
     let open = callers.wait(last_sends.saturating_sub(began.elapsed()));
     ::log::info!(open; "gateway: ends soon, requests that wait are sent elsewhere");
     // Ended with the process, a request that still waits would get no answer, and its caller could not
     // know that it was not run: one of a day's 3,200 was cut so after seven seconds.
     shared.ending.store(true, sync::atomic::Ordering::Relaxed);
-    shared.place_freed();
+    shared.wake_waiting();
     let cut = callers.wait(end.saturating_sub(began.elapsed()));
     ::log::info!(cut; "gateway: stopped");
 }
@@ -146,7 +146,7 @@
 /// Each connection of a caller may hold one to an endpoint.
 fn caller_limits(settings: &settings::FleetEntry) -> limits::Limits {
     let resources = settings.resources;
-    let by_descriptors = resources.descriptors.saturating_sub(OTHER_DESCRIPTORS) / 2;
+    let by_descriptors = resources.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     let by_memory = resources.memory_mb * 1_024 / 2 / CONNECTION_KB;
     limits::Limits {
         connections: by_descriptors.min(by_memory).max(READY_CONNECTIONS),
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -40,17 +40,17 @@
     /// Words of other processes that could not be read.
     pub misread: sampler::Sampler,
     /// Changes of endpoints that are logged.
-    endpoint_lines: sampler::Sampler,
+    endpoint_changes: sampler::Sampler,
     pub(super) routing: sync::RwLock<Option<sync::Arc<routing::Routing>>>,
     /// The newest configuration as its operator sent it, of which control tells changes.
     pub(super) document: sync::Mutex<document::Document>,
-    pub(super) fetching: fetch::Fetching,
+    pub(super) fetching: fetch::ConfigFetcher,
     core: sync::Mutex<Core>,
     changed: sync::Condvar,
     /// The control process that leads, as a number; zero if none is known.
     leader: atomic::AtomicU32,
     /// When a control process was heard last, in milliseconds on this process's clock.
-    heard: atomic::AtomicU64,
+    last_control_contact: atomic::AtomicU64,
     /// Requests that wait here for a place, a load or an endpoint.
     pub waiting: atomic::AtomicUsize,
     /// Set when the process is to stop.
@@ -92,27 +92,27 @@
 
 /// Accounts kept of past requests. Each takes about a kilobyte, and a process of today has some ten
 /// requests a second: the last minute.
-const ACCOUNTS: usize = 600;
+const MAX_ACCOUNTS: usize = 600;
 
 /// Successes that are logged in a second. At three times that the lines of successes alone would cost
 /// more than the requests that they tell of on the smallest VMs.
 pub const SUCCESSES_LOGGED: u64 = 20;
 
 /// Lines a second on words of other processes that could not be read.
-const MISREAD_LOGGED: u64 = 5;
+const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
 /// Lines a second on endpoints that leave or end. A release of thousands would cost each entry process as many lines.
-const ENDPOINTS_LOGGED: u64 = 10;
+const ENDPOINT_CHANGES_LOGGED_PER_SECOND: u64 = 10;
 
 /// The longest that a waiting request goes without a look at whether its caller is still there.
-pub const LOOK: std_time::Duration = std_time::Duration::from_millis(100);
+pub const CALLER_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(100);
 
 /// How long control is told that an endpoint leaves: several calls of each link, so that it reaches more than one
 /// control process, and one that was just lost.
-const LEAVING_TOLD: time::Millis = time::Millis(5_000);
+const LEAVING_REPORT_PERIOD: time::Millis = time::Millis(5_000);
 
 /// How long a want is taken to be under way before it is said again.
-const WANT_AGAIN: time::Millis = time::Millis(250);
+const ADAPTER_REQUEST_RESEND_INTERVAL: time::Millis = time::Millis(250);
 
 impl<D: dialect::Dialect> Shared<D> {
     /// What a process with these settings starts with.
@@ -156,17 +156,17 @@
             client: sageshed_vms::Client::new(""),
             neighbours,
             metrics: metrics::Metrics::default(),
-            accounts: sync::Mutex::new(accounts::Accounts::new(ACCOUNTS)),
+            accounts: sync::Mutex::new(accounts::Accounts::new(MAX_ACCOUNTS)),
             sampler: sampler::Sampler::new(SUCCESSES_LOGGED),
-            misread: sampler::Sampler::new(MISREAD_LOGGED),
-            endpoint_lines: sampler::Sampler::new(ENDPOINTS_LOGGED),
+            misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
+            endpoint_changes: sampler::Sampler::new(ENDPOINT_CHANGES_LOGGED_PER_SECOND),
             routing: sync::RwLock::new(None),
             document: sync::Mutex::default(),
-            fetching: fetch::Fetching::default(),
+            fetching: fetch::ConfigFetcher::default(),
             core: sync::Mutex::new(core),
             changed: sync::Condvar::new(),
             leader: atomic::AtomicU32::new(0),
-            heard: atomic::AtomicU64::new(0),
+            last_control_contact: atomic::AtomicU64::new(0),
             waiting: atomic::AtomicUsize::new(0),
             stopping: atomic::AtomicBool::new(false),
             refusing: atomic::AtomicBool::new(false),
@@ -184,16 +184,17 @@
     }
 
     /// A control process has answered.
-    pub fn heard_control(&self) {
+    pub fn record_control_contact(&self) {
         let now = self.clock.now();
-        self.heard.store(now.0, atomic::Ordering::Relaxed);
+        self.last_control_contact
+            .store(now.0, atomic::Ordering::Relaxed);
         self.with_core(|core| core.allowances.heard_control(now));
     }
 
     /// How old what is believed may be: the time since a control process answered.
     #[must_use]
-    pub fn silence(&self) -> time::Millis {
-        let heard = time::Instant(self.heard.load(atomic::Ordering::Relaxed));
+    pub fn control_silence(&self) -> time::Millis {
+        let heard = time::Instant(self.last_control_contact.load(atomic::Ordering::Relaxed));
         self.clock.now().since(heard)
     }
 
@@ -213,7 +214,7 @@
     }
 
     /// Takes records of endpoints, and wakes the requests that wait for one.
-    pub fn take_records(&self, packed: &[messages::Packed]) {
+    pub fn merge_records(&self, packed: &[messages::Packed]) {
         if packed.is_empty() {
             return;
         }
@@ -223,7 +224,7 @@
         core.directory.forget_ended(now);
         let mut is_news = false;
         for record in records {
-            is_news |= self.take_record(&mut core, now, record);
+            is_news |= self.merge_record(&mut core, now, record);
         }
         if is_news {
             core.changes += 1;
@@ -237,7 +238,7 @@
         let now = self.clock.now();
         let has_room = self.with_core(|core| core.chooser.hear(now, from, word));
         if has_room && self.waiting.load(atomic::Ordering::Relaxed) > 0 {
-            self.place_freed();
+            self.wake_waiting();
         }
     }
 
@@ -248,7 +249,7 @@
     }
 
     /// Takes the list of entry processes.
-    pub fn take_entries(&self, number: u64, entries: Vec<net::Ipv4Addr>) {
+    pub fn set_entries(&self, number: u64, entries: Vec<net::Ipv4Addr>) {
         let mut core = locks::lock(&self.core);
         if entries.is_empty() || core.entries_number == number {
             return;
@@ -264,7 +265,7 @@
 
     /// Another start of an endpoint answers at the address of this one: it has gone, and what control
     /// processes still say of it is old.
-    pub fn replaced(&self, id: &directory::InstanceId) {
+    pub fn mark_replaced(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
         core.chooser.forget(id);
@@ -274,7 +275,7 @@
     }
 
     /// An endpoint has said in an answer that it leaves. Control is told with the next calls.
-    pub fn leaves(&self, id: &directory::InstanceId) {
+    pub fn mark_leaving(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
         if !core.directory.leaves(now, id) {
@@ -295,11 +296,12 @@
     pub fn leaving(&self) -> Vec<directory::InstanceId> {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
-        core.leaving.retain(|(_, at)| now.since(*at) < LEAVING_TOLD);
+        core.leaving
+            .retain(|(_, at)| now.since(*at) < LEAVING_REPORT_PERIOD);
         core.leaving.iter().map(|(id, _)| id.clone()).collect()
     }
 
-    fn take_record(&self, core: &mut Core, now: time::Instant, record: directory::Record) -> bool {
+    fn merge_record(&self, core: &mut Core, now: time::Instant, record: directory::Record) -> bool {
         let (id, age) = (record.instance.id.clone(), record.age);
         match core.directory.merge(now, record) {
             directory::Offer::Confirmed | directory::Offer::Stale | directory::Offer::Full => false,
@@ -313,14 +315,14 @@
                 if instance.has_ended() || offer == directory::Offer::New {
                     self.pool.forget(instance.address);
                 }
-                self.log_change(now, &instance, offer, age);
+                self.log_endpoint_change(now, &instance, offer, age);
                 true
             }
         }
     }
 
     /// Control processes log each change of an endpoint; what ends or leaves explains refusals here as well.
-    fn log_change(
+    fn log_endpoint_change(
         &self,
         now: time::Instant,
         instance: &directory::Instance,
@@ -332,7 +334,7 @@
             return ::log::debug!(endpoint:% = instance.id, offer:? = offer, sequence = instance.sequence,
                 age_ms = age.0; "gateway: endpoint changed");
         }
-        let left_out = match self.endpoint_lines.line(now) {
+        let left_out = match self.endpoint_changes.line(now) {
             sampler::Line::Write => 0,
             sampler::Line::WriteAfter(left_out) => left_out,
             sampler::Line::LeaveOut => return,
@@ -353,7 +355,7 @@
     }
 
     /// A place has become free: wakes the requests that wait for one.
-    pub fn place_freed(&self) {
+    pub fn wake_waiting(&self) {
         locks::lock(&self.core).changes += 1;
         self.changed.notify_all();
     }
@@ -382,7 +384,7 @@
     }
 
     /// Counts what a caller asks for, of which an engine keeps so many tokens by the word of others.
-    pub fn ask(
+    pub fn count_demand(
         &mut self,
         service: &str,
         wanted: &dialect::Wanted,
@@ -399,8 +401,9 @@
     }
 
     /// Whether a want has to be said now: requests that wait for the same adapter say it once.
-    pub fn says_want(&mut self, now: time::Instant, want: &messages::WantReq) -> bool {
-        self.wanted.retain(|_, at| now.since(*at) < WANT_AGAIN);
+    pub fn should_request_adapter(&mut self, now: time::Instant, want: &messages::WantReq) -> bool {
+        self.wanted
+            .retain(|_, at| now.since(*at) < ADAPTER_REQUEST_RESEND_INTERVAL);
         if self.wanted.contains_key(want) {
             return false;
         }
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -17,25 +17,25 @@
 use crate::{locks, settings};
 
 /// How long a watch is kept where nothing is new.
-const PATIENCE: time::Millis = time::Millis(800);
+const WATCH_TIMEOUT: time::Millis = time::Millis(800);
 
 /// The same for the link that tells what callers ask for: loads take seconds, and begin late where a rise of
 /// demand is known late.
-const TELLING_PATIENCE: time::Millis = time::Millis(250);
+const DEMAND_WATCH_TIMEOUT: time::Millis = time::Millis(250);
 
 /// Added to the patience of a call: the way there and back, and a pause of either process.
 const CALL_MARGIN: std_time::Duration = std_time::Duration::from_millis(400);
 
 /// Between two tries while nobody can be reached. Processes that were stopped together come back within
 /// some ten milliseconds of each other, and each try at a closed port costs two packets.
-const RETRY: std_time::Duration = std_time::Duration::from_millis(30);
+const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(30);
 
 /// Between two looks into the settings file: the seeds may change without a signal.
-const SEEDS_KEPT: std_time::Duration = std_time::Duration::from_secs(3);
+const SEEDS_RELOAD_INTERVAL: std_time::Duration = std_time::Duration::from_secs(3);
 
 /// What the threads of the links share.
 #[derive(Debug)]
-struct Watching {
+struct WatchState {
     links: sync::Mutex<links::Links>,
     seeds_read: sync::Mutex<std_time::Instant>,
 }
@@ -44,7 +44,7 @@
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let seeds = &shared.settings.discovery.seeds;
     let seeds = seeds.iter().map(|it| *it.ip()).collect();
-    let watching = sync::Arc::new(Watching {
+    let watching = sync::Arc::new(WatchState {
         links: sync::Mutex::new(links::Links::new(&shared.settings.availability_zone, seeds)),
         seeds_read: sync::Mutex::new(std_time::Instant::now()),
     });
@@ -62,22 +62,22 @@
 
 /// What the two ends of one link know of each other.
 #[derive(Debug, Default)]
-struct Known {
+struct PeerState {
     /// Up to where the directory of the control process is known here.
     mark: directory::Mark,
     /// What each knows of the crashes that the other remembers.
     crashes: quarantine::Link,
 }
 
-fn run<D: dialect::Dialect>(shared: &state::Shared<D>, watching: &Watching, number: usize) {
+fn run<D: dialect::Dialect>(shared: &state::Shared<D>, watching: &WatchState, number: usize) {
     let mut at: Option<net::Ipv4Addr> = None;
     // By the control process: one that is watched again, after a while elsewhere, need not tell all anew.
-    let mut all_known: collections::HashMap<net::Ipv4Addr, Known> = collections::HashMap::new();
+    let mut all_known: collections::HashMap<net::Ipv4Addr, PeerState> = collections::HashMap::new();
     while !shared.stopping.load(atomic::Ordering::Relaxed) {
         watching.read_seeds(shared);
         let draw = shared.with_core(|core| core.chooser.draw());
         let Some(to) = locks::lock(&watching.links).pick(shared.clock.now(), number, draw) else {
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
             continue;
         };
         if at != Some(to) {
@@ -92,13 +92,13 @@
                 links.source() == Some(number),
             )
         };
-        let telling = shared.with_core(|core| core.quarantine.mark());
+        let crashes_sent = shared.with_core(|core| core.quarantine.mark());
         match watch(shared, to, known, wants, is_source) {
             Ok(resp) => {
                 known.mark = resp.mark;
                 known
                     .crashes
-                    .answered(telling, resp.crashes_mark.unwrap_or_default());
+                    .answered(crashes_sent, resp.crashes_mark.unwrap_or_default());
                 let (digest, digest_mark) = (resp.digest, resp.digest_mark);
                 let (has_more, news) = (resp.has_more, resp.news_mark);
                 let peers = take(shared, watching, to, resp);
@@ -124,7 +124,7 @@
                     "gateway: control process lost");
                 locks::lock(&watching.links).avoid(shared.clock.now(), number, to);
                 at = None;
-                thread::sleep(RETRY);
+                thread::sleep(RETRY_INTERVAL);
             }
         }
     }
@@ -133,15 +133,15 @@
 fn watch<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     to: net::Ipv4Addr,
-    known: &Known,
+    known: &PeerState,
     wants: messages::Wants,
     is_source: bool,
 ) -> Result<messages::WatchResp, sageshed_vms::CallError> {
     let discovery = &shared.settings.discovery;
     let patience = if is_source {
-        TELLING_PATIENCE
+        DEMAND_WATCH_TIMEOUT
     } else {
-        PATIENCE
+        WATCH_TIMEOUT
     };
     let demand = if is_source {
         shared.with_core(|core| core.tally.take())
@@ -188,7 +188,7 @@
 /// Takes an answer. Returns up to where its sender knows other control processes.
 fn take<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    watching: &Watching,
+    watching: &WatchState,
     from: net::Ipv4Addr,
     resp: messages::WatchResp,
 ) -> Vec<(net::Ipv4Addr, directory::Mark)> {
@@ -197,26 +197,26 @@
         Some(document) => fetch::take_document(shared, document),
         None => shared
             .fetching
-            .told(shared.clock.now(), from, resp.newest_config),
+            .announce(shared.clock.now(), from, resp.newest_config),
     }
     if resp.leader.is_some() {
         shared.set_leader(resp.leader);
     }
-    shared.heard_control();
+    shared.record_control_contact();
     locks::lock(&watching.links).know(resp.control);
     if let Some(entries) = resp.entries {
-        shared.take_entries(resp.entries_number, entries);
+        shared.set_entries(resp.entries_number, entries);
     }
-    shared.take_records(&resp.records);
+    shared.merge_records(&resp.records);
     shared.take_crashes(&resp.crashes);
     resp.peers
 }
 
-impl Watching {
+impl WatchState {
     /// Reads the seeds anew from the settings file, now and then.
     fn read_seeds<D: dialect::Dialect>(&self, shared: &state::Shared<D>) {
         let mut read_at = locks::lock(&self.seeds_read);
-        if read_at.elapsed() < SEEDS_KEPT {
+        if read_at.elapsed() < SEEDS_RELOAD_INTERVAL {
             return;
         }
         *read_at = std_time::Instant::now();
