--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -88,7 +88,7 @@
     if home == own {
         return Some(draw(shared, own, &question));
     }
-    shared.neighbours.as_ref()?.draw(home, question)
+    shared.entry_peers.as_ref()?.draw(home, question)
 }
 
 /// Answers as the home of an allowance.
@@ -99,8 +99,8 @@
 ) -> allowance::Answer {
     let now = shared.clock.now();
     let reply = shared.with_core(|core| core.allowances.draw(now, from, question));
-    if let Some(neighbours) = &shared.neighbours {
-        neighbours.pull(reply.pull.into_iter().collect());
+    if let Some(peers) = &shared.entry_peers {
+        peers.pull(reply.pull.into_iter().collect());
     }
     reply.answer
 }
@@ -130,8 +130,8 @@
     let own = shared.settings.discovery.ip;
     if home == own {
         draw(shared, own, &word);
-    } else if let Some(neighbours) = &shared.neighbours {
-        neighbours.give_back(home, word);
+    } else if let Some(peers) = &shared.entry_peers {
+        peers.give_back(home, word);
     }
 }
 
@@ -147,8 +147,8 @@
                     let book = &mut core.allowances;
                     (book.has_any(), book.tick(now))
                 });
-                if let Some(neighbours) = &filling.neighbours {
-                    neighbours.pull(pulls);
+                if let Some(peers) = &filling.entry_peers {
+                    peers.pull(pulls);
                 }
                 thread::sleep(if has_any {
                     REFILL_INTERVAL
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -34,7 +34,7 @@
 
 /// The socket for datagrams.
 #[derive(Debug)]
-pub struct Neighbours {
+pub struct EntryPeers {
     socket: net::UdpSocket,
     port: u16,
     /// Questions that wait for their answers, by their ids.
@@ -46,7 +46,7 @@
     lost: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
 }
 
-impl Neighbours {
+impl EntryPeers {
     /// Opens the socket at `ip`, on the port that the system's processes use among themselves.
     pub fn open(ip: net::Ipv4Addr, port: u16) -> io::Result<Self> {
         let socket = net::UdpSocket::bind((ip, port))?;
@@ -159,26 +159,26 @@
         Ok(words::Datagram::Word(word)) => shared.hear(*from.ip(), &word),
         Ok(words::Datagram::Ask(ask)) => advise(shared, *from.ip(), ask),
         Ok(words::Datagram::Advice(advice)) => {
-            if let Some(neighbours) = &shared.neighbours {
-                Neighbours::answered(&neighbours.asked, advice.id, advice.place);
+            if let Some(peers) = &shared.entry_peers {
+                EntryPeers::answered(&peers.asked, advice.id, advice.place);
             }
         }
         Ok(words::Datagram::Drawn(id, answer)) => {
-            if let Some(neighbours) = &shared.neighbours {
-                Neighbours::answered(&neighbours.drawn, id, answer);
+            if let Some(peers) = &shared.entry_peers {
+                EntryPeers::answered(&peers.drawn, id, answer);
             }
         }
         Ok(words::Datagram::Draw(draw)) => {
             let answer = allowances::draw(shared, *from.ip(), &draw);
-            if let Some(neighbours) = shared.neighbours.as_ref().filter(|_| draw.amount > 0.0) {
-                neighbours.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
+            if let Some(peers) = shared.entry_peers.as_ref().filter(|_| draw.amount > 0.0) {
+                peers.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
             }
         }
         Ok(words::Datagram::Pull(pull)) => {
             let now = shared.clock.now();
             let given = shared.with_core(|core| core.allowances.give(now, &pull));
-            if let Some(neighbours) = &shared.neighbours {
-                neighbours.send(&words::Datagram::Given(given), &[*from.ip()]);
+            if let Some(peers) = &shared.entry_peers {
+                peers.send(&words::Datagram::Given(given), &[*from.ip()]);
             }
         }
         Ok(words::Datagram::Given(given)) => {
@@ -230,8 +230,8 @@
         core.chooser.advise(now, from, request, &ask)
     });
     let advice = words::Advice { id, place };
-    if let Some(neighbours) = &shared.neighbours {
-        neighbours.send(&words::Datagram::Advice(advice), &[from]);
+    if let Some(peers) = &shared.entry_peers {
+        peers.send(&words::Datagram::Advice(advice), &[from]);
     }
 }
 
@@ -241,7 +241,7 @@
     request: u64,
     ask: &chooser::Ask<'_>,
 ) -> Option<words::Place> {
-    let neighbours = shared.neighbours.as_ref()?;
+    let peers = shared.entry_peers.as_ref()?;
     let wanted = ask.wanted?;
     let now = shared.clock.now();
     let (homes, tried) = shared.with_core(|core| {
@@ -271,7 +271,7 @@
         on_time: ask.on_time,
         may_be_late: ask.may_be_late,
     };
-    neighbours.ask(&homes, question)
+    peers.ask(&homes, question)
 }
 
 fn is_timeout(e: &io::Error) -> bool {
@@ -281,14 +281,14 @@
     )
 }
 
-/// Starts the thread that hears the neighbours.
+/// Starts the thread that hears the peers.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let listening = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("neighbours".to_owned())
         .spawn(move || {
-            if let Some(neighbours) = &listening.neighbours {
-                neighbours.listen(&listening);
+            if let Some(peers) = &listening.entry_peers {
+                peers.listen(&listening);
             }
         });
     if let Err(e) = spawned {
@@ -355,7 +355,7 @@
     pick: &chooser::Pick,
     complete: impl FnOnce(&mut words::Unread, bool) -> bool,
 ) {
-    let Some(neighbours) = shared.neighbours.as_ref().filter(|_| pick.reading > 0) else {
+    let Some(peers) = shared.entry_peers.as_ref().filter(|_| pick.reading > 0) else {
         return;
     };
     let (word, has_homes) = shared.with_core(|core| {
@@ -365,6 +365,6 @@
     if let Some((mut word, group)) = word
         && complete(&mut word, has_homes)
     {
-        neighbours.tell(word, &group);
+        peers.tell(word, &group);
     }
 }
--- a/src/sageshed/gateway/mod.rs
+++ b/src/sageshed/gateway/mod.rs
@@ -10,9 +10,9 @@
 
 mod allowances;
 mod crashes;
+pub mod entry_peers;
 mod fetch;
 pub mod metrics;
-pub mod neighbours;
 mod proxy;
 mod ready;
 mod refuse;
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -9,7 +9,7 @@
 use sageshed_upstream::{exchange, failure};
 
 use super::{AttemptResult, ProxiedRequest};
-use crate::gateway::{neighbours, response::ResponseSink};
+use crate::gateway::{entry_peers, response::ResponseSink};
 
 /// The largest answer that is not a stream, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
@@ -42,7 +42,7 @@
         watch: &reply::Watch,
     ) -> AttemptResult<'c> {
         let sent_at = std_time::Instant::now();
-        neighbours::tell(self.shared, pick);
+        entry_peers::tell(self.shared, pick);
         self.count_send(pick);
         self.commit_charge();
         let waited = self.req.received.elapsed();
@@ -255,8 +255,8 @@
             }
         });
         match read {
-            Some(read) => neighbours::tell_read(self.shared, pick, read, took, load),
-            None => neighbours::tell(self.shared, pick),
+            Some(read) => entry_peers::tell_read(self.shared, pick, read, took, load),
+            None => entry_peers::tell(self.shared, pick),
         }
         self.shared.wake_waiting();
     }
@@ -265,7 +265,7 @@
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
-        neighbours::tell_ended(self.shared, pick, began, self.fault_to_report(how));
+        entry_peers::tell_ended(self.shared, pick, began, self.fault_to_report(how));
         self.shared.wake_waiting();
     }
 
--- a/src/sageshed/gateway/proxy/home.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -41,7 +41,7 @@
             return Some(neighbours::Place::Wait { expected: None });
         }
         let request = neighbours::key(self.id());
-        let place = gateway::neighbours::ask(self.shared, request, ask);
+        let place = gateway::entry_peers::ask(self.shared, request, ask);
         *queried_at = place.map(|_| std_time::Instant::now());
         place
     }
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -7,7 +7,7 @@
 use sageshed_upstream::{exchange, failure};
 
 use super::{AttemptResult, ProxiedRequest};
-use crate::gateway::{neighbours, response::ResponseSink};
+use crate::gateway::{entry_peers, response::ResponseSink};
 
 /// A stream that may go on elsewhere does so after this silence between two events: callers leave a
 /// stream after two seconds of it.
@@ -142,6 +142,6 @@
         };
         self.shared
             .with_core(|core| core.chooser.paused(now, pick, pauses));
-        neighbours::tell_pauses(self.shared, pick, pauses);
+        entry_peers::tell_pauses(self.shared, pick, pauses);
     }
 }
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -9,7 +9,7 @@
 use sageshed_http::reply;
 use sageshed_types::{refusal, time, verdict};
 
-use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, home};
+use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, coordinator};
 use crate::gateway::state::CALLER_CHECK_INTERVAL;
 
 /// What must be left of the time for a late request to let others go first. Callers leave a stream of
@@ -103,7 +103,7 @@
                 let choice = if is_preceded {
                     chooser::Choice::Wait(chooser::Missing::Place)
                 } else {
-                    home::decide(core, now, &ask, place)
+                    coordinator::decide(core, now, &ask, place)
                 };
                 (choice, core.changes())
             });
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -12,7 +12,7 @@
 use sageshed_fleet::dialect;
 use sageshed_http::{handler, limits, server};
 
-use super::{allowances, neighbours, proxy, ready, state, watch};
+use super::{allowances, entry_peers, proxy, ready, state, watch};
 use crate::{context, locks, metrics_port, settings};
 
 /// Descriptors that are not for callers: control processes, idle connections to endpoints, ports.
@@ -82,7 +82,7 @@
         })
         .transpose()?;
     watch::start(&shared);
-    neighbours::start(&shared);
+    entry_peers::start(&shared);
     allowances::start(&shared);
     ::log::info!(vm = shared.settings.vm.as_str(), callers:% = callers.local_addr(),
         ready:% = ready.local_addr(); "gateway: listens");
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -13,7 +13,7 @@
 use sageshed_types::{document, time};
 use sageshed_upstream::pool;
 
-use super::{fetch, metrics, neighbours, routing};
+use super::{entry_peers, fetch, metrics, routing};
 use crate::{accounts, clock, locks, records, sampler, settings};
 
 /// Shared by all threads of an entry process.
@@ -30,7 +30,7 @@
     /// To control processes.
     pub client: sageshed_vms::Client,
     /// To other entry processes; none where the port could not be opened.
-    pub neighbours: Option<neighbours::Neighbours>,
+    pub entry_peers: Option<entry_peers::EntryPeers>,
     /// What is counted.
     pub metrics: metrics::Metrics,
     /// The accounts of the latest requests, for operators.
@@ -121,8 +121,8 @@
         let retries = settings.retries;
         let start = clock::unix_ms();
         let discovery = &settings.discovery;
-        let neighbours = match neighbours::Neighbours::open(discovery.ip, discovery.vms_port) {
-            Ok(neighbours) => Some(neighbours),
+        let entry_peers = match entry_peers::EntryPeers::open(discovery.ip, discovery.vms_port) {
+            Ok(peers) => Some(peers),
             Err(e) => {
                 ::log::warn!(error:% = e; "gateway: goes on without a word of its neighbours");
                 None
@@ -154,7 +154,7 @@
             clock: clock::Clock::start(),
             pool: pool::Pool::new(pool::Settings::default()),
             client: sageshed_vms::Client::new(""),
-            neighbours,
+            entry_peers,
             metrics: metrics::Metrics::default(),
             accounts: sync::Mutex::new(accounts::Accounts::new(MAX_ACCOUNTS)),
             sampler: sampler::Sampler::new(SUCCESSES_LOGGED),
