--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -62,7 +62,7 @@
 
 /// Entry processes whose configuration is not the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Behind {
+pub struct OutdatedEntries {
     /// How many.
     pub count: usize,
     /// For how long the one that is behind most has been.
@@ -140,7 +140,7 @@
     }
 
     /// Takes what entry processes were told in answers: that these endpoints leave.
-    pub fn leaves(&self, now: time::Instant, ids: &[directory::InstanceId]) {
+    pub fn mark_leaving(&self, now: time::Instant, ids: &[directory::InstanceId]) {
         if ids.is_empty() {
             return;
         }
@@ -192,7 +192,7 @@
             is_news
         });
         if is_news {
-            self.notify_watchers(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
@@ -211,21 +211,21 @@
     /// The process stops: nobody is kept waiting.
     pub fn stop(&self) {
         self.change(|inner| inner.is_stopping = true);
-        self.notify_watchers(watchers::Urgency::Now);
+        self.notify_watchers(watchers::Urgency::Immediate);
     }
 
     fn notify_watchers(&self, urgency: watchers::Urgency) {
-        if self.change(|inner| inner.watchers.note_news(urgency)) {
+        if self.change(|inner| inner.watchers.note_change(urgency)) {
             self.due.notify_one();
         }
     }
 
     /// Has `to` answered once something is newer than what `req` knows, or its patience is over.
-    pub fn watch(&self, req: messages::WatchReq, to: W) {
+    pub fn watch(&self, req: messages::WatchReq, responder: W) {
         let is_due_sooner = self.change(|inner| {
             let has_news = inner.has_updates_for(&req);
-            let was_noted = has_news && inner.watchers.note_news(watchers::Urgency::Collect);
-            inner.watchers.add(std_time::Instant::now(), req, to) || was_noted
+            let was_noted = has_news && inner.watchers.note_change(watchers::Urgency::Batched);
+            inner.watchers.add(std_time::Instant::now(), req, responder) || was_noted
         });
         if is_due_sooner {
             self.due.notify_one();
@@ -253,7 +253,7 @@
     }
 
     /// Takes note of who watches.
-    pub fn heard(&self, now: time::Instant, req: &messages::WatchReq) {
+    pub fn note_watcher(&self, now: time::Instant, req: &messages::WatchReq) {
         self.change(|inner| match req.watcher {
             messages::Watcher::Entry => inner.record_entry(now, req),
             messages::Watcher::Control => {
@@ -273,11 +273,11 @@
 
     /// The entry processes heard here whose configuration is not the newest.
     #[must_use]
-    pub fn behind(&self, now: time::Instant) -> Behind {
+    pub fn outdated_entries(&self, now: time::Instant) -> OutdatedEntries {
         let inner = locks::lock(&self.inner);
         let entries = inner.entries.values();
         let behind = entries.filter_map(|it| inner.versions.behind(now, it.config));
-        behind.fold(Behind::default(), |all, one| Behind {
+        behind.fold(OutdatedEntries::default(), |all, one| OutdatedEntries {
             count: all.count + 1,
             longest: all.longest.max(one),
         })
@@ -294,7 +294,7 @@
 
     /// What is newer than what `req` knows.
     #[must_use]
-    pub fn news(&self, now: time::Instant, req: &messages::WatchReq) -> News {
+    pub fn updates(&self, now: time::Instant, req: &messages::WatchReq) -> Updates {
         let mut inner = locks::lock(&self.inner);
         let passing = match req.wants {
             messages::Wants::All => Some(directory::Passing::All),
@@ -312,7 +312,7 @@
             || DirectoryUpdate::nothing(req.mark),
             |it| inner.encode_portion(now, req, it, most_bytes),
         );
-        News {
+        Updates {
             mark: told.mark,
             records: told.records,
             alive: told.alive,
@@ -329,7 +329,7 @@
     }
 
     /// The directory of another control process is known up to `mark`.
-    pub fn know_peer(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
+    pub fn set_peer_cursor(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
         self.change(|inner| inner.peers.insert(ip, mark));
     }
 
@@ -366,12 +366,12 @@
     }
 
     /// What callers asked for and the leader was not told yet.
-    pub fn with_tally<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
+    pub fn with_demand<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
         self.change(|inner| tell(&mut inner.tally))
     }
 
     /// Takes crashes that another process tells of, and wakes those who are to know.
-    pub fn take_crashes(&self, now: time::Instant, crashes: &[quarantine::Crash]) {
+    pub fn merge_crashes(&self, now: time::Instant, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
         }
@@ -384,7 +384,7 @@
             ::log::info!(content:% = content; "control: request is held no more, it was answered");
         }
         if taken.is_news {
-            self.notify_watchers(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
@@ -397,7 +397,7 @@
         });
         if is_news {
             ::log::info!(requests = held.len(); "control: requests are held by the log");
-            self.notify_watchers(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
@@ -407,7 +407,7 @@
     }
 
     /// Hands a want to the planning thread.
-    pub fn want(&self, want: messages::WantReq) {
+    pub fn request_adapter(&self, want: messages::WantReq) {
         self.plan(planning::Input::Want(want));
     }
 
@@ -428,7 +428,7 @@
             (made, inner.directory.has_news(before))
         });
         if is_news {
-            self.notify_watchers(watchers::Urgency::Collect);
+            self.notify_watchers(watchers::Urgency::Batched);
         }
         made
     }
@@ -574,7 +574,7 @@
 
 /// What is newer than what a watcher knows.
 #[derive(Debug)]
-pub struct News {
+pub struct Updates {
     /// Up to where the directory is known with it.
     pub mark: directory::Mark,
     /// What changed in the directory, as far as it goes into one answer.
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -360,7 +360,7 @@
     if notice.leaves {
         shared
             .hub
-            .leaves(shared.clock.now(), std::slice::from_ref(instance));
+            .mark_leaving(shared.clock.now(), std::slice::from_ref(instance));
     }
     shared.hub.plan(Input::Notice(instance.clone(), notice));
 }
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -34,12 +34,16 @@
 const PEER_LOST_AFTER: std_time::Duration = std_time::Duration::from_secs(30);
 
 /// Takes a watch, which is answered by [`answer_watchers`] once there is something new.
-pub fn take(shared: &shared::Shared, mut req: messages::WatchReq, later: sageshed_vms::Later) {
+pub fn accept_watch(
+    shared: &shared::Shared,
+    mut req: messages::WatchReq,
+    later: sageshed_vms::Later,
+) {
     let now = shared.clock.now();
-    shared.hub.heard(now, &req);
+    shared.hub.note_watcher(now, &req);
     take_demand(shared, &mut req);
-    shared.hub.take_crashes(now, &req.crashes);
-    shared.hub.leaves(now, &req.leaving);
+    shared.hub.merge_crashes(now, &req.crashes);
+    shared.hub.mark_leaving(now, &req.leaving);
     if req.watcher == messages::Watcher::Control {
         shared.hear_of([req.ip]);
     }
@@ -54,7 +58,9 @@
         let common = RoundData::of(shared);
         for watcher in due {
             let resp = common.answer(shared, &watcher.req);
-            watcher.to.answer(sageshed_vms::Answer::message(&resp));
+            watcher
+                .responder
+                .answer(sageshed_vms::Answer::message(&resp));
         }
     }
 }
@@ -82,7 +88,7 @@
     }
 
     fn answer(&self, shared: &shared::Shared, req: &messages::WatchReq) -> messages::WatchResp {
-        let news = shared.hub.news(shared.clock.now(), req);
+        let news = shared.hub.updates(shared.clock.now(), req);
         // Only whoever takes endpoints takes the list of entry processes too.
         let takes_entries = req.wants == messages::Wants::News;
         let entries_number = if takes_entries {
@@ -167,7 +173,7 @@
     if shared.leads() {
         shared.hub.demand(demand);
     } else if req.watcher == messages::Watcher::Entry {
-        shared.hub.with_tally(|it| it.add(demand));
+        shared.hub.with_demand(|it| it.add(demand));
     }
 }
 
@@ -231,7 +237,7 @@
     while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < PEER_LOST_AFTER {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
         let demand = if is_leader {
-            shared.hub.with_tally(tally::Tally::take)
+            shared.hub.with_demand(tally::Tally::take)
         } else {
             Vec::new()
         };
@@ -264,7 +270,7 @@
                 heard = std_time::Instant::now();
                 mark = resp.mark;
                 if is_leader {
-                    shared.hub.with_tally(tally::Tally::told);
+                    shared.hub.with_demand(tally::Tally::told);
                 }
                 shared.hear_of(resp.control.iter().map(|it| it.ip));
                 let records =
@@ -272,15 +278,15 @@
                 shared.hub.merge(shared.clock.now(), records);
                 shared.hub.confirm(shared.clock.now(), &resp.alive);
                 if !resp.has_more {
-                    shared.hub.know_peer(vm.into(), resp.mark);
+                    shared.hub.set_peer_cursor(vm.into(), resp.mark);
                 }
-                shared.hub.take_crashes(shared.clock.now(), &resp.crashes);
+                shared.hub.merge_crashes(shared.clock.now(), &resp.crashes);
                 crashes_known = resp.crashes_mark.unwrap_or_default();
             }
             Err(e) => {
                 ::log::debug!(error:% = e; "control: another control process is not watched");
                 let now = shared.clock.now();
-                shared.hub.with_tally(|it| it.put_back(now, req.demand));
+                shared.hub.with_demand(|it| it.put_back(now, req.demand));
                 thread::sleep(RETRY_INTERVAL);
             }
         }
--- a/src/sageshed/control/fleet/watchers.rs
+++ b/src/sageshed/control/fleet/watchers.rs
@@ -4,7 +4,7 @@
 //!
 //! Hundreds of processes watch one control process, and in a release or after a start an endpoint changes every
 //! few milliseconds. Answered change by change, each watcher would cost an answer for each change. So news is
-//! collected and all watchers are answered in rounds, at most one in [`ROUND`]; a new configuration and what
+//! collected and all watchers are answered in rounds, at most one in [`MIN_ROUND_INTERVAL`]; a new configuration and what
 //! concerns held requests begin a round at once. Watchers whose patience is over are answered with the next round.
 
 use std::time;
@@ -12,15 +12,15 @@
 use sageshed_fleet::messages;
 
 /// At least this long between two rounds of answers that could be collected.
-pub const ROUND: time::Duration = time::Duration::from_millis(30);
+pub const MIN_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(30);
 
 /// How soon watchers have to know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next round.
-    Collect,
+    Batched,
     /// At once.
-    Now,
+    Immediate,
 }
 
 /// A call that waits.
@@ -29,7 +29,7 @@
     /// What it knows.
     pub req: messages::WatchReq,
     /// The means to answer it.
-    pub to: W,
+    pub responder: W,
     until: time::Instant,
 }
 
@@ -56,9 +56,13 @@
 
 impl<W> Watchers<W> {
     /// Adds a call. Returns whether the next round is sooner by that.
-    pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, to: W) -> bool {
+    pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, responder: W) -> bool {
         let until = now + req.patience.into();
-        self.waiting.push(Watcher { req, to, until });
+        self.waiting.push(Watcher {
+            req,
+            responder,
+            until,
+        });
         let is_sooner = self.next_timeout.is_none_or(|it| until < it);
         if is_sooner {
             self.next_timeout = Some(until);
@@ -67,11 +71,11 @@
     }
 
     /// Something changed. Returns whether the next round is sooner by that.
-    pub fn note_news(&mut self, urgency: Urgency) -> bool {
+    pub fn note_change(&mut self, urgency: Urgency) -> bool {
         let is_sooner = match self.news {
             None => true,
-            Some(Urgency::Collect) => urgency == Urgency::Now,
-            Some(Urgency::Now) => false,
+            Some(Urgency::Batched) => urgency == Urgency::Immediate,
+            Some(Urgency::Immediate) => false,
         };
         if is_sooner {
             self.news = Some(urgency);
@@ -83,11 +87,13 @@
     #[must_use]
     pub fn next_round(&self, now: time::Instant) -> Option<time::Duration> {
         let due = match self.news {
-            Some(Urgency::Now) => return Some(time::Duration::ZERO),
-            Some(Urgency::Collect) => now,
+            Some(Urgency::Immediate) => return Some(time::Duration::ZERO),
+            Some(Urgency::Batched) => now,
             None => self.next_timeout?,
         };
-        let due = self.last_round.map_or(due, |it| due.max(it + ROUND));
+        let due = self
+            .last_round
+            .map_or(due, |it| due.max(it + MIN_ROUND_INTERVAL));
         Some(due.saturating_duration_since(now))
     }
 
--- a/src/sageshed/control/formation.rs
+++ b/src/sageshed/control/formation.rs
@@ -25,7 +25,7 @@
 use crate::locks;
 
 /// Between two rounds of hellos.
-const ROUND: time::Duration = time::Duration::from_millis(200);
+const MIN_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// How long one hello may take.
 const CALL_LIMIT: time::Duration = time::Duration::from_millis(500);
@@ -81,7 +81,7 @@
             Next::Join => return Part::Joiner,
         }
         round += 1;
-        thread::sleep(ROUND);
+        thread::sleep(MIN_ROUND_INTERVAL);
     }
     Part::Stopped
 }
--- a/src/sageshed/control/metrics.rs
+++ b/src/sageshed/control/metrics.rs
@@ -94,7 +94,7 @@
         let now = shared.clock.now();
         let heard = locks::read(&shared.roster).entries_heard(now);
         self.entries.set(heard as f64);
-        let behind = shared.hub.behind(now);
+        let behind = shared.hub.outdated_entries(now);
         self.entries_behind.set(behind.count as f64);
         self.behind.set(behind.longest.0 as f64 / 1_000.0);
         self.endpoints.set(shared.reports().len() as f64);
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -67,7 +67,7 @@
 
     fn handle_later(&self, _path: &str, body: &[u8], later: sageshed_vms::Later) {
         match sageshed_vms::decode(body) {
-            Ok(req) => watch::take(&self.shared, req, later),
+            Ok(req) => watch::accept_watch(&self.shared, req, later),
             Err(e) => later.answer(Answer::Bad(e)),
         }
     }
@@ -118,7 +118,7 @@
         }
         self.take_reports(now, std::mem::take(&mut req.reports));
         self.take_demand(&req.from.vm, std::mem::take(&mut req.demand));
-        self.shared.hub.take_crashes(now, &req.crashes);
+        self.shared.hub.merge_crashes(now, &req.crashes);
         self.answer(&req)
     }
 
@@ -261,7 +261,7 @@
             let leader = leader.and_then(|it| it.parse().ok());
             return fleet::WantResp::NotLeader { leader };
         }
-        self.shared.hub.want(want);
+        self.shared.hub.request_adapter(want);
         fleet::WantResp::Taken
     }
 
--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -7,7 +7,7 @@
 impl<D: dialect::Dialect> state::Shared<D> {
     /// Takes crashes that this process saw or control tells of. Requests that wait here and are held now are
     /// answered.
-    pub fn take_crashes(&self, crashes: &[quarantine::Crash]) {
+    pub fn merge_crashes(&self, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
         }
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -180,7 +180,7 @@
 /// not fetched again.
 pub fn take_document<D: dialect::Dialect>(shared: &state::Shared<D>, document: document::Document) {
     match shared.dialect.config(document.text.as_bytes()) {
-        Ok(config) => shared.put_in_force(config),
+        Ok(config) => shared.apply_config(config),
         Err(e) => {
             ::log::error!(version = document.version, error:% = e;
                 "gateway: configuration not understood, the one before stays in force");
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -28,7 +28,7 @@
             is_cleared: false,
         };
         let now = shared.clock.now();
-        shared.take_crashes(&[crash]);
+        shared.merge_crashes(&[crash]);
         let ends = shared.with_core(|core| core.quarantine.ends(now, self.content));
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, ends;
             "gateway: endpoint ended under the request");
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -50,7 +50,7 @@
         let deadline = passing.as_ref().ok().and_then(|it| it.deadline);
         let routing = self
             .shared
-            .routing_soon(req.received, deadline, || watch.caller_gone());
+            .wait_for_routing(req.received, deadline, || watch.caller_gone());
         let Some(routing) = routing else {
             let detail = "no configuration is known here yet";
             let refusal =
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -85,7 +85,7 @@
     }
 
     /// Puts a configuration in force, unless one with the same or a higher number is.
-    pub fn put_in_force(&self, config: config::FleetConfig) {
+    pub fn apply_config(&self, config: config::FleetConfig) {
         let version = config.version;
         let routing = sync::Arc::new(Routing::new(config));
         let mut current = locks::write(&self.routing);
@@ -111,7 +111,7 @@
     /// have been served, and some of them only once. The wait ends well before the caller's `deadline`,
     /// and few wait, since each holds a thread.
     #[must_use]
-    pub fn routing_soon(
+    pub fn wait_for_routing(
         &self,
         since: std_time::Instant,
         deadline: Option<time::Millis>,
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -96,7 +96,7 @@
 
 /// Successes that are logged in a second. At three times that the lines of successes alone would cost
 /// more than the requests that they tell of on the smallest VMs.
-pub const SUCCESSES_LOGGED: u64 = 20;
+pub const MAX_SUCCESSES_LOGGED_PER_SECOND: u64 = 20;
 
 /// Lines a second on words of other processes that could not be read.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
@@ -157,7 +157,7 @@
             entry_peers,
             metrics: metrics::Metrics::default(),
             accounts: sync::Mutex::new(accounts::Accounts::new(MAX_ACCOUNTS)),
-            sampler: sampler::Sampler::new(SUCCESSES_LOGGED),
+            sampler: sampler::Sampler::new(MAX_SUCCESSES_LOGGED_PER_SECOND),
             misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             endpoint_changes: sampler::Sampler::new(ENDPOINT_CHANGES_LOGGED_PER_SECOND),
             routing: sync::RwLock::new(None),
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -208,7 +208,7 @@
         shared.set_entries(resp.entries_number, entries);
     }
     shared.merge_records(&resp.records);
-    shared.take_crashes(&resp.crashes);
+    shared.merge_crashes(&resp.crashes);
     resp.peers
 }
 
--- a/tests/gateway_start.rs
+++ b/tests/gateway_start.rs
@@ -47,13 +47,13 @@
     let shared = started("held");
     let held = sync::Arc::clone(&shared);
     let request = thread::spawn(move || {
-        let routing = held.routing_soon(time::Instant::now() + LONG, None, || false);
+        let routing = held.wait_for_routing(time::Instant::now() + LONG, None, || false);
         routing.map(|it| it.config.version)
     });
     while shared.waiting.load(atomic::Ordering::Relaxed) == 0 {
         thread::yield_now();
     }
-    shared.put_in_force(first_config());
+    shared.apply_config(first_config());
     assert_eq!(request.join().expect("a thread"), Some(3));
     assert_eq!(shared.waiting.load(atomic::Ordering::Relaxed), 0);
 }
@@ -63,9 +63,9 @@
 fn a_request_waits_no_longer_than_it_may_and_not_for_a_caller_that_left() {
     let shared = started("past");
     let long_ago = time::Instant::now().checked_sub(time::Duration::from_secs(5));
-    let past = shared.routing_soon(long_ago.expect("the machine is up"), None, || false);
+    let past = shared.wait_for_routing(long_ago.expect("the machine is up"), None, || false);
     assert!(past.is_none());
-    let left = shared.routing_soon(time::Instant::now() + LONG, None, || true);
+    let left = shared.wait_for_routing(time::Instant::now() + LONG, None, || true);
     assert!(left.is_none());
 }
 
@@ -105,14 +105,14 @@
         let since = since.expect("the machine is up");
         // One that waits is seen to do so, and is answered by the configuration that comes then.
         let request = thread::spawn(move || {
-            let routing = held.routing_soon(since, case.deadline, || false);
+            let routing = held.wait_for_routing(since, case.deadline, || false);
             routing.map(|it| it.config.version)
         });
         if case.waits {
             while shared.waiting.load(atomic::Ordering::Relaxed) == 0 && !request.is_finished() {
                 thread::yield_now();
             }
-            shared.put_in_force(first_config());
+            shared.apply_config(first_config());
             assert_eq!(request.join().expect("a thread"), Some(3), "{}", case.name);
         } else {
             assert_eq!(request.join().expect("a thread"), None, "{}", case.name);
--- a/tests/sampler.rs
+++ b/tests/sampler.rs
@@ -1,7 +1,7 @@
 //! How many successes are logged.
 
 use sageshed::{
-    gateway::state::SUCCESSES_LOGGED,
+    gateway::state::MAX_SUCCESSES_LOGGED_PER_SECOND,
     sampler::{Line, Sampler},
 };
 use sageshed_types::time;
@@ -10,7 +10,7 @@
 /// without being counted.
 #[test]
 fn successes_past_the_rate_are_left_out_and_counted() {
-    let sampler = Sampler::new(SUCCESSES_LOGGED);
+    let sampler = Sampler::new(MAX_SUCCESSES_LOGGED_PER_SECOND);
     let mut written = 0;
     let mut told = 0;
     for second in 0..3 {
@@ -31,7 +31,7 @@
 
 #[test]
 fn at_the_usual_load_each_success_is_logged() {
-    let sampler = Sampler::new(SUCCESSES_LOGGED);
+    let sampler = Sampler::new(MAX_SUCCESSES_LOGGED_PER_SECOND);
     let lines = (0..50).map(|n| sampler.line(time::Instant(n * 100)));
     assert!(lines.into_iter().all(|it| it == Line::Write));
 }
--- a/tests/watchers.rs
+++ b/tests/watchers.rs
@@ -47,7 +47,7 @@
 
     fn change(&mut self, urgency: watchers::Urgency) {
         self.newest += 1;
-        self.watchers.note_news(urgency);
+        self.watchers.note_change(urgency);
     }
 
     fn pass(&mut self, ms: u64) -> usize {
@@ -75,7 +75,7 @@
     let mut answers = 0;
     waiting.add(300, 800);
     for _ in 0..300 {
-        waiting.change(watchers::Urgency::Collect);
+        waiting.change(watchers::Urgency::Batched);
         let due = waiting.pass(1);
         answers += due;
         waiting.add(due as u64, 800);
@@ -89,12 +89,12 @@
 fn what_is_urgent_is_told_at_once() {
     let mut waiting = Waiting::new();
     waiting.add(3, 800);
-    waiting.change(watchers::Urgency::Collect);
+    waiting.change(watchers::Urgency::Batched);
     assert_eq!(waiting.pass(0), 3);
     waiting.add(3, 800);
-    waiting.change(watchers::Urgency::Collect);
+    waiting.change(watchers::Urgency::Batched);
     assert_eq!(waiting.pass(1), 0);
-    waiting.change(watchers::Urgency::Now);
+    waiting.change(watchers::Urgency::Immediate);
     assert_eq!(waiting.pass(0), 3);
 }
 
@@ -105,7 +105,7 @@
     waiting.add(1, 800);
     waiting.newest = 1;
     assert_eq!(waiting.pass(10), 0, "nobody was told that there is news");
-    waiting.watchers.note_news(watchers::Urgency::Collect);
+    waiting.watchers.note_change(watchers::Urgency::Batched);
     assert_eq!(
         waiting.watchers.next_round(waiting.now),
         Some(time::Duration::ZERO)
--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -47,13 +47,13 @@
 }
 
 /// What the watcher of `req` is told, once it is told anything.
-fn told(hub: &sync::Arc<Hub>, req: messages::WatchReq) -> mpsc::Receiver<hub::News> {
+fn told(hub: &sync::Arc<Hub>, req: messages::WatchReq) -> mpsc::Receiver<hub::Updates> {
     hub.watch(req, ());
     let (tx, rx) = mpsc::channel();
     let hub = sync::Arc::clone(hub);
     thread::spawn(move || {
         for watcher in hub.next_round() {
-            tx.send(hub.news(NOW, &watcher.req))
+            tx.send(hub.updates(NOW, &watcher.req))
                 .expect("the test waits");
         }
     });
@@ -92,7 +92,7 @@
         let known = hub.with_quarantine(|it| it.mark());
         let rx = told(&hub, watch(case.watcher, known));
         for endpoint in 1..=case.ends {
-            hub.take_crashes(NOW, &[crash(endpoint)]);
+            hub.merge_crashes(NOW, &[crash(endpoint)]);
         }
         let told = rx.recv_timeout(PATIENCE).expect(case.name).crashes;
         assert_eq!(told.len(), case.told, "{}", case.name);
@@ -103,17 +103,17 @@
 #[test]
 fn an_entry_process_is_not_told_of_what_is_not_held() {
     let hub = Hub::new(1);
-    hub.take_crashes(NOW, &[crash(1), crash(2)]);
+    hub.merge_crashes(NOW, &[crash(1), crash(2)]);
     let req = messages::WatchReq {
         patience: types_time::Millis(1),
         ..watch(messages::Watcher::Entry, quarantine::Mark::default())
     };
-    assert!(hub.news(NOW, &req).crashes.is_empty());
+    assert!(hub.updates(NOW, &req).crashes.is_empty());
     let other = messages::WatchReq {
         patience: types_time::Millis(1),
         ..watch(messages::Watcher::Control, quarantine::Mark::default())
     };
-    assert_eq!(hub.news(NOW, &other).crashes.len(), 2);
+    assert_eq!(hub.updates(NOW, &other).crashes.len(), 2);
 }
 
 /// A process of an earlier version takes nothing of this. Answered at once, since there is always something that
@@ -121,7 +121,7 @@
 #[test]
 fn an_earlier_version_is_not_woken() {
     let hub = sync::Arc::new(Hub::new(1));
-    hub.take_crashes(NOW, &[crash(1), crash(2), crash(3)]);
+    hub.merge_crashes(NOW, &[crash(1), crash(2), crash(3)]);
     let req = messages::WatchReq {
         crashes_known: None,
         ..watch(messages::Watcher::Entry, quarantine::Mark::default())
@@ -166,10 +166,10 @@
             config,
             ..watch(messages::Watcher::Entry, known)
         };
-        hub.heard(NOW, &req);
+        hub.note_watcher(NOW, &req);
     }
     let later = NOW + types_time::Millis(400);
-    let behind = hub.behind(later);
+    let behind = hub.outdated_entries(later);
     assert_eq!(behind.count, 2);
     assert_eq!(behind.longest, types_time::Millis(400));
 }
@@ -219,7 +219,7 @@
     let misread = sageshed::sampler::Sampler::new(1);
     let mut answers = 0;
     loop {
-        let news = hub.news(NOW, &req);
+        let news = hub.updates(NOW, &req);
         answers += 1;
         let bytes: usize = news.records.iter().map(|it| it.0.len()).sum();
         assert!(bytes <= 128 * 1_024, "{bytes} bytes in one answer");
@@ -263,7 +263,7 @@
     req.wants = messages::Wants::News;
     let mut told = 0;
     loop {
-        let news = hub.news(NOW, &req);
+        let news = hub.updates(NOW, &req);
         let bytes: usize = news.records.iter().map(|it| it.0.len()).sum();
         assert!(bytes <= 128 * 1_024, "{bytes} bytes in one answer");
         told += news.records.len();
@@ -290,8 +290,8 @@
     );
     req.wants = messages::Wants::All;
     req.patience = types_time::Millis(1);
-    while hub.news(NOW, &req).mark != req.mark {
-        req.mark = hub.news(NOW, &req).mark;
+    while hub.updates(NOW, &req).mark != req.mark {
+        req.mark = hub.updates(NOW, &req).mark;
     }
     let later = NOW + directory::REFRESH;
     for number in 0..MANY {
@@ -301,7 +301,7 @@
         };
         hub.announce(later, alive);
     }
-    let news = hub.news(later, &req);
+    let news = hub.updates(later, &req);
     assert_eq!(news.records.len(), MANY as usize);
     assert!(!news.has_more);
 }
