--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -60,7 +60,7 @@
         refusal::Refusal::new(reason, verdict, detail)
     }
 
-    pub(super) fn finish_refused(
+    pub(super) fn refuse(
         &mut self,
         sink: ResponseSink<'_>,
         refusal: &refusal::Refusal,
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -107,7 +107,7 @@
                 proxied.workspace = workspace;
                 proxied.run(reply)
             }
-            Err(refusal) => proxied.finish_refused(ResponseSink::NotStarted(reply), &refusal),
+            Err(refusal) => proxied.refuse(ResponseSink::NotStarted(reply), &refusal),
         }
     }
 
@@ -295,20 +295,18 @@
             core.budget.request(now, self.service);
         });
         if let Some(refusal) = self.charge_quota() {
-            return self.finish_refused(sink, &refusal);
+            return self.refuse(sink, &refusal);
         }
         loop {
             let pick = match self.next(&watch) {
                 NextStep::Send(pick) => pick,
-                NextStep::Refuse(refusal) => return self.finish_refused(sink, &refusal),
+                NextStep::Refuse(refusal) => return self.refuse(sink, &refusal),
                 NextStep::CallerGone => return self.finish_caller_gone(sink),
             };
             match self.send(&pick, sink, &watch) {
                 AttemptResult::Done(sent) => return sent,
                 AttemptResult::Retry(back) => sink = back,
-                AttemptResult::Refuse(sink, refusal) => {
-                    return self.finish_refused(sink, &refusal);
-                }
+                AttemptResult::Refuse(sink, refusal) => return self.refuse(sink, &refusal),
                 AttemptResult::CallerGone(sink) => return self.finish_caller_gone(sink),
             }
         }
