--- a/src/sageshed/gateway/mod.rs
+++ b/src/sageshed/gateway/mod.rs
@@ -1,12 +1,13 @@
-//! An entry process in front of a fleet whose configuration an operator replaces as a whole.
+//! The entry process of a fleet whose configuration the operator replaces as a whole.
 //!
-//! It passes callers' requests on to the endpoints that the configuration allows, byte for byte, and
-//! their answers back. It keeps nothing on disk: what it knows it has from control processes
-//! ([`watch`]), and it goes on with what it knows while none of them can be reached.
+//! It is a reverse proxy: it forwards callers' requests byte for byte to the endpoints that the
+//! configuration allows, and passes their responses back. It stores nothing on disk. Its state comes
+//! from control processes ([`watch`]), and it keeps serving with the last known state while none of
+//! them can be reached.
 //!
-//! One thread serves one connection of a caller, and with it one request at a time ([`proxy`]). It
-//! blocks while it waits for a place, a load or an answer, and looks several times a second whether
-//! the caller is still there.
+//! One thread serves one connection of a caller, and so one request at a time ([`proxy`]). The thread
+//! blocks while the request waits for a free slot, a model load or a response, and checks several times
+//! a second whether the caller is still connected.
 
 mod allowances;
 mod crashes;
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -1,5 +1,5 @@
-//! One sending of a request: the exchange with an endpoint, and what its answer or its failure says
-//! about the next step.
+//! One attempt of a request: the exchange with an endpoint, and the next step that follows from its
+//! response or failure.
 
 use std::time as std_time;
 
@@ -11,30 +11,30 @@
 use super::{AttemptResult, ProxiedRequest};
 use crate::gateway::{entry_peers, response::ResponseSink};
 
-/// The largest answer that is not a stream, in bytes.
+/// The largest response that is not a stream.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// How long a kept connection may have been idle for a request that must not run twice: if the
-/// endpoint closes it in that moment, the request is lost and can't be sent again.
+/// How long a pooled connection may have been idle to be used for a request that must not run twice: if
+/// the endpoint closes it at the same moment, the request is lost and can't be retried.
 const MAX_IDLE_NOT_REPEATABLE: std_time::Duration = std_time::Duration::from_millis(1_500);
 
-/// The same for a request that may be sent again.
+/// How long a pooled connection may have been idle to be used for a request that may be retried.
 const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
 
-/// Silence for this many times the objective sends an idempotent request to another endpoint.
+/// An idempotent request is sent to another endpoint after silence for this many times its latency target.
 const SILENCE_PER_OBJECTIVE: u64 = 3;
 
-/// The shortest silence that does, in milliseconds.
+/// The shortest silence after which an idempotent request is sent to another endpoint.
 const MIN_SILENCE: std_time::Duration = std_time::Duration::from_millis(300);
 
-/// Added to the estimate of a request before it leaves an endpoint that says nothing at all.
+/// Added to the estimated time to response before a request leaves an endpoint that is suspected to be down.
 const ESTIMATE_MARGIN: std_time::Duration = std_time::Duration::from_millis(700);
 
-/// A rejection that was not a run is worth another try after this long.
+/// The pause after a rejection before the request is sent to another endpoint.
 const REJECTION_DELAY: std_time::Duration = std_time::Duration::from_millis(8);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Sends the request to `pick` and passes the answer on.
+    /// Sends the request to the endpoint of `pick` and passes the response on.
     pub(super) fn send<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -75,13 +75,13 @@
             .with_core(|core| core.chooser.is_suspected(now, pick))
     }
 
-    /// Whether the request could go to another endpoint now, while it runs at one.
+    /// Whether the request may be sent to a second endpoint now, while it may be running at the first.
     fn may_switch_endpoint(&self) -> bool {
         let may_run_again = self.route.repeat.may_run_again();
         may_run_again && self.possible_runs + 1 < self.route.attempts && self.can_retry()
     }
 
-    /// How long an endpoint may be silent before an idempotent request goes elsewhere.
+    /// How long an endpoint may be silent before the request is sent to another one; none if it is not idempotent.
     fn silence_limit(&self) -> Option<std_time::Duration> {
         if self.route.repeat != config::Repeat::Idempotent {
             return None;
@@ -110,7 +110,7 @@
             let is_set = set
                 .iter()
                 .any(|(name, _)| header.name.eq_ignore_ascii_case(name));
-            // Whoever gets a key can act as its holder.
+            // Not forwarded: an endpoint that receives an API key could use it to act as its holder.
             let is_key = self.asks_for_keys && header.is_credential();
             if !is_set && !is_key && self.forwards_header(&header.name) {
                 list.push((&header.name, &header.value));
@@ -145,7 +145,7 @@
             && !self.shared.dialect.stays_here(name)
     }
 
-    /// Passes over answers to earlier requests on the same connection.
+    /// Discards responses to earlier requests on the same connection.
     fn skip_stale_responses<S: Fn() -> bool>(
         &self,
         pick: &chooser::Pick,
@@ -159,7 +159,7 @@
             if !self.is_for_another_request(&answered) {
                 return Ok(exchange);
             }
-            ::log::warn!(request = self.id(); "gateway: answer to another request passed over");
+            ::log::warn!(request = self.id(); "gateway: discarded a response to another request");
             exchange = exchange.next_answer(MAX_RESPONSE_BYTES, patience)?;
         }
     }
@@ -169,7 +169,7 @@
         id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
     }
 
-    /// Decides by the head of an answer what becomes of it.
+    /// Decides by the head of a response whether it is passed on, retried elsewhere or replaced by a refusal.
     fn handle_response<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -269,7 +269,7 @@
         self.shared.wake_waiting();
     }
 
-    /// What others are to know of an engine after a request of this kind has ended `how`.
+    /// The fault of the engine that entry peers are told of after an attempt that ended `how`.
     fn fault_to_report(&self, how: chooser::Ended) -> Option<words::Trouble> {
         let model = self.wanted.map(|it| words::key(&it.model))?;
         match how {
@@ -287,7 +287,7 @@
         self.wanted.is_some_and(|it| it.adapter.is_some())
     }
 
-    /// The endpoint says that it has not run the request.
+    /// Handles a response that says that the endpoint has not run the request.
     fn handle_rejection<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -296,7 +296,7 @@
         status: u16,
     ) -> AttemptResult<'c> {
         ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
-            "gateway: endpoint rejected the request and has not run it");
+            "gateway: endpoint rejected the request without running it");
         self.last_failure = format!(
             "endpoint {} rejected it with status {status}",
             pick.instance
@@ -318,7 +318,7 @@
         AttemptResult::Retry(sink)
     }
 
-    /// An answer came that can't be passed on; the request may have run.
+    /// Handles a response that can't be passed on; the request may have run.
     fn handle_unusable_response<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -333,7 +333,7 @@
         self.handle_failed_run(pick, sink, false, &failure)
     }
 
-    /// No head of an answer came.
+    /// Handles an exchange that failed before the head of a response arrived.
     fn handle_missing_response<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -348,12 +348,12 @@
             return AttemptResult::CallerGone(sink);
         }
         if is_interrupted {
-            // The caller waits still: the endpoint said nothing, to this request or any other.
+            // The caller is still connected, so the exchange was stopped because the endpoint is silent.
             failure.cause = failure::Cause::Silent;
         }
         if !failure.is_sent {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, error:% = failure;
-                "gateway: endpoint not reached, the request was not sent");
+                "gateway: endpoint could not be reached; the request was not sent");
             self.last_failure = format!("endpoint {} was not reached: {failure}", pick.instance);
             self.attempt_log
                 .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
@@ -368,7 +368,7 @@
         self.handle_failed_run(pick, sink, began, &failure)
     }
 
-    /// The request may have run, and no whole answer came.
+    /// Handles the failure of a request that may have run and got no complete response.
     pub(super) fn handle_failed_run<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -381,7 +381,8 @@
             return AttemptResult::CallerGone(sink);
         }
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, error:% = failure,
-            runs = self.possible_runs, begun = sink.has_started(); "gateway: endpoint failed, the request may have run");
+            runs = self.possible_runs, begun = sink.has_started();
+            "gateway: endpoint failed, the request may have run");
         self.last_failure = format!("endpoint {} failed: {failure}", pick.instance);
         self.attempt_log
             .record_outcome(verdict::Verdict::MayHaveRun, &self.last_failure);
@@ -394,7 +395,7 @@
         self.end_attempt(pick, began, how);
         self.tried_endpoints.push(pick.key);
         let goes_on = self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
-        // Without the id of an event nothing says where the stream would go on.
+        // Without the id of an event, no other endpoint can tell where to resume the stream.
         let can_resume = !sink.has_started() || sink.last_id().is_some();
         if goes_on && can_resume && !is_over {
             return AttemptResult::Retry(sink);
--- a/src/sageshed/gateway/proxy/attempt_log.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, as it goes on, for `sageshed explain`.
+//! Collects the attempts of one request for its request trace, which `sageshed explain` shows.
 
 use sageshed_fleet::{chooser, config, dialect};
 use sageshed_types::{account, rules, time, verdict};
@@ -6,10 +6,10 @@
 use super::ProxiedRequest;
 use crate::{clock, locks};
 
-/// What a try is called until something came of it.
+/// The outcome of an attempt that has not ended.
 const IN_PROGRESS: &str = "under way";
 
-/// The choices and tries of one request so far.
+/// The chosen endpoints and the attempts of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct AttemptLog {
     chosen: Vec<account::Candidate>,
@@ -17,7 +17,7 @@
 }
 
 impl AttemptLog {
-    /// It is sent to `pick`, so long after it came.
+    /// Adds an attempt at the endpoint of `pick`, `started` after the arrival of the request.
     pub(super) fn record_attempt(&mut self, pick: &chooser::Pick, started: time::Millis) {
         self.chosen.push(account::Candidate {
             endpoint: pick.instance.to_string(),
@@ -32,7 +32,7 @@
         });
     }
 
-    /// What came of the latest try.
+    /// Sets the result of the latest attempt.
     pub(super) fn record_outcome(&mut self, verdict: verdict::Verdict, outcome: &str) {
         if let Some(last) = self.tries.last_mut() {
             last.verdict = verdict;
@@ -42,11 +42,11 @@
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Keeps the account of this request, which has ended.
+    /// Stores the trace of this request, which has ended.
     pub(super) fn keep_account(&mut self, end: account::End) {
         let took = time::Millis::from(self.req.received.elapsed());
-        let story = std::mem::take(&mut self.attempt_log);
-        let queued = story.tries.first().map_or(took, |it| it.started);
+        let log = std::mem::take(&mut self.attempt_log);
+        let queued = log.tries.first().map_or(took, |it| it.started);
         let span = self.deadline.saturating_duration_since(self.req.received);
         let not_repeatable = matches!(
             self.route.repeat,
@@ -66,8 +66,8 @@
             not_repeatable,
             deadline: span.into(),
             queued,
-            candidates: story.chosen,
-            tries: story.tries,
+            candidates: log.chosen,
+            tries: log.tries,
             end,
             took,
         };
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself in its answers, and what that allows.
+//! Applies the backpressure notices that endpoints add to their responses: drain, back-off and rate limit.
 
 use sageshed_fleet::{allowance, chooser, dialect};
 use sageshed_types::time;
@@ -6,11 +6,11 @@
 use super::ProxiedRequest;
 use crate::gateway::allowances;
 
-/// How long an endpoint with a limit is left alone where no process answers that keeps it.
+/// How long an endpoint with a rate limit gets no requests if no coordinator of that limit can be reached.
 const UNKNOWN_LIMIT_PAUSE: time::Millis = time::Millis(1_000);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Takes note of what the endpoint of `pick` says of itself in an answer.
+    /// Applies the notice in a response of the endpoint of `pick`.
     pub(super) fn apply_notice(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
         if !answered.is_of(&pick.instance) {
             return;
@@ -20,7 +20,7 @@
         }
         if let Some(span) = answered.notice.rest {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
-                "gateway: endpoint asks for rest");
+                "gateway: endpoint asks for a back-off");
         }
         let now = self.shared.clock.now();
         let change = self
@@ -29,8 +29,8 @@
         self.log_limit(pick, change);
     }
 
-    /// Whether one more request may go to the endpoint of `pick`, by the limit that it has named, if any. Where it may
-    /// not, the endpoint is left alone for as long as that lasts.
+    /// Whether the rate limit that the endpoint of `pick` has reported, if any, allows one more request. If not, the
+    /// endpoint is closed until it does.
     pub(super) fn is_within_limit(&self, pick: &chooser::Pick) -> bool {
         let now = self.shared.clock.now();
         let limit = self
@@ -53,14 +53,14 @@
             allowance::Next::Nobody => UNKNOWN_LIMIT_PAUSE,
         };
         ::log::debug!(request = self.id(), endpoint:% = pick.instance, span_ms = span.0;
-            "gateway: endpoint is left alone");
+            "gateway: endpoint closed by its rate limit");
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.chooser.close(now, &pick.instance, span));
         false
     }
 
-    /// Counts a request that goes to an endpoint with a limit.
+    /// Counts a request that is sent to an endpoint with a rate limit.
     pub(super) fn count_send(&self, pick: &chooser::Pick) {
         let now = self.shared.clock.now();
         let change = self
@@ -73,15 +73,15 @@
         match change {
             Some(chooser::Change::Named(per_s)) => {
                 ::log::info!(request = self.id(), endpoint:% = pick.instance, per_s;
-                    "gateway: endpoint names a limit");
+                    "gateway: endpoint reports a rate limit");
             }
             Some(chooser::Change::Lifted) => {
                 ::log::info!(request = self.id(), endpoint:% = pick.instance;
-                    "gateway: endpoint names no limit any more");
+                    "gateway: endpoint no longer reports a rate limit");
             }
             Some(chooser::Change::Sent(sent, span)) => {
                 ::log::info!(endpoint:% = pick.instance, sent, span_ms = span.0;
-                    "gateway: requests sent to an endpoint that names a limit");
+                    "gateway: requests sent to an endpoint with a rate limit");
             }
             None => {}
         }
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: answered, refused, or left by its caller, and what the log says of it.
+//! Ends a request: answered, refused or abandoned by its caller. Logs, counts and traces the result.
 
 use std::time as std_time;
 
@@ -13,7 +13,7 @@
 };
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// The final answer for a request whose time is over.
+    /// The refusal of a request whose deadline has passed.
     pub(super) fn out_of_time(&self) -> refusal::Refusal {
         self.final_refusal(
             verdict::Reason::DeadlinePassed,
@@ -21,6 +21,7 @@
         )
     }
 
+    /// The refusal of a request that has waited for `missing` for too long; `load` is the load time of its model.
     pub(super) fn not_served(
         &self,
         missing: chooser::Missing,
@@ -37,13 +38,13 @@
         };
         let refusal = self.final_refusal(verdict::Reason::NoRoute, detail.to_owned());
         match refusal.retry_after {
-            // There will be room when the load is done, and not before.
+            // No engine can take the request before the load is done.
             Some(soon) => refusal.retry_after(soon.max(load)),
             None => refusal,
         }
     }
 
-    /// What a request is told that is given up. The status says truly whether it may have run.
+    /// The refusal of a request that is not retried any more. Its status states whether the request may have run.
     pub(super) fn final_refusal(
         &self,
         reason: verdict::Reason,
@@ -60,6 +61,7 @@
         refusal::Refusal::new(reason, verdict, detail)
     }
 
+    /// Ends the request with a refusal.
     pub(super) fn refuse(
         &mut self,
         sink: ResponseSink<'_>,
@@ -69,17 +71,18 @@
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
             workspace = self.workspace_name(), config = self.shared.version(), model = self.model_name(), status = refusal.status,
             reason:% = refusal.reason, detail = refusal.detail.as_str(), verdict:% = refusal.verdict,
-            waited_for = self.waited_for_word(), arrivals = self.deliveries,
+            waited_for = self.waited_for_value(), arrivals = self.deliveries,
             repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0; "gateway: request refused");
         self.record_end(metrics::End::Refused, refusal.status);
         self.keep_account(account::End::Refused(refusal.clone()));
         sink.refuse("", refusal)
     }
 
+    /// Ends the request after its caller has disconnected.
     pub(super) fn finish_caller_gone(&mut self, sink: ResponseSink<'_>) -> reply::Sent {
         self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
-            workspace = self.workspace_name(), model = self.model_name(), waited_for = self.waited_for_word(),
+            workspace = self.workspace_name(), model = self.model_name(), waited_for = self.waited_for_value(),
             arrivals = self.deliveries, left_ms = self.time_left().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
         self.record_end(metrics::End::CallerGone, 0);
@@ -89,7 +92,7 @@
         sink.refuse("", &refusal)
     }
 
-    /// Notes a request that is answered, with what its endpoint was chosen by.
+    /// Ends a request whose response was passed on, and logs it with the inputs of the choice of its endpoint.
     pub(super) fn finish_answered(
         &mut self,
         pick: &chooser::Pick,
@@ -116,15 +119,15 @@
         ::log::info!(request = self.id(), route = self.route.name.as_str(),
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
             model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
-            waited_for = self.waited_for_word(), objective_ms = self.route.objective.0,
+            waited_for = self.waited_for_value(), objective_ms = self.route.objective.0,
             pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
             first_ms = time::Millis::from(self.timings.first_event).0,
             pause_ms = time::Millis::from(self.timings.longest_pause).0,
             took_ms = time::Millis::from(took).0; "gateway: request answered");
     }
 
-    /// What it waited for here, in a word for the log; none where it went on at once.
-    fn waited_for_word(&self) -> &'static str {
+    /// The log value for what the request waited for in this process; empty if it did not wait.
+    fn waited_for_value(&self) -> &'static str {
         match self.waited_for {
             None => "",
             Some(chooser::Missing::Endpoint) => "endpoint",
@@ -139,7 +142,7 @@
         self.wanted.map_or("", |it| it.model.as_str())
     }
 
-    /// Counts a request that has ended. Returns how long it took.
+    /// Counts the end of the request in the metrics. Returns how long the request took.
     fn record_end(&self, end: metrics::End, status: u16) -> std_time::Duration {
         let took = self.req.received.elapsed();
         self.shared
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -1,4 +1,4 @@
-//! Asking the home of a model where a request is to go, and what becomes of its answer.
+//! Asks the coordinator of a model, the entry process that routes all requests for it, which engine to use.
 
 use std::time as std_time;
 
@@ -8,10 +8,10 @@
 use super::{DEFAULT_RETRY_AFTER, ProxiedRequest, waiting::PREFILL_RESERVE};
 use crate::gateway::{self, state};
 
-/// Between two questions to the home of a model on behalf of one request that waits.
+/// The interval between two queries to the coordinator for one waiting request.
 const QUERY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(40);
 
-/// Follows the advice of the home of the model, where it gave one, and else chooses by what is known here.
+/// Follows the decision of the model's coordinator if there is one, and otherwise chooses by local state.
 pub(super) fn decide(
     core: &mut state::Core,
     now: time::Instant,
@@ -31,7 +31,7 @@
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Asks the home of the model where the request is to go, and not again within [`QUERY_INTERVAL`].
+    /// Asks the coordinator of the model where to send the request, at most once per [`QUERY_INTERVAL`].
     pub(super) fn query_coordinator(
         &self,
         ask: &chooser::Ask<'_>,
@@ -46,7 +46,7 @@
         place
     }
 
-    /// Counts what the request asks for, once.
+    /// Counts the request in the demand reported to the leader, once.
     pub(super) fn count_demand(&self, place: Option<neighbours::Place>) {
         let Some(wanted) = self
             .wanted
@@ -62,7 +62,8 @@
             .with_core(|core| core.count_demand(self.service, wanted, self.passing, kept));
     }
 
-    /// The refusal of a request that can't be reached in its time, by all that wait for its model anywhere.
+    /// Refuses a request that can't start before its deadline because of all those that wait for its model at any
+    /// entry process.
     pub(super) fn refuse_by_coordinator(
         &self,
         place: Option<neighbours::Place>,
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end, and which are passed on no more.
+//! Quarantines requests that crash the endpoints that run them.
 
 use sageshed_fleet::{chooser, dialect, neighbours, quarantine};
 use sageshed_types::{refusal, time, verdict};
@@ -7,10 +7,11 @@
 use super::ProxiedRequest;
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Remembers that the endpoint of `pick` has ended under this request, if it has.
+    /// Records that the endpoint of `pick` has crashed while it ran this request, if it has.
     ///
-    /// A connection that is closed inside an answer says little: links break, and endpoints spoil answers. An
-    /// endpoint at whose port nobody listens any more, and which did not say that it stops, has crashed.
+    /// A connection closed before the end of a response is no proof of that: networks fail, and endpoints send
+    /// malformed responses. An endpoint whose port no longer accepts connections, and which did not announce that it
+    /// stops, has crashed.
     pub(super) fn note_crash(&self, pick: &chooser::Pick, cause: failure::Cause) {
         let is_closed = matches!(
             cause,
@@ -31,20 +32,20 @@
         shared.merge_crashes(&[crash]);
         let ends = shared.with_core(|core| core.quarantine.ends(now, self.content));
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, ends;
-            "gateway: endpoint ended under the request");
+            "gateway: endpoint crashed while running the request");
     }
 
-    /// The request was answered whole: it is not what has ended endpoints that it ran at.
+    /// Clears the request of the crashes counted against it: an endpoint has answered it completely.
     pub(super) fn clear_crash_suspicion(&self) {
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.quarantine.answered(now, self.content));
     }
 
-    /// The refusal of a request that is held.
+    /// Refuses a request that is quarantined.
     ///
-    /// Looked at before each sending, not only when the request comes: what waits here or goes on elsewhere may
-    /// be held by what was learnt meanwhile.
+    /// Checked before each attempt, not only on arrival: the request may have been quarantined while it waited here
+    /// or between two attempts.
     pub(super) fn refuse_quarantined(&self) -> Option<refusal::Refusal> {
         let now = self.shared.clock.now();
         let left = self
@@ -56,7 +57,7 @@
             left.0 / 1_000
         );
         let refusal = self.final_refusal(verdict::Reason::Quarantined, detail);
-        // One that has run here is told nothing of when to come back: it may have run.
+        // A request that may have run gets no `Retry-After`.
         Some(match refusal.retry_after {
             Some(_) => refusal.retry_after(left),
             None => refusal,
--- a/src/sageshed/gateway/proxy/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -1,4 +1,4 @@
-//! Who sends a request, and what becomes of one whose sender is not known.
+//! Authenticates the sender of a request, and refuses requests of unknown senders.
 
 use sageshed_fleet::{config, dialect, workspaces};
 use sageshed_types::{refusal, secret, verdict};
@@ -6,11 +6,12 @@
 use super::ProxiedRequest;
 use crate::gateway::routing;
 
-/// Who sends a request on `route`, by the configuration of `routing`.
+/// The workspace that sends a request on `route`, by the configuration of `routing`; none if nobody has to
+/// authenticate.
 ///
 /// # Errors
 ///
-/// The refusal of a request whose sender has to be known and is not.
+/// A refusal if the sender has to authenticate and can't be identified.
 pub(super) fn identify(
     routing: &routing::Routing,
     route: &config::Route,
@@ -24,11 +25,11 @@
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Asks again who sends the request, if another configuration is in force than when it came. Returns its
-    /// refusal where its key was taken away meanwhile.
+    /// Authenticates the sender again if a newer configuration is in force than on arrival. Returns a refusal if
+    /// the API key has been revoked meanwhile.
     ///
-    /// A request may wait for seconds. Sent by what held when it came, it would run for a workspace that has
-    /// lost the key, or under the name of the one that held the key before.
+    /// A request may wait for seconds. Without a second check it would run for a workspace that has lost the key,
+    /// or be accounted to the previous holder of a key that has moved.
     pub(super) fn refuse_revoked_key(&mut self) -> Option<refusal::Refusal> {
         let routing = self.shared.routing()?;
         if routing.config.version == self.identified_by {
@@ -49,13 +50,13 @@
         }
     }
 
-    /// The rank of the request; zero is the most urgent.
+    /// The priority of the request; zero is the most urgent.
     pub(super) fn priority(&self) -> u8 {
         let of_workspace = self.workspace.as_ref().and_then(|it| it.priority);
         of_workspace.unwrap_or(self.route.priority)
     }
 
-    /// The name of the workspace that sends it; empty where that is not known.
+    /// The name of the workspace that sends the request; empty if it is not known.
     pub(super) fn workspace_name(&self) -> &str {
         self.workspace.as_ref().map_or("", |it| it.name.as_str())
     }
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -1,12 +1,12 @@
-//! The life of one request, from a caller to an endpoint and back.
+//! Proxies one request from a caller to an endpoint and the response back.
 //!
-//! # What may be sent again
+//! # Retries
 //!
-//! What an endpoint has certainly not run may go to another. What may have run goes to another only
-//! where the route says that it may run again, to no more endpoints than the route says, and only
-//! while the budget for repeats lasts, which all entry processes share. A request that ends without
-//! an answer is told the truth: 503 with when to come back where it was not run, 502 or 504 where it
-//! may have been.
+//! A request that an endpoint has certainly not run may be sent to another one. A request that may have
+//! run is sent again only if its route allows a repeated run, to at most as many endpoints as the route
+//! allows, and only while the retry budget lasts that all entry processes share. The status of a request
+//! that gets no response states whether it may have run: 503 with `Retry-After` if it was not run, 502
+//! or 504 if it may have been.
 
 mod attempt;
 mod attempt_log;
@@ -31,13 +31,13 @@
 
 use super::{refuse, response::ResponseSink, routing, state};
 
-/// When a request comes back that was turned away since it can't be in time now.
+/// The retry delay that a refusal names if nothing better is known.
 const DEFAULT_RETRY_AFTER: time::Millis = time::Millis(300);
 
-/// How often the events of one stream tell that its endpoint lives.
+/// The shortest interval at which the events of one stream count as a sign of life of its endpoint.
 const ACTIVITY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(200);
 
-/// Takes callers' requests.
+/// Handles the requests of callers.
 #[derive(Debug)]
 pub(super) struct RequestHandler<D> {
     pub(super) shared: sync::Arc<state::Shared<D>>,
@@ -63,8 +63,8 @@
                 refuse::not_run(verdict::Reason::NotConfirmed, detail, DEFAULT_RETRY_AFTER);
             return self.refuse_unrouted(&req, reply, &refusal);
         }
-        // A stream that began before the stop has promised to keep its connection, and its caller may
-        // send the next request on it in the last moment. It would be cut by the end of the process.
+        // The head of a stream that started before shutdown announced keep-alive, so its caller may send
+        // the next request on that connection just before the process exits, which would cut it off.
         if self.shared.refusing.load(atomic::Ordering::Relaxed) {
             let detail = "this entry process is stopping";
             let refusal = refuse::not_run(verdict::Reason::Draining, detail, time::Millis(0));
@@ -122,7 +122,7 @@
 }
 
 impl<D: dialect::Dialect> RequestHandler<D> {
-    /// Refuses a request before a route was found for it.
+    /// Refuses a request for which no route has been determined yet.
     fn refuse_unrouted(
         &self,
         req: &request::Request,
@@ -139,69 +139,70 @@
 
 /// What to do next with a request.
 enum NextStep {
-    /// Send it.
+    /// Send it to this endpoint.
     Send(chooser::Pick),
-    /// Give it up.
+    /// Refuse it.
     Refuse(refusal::Refusal),
-    /// Nobody waits for it any more.
+    /// End it, since its caller has disconnected.
     CallerGone,
 }
 
-/// What came of sending a request.
+/// The result of one attempt to have an endpoint serve a request.
 enum AttemptResult<'c> {
-    /// It is answered.
+    /// The response was passed on to the caller.
     Done(reply::Sent),
-    /// It goes on elsewhere.
+    /// Another attempt may be made.
     Retry(ResponseSink<'c>),
-    /// It is given up.
+    /// The request is refused.
     Refuse(ResponseSink<'c>, refusal::Refusal),
-    /// Nobody waits for it any more.
+    /// The caller has disconnected.
     CallerGone(ResponseSink<'c>),
 }
 
-/// One request.
+/// The state of one request while it is proxied.
 struct ProxiedRequest<'a, D> {
     shared: &'a state::Shared<D>,
     req: &'a request::Request,
     passing: &'a dialect::Passing,
-    /// The same in each try of its caller.
+    /// Identifies the content of the request, which stays the same when its caller retries it.
     content: quarantine::Fingerprint,
     route: &'a config::Route,
-    /// Who sends it, as far as the configuration asks.
+    /// The workspace that sends it; none where the configuration does not ask for one.
     workspace: Option<workspaces::Known>,
-    /// The configuration by which that was found.
+    /// The version of the configuration by which `workspace` was determined.
     identified_by: u64,
-    /// Whether that one has workspaces, so that keys are for this system.
+    /// Whether that configuration has workspaces, so that API keys are meant for this system.
     asks_for_keys: bool,
     service: &'a str,
     wanted: Option<&'a dialect::Wanted>,
-    /// The model that it is for, as the configuration offers it.
+    /// The configured model that it asks for.
     model: Option<&'a config::Model>,
-    /// When its final answer is due.
+    /// When its response must be complete.
     deadline: std_time::Instant,
     tried_endpoints: Vec<arena::EndpointKey>,
-    /// Endpoints that may have run it.
+    /// How many endpoints may have run it.
     possible_runs: u32,
-    /// Endpoints that it arrived at.
+    /// How many endpoints have received it.
     deliveries: u32,
+    /// Why the latest attempt failed, as the refusal tells the caller.
     last_failure: String,
-    /// What it asks for was counted for the leader.
+    /// Whether its demand was counted for the report to the leader.
     is_demand_counted: cell::Cell<bool>,
-    /// What was taken of its workspace's quota for its next sending.
+    /// The quota charged for its next attempt.
     next_charge: Option<quota::Charge>,
-    /// The same for the sending under way.
+    /// The quota charged for the attempt in progress.
     committed_charge: Option<quota::Charge>,
-    /// A repeat was taken out of the budget for its next sending.
+    /// Whether a retry was taken from the budget for its next attempt.
     has_retry_token: bool,
-    /// It could have been sent once more, and the budget for repeats was spent.
+    /// Whether it could have been retried, but the retry budget was spent.
     is_retry_budget_spent: bool,
-    /// What it waits for here, or waited for last.
+    /// What it waits for in this process, or waited for last.
     waited_for: Option<chooser::Missing>,
     timings: StreamTimings,
     attempt_log: attempt_log::AttemptLog,
 }
 
-/// When the pieces of a stream came, for the log: a stream is late by one long pause.
+/// When the chunks of a stream arrived, for the log: one long pause makes a stream late.
 #[derive(Debug, Default)]
 struct StreamTimings {
     first_event: std_time::Duration,
@@ -211,14 +212,14 @@
 }
 
 impl StreamTimings {
-    /// The stream has begun; not for the first time where it goes on elsewhere.
+    /// Records the start of the stream, unless it is resumed at another endpoint.
     fn record_start(&mut self, received: std_time::Instant) {
         if self.last_chunk.is_none() {
             self.first_event = received.elapsed();
         }
     }
 
-    /// The paces of an answer in a few words.
+    /// Describes the timing of a response for its request trace.
     fn describe(&self) -> String {
         if self.last_chunk.is_none() {
             return "answered".to_owned();
@@ -227,7 +228,7 @@
         format!("answered; its stream began after {first} ms, its longest pause was {longest} ms")
     }
 
-    /// Notes a piece. Returns whether it is time to tell that the endpoint lives.
+    /// Records the arrival of a chunk. Returns whether it should be recorded as a sign of life of the endpoint.
     fn record_chunk(&mut self) -> bool {
         let now = std_time::Instant::now();
         if let Some(last) = self.last_chunk.replace(now) {
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -1,9 +1,10 @@
-//! What a request takes of its workspace's quota.
+//! Charges requests to the quota of their workspace.
 //!
-//! It is charged what it declares when it comes, so that one beyond the quota is told so at once and stands in
-//! nobody's way; and anew when it is sent, if it has waited since: all that waited through a
-//! stall would otherwise be sent in one window. What is sent and may have run stays charged, and each further sending
-//! is charged again. What was not run by an endpoint's word, and what is not sent at all, is given back.
+//! A request is charged on arrival by what it declares, so that one over the quota is refused at once and does not
+//! delay others. If it has waited since, it is charged anew when it is sent: otherwise all requests that waited
+//! through a stall would be sent in one window. An attempt that may have run stays charged, and each further attempt
+//! is charged again. The charge is refunded if the endpoint reports that it did not run the request, or if the
+//! request is never sent.
 
 use std::time as std_time;
 
@@ -13,14 +14,14 @@
 use super::ProxiedRequest;
 use crate::gateway::allowances;
 
-/// After this a charge is given back and taken anew before the request is sent. Sixteen of it fit into the span
-/// over which quotas are judged.
+/// The age at which a charge is renewed before the request is sent: a sixteenth of the window over which quotas
+/// are judged.
 const CHARGE_LIFETIME: std_time::Duration = std_time::Duration::from_millis(500);
 
-/// After this a charge is not given back any more: that much may have grown anew, and be in use.
+/// The age after which a charge is not refunded: the bucket may have refilled by that much, and the units be in use.
 const REFUND_WINDOW: std_time::Duration = std_time::Duration::from_secs(2);
 
-/// What was taken of a quota for one sending.
+/// The units of a quota charged for one attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Charge {
     of: allowance::Key,
@@ -29,14 +30,14 @@
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Takes what the request needs of its workspace's quota for its next sending, unless it has that. Returns
-    /// the refusal if that is used up.
+    /// Charges the workspace's quota for the next attempt, unless a recent charge is held. Returns a refusal if
+    /// the quota is used up.
     pub(super) fn charge_quota(&mut self) -> Option<refusal::Refusal> {
         let workspace = self.workspace.clone()?;
         let units = self.quota_units(workspace.quota?.unit);
         let of = allowance::Key::of_workspace(&workspace.name);
         if self.next_charge.is_some_and(|it| it.of != of) {
-            // The key has moved to another workspace while the request waited.
+            // The API key was assigned to another workspace while the request waited.
             self.refund_charge();
         }
         let is_fresh = |it: Charge| it.at.elapsed() < CHARGE_LIFETIME;
@@ -76,10 +77,10 @@
         }
     }
 
-    /// What the request takes of a quota in this unit.
+    /// The units of a quota that the request is charged.
     fn quota_units(&self, unit: config::Unit) -> f64 {
         let (prompt, output) = (self.passing.prompt_tokens, self.passing.output_tokens);
-        // A caller may declare any number: wrapped around, the largest would count as none.
+        // A caller may declare any number; a wrapping sum could make the largest requests free.
         let declared = prompt.saturating_add(output);
         match unit {
             config::Unit::Requests => 1.0,
@@ -88,17 +89,17 @@
         }
     }
 
-    /// The request goes out: what was taken is used, unless the endpoint says that it has not run.
+    /// Commits the charge to the attempt that starts, unless the endpoint reports that it did not run the request.
     pub(super) fn commit_charge(&mut self) {
         self.committed_charge = self.next_charge.take();
     }
 
-    /// The request has not run and never will: what was taken for it is there for its next sending.
+    /// Keeps the charge of an attempt that did not run for the next attempt.
     pub(super) fn restore_charge(&mut self) {
         self.next_charge = self.committed_charge.take();
     }
 
-    /// Gives back what was taken for a sending that does not take place.
+    /// Refunds the charge for an attempt that does not take place.
     pub(super) fn refund_charge(&mut self) {
         let charge = self.next_charge.take();
         let charge = charge.filter(|it| it.at.elapsed() < REFUND_WINDOW);
@@ -108,8 +109,8 @@
     }
 }
 
-/// A refusal for want of quota says when that will have grown; one of a request that may have run says nothing of
-/// when to come back.
+/// Adds the time until the quota has refilled to the refusal of a request that has not run. A request that may have
+/// run gets no `Retry-After`.
 fn with_quota_delay(refusal: refusal::Refusal, after: time::Millis) -> refusal::Refusal {
     if refusal.verdict != verdict::Verdict::NotRun {
         return refusal;
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -1,4 +1,4 @@
-//! Passing a stream on, and leaving an endpoint whose stream is silent.
+//! Forwards the event stream of an endpoint, and resumes it at another one if it stalls or breaks off.
 
 use std::time as std_time;
 
@@ -9,12 +9,12 @@
 use super::{AttemptResult, ProxiedRequest};
 use crate::gateway::{entry_peers, response::ResponseSink};
 
-/// A stream that may go on elsewhere does so after this silence between two events: callers leave a
-/// stream after two seconds of it.
+/// The longest gap between two events before a resumable stream is moved to another endpoint. Callers
+/// abandon a stream after a gap of two seconds.
 const MAX_EVENT_GAP: std_time::Duration = std_time::Duration::from_secs(1);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Passes a stream on, event by event.
+    /// Forwards a stream to the caller event by event.
     pub(super) fn stream<'c>(
         &mut self,
         pick: &chooser::Pick,
@@ -52,7 +52,7 @@
                     let rest = events.take_rest();
                     let bytes = passed_on + rest.len() as u64;
                     if stream.send(&rest).is_err() {
-                        ::log::info!(request = self.id(); "gateway: caller left at the end of its stream");
+                        ::log::info!(request = self.id(); "gateway: caller disconnected at the end of its stream");
                     }
                     self.end_attempt(pick, true, chooser::Ended::Answered);
                     self.record_pauses(pick);
@@ -67,7 +67,7 @@
                 Ok(piece) => piece,
                 Err(failure) => {
                     events.drop_rest();
-                    // Closed before the stream goes on elsewhere, so that the run there ends.
+                    // Close the connection before the stream is resumed elsewhere, so that this endpoint stops.
                     drop(exchange);
                     let sink = ResponseSink::Streaming(stream, events);
                     return self.handle_failed_run(pick, sink, true, &failure);
@@ -76,11 +76,11 @@
         }
     }
 
-    /// The next piece of a stream, which `can_resume` elsewhere.
+    /// Reads the next chunk of a stream, which `can_resume` at another endpoint.
     ///
-    /// A stream that is silent for long is left only for an engine that could go on with it, and with a repeat in
-    /// hand. Most often its engine has much to read and the stream goes on by itself; left without either it goes on
-    /// nowhere, and its caller loses an answer of which the rest was to come.
+    /// A stalled stream is abandoned only if a free endpoint can resume it and a retry is available. Most often its
+    /// engine is busy with the prefill of other prompts and the stream continues by itself; abandoned without either,
+    /// it could not be resumed, and its caller would lose the rest of the response.
     fn next_chunk<S: Fn() -> bool>(
         &mut self,
         pick: &chooser::Pick,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whether an endpoint other than that of `pick` could begin with the request now.
+    /// Whether an endpoint other than that of `pick` could start the request now.
     fn has_free_alternative(&self, pick: &chooser::Pick) -> bool {
         let mut tried = self.tried_endpoints.clone();
         tried.push(pick.key);
@@ -127,7 +127,7 @@
             .with_core(|core| core.chooser.has_free(now, &ask))
     }
 
-    /// Lets the chooser learn from the pauses of a stream that came whole.
+    /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
     fn record_pauses(&self, pick: &chooser::Pick) {
         let Some(limit) = self.route.pause else {
             return;
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -1,7 +1,7 @@
-//! Where a request goes next, and how long it waits for that.
+//! Chooses the endpoint of the next attempt, and waits until one can take the request.
 //!
-//! A request waits here only while what it waits for can come in its time; see
-//! [`ProxiedRequest`].
+//! A request waits only while what it waits for (a free slot, a model, an adapter or an endpoint) can
+//! become available before its deadline; otherwise it is refused at once.
 
 use std::{net, sync::atomic, time as std_time};
 
@@ -12,40 +12,40 @@
 use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, coordinator};
 use crate::gateway::state::CALLER_CHECK_INTERVAL;
 
-/// What must be left of the time for a late request to let others go first. Callers leave a stream of
-/// which nothing came for two seconds and more.
+/// The time that a late request must have left to let others go first. Callers abandon a stream that
+/// has delivered nothing for two seconds or more.
 const MIN_TIME_LEFT_IF_LATE: time::Millis = time::Millis(2_000);
 
-/// What must be left once the requests before it are read, for a request to wait on.
+/// The time that a request must have left after the prefill of those queued before it, to keep waiting.
 pub(super) const PREFILL_RESERVE: time::Millis = time::Millis(800);
 
-/// Added to the time of a load: room has to be made first, and others may load too.
+/// Added to the load time of a model: memory has to be freed first, and other loads may be in progress.
 const LOAD_MARGIN: time::Millis = time::Millis(3_000);
 
-/// The part of its objective that a request waits for an engine that reads little, in hundredths.
+/// The share of its latency target that a request waits for an engine with little pending prefill, in percent.
 const IDLE_ENGINE_WAIT_PERCENT: u64 = 35;
 
-/// How often an adapter is asked for on behalf of one request.
+/// How many times one request asks the leader for its adapter.
 const MAX_ADAPTER_REQUESTS: u32 = 3;
 
-/// How long one such question is given. An adapter is there after some 30 ms.
+/// How long a request waits for its adapter before it asks again. An adapter is loaded in about 30 ms.
 const ADAPTER_REQUEST_WAIT: std_time::Duration = std_time::Duration::from_millis(80);
 
-/// The part of its objective that a request waits for a place, in hundredths.
+/// The share of its latency target that a request waits for a free slot, in percent.
 const SLOT_WAIT_PERCENT: u64 = 60;
 
-/// Whether a request may be sent to the endpoint that was chosen.
+/// Whether a request may be sent to the chosen endpoint.
 enum Permission {
-    /// It may, and what it takes for that is taken.
+    /// It may; quota, retry and rate limit are charged.
     Granted,
-    /// Not to this one, for now.
+    /// It may not be sent to this endpoint for now.
     OtherEndpoint,
-    /// Nowhere.
+    /// It may not be sent to any endpoint.
     Refused(refusal::Refusal),
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
-    /// Chooses where to send the request next, and waits as long as that makes sense.
+    /// Chooses the next endpoint, and waits for one while it can still respond in time.
     pub(super) fn next(&mut self, watch: &reply::Watch) -> NextStep {
         let mut ticket = None;
         let step = self.next_with(watch, &mut ticket);
@@ -66,8 +66,8 @@
         let mut reported_waiting = false;
         let mut queried_at = None;
         let mut adapter_requests = 0;
-        // Where the adapter was asked for first. Of engines that are equal another might be chosen the
-        // next time, and the adapter be loaded on both.
+        // The engine for which the adapter was requested first. The next choice among equal engines might
+        // be another one, and the adapter would be loaded on both.
         let mut adapter_engine: Option<directory::InstanceId> = None;
         loop {
             if watch.caller_gone() {
@@ -112,7 +112,7 @@
                     Permission::Granted => return NextStep::Send(pick),
                     Permission::Refused(refusal) => return NextStep::Refuse(refusal),
                     Permission::OtherEndpoint => {
-                        // The home is to name another, and not to be waited for.
+                        // Ask the coordinator for another engine at once instead of waiting.
                         queried_at = None;
                         continue;
                     }
@@ -162,13 +162,13 @@
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
             if missing == chooser::Missing::Adapter {
-                // The leader may have been lost with the question.
+                // The leader may have failed before it acted on the request for the adapter.
                 adapter_requests = 0;
             }
         }
     }
 
-    /// The refusal of a request that is not to be sent at all any more, whatever it waits for.
+    /// Refuses a request that may not be sent any more, whatever it waits for.
     fn refuse_ended_wait(&mut self, left: time::Millis) -> Option<refusal::Refusal> {
         if left == time::Millis(0) {
             return Some(self.out_of_time());
@@ -181,16 +181,18 @@
             .or_else(|| self.refuse_revoked_key())
     }
 
-    /// Whether the request may be sent to `pick` now, by the bounds that all entry processes keep together.
+    /// Whether the request may be sent to `pick` now, by the limits that all entry processes enforce together.
     fn permission_to_send(&mut self, pick: &chooser::Pick) -> Permission {
-        let leave = self.acquire_permission(pick);
-        if !matches!(leave, Permission::Granted) {
+        let permission = self.acquire_permission(pick);
+        if !matches!(permission, Permission::Granted) {
             self.end_attempt(pick, false, chooser::Ended::GivenUp);
         }
-        leave
+        permission
     }
 
-    /// The second and each further arrival at an endpoint takes from the budget.
+    /// Charges quota, retry budget and the endpoint's rate limit for the next attempt.
+    ///
+    /// A retry is charged once an endpoint has received the request.
     fn acquire_permission(&mut self, pick: &chooser::Pick) -> Permission {
         if let Some(refusal) = self.charge_quota() {
             return Permission::Refused(refusal);
@@ -202,7 +204,7 @@
                 self.final_refusal(verdict::Reason::EndpointFailed, detail),
             );
         }
-        // Last, since what is taken for an endpoint is lost where the request goes to another.
+        // Checked last, since a unit charged for this endpoint is lost if the request goes to another one.
         if !self.is_within_limit(pick) {
             return Permission::OtherEndpoint;
         }
@@ -210,8 +212,8 @@
         Permission::Granted
     }
 
-    /// The refusal of a request that no endpoint takes before its time is over, as these have asked for nothing
-    /// more for longer, unless its model can be loaded elsewhere before.
+    /// Refuses a request if all endpoints stay closed beyond its deadline and its model can't be loaded
+    /// elsewhere before that.
     fn refuse_closed_endpoints(
         &self,
         missing: chooser::Missing,
@@ -231,7 +233,7 @@
         Some(self.not_served(missing, opens))
     }
 
-    /// Takes a repeat out of the budget, unless one is in hand. Returns whether one is.
+    /// Takes a retry from the budget, unless the request holds one. Returns whether it holds one now.
     pub(super) fn acquire_retry(&mut self) -> bool {
         if !self.has_retry_token {
             let now = self.shared.clock.now();
@@ -243,7 +245,7 @@
         self.has_retry_token
     }
 
-    /// Whether a repeat is in hand or could be had.
+    /// Whether the request holds a retry or could take one from the budget.
     pub(super) fn can_retry(&self) -> bool {
         let now = self.shared.clock.now();
         let is_left = || {
@@ -255,7 +257,7 @@
         self.has_retry_token || is_left()
     }
 
-    /// The refusal of a request that can't be reached in its time, by those that wait here before it.
+    /// Refuses a request that can't start before its deadline because of those queued here before it.
     fn refuse_by_local_queue(
         &self,
         now: time::Instant,
@@ -269,12 +271,11 @@
             expected.0, left.0
         );
         let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
-        // Before those that wait now are read there is no room.
+        // No engine is free before the prefill of the queued requests is done.
         Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 
-    /// Whether a request that waits for an engine to have read can't be reached in its time, by those
-    /// that wait here before it. Returns how long it would take.
+    /// The expected wait behind the requests queued here, if it exceeds the time left.
     fn unmeetable_wait(
         &self,
         now: time::Instant,
@@ -290,7 +291,7 @@
         (expected + PREFILL_RESERVE > left).then_some(expected)
     }
 
-    /// This request among those that wait for an engine; none where it needs no model.
+    /// The queue entry of this request; none if it needs no model.
     fn queued_request(&self, now: time::Instant) -> Option<backlog::Waiter> {
         let wanted = self.wanted?;
         Some(backlog::Waiter {
@@ -301,13 +302,13 @@
         })
     }
 
-    /// How long to wait for what is missing.
+    /// How long the request may wait for what is missing.
     fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
         let objective = self.route.objective.0;
         match missing {
             chooser::Missing::Model => (load + LOAD_MARGIN).into(),
             chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
-            // It waits while it has time: an engine that can read it comes free by and by.
+            // Engines finish their prefill steadily, so the request may wait until its deadline.
             chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
             chooser::Missing::Place | chooser::Missing::Endpoint => {
                 std_time::Duration::from_millis(objective * SLOT_WAIT_PERCENT / 100)
@@ -315,7 +316,7 @@
         }
     }
 
-    /// How long what is missing takes to be loaded; zero where it is no model.
+    /// The load time of the missing model; zero if no model is missing.
     fn load_time(&self, missing: chooser::Missing) -> time::Millis {
         match (missing, self.model) {
             (chooser::Missing::Model, Some(model)) => self
@@ -325,18 +326,18 @@
         }
     }
 
-    /// What is left until the answer would be late.
+    /// The time left until the response would miss the latency target.
     fn on_time(&self) -> time::Millis {
         let objective = std_time::Duration::from(self.route.objective);
         objective.saturating_sub(self.req.received.elapsed()).into()
     }
 
-    /// How long a request waits for an engine that reads little, before it makes do with any.
+    /// How long a request waits for an engine with little pending prefill before it accepts any engine.
     fn idle_engine_wait(&self) -> std_time::Duration {
         std_time::Duration::from_millis(self.route.objective.0 * IDLE_ENGINE_WAIT_PERCENT / 100)
     }
 
-    /// Lets the leader know of a request that waits for its model.
+    /// Counts the request as waiting for its model, in the demand reported to the leader.
     fn report_waiting(&self) {
         if let Some(wanted) = self.wanted {
             self.shared
@@ -344,7 +345,7 @@
         }
     }
 
-    /// Asks the leader to have the adapter of this request loaded on an engine.
+    /// Asks the leader to have the adapter of this request loaded on `engine`.
     fn request_adapter(&self, now: time::Instant, engine: directory::InstanceId) {
         let Some((model, adapter)) = self
             .wanted
@@ -365,17 +366,18 @@
         {
             return;
         }
-        // The near one passes it on; the leader is asked where that is lost or does not know who leads.
-        let near = self.shared.fetching.preferred();
-        let leader = self.shared.leader().filter(|it| Some(*it) != near);
-        for control in near.into_iter().chain(leader) {
+        // The preferred control process forwards it to the leader. The leader is asked directly if that one
+        // can't be reached or knows no leader.
+        let preferred = self.shared.fetching.preferred();
+        let leader = self.shared.leader().filter(|it| Some(*it) != preferred);
+        for control in preferred.into_iter().chain(leader) {
             match self.send_adapter_request(control, &want) {
                 Ok(messages::WantResp::Taken) => {
-                    return ::log::debug!(request = self.id(), adapter; "gateway: adapter wanted");
+                    return ::log::debug!(request = self.id(), adapter; "gateway: requested the adapter");
                 }
                 Ok(messages::WantResp::NotLeader { leader }) => self.shared.set_leader(leader),
                 Err(e) => {
-                    ::log::info!(request = self.id(), adapter, error:% = e; "gateway: adapter wanted in vain");
+                    ::log::info!(request = self.id(), adapter, error:% = e; "gateway: request for the adapter failed");
                 }
             }
         }
--- a/tests/fleet/crashing.rs
+++ b/tests/fleet/crashing.rs
@@ -129,7 +129,10 @@
     let logs = || fleet.entries.iter().map(crate::fleet::Process::log);
     fleet.until("the lines are written", || {
         let ends: usize = logs()
-            .map(|it| it.matches("endpoint ended under the request").count())
+            .map(|it| {
+                it.matches("endpoint crashed while running the request")
+                    .count()
+            })
             .sum();
         ends >= 3 && logs().all(|it| it.contains("request is held"))
     });
@@ -174,7 +177,10 @@
     }
     let logs = fleet.entries.iter().map(crate::fleet::Process::log);
     let ends: usize = logs
-        .map(|it| it.matches("endpoint ended under the request").count())
+        .map(|it| {
+            it.matches("endpoint crashed while running the request")
+                .count()
+        })
         .sum();
     assert!(ends >= 3, "seen to end: {ends}");
 }
@@ -252,6 +258,6 @@
         fleet.entries[0].log().contains("the request may have run")
     });
     let mut logs = fleet.entries.iter().map(crate::fleet::Process::log);
-    let is_noted = logs.any(|it| it.contains("endpoint ended under the request"));
+    let is_noted = logs.any(|it| it.contains("endpoint crashed while running the request"));
     assert!(!is_noted, "its end was taken for a crash");
 }
