--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -1,12 +1,12 @@
-//! What an entry process learns of requests under which endpoints end.
+//! Merges the crashes of endpoints that an entry process sees or is told of.
 
 use sageshed_fleet::{dialect, quarantine};
 
 use super::state;
 
 impl<D: dialect::Dialect> state::Shared<D> {
-    /// Takes crashes that this process saw or control tells of. Requests that wait here and are held now are
-    /// answered.
+    /// Merges crashes that this process saw or that control reports, and wakes waiting requests, of which those
+    /// that are quarantined now are refused.
     pub fn merge_crashes(&self, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
@@ -14,10 +14,10 @@
         let now = self.clock.now();
         let taken = self.with_core(|core| core.quarantine.take_all(now, crashes));
         for content in &taken.held {
-            ::log::warn!(content:% = content; "gateway: request is held, endpoints ended under it");
+            ::log::warn!(content:% = content; "gateway: request is quarantined, endpoints crashed while running it");
         }
         for content in &taken.released {
-            ::log::info!(content:% = content; "gateway: request is held no more, it was answered");
+            ::log::info!(content:% = content; "gateway: request is no longer quarantined, it was answered");
         }
         if !taken.held.is_empty() {
             self.wake_waiting();
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -1,7 +1,7 @@
-//! Fetches the newest configuration from the control processes that tell of it.
+//! Fetches the newest configuration from the control processes that have announced it.
 //!
-//! One thread does so, a chunk at a time ([`transfer`]): callers' requests share the link of this VM, and the links
-//! that bring news of endpoints ([`super::watch`]) must not wait for a configuration of megabytes.
+//! One thread fetches it chunk by chunk ([`transfer`]): callers' requests share the network link of this VM, and the
+//! updates of endpoints ([`super::watch`]) must not wait for a configuration of several megabytes.
 
 use std::{net, sync, thread, time as std_time};
 
@@ -11,16 +11,16 @@
 use super::state;
 use crate::locks;
 
-/// How long a chunk may take, on a link that callers fill as well.
+/// The timeout for a chunk, on a network link that callers may saturate.
 const CHUNK_TIMEOUT: std_time::Duration = std_time::Duration::from_secs(1);
 
-/// Between two looks whether the process stops.
+/// The interval between two checks whether the process stops.
 const STOP_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(500);
 
-/// Between two tries where the answer was of no use.
+/// The delay after a call that failed or returned an unusable chunk.
 const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(30);
 
-/// What is being fetched, and what is known of newer configurations.
+/// The fetch in progress, and the newer configurations that control processes have announced.
 #[derive(Debug, Default)]
 pub struct ConfigFetcher {
     inner: sync::Mutex<FetchState>,
@@ -30,47 +30,47 @@
 #[derive(Debug, Default)]
 struct FetchState {
     incoming: transfer::Receiver,
-    /// The control process that is reached best.
+    /// The control process that the fetch prefers, since the link that receives endpoint records watches it.
     preferred: Option<net::Ipv4Addr>,
 }
 
-/// Starts the thread, which runs until the process stops.
+/// Starts the fetch thread, which runs until the process stops.
 pub fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let shared = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("fetch".to_owned())
         .spawn(move || run(&shared));
     if let Err(e) = spawned {
-        ::log::error!(error:% = e; "gateway: no thread to fetch configurations");
+        ::log::error!(error:% = e; "gateway: cannot start the configuration fetch thread");
     }
 }
 
 impl ConfigFetcher {
-    /// A control process tells that it holds `version`.
+    /// Records that the control process `by` holds `version`, and wakes the fetch thread if that is news.
     pub fn announce(&self, now: time::Instant, by: net::Ipv4Addr, version: u64) {
         if locks::lock(&self.inner).incoming.told(now, by, version) {
             self.changed.notify_all();
         }
     }
 
-    /// The newest version that any control process has told of; zero if none has.
+    /// The newest version that any control process has announced; zero if none has.
     #[must_use]
     pub fn newest(&self) -> u64 {
         locks::lock(&self.inner).incoming.newest()
     }
 
-    /// For how long a newer version than `held` has been known; none if `held` is the newest.
+    /// How long a newer version than `held` has been known; none if `held` is the newest.
     #[must_use]
     pub fn behind(&self, now: time::Instant, held: u64) -> Option<time::Millis> {
         locks::lock(&self.inner).incoming.behind(now, held)
     }
 
-    /// Notes which control process is reached best.
-    /// The control process that was near last, if any was.
+    /// The preferred control process, if there is one.
     pub fn preferred(&self) -> Option<net::Ipv4Addr> {
         locks::lock(&self.inner).preferred
     }
 
+    /// Sets the preferred control process.
     pub fn prefer(&self, preferred: net::Ipv4Addr) {
         locks::lock(&self.inner).preferred = Some(preferred);
     }
@@ -86,7 +86,7 @@
             inner.incoming.next(held, near)
         };
         match next {
-            transfer::Next::Wait => wait(fetching, held),
+            transfer::Next::Wait => wait_for_newer(fetching, held),
             transfer::Next::Ask {
                 to,
                 transfer,
@@ -99,14 +99,14 @@
                     offset,
                     most,
                 };
-                ask(shared, to, &req);
+                fetch_chunk(shared, to, &req);
             }
         }
     }
 }
 
-/// Waits until a newer version than `held` is told of, or it is time for a look.
-fn wait(fetching: &ConfigFetcher, held: u64) {
+/// Waits until a newer version than `held` is announced, for [`STOP_CHECK_INTERVAL`] at most.
+fn wait_for_newer(fetching: &ConfigFetcher, held: u64) {
     let inner = locks::lock(&fetching.inner);
     let (_inner, _timeout) = fetching
         .changed
@@ -116,7 +116,7 @@
         .unwrap_or_else(sync::PoisonError::into_inner);
 }
 
-fn ask<D: dialect::Dialect>(
+fn fetch_chunk<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     to: net::Ipv4Addr,
     req: &messages::ConfigReq,
@@ -130,7 +130,8 @@
     let chunk = match resp {
         Ok(resp) => resp.chunk,
         Err(e) => {
-            ::log::warn!(control:% = to, offset = req.offset, error:% = e; "gateway: chunk of a configuration not fetched");
+            ::log::warn!(control:% = to, offset = req.offset, error:% = e;
+                "gateway: cannot fetch a chunk of the configuration");
             locks::lock(&fetching.inner).incoming.lost(to);
             return thread::sleep(RETRY_INTERVAL);
         }
@@ -142,16 +143,16 @@
     let taken = locks::lock(&fetching.inner).incoming.take(&chunk, took);
     match taken {
         Ok(transfer::Taken::More) => {}
-        Ok(transfer::Taken::Whole(payload)) => take_payload(shared, &payload),
+        Ok(transfer::Taken::Whole(payload)) => apply_payload(shared, &payload),
         Err(e) => {
-            ::log::warn!(control:% = to, error:% = e; "gateway: configuration is fetched anew");
+            ::log::warn!(control:% = to, error:% = e; "gateway: unusable chunk, restarting the fetch of the configuration");
             locks::lock(&fetching.inner).incoming.lost(to);
             thread::sleep(RETRY_INTERVAL);
         }
     }
 }
 
-fn take_payload<D: dialect::Dialect>(shared: &state::Shared<D>, payload: &transfer::Payload) {
+fn apply_payload<D: dialect::Dialect>(shared: &state::Shared<D>, payload: &transfer::Payload) {
     let transfer::Id { from, version, .. } = payload.id;
     let bytes = payload.bytes.len();
     let text = {
@@ -163,27 +164,31 @@
     match text {
         Ok(document) => {
             if from == 0 {
-                ::log::info!(version, bytes; "gateway: configuration came whole");
+                ::log::info!(version, bytes; "gateway: received a complete configuration");
             } else {
-                ::log::info!(version, from, bytes; "gateway: configuration came as a change");
+                ::log::info!(version, from, bytes; "gateway: received a configuration as a delta");
             }
-            take_document(shared, document);
+            apply_document(shared, document);
         }
         Err(e) => {
-            ::log::warn!(version, from, error:% = e; "gateway: configuration is asked for as a whole");
+            ::log::warn!(version, from, error:% = e;
+                "gateway: cannot apply the received configuration, requesting a complete one");
             *locks::lock(&shared.document) = document::Document::default();
         }
     }
 }
 
-/// Puts a configuration in force, and keeps its text also where it is not understood: changes are made of it, and it is
-/// not fetched again.
-pub fn take_document<D: dialect::Dialect>(shared: &state::Shared<D>, document: document::Document) {
+/// Puts a configuration in force, and stores its text. The text is stored even if it can't be parsed: it is the base of
+/// the next delta, and is not fetched again.
+pub fn apply_document<D: dialect::Dialect>(
+    shared: &state::Shared<D>,
+    document: document::Document,
+) {
     match shared.dialect.config(document.text.as_bytes()) {
         Ok(config) => shared.apply_config(config),
         Err(e) => {
             ::log::error!(version = document.version, error:% = e;
-                "gateway: configuration not understood, the one before stays in force");
+                "gateway: cannot parse the configuration, keeping the previous one");
         }
     }
     let mut held = locks::lock(&shared.document);
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of an entry process in front of a fleet.
+//! The metrics of an entry process.
 
 use std::{collections, sync, time};
 
@@ -7,26 +7,26 @@
 use super::{allowances, state};
 use crate::{locks, metrics};
 
-/// Upper bounds of the buckets of times, in seconds.
+/// The upper bounds of the histogram buckets for durations, in seconds.
 const DURATION_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
-/// Workspaces that are counted by name, the first that ask. With three ends each they take 200 lines of the
-/// text, as many as all other figures.
+/// The number of workspaces that are counted by name; the first ones to send requests are. With three results
+/// each they take 200 lines of output, as many as all other metrics.
 const MAX_NAMED_WORKSPACES: usize = 64;
 
-/// What all other workspaces are counted under.
+/// The label of all other workspaces.
 const OTHER_WORKSPACES: &str = "(others)";
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// With an endpoint's answer.
+    /// With the response of an endpoint.
     Answered,
-    /// With a refusal of this process.
+    /// With a refusal by this process.
     Refused,
-    /// Its caller left.
+    /// Its caller disconnected.
     CallerGone,
 }
 
@@ -40,19 +40,19 @@
     }
 }
 
-/// What an entry process counts.
+/// The instruments of an entry process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: metrics::Registry,
     took: instruments::Histogram<f64>,
     ended: instruments::Counter<u64>,
     by_workspace: instruments::Counter<u64>,
-    /// Workspaces that are counted by name.
+    /// The workspaces that are counted by name.
     workspaces: sync::Mutex<collections::HashSet<String>>,
     gauges: Gauges,
 }
 
-/// What holds at the moment in which the figures are asked for.
+/// The gauges, which are set when the metrics are scraped.
 #[derive(Debug)]
 struct Gauges {
     ready: metrics::Gauge,
@@ -145,7 +145,7 @@
 }
 
 impl Metrics {
-    /// Counts a request that has ended.
+    /// Counts a request that has ended, and records how long it took.
     pub fn ended(&self, service: &str, priority: u8, end: End, status: u16, took: time::Duration) {
         let of = [
             KeyValue::new("service", service.to_owned()),
@@ -157,7 +157,7 @@
         self.took.record(took.as_secs_f64(), &of[..3]);
     }
 
-    /// Counts a request of a workspace that has ended; of none where the name is empty.
+    /// Counts a request of a workspace that has ended; does nothing if `name` is empty.
     pub fn workspace_ended(&self, name: &str, end: End) {
         if name.is_empty() {
             return;
@@ -176,7 +176,7 @@
         self.by_workspace.add(1, &of);
     }
 
-    /// Everything as text.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn text<D: sageshed_fleet::dialect::Dialect>(&self, shared: &state::Shared<D>) -> String {
         let now = shared.clock.now();
--- a/src/sageshed/gateway/ready.rs
+++ b/src/sageshed/gateway/ready.rs
@@ -1,4 +1,4 @@
-//! The port on which the balancer asks whether this process takes callers.
+//! The port for the health checks of the load balancer.
 
 use std::sync;
 
@@ -8,7 +8,7 @@
 
 use super::state;
 
-/// Answers every question with 200 or 503.
+/// Responds with 200 while this process takes callers, and with 503 otherwise.
 #[derive(Debug)]
 pub(super) struct ReadinessHandler<D> {
     pub(super) shared: sync::Arc<state::Shared<D>>,
@@ -35,7 +35,7 @@
     }
 
     fn refuse_early(&self, refusal: refusal::Refusal) -> handler::Stamped {
-        ::log::debug!(reason:% = refusal.reason; "gateway: question of the balancer refused");
+        ::log::debug!(reason:% = refusal.reason; "gateway: health check refused");
         handler::Stamped {
             request_id: String::new(),
             refusal,
--- a/src/sageshed/gateway/refuse.rs
+++ b/src/sageshed/gateway/refuse.rs
@@ -1,10 +1,10 @@
-//! The answers of this process itself.
+//! The refusals that this process sends itself.
 
 use sageshed_http::{problem, reply};
 use sageshed_types::{refusal, time, verdict};
 
-/// Answers with a refusal. When to come back is said in fractions of a second, since a place or a load
-/// may be a few hundred milliseconds away.
+/// Sends a refusal. `Retry-After` has fractions of a second, since a slot may become free or a load end within a few
+/// hundred milliseconds.
 pub(super) fn send(
     reply: reply::Reply<'_>,
     request_id: &str,
@@ -31,7 +31,7 @@
     format!("{}.{:03}", span.0 / 1_000, span.0 % 1_000)
 }
 
-/// A request that no endpoint has run, and that may come back.
+/// The refusal, with status 503, of a request that no endpoint has run and that may be retried.
 pub(super) fn not_run(
     reason: verdict::Reason,
     detail: impl Into<String>,
--- a/src/sageshed/gateway/response.rs
+++ b/src/sageshed/gateway/response.rs
@@ -1,4 +1,4 @@
-//! The way of an answer to its caller: whole, or event by event.
+//! Sends responses to callers: as a whole, or event by event.
 
 use sageshed_fleet::dialect;
 use sageshed_http::reply;
@@ -7,27 +7,27 @@
 
 use super::refuse;
 
-/// Where an answer goes: to a caller that has seen nothing yet, or on behind what it has seen.
+/// The destination of a response: a reply that has not started, or a stream that is continued.
 #[derive(Debug)]
 pub(super) enum ResponseSink<'c> {
-    /// No byte went out.
+    /// No byte was sent to the caller.
     NotStarted(reply::Reply<'c>),
-    /// A stream has begun.
+    /// A stream was started.
     Streaming(reply::Stream<'c>, EventBuffer),
 }
 
-/// The events of a stream that go out whole.
+/// Splits a stream at the ends of events, so that only complete ones are sent.
 #[derive(Debug, Default)]
 pub(super) struct EventBuffer {
-    /// The beginning of an event of which the rest has not come.
+    /// The first bytes of an event that is not complete yet.
     pending: Vec<u8>,
-    /// The id of the last event that went out.
+    /// The id of the last event that was sent.
     pub(super) last_id: Option<String>,
 }
 
 impl EventBuffer {
-    /// Takes bytes of a stream and gives out what ends with a whole event. An engine may break off
-    /// inside one, and the stream then goes on elsewhere from the last whole one.
+    /// Adds bytes of a stream and returns the complete events. If an engine fails inside an event, the
+    /// stream is resumed at another one after the last complete event.
     pub(super) fn push<D: dialect::Dialect>(&mut self, dialect: D, bytes: &[u8]) -> Vec<u8> {
         self.pending.extend_from_slice(bytes);
         let rest = self.pending.split_off(end_of_last_event(&self.pending));
@@ -38,18 +38,18 @@
         whole
     }
 
-    /// What came behind the last whole event, at the end of the stream.
+    /// The bytes after the last complete event, at the end of the stream.
     pub(super) fn take_rest(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
-    /// Forgets the beginning of an event whose end will not come.
+    /// Discards an event that will not be completed.
     pub(super) fn drop_rest(&mut self) {
         self.pending.clear();
     }
 }
 
-/// Where the last whole event ends. EventBuffer end with an empty line.
+/// The position after the last complete event. Events end with an empty line.
 fn end_of_last_event(bytes: &[u8]) -> usize {
     let after = |pattern: &[u8]| {
         let found = bytes.windows(pattern.len()).rposition(|it| it == pattern);
@@ -59,7 +59,7 @@
 }
 
 impl<'c> ResponseSink<'c> {
-    /// Ends with a refusal, or with a cut where the caller has seen a part of its answer.
+    /// Sends a refusal, or aborts the stream if the caller has received a part of the response.
     pub(super) fn refuse(self, request_id: &str, refusal: &refusal::Refusal) -> reply::Sent {
         match self {
             Self::NotStarted(reply) => refuse::send(reply, request_id, refusal),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The id of the last event that went out.
+    /// The id of the last event that was sent.
     pub(super) fn last_id(&self) -> Option<&str> {
         match self {
             Self::NotStarted(_) => None,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Whether the caller has seen a part of its answer.
+    /// Whether the caller has received a part of the response.
     pub(super) fn has_started(&self) -> bool {
         matches!(self, Self::Streaming(..))
     }
 
-    /// Begins a stream with the head of an endpoint's answer, unless it has begun.
+    /// Starts a stream with the head of an endpoint's response, unless one was started.
     pub(super) fn start_stream(self, head: &exchange::Head) -> (reply::Stream<'c>, EventBuffer) {
         match self {
             Self::NotStarted(reply) => {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Answers with an endpoint's whole answer.
+    /// Sends the complete response of an endpoint.
     pub(super) fn send_whole(self, head: &exchange::Head, body: &[u8]) -> reply::Sent {
         match self {
             Self::NotStarted(reply) => {
@@ -113,7 +113,7 @@
     }
 }
 
-/// The headers of an answer that are text. Those of the connection are left out by the server.
+/// The headers of a response that are valid text. The server leaves out the hop-by-hop ones.
 fn headers(head: &exchange::Head) -> Vec<(&str, &str)> {
     head.headers
         .iter()
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -14,31 +14,32 @@
 };
 use crate::locks;
 
-/// How long a request waits for the first configuration of this process, whose caller does not say how long it
-/// waits: a third of the time of the least patient ones.
+/// How long a request without a deadline waits for the first configuration of this process: a third of the
+/// shortest timeout of callers.
 const FIRST_CONFIG_WAIT: time::Millis = time::Millis(200);
 
-/// The longest that a request waits for it, however patient its caller: a group that lost power as a whole leads
-/// and has told entry processes within some 600 ms of its start. One that takes longer may take long.
+/// The longest that a request with a deadline waits for the first configuration. A control group that lost power as
+/// a whole elects a leader and updates entry processes within about 600 ms of its start; one that takes longer may
+/// take much longer.
 const MAX_FIRST_CONFIG_WAIT: time::Millis = time::Millis(800);
 
-/// The part of its caller's time that a request waits for it.
+/// A request waits for the first configuration for its deadline divided by this.
 const FIRST_CONFIG_WAIT_DIVISOR: u64 = 3;
 
-/// The part of the time in which a change is to be in force, after which callers are taken no more until it is.
+/// The share of `in_force_ms` after which callers are refused until the newer configuration is in force.
 const OUT_OF_DATE_RATIO: f64 = 0.8;
 
-/// Requests that wait for it at the most.
+/// The most requests that wait for the first configuration at once.
 const MAX_WAITING_FOR_CONFIG: usize = 256;
 
-/// A configuration in force, indexed.
+/// A configuration with the indexes that requests are routed by.
 #[derive(Debug)]
 pub struct Routing {
-    /// The configuration.
+    /// The configuration as it was parsed.
     pub config: config::FleetConfig,
-    /// Its routes.
+    /// The index of its routes.
     pub table: routes::RouteTable,
-    /// Its workspaces; none where nobody is asked who he is.
+    /// The index of its workspaces; none if callers need not authenticate.
     pub workspaces: Option<workspaces::Workspaces>,
 }
 
@@ -61,22 +62,22 @@
         locks::read(&self.routing).as_ref().map(sync::Arc::clone)
     }
 
-    /// The number of the configuration in force; zero if none is known.
+    /// The version of the configuration in force; zero if none is known.
     #[must_use]
     pub fn version(&self) -> u64 {
         let routing = locks::read(&self.routing);
         routing.as_ref().map_or(0, |it| it.config.version)
     }
 
-    /// For how long a newer configuration than the one in force has been known; none if there is no newer one.
+    /// How long a newer configuration than the one in force has been known; none if there is no newer one.
     #[must_use]
     pub fn behind(&self) -> Option<time::Millis> {
         self.fetching.behind(self.clock.now(), self.version())
     }
 
-    /// Whether a change has been known for so long, and is not in force here, that no caller must be served without it.
+    /// Whether a newer configuration has been known for so long that callers must not be served by the current one.
     ///
-    /// One that can reach no control process knows of none, and goes on.
+    /// A process that can reach no control process learns of no newer configuration and keeps serving.
     #[must_use]
     pub fn is_out_of_date(&self) -> bool {
         let in_force_ms = self.settings.configuration.in_force_ms.0 as f64;
@@ -84,7 +85,7 @@
         self.behind().is_some_and(|it| it >= limit)
     }
 
-    /// Puts a configuration in force, unless one with the same or a higher number is.
+    /// Puts a configuration in force, unless one with the same or a higher version is.
     pub fn apply_config(&self, config: config::FleetConfig) {
         let version = config.version;
         let routing = sync::Arc::new(Routing::new(config));
@@ -98,18 +99,18 @@
         self.with_core(|core| core.allowances.set_terms(terms));
         *current = Some(routing);
         drop(current);
-        // Requests that came before the first one wait for it.
+        // Requests that arrived before the first configuration wait for it.
         self.wake_waiting();
         ::log::info!(version, before = held, routes = count; "gateway: configuration in force");
     }
 
-    /// The configuration in force, for a request that came `since` then and may be there before any is
-    /// known. None where it does not come in time, or the caller is `gone`.
+    /// The configuration in force, for a request that arrived at `since`; waits for the first one if none is
+    /// known. None if it does not arrive in time or the caller is `gone`.
     ///
     /// After a stop of all processes, entry processes are up some hundred milliseconds before the control
-    /// group can tell them a configuration. Refused at once, callers came back later than they could
-    /// have been served, and some of them only once. The wait ends well before the caller's `deadline`,
-    /// and few wait, since each holds a thread.
+    /// group can send them a configuration. When requests were refused at once, callers came back later than they
+    /// could have been served, and some of them only once. The wait ends well before the caller's `deadline`, and
+    /// the number of waiting requests is limited, since each blocks a thread.
     #[must_use]
     pub fn wait_for_routing(
         &self,
@@ -124,7 +125,7 @@
         let span = part.map_or(FIRST_CONFIG_WAIT, |it| it.min(MAX_FIRST_CONFIG_WAIT));
         let until = since + span.into();
         while !gone() {
-            // Read before the look, so that a configuration which comes behind it ends the wait.
+            // Read before the configuration is checked, so that one that arrives after the check ends the wait.
             let seen = self.with_core(|core| core.changes());
             let routing = self.routing();
             let left = until.saturating_duration_since(std_time::Instant::now());
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -1,10 +1,11 @@
-//! Starting and stopping an entry process.
+//! Starts and stops an entry process.
 //!
-//! # Stopping
+//! # Shutdown
 //!
-//! The balancer needs some time to turn callers away. Until it has, connections are still taken; each
-//! answer is the last on its connection, so that callers move elsewhere by themselves. Then what is
-//! under way is finished, up to shortly before the process would be killed.
+//! The load balancer needs some time to stop sending callers here. During this notice period, connections
+//! are still accepted; each response closes its connection, so that callers move to another entry process
+//! by themselves. After it, requests in progress are finished until shortly before the end of the grace
+//! period, when the process would be killed.
 
 use std::{net, sync, thread, time};
 
@@ -15,43 +16,43 @@
 use super::{allowances, entry_peers, proxy, ready, state, watch};
 use crate::{context, locks, metrics_port, settings};
 
-/// Descriptors that are not for callers: control processes, idle connections to endpoints, ports.
+/// File descriptors that are not for callers: control processes, idle connections to endpoints, listeners.
 const RESERVED_DESCRIPTORS: usize = 400;
 
-/// Kilobytes that one connection of a caller may need: the touched part of its thread's stack, its
-/// buffers and the socket's.
+/// The memory that one connection of a caller may need: the used part of its thread's stack, its buffers and
+/// those of the socket.
 const CONNECTION_KB: usize = 128;
 
-/// Connections on which the balancer asks, at once.
-const READY_CONNECTIONS: usize = 32;
+/// The most connections at once on the port of health checks, and on that of metrics.
+const HEALTH_CHECK_CONNECTIONS: usize = 32;
 
-/// The stack of a connection's thread, in bytes.
+/// The stack size of a connection's thread.
 const STACK_BYTES: usize = 192 * 1024;
 
-/// How long before its end the process sends no more requests that waited here. Most streams last less;
-/// what waits is told to go elsewhere while its caller has time.
+/// How long before its exit the process refuses the requests that still wait. Most streams take less time, and the
+/// callers of waiting requests still have time to try another entry process.
 const LAST_SEND_BEFORE_END: time::Duration = time::Duration::from_secs(2);
 
-/// How long before the end of the grace period the process ends by itself.
+/// How long before the end of the grace period the process exits by itself.
 const EXIT_MARGIN: time::Duration = time::Duration::from_millis(400);
 
-/// Between two sweeps of idle connections.
+/// The interval between two sweeps of idle pooled connections.
 const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// An entry process that could not start.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// A port could not be opened.
+    /// A listener could not be opened.
     #[display("cannot listen on {address}: {problem}; is the address this VM's, and free?")]
     Listen {
-        /// Where.
+        /// The address to listen on.
         address: net::SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         problem: String,
     },
 }
 
-/// Runs an entry process until it is told to stop. It speaks `dialect` with callers and endpoints.
+/// Runs an entry process, which speaks `dialect` with callers and endpoints, until it is told to stop.
 pub fn run<D: dialect::Dialect>(
     cx: &context::Context,
     settings: settings::FleetEntry,
@@ -85,7 +86,7 @@
     entry_peers::start(&shared);
     allowances::start(&shared);
     ::log::info!(vm = shared.settings.vm.as_str(), callers:% = callers.local_addr(),
-        ready:% = ready.local_addr(); "gateway: listens");
+        ready:% = ready.local_addr(); "gateway: listening");
     while !cx.stop.wait_timeout(SWEEP_INTERVAL) {
         shared.pool.sweep();
     }
@@ -103,7 +104,8 @@
     let shutdown = shared.settings.shutdown;
     let grace = time::Duration::from(shutdown.grace_ms);
     let notice = time::Duration::from(shutdown.notice_ms);
-    ::log::info!(open = callers.connections_open(); "gateway: stopping, callers are sent elsewhere");
+    ::log::info!(open = callers.connections_open();
+        "gateway: stopping, closing callers' connections after each response");
     shared.stopping.store(true, sync::atomic::Ordering::Relaxed);
     callers.drain();
     while began.elapsed() < notice && !cx.stop.is_asked_again() {
@@ -115,9 +117,9 @@
     let end = grace.saturating_sub(EXIT_MARGIN);
     let last_sends = end.saturating_sub(LAST_SEND_BEFORE_END);
     let open = callers.wait(last_sends.saturating_sub(began.elapsed()));
-    ::log::info!(open; "gateway: ends soon, requests that wait are sent elsewhere");
-    // Ended with the process, a request that still waits would get no answer, and its caller could not
-    // know that it was not run: one of a day's 3,200 was cut so after seven seconds.
+    ::log::info!(open; "gateway: exiting soon, refusing the requests that wait");
+    // A request that still waits when the process exits would get no response, and its caller could not know
+    // that it was not run. In one test run this cut off one of 3,200 requests after seven seconds.
     shared.ending.store(true, sync::atomic::Ordering::Relaxed);
     shared.wake_waiting();
     let cut = callers.wait(end.saturating_sub(began.elapsed()));
@@ -137,19 +139,19 @@
 
 fn ready_limits() -> limits::Limits {
     limits::Limits {
-        connections: READY_CONNECTIONS,
+        connections: HEALTH_CHECK_CONNECTIONS,
         stack_bytes: STACK_BYTES,
         ..limits::Limits::default()
     }
 }
 
-/// Each connection of a caller may hold one to an endpoint.
+/// The limits for callers by the resources of the VM. Each connection of a caller may need one to an endpoint.
 fn caller_limits(settings: &settings::FleetEntry) -> limits::Limits {
     let resources = settings.resources;
     let by_descriptors = resources.descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 2;
     let by_memory = resources.memory_mb * 1_024 / 2 / CONNECTION_KB;
     limits::Limits {
-        connections: by_descriptors.min(by_memory).max(READY_CONNECTIONS),
+        connections: by_descriptors.min(by_memory).max(HEALTH_CHECK_CONNECTIONS),
         stack_bytes: STACK_BYTES,
         head_bytes: 32 * 1024,
         head_timeout: time::Duration::from_secs(5),
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the threads of an entry process share.
+//! The state that the threads of an entry process share.
 
 use std::{
     collections, net,
@@ -16,106 +16,108 @@
 use super::{entry_peers, fetch, metrics, routing};
 use crate::{accounts, clock, locks, records, sampler, settings};
 
-/// Shared by all threads of an entry process.
+/// The shared state of an entry process.
 #[derive(Debug)]
 pub struct Shared<D> {
-    /// The settings.
+    /// The settings read at start.
     pub settings: settings::FleetEntry,
-    /// The protocol of callers and endpoints.
+    /// The protocol spoken with callers and endpoints.
     pub dialect: D,
-    /// This process's clock.
+    /// The monotonic clock of this process.
     pub clock: clock::Clock,
-    /// Connections to endpoints.
+    /// Pooled connections to endpoints.
     pub pool: pool::Pool,
-    /// To control processes.
+    /// The client for calls to control processes.
     pub client: sageshed_vms::Client,
-    /// To other entry processes; none where the port could not be opened.
+    /// The socket to the other entry processes; none if it could not be opened.
     pub entry_peers: Option<entry_peers::EntryPeers>,
-    /// What is counted.
+    /// The metrics of this process.
     pub metrics: metrics::Metrics,
-    /// The accounts of the latest requests, for operators.
+    /// The traces of the latest requests, for operators.
     pub accounts: sync::Mutex<accounts::Accounts>,
-    /// Which successes are logged.
+    /// Samples the successful requests that are logged.
     pub sampler: sampler::Sampler,
-    /// Words of other processes that could not be read.
+    /// Samples the log of messages of other processes that could not be decoded.
     pub misread: sampler::Sampler,
-    /// Changes of endpoints that are logged.
+    /// Samples the endpoint changes that are logged.
     endpoint_changes: sampler::Sampler,
     pub(super) routing: sync::RwLock<Option<sync::Arc<routing::Routing>>>,
-    /// The newest configuration as its operator sent it, of which control tells changes.
+    /// The newest configuration as the operator sent it, the base of the deltas that control sends.
     pub(super) document: sync::Mutex<document::Document>,
     pub(super) fetching: fetch::ConfigFetcher,
     core: sync::Mutex<Core>,
     changed: sync::Condvar,
-    /// The control process that leads, as a number; zero if none is known.
+    /// The IP address of the leading control process as a number; zero if none is known.
     leader: atomic::AtomicU32,
-    /// When a control process was heard last, in milliseconds on this process's clock.
+    /// When a control process responded last, in milliseconds on this process's clock.
     last_control_contact: atomic::AtomicU64,
-    /// Requests that wait here for a place, a load or an endpoint.
+    /// The number of requests that wait for a free slot, a model load or an endpoint.
     pub waiting: atomic::AtomicUsize,
-    /// Set when the process is to stop.
+    /// Set when the process has been told to stop.
     pub stopping: atomic::AtomicBool,
-    /// Set when the balancer has had the time to turn callers away, and a new request might not be
-    /// done before the process ends.
+    /// Set when the load balancer has had time to stop sending callers here, and a new request might not be
+    /// done before the process exits.
     pub refusing: atomic::AtomicBool,
-    /// Set when the process is about to end, and no request that still waits here can be answered.
+    /// Set shortly before the process exits, when no waiting request can be served any more.
     pub ending: atomic::AtomicBool,
 }
 
-/// What decisions are made by.
+/// The state that routing decisions are based on.
 #[derive(Debug)]
 pub struct Core {
     /// Chooses endpoints.
     pub chooser: chooser::Chooser,
-    /// What waits here for engines.
+    /// The requests that wait in this process for engines.
     pub backlog: backlog::Backlog,
-    /// What is known of allowances that all entry processes spend together.
+    /// The allowances that all entry processes share.
     pub allowances: allowance::Book,
-    /// Allows repeats.
+    /// The budget for retries.
     pub budget: budget::RetryBudget,
-    /// What is known of endpoints.
+    /// The known endpoints.
     pub directory: directory::Directory,
-    /// Under which requests endpoints have ended.
+    /// The crashes of endpoints, by the request that they were running.
     pub quarantine: quarantine::Quarantine,
-    /// Endpoints that have said in an answer to this process that they leave, and when.
+    /// The endpoints that have reported to this process that they are leaving, and when.
     leaving: Vec<(directory::InstanceId, time::Instant)>,
-    /// The entry processes, this one included.
+    /// The addresses of all entry processes, this one included.
     pub entries: Vec<net::Ipv4Addr>,
-    /// The number of that list.
+    /// The hash that identifies that list.
     entries_number: u64,
-    /// What callers asked for and was not told yet.
+    /// The demand of callers that was not reported to the leader yet.
     pub tally: tally::Tally,
+    /// The adapters requested from control lately, and when.
     wanted: collections::HashMap<messages::WantReq, time::Instant>,
-    /// Counts changes that a waiting request may wait for.
+    /// Counts the changes that may let a waiting request proceed.
     changes: u64,
 }
 
-/// Accounts kept of past requests. Each takes about a kilobyte, and a process of today has some ten
-/// requests a second: the last minute.
+/// The number of request traces kept. Each takes about one kilobyte; at ten requests per second they cover
+/// the last minute.
 const MAX_ACCOUNTS: usize = 600;
 
-/// Successes that are logged in a second. At three times that the lines of successes alone would cost
-/// more than the requests that they tell of on the smallest VMs.
+/// The successful requests that are logged per second. On the smallest VMs, logging three times as many would
+/// cost more than serving them.
 pub const MAX_SUCCESSES_LOGGED_PER_SECOND: u64 = 20;
 
-/// Lines a second on words of other processes that could not be read.
+/// The messages of other processes that could not be decoded and are logged per second.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
-/// Lines a second on endpoints that leave or end. A release of thousands would cost each entry process as many lines.
+/// The endpoints that leave or end and are logged per second. The release of a large fleet would otherwise make
+/// each entry process write thousands of lines.
 const ENDPOINT_CHANGES_LOGGED_PER_SECOND: u64 = 10;
 
-/// The longest that a waiting request goes without a look at whether its caller is still there.
+/// The longest interval between two checks whether the caller of a waiting request is still connected.
 pub const CALLER_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(100);
 
-/// How long control is told that an endpoint leaves: several calls of each link, so that it reaches more than one
-/// control process, and one that was just lost.
+/// How long control is told that an endpoint is leaving. It covers several calls of each link, so that the report
+/// reaches more than one control process even if one has just failed.
 const LEAVING_REPORT_PERIOD: time::Millis = time::Millis(5_000);
 
-/// How long a want is taken to be under way before it is said again.
+/// The interval after which a request for an adapter is sent to control again.
 const ADAPTER_REQUEST_RESEND_INTERVAL: time::Millis = time::Millis(250);
 
 impl<D: dialect::Dialect> Shared<D> {
-    /// What a process with these settings starts with.
+    /// The initial state of a process with these settings.
     #[must_use]
     pub fn new(settings: settings::FleetEntry, dialect: D) -> Self {
         let retries = settings.retries;
@@ -124,7 +126,7 @@
         let entry_peers = match entry_peers::EntryPeers::open(discovery.ip, discovery.vms_port) {
             Ok(peers) => Some(peers),
             Err(e) => {
-                ::log::warn!(error:% = e; "gateway: goes on without a word of its neighbours");
+                ::log::warn!(error:% = e; "gateway: cannot open the UDP socket, continuing without entry peers");
                 None
             }
         };
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The control process that leads, as far as is known.
+    /// The leading control process, if it is known.
     #[must_use]
     pub fn leader(&self) -> Option<net::Ipv4Addr> {
         match self.leader.load(atomic::Ordering::Relaxed) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// A control process has answered.
+    /// Records that a control process has responded.
     pub fn record_control_contact(&self) {
         let now = self.clock.now();
         self.last_control_contact
@@ -191,14 +193,14 @@
         self.with_core(|core| core.allowances.heard_control(now));
     }
 
-    /// How old what is believed may be: the time since a control process answered.
+    /// The time since a control process responded last, which bounds the age of the known state.
     #[must_use]
     pub fn control_silence(&self) -> time::Millis {
         let heard = time::Instant(self.last_control_contact.load(atomic::Ordering::Relaxed));
         self.clock.now().since(heard)
     }
 
-    /// Takes note of who leads.
+    /// Sets the leading control process.
     pub fn set_leader(&self, leader: Option<net::Ipv4Addr>) {
         let ip = leader.map_or(0, u32::from);
         let before = self.leader.swap(ip, atomic::Ordering::Relaxed);
@@ -208,12 +210,12 @@
         }
     }
 
-    /// Decides by what is known now.
+    /// Runs `decide` on the core state, under its lock.
     pub fn with_core<T>(&self, decide: impl FnOnce(&mut Core) -> T) -> T {
         decide(&mut locks::lock(&self.core))
     }
 
-    /// Takes records of endpoints, and wakes the requests that wait for one.
+    /// Merges endpoint records, and wakes waiting requests if something changed.
     pub fn merge_records(&self, packed: &[messages::Packed]) {
         if packed.is_empty() {
             return;
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Takes a neighbour's word, and wakes the requests that wait for an engine to have read.
+    /// Applies the observation of an entry peer, and wakes waiting requests if an engine has room by it.
     pub fn hear(&self, from: net::Ipv4Addr, word: &words::Unread) {
         let now = self.clock.now();
         let has_room = self.with_core(|core| core.chooser.hear(now, from, word));
@@ -242,13 +244,13 @@
         }
     }
 
-    /// The number of the list of entry processes that is known.
+    /// The hash of the known list of entry processes.
     #[must_use]
     pub fn entries_known(&self) -> u64 {
         locks::lock(&self.core).entries_number
     }
 
-    /// Takes the list of entry processes.
+    /// Replaces the list of entry processes by the one with this hash.
     pub fn set_entries(&self, number: u64, entries: Vec<net::Ipv4Addr>) {
         let mut core = locks::lock(&self.core);
         if entries.is_empty() || core.entries_number == number {
@@ -263,18 +265,18 @@
         core.entries = entries;
     }
 
-    /// Another start of an endpoint answers at the address of this one: it has gone, and what control
-    /// processes still say of it is old.
+    /// Marks an endpoint as gone, since another instance answers at its address. Records of it that control
+    /// processes still hold are out of date.
     pub fn mark_replaced(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
         core.chooser.forget(id);
         if core.directory.gone(now, id) {
-            ::log::info!(endpoint:% = id; "gateway: another start answers at the endpoint's address");
+            ::log::info!(endpoint:% = id; "gateway: another instance answers at the endpoint's address");
         }
     }
 
-    /// An endpoint has said in an answer that it leaves. Control is told with the next calls.
+    /// Marks an endpoint that has reported in a response that it is leaving. The next calls tell control.
     pub fn mark_leaving(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
@@ -288,10 +290,10 @@
         core.changes += 1;
         drop(core);
         self.changed.notify_all();
-        ::log::info!(endpoint:% = id; "gateway: endpoint says in an answer that it leaves");
+        ::log::info!(endpoint:% = id; "gateway: endpoint reports in a response that it is leaving");
     }
 
-    /// Endpoints that have said so lately, for control to be told.
+    /// The endpoints that were marked as leaving lately, to be reported to control.
     #[must_use]
     pub fn leaving(&self) -> Vec<directory::InstanceId> {
         let now = self.clock.now();
@@ -310,8 +312,8 @@
                     return false;
                 };
                 core.chooser.know(&instance);
-                // Connections that were kept are to a start that has ended: where its VM lost power, what is
-                // sent on them is lost without a word.
+                // Pooled connections lead to an instance that has ended. If its VM lost power, requests sent on
+                // them would be lost without an error.
                 if instance.has_ended() || offer == directory::Offer::New {
                     self.pool.forget(instance.address);
                 }
@@ -321,7 +323,8 @@
         }
     }
 
-    /// Control processes log each change of an endpoint; what ends or leaves explains refusals here as well.
+    /// Logs the change of an endpoint. Control processes log every change; here, only an endpoint that ends or
+    /// leaves is logged above debug level, since it explains refusals.
     fn log_endpoint_change(
         &self,
         now: time::Instant,
@@ -343,8 +346,7 @@
             sequence = instance.sequence, age_ms = age.0, left_out; "gateway: endpoint changed");
     }
 
-    /// Waits until something changed since `seen`, for `limit` at the most. Returns the count of
-    /// changes to wait from next.
+    /// Waits up to `limit` for a change after the change count `seen`. Returns the current change count.
     #[must_use]
     pub fn wait(&self, seen: u64, limit: std_time::Duration) -> u64 {
         let (core, _) = self
@@ -354,19 +356,20 @@
         core.changes
     }
 
-    /// A place has become free: wakes the requests that wait for one.
+    /// Counts a change and wakes all waiting requests.
     pub fn wake_waiting(&self) {
         locks::lock(&self.core).changes += 1;
         self.changed.notify_all();
     }
 
-    /// Whether the process is to stop.
+    /// Whether the process has been told to stop.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(atomic::Ordering::Relaxed)
     }
 
-    /// Whether the balancer may send callers here: a configuration and endpoints are known.
+    /// Whether the load balancer may send callers here: the process is not stopping, its configuration is up to
+    /// date and endpoints are known.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_stopping()
@@ -377,13 +380,14 @@
 }
 
 impl Core {
-    /// The count of changes so far.
+    /// The number of changes so far, for [`Shared::wait`].
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Counts what a caller asks for, of which an engine keeps so many tokens by the word of others.
+    /// Counts the demand of a request. `kept` is the number of its prompt tokens that the chosen engine has cached
+    /// according to the model's coordinator.
     pub fn count_demand(
         &mut self,
         service: &str,
@@ -400,7 +404,7 @@
         self.tally.ask(service, &wanted.model, &asked);
     }
 
-    /// Whether a want has to be said now: requests that wait for the same adapter say it once.
+    /// Whether control has to be asked for an adapter now: requests that wait for the same one ask once.
     pub fn should_request_adapter(&mut self, now: time::Instant, want: &messages::WantReq) -> bool {
         self.wanted
             .retain(|_, at| now.since(*at) < ADAPTER_REQUEST_RESEND_INTERVAL);
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -1,8 +1,8 @@
-//! Keeps an entry process up to date by a few control processes.
+//! Keeps the state of an entry process up to date by watching a few control processes.
 //!
-//! Each link ([`sageshed_fleet::links`]) watches one of them: a call that is kept until there is something new.
-//! The link that brings endpoints also takes along what callers ask for. Configurations are fetched by another
-//! thread ([`super::fetch`]), which the links tell of new ones.
+//! Each link ([`sageshed_fleet::links`]) watches one control process with long polls: a call is answered once there
+//! is something new. The link that receives endpoint records also reports the demand of callers. Another thread
+//! ([`super::fetch`]) fetches configurations; the links tell it of new versions.
 
 use std::{
     collections, net,
@@ -16,31 +16,31 @@
 use super::{fetch, state};
 use crate::{locks, settings};
 
-/// How long a watch is kept where nothing is new.
+/// How long a long poll is kept open if nothing changes.
 const WATCH_TIMEOUT: time::Millis = time::Millis(800);
 
-/// The same for the link that tells what callers ask for: loads take seconds, and begin late where a rise of
-/// demand is known late.
+/// The same for the link that reports demand: model loads take seconds, and start late if a rise of demand is
+/// reported late.
 const DEMAND_WATCH_TIMEOUT: time::Millis = time::Millis(250);
 
-/// Added to the patience of a call: the way there and back, and a pause of either process.
+/// Added to the timeout of a long poll: the round trip, and a pause of either process.
 const CALL_MARGIN: std_time::Duration = std_time::Duration::from_millis(400);
 
-/// Between two tries while nobody can be reached. Processes that were stopped together come back within
-/// some ten milliseconds of each other, and each try at a closed port costs two packets.
+/// The interval between two attempts while no control process can be reached. Processes that were stopped together
+/// restart within tens of milliseconds of each other, and an attempt at a closed port costs two packets.
 const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(30);
 
-/// Between two looks into the settings file: the seeds may change without a signal.
+/// The interval between two reads of the settings file: the seeds may change without a signal.
 const SEEDS_RELOAD_INTERVAL: std_time::Duration = std_time::Duration::from_secs(3);
 
-/// What the threads of the links share.
+/// The state that the threads of the links share.
 #[derive(Debug)]
 struct WatchState {
     links: sync::Mutex<links::Links>,
     seeds_read: sync::Mutex<std_time::Instant>,
 }
 
-/// Starts the links, which run until the process stops.
+/// Starts the threads of the links, which run until the process stops.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let seeds = &shared.settings.discovery.seeds;
     let seeds = seeds.iter().map(|it| *it.ip()).collect();
@@ -55,24 +55,25 @@
             .name(format!("watch-{number}"))
             .spawn(move || run(&shared, &watching, number));
         if let Err(e) = spawned {
-            ::log::error!(error:% = e; "gateway: no thread for a link to control");
+            ::log::error!(error:% = e; "gateway: cannot start a watch thread");
         }
     }
 }
 
-/// What the two ends of one link know of each other.
+/// How far this process and one control process have synchronized.
 #[derive(Debug, Default)]
 struct PeerState {
-    /// Up to where the directory of the control process is known here.
+    /// Up to which change the directory of the control process is known here.
     mark: directory::Mark,
-    /// What each knows of the crashes that the other remembers.
+    /// Up to which change each knows the crashes that the other has recorded.
     crashes: quarantine::Link,
 }
 
 fn run<D: dialect::Dialect>(shared: &state::Shared<D>, watching: &WatchState, number: usize) {
     let mut at: Option<net::Ipv4Addr> = None;
-    // By the control process: one that is watched again, after a while elsewhere, need not tell all anew.
-    let mut all_known: collections::HashMap<net::Ipv4Addr, PeerState> = collections::HashMap::new();
+    // Kept by control process, so that one that is watched again later sends only what has changed since.
+    let mut peers_by_ip: collections::HashMap<net::Ipv4Addr, PeerState> =
+        collections::HashMap::new();
     while !shared.stopping.load(atomic::Ordering::Relaxed) {
         watching.read_seeds(shared);
         let draw = shared.with_core(|core| core.chooser.draw());
@@ -81,10 +82,10 @@
             continue;
         };
         if at != Some(to) {
-            ::log::info!(link = number, control:% = to; "gateway: watches a control process");
+            ::log::info!(link = number, control:% = to; "gateway: watching a control process");
             at = Some(to);
         }
-        let known = all_known.entry(to).or_default();
+        let known = peers_by_ip.entry(to).or_default();
         let (wants, is_source) = {
             let links = locks::lock(&watching.links);
             (
@@ -101,10 +102,10 @@
                     .answered(crashes_sent, resp.crashes_mark.unwrap_or_default());
                 let (digest, digest_mark) = (resp.digest, resp.digest_mark);
                 let (has_more, news) = (resp.has_more, resp.news_mark);
-                let peers = take(shared, watching, to, resp);
+                let peers = apply_response(shared, watching, to, resp);
                 let differs = shared.with_core(|core| core.directory.digest()) != digest;
                 if let Some(mark) = digest_mark.filter(|_| !differs) {
-                    // Whoever has the digest knows what it is of: should this link bring endpoints, it begins here.
+                    // Equal digests mean equal directories, so records may be received from this position on.
                     known.mark = mark;
                 }
                 let mut links = locks::lock(&watching.links);
@@ -121,7 +122,7 @@
             }
             Err(e) => {
                 ::log::warn!(link = number, control:% = to, error:% = e;
-                    "gateway: control process lost");
+                    "gateway: lost a control process");
                 locks::lock(&watching.links).avoid(shared.clock.now(), number, to);
                 at = None;
                 thread::sleep(RETRY_INTERVAL);
@@ -185,16 +186,16 @@
     answer
 }
 
-/// Takes an answer. Returns up to where its sender knows other control processes.
-fn take<D: dialect::Dialect>(
+/// Applies the response of a control process. Returns the positions up to which it knows the other ones.
+fn apply_response<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     watching: &WatchState,
     from: net::Ipv4Addr,
     resp: messages::WatchResp,
 ) -> Vec<(net::Ipv4Addr, directory::Mark)> {
     match resp.config {
-        // A control process of an earlier version, from which nothing can be fetched.
-        Some(document) => fetch::take_document(shared, document),
+        // The control process runs an earlier version and does not serve chunks.
+        Some(document) => fetch::apply_document(shared, document),
         None => shared
             .fetching
             .announce(shared.clock.now(), from, resp.newest_config),
@@ -213,7 +214,7 @@
 }
 
 impl WatchState {
-    /// Reads the seeds anew from the settings file, now and then.
+    /// Reloads the seeds from the settings file, at most once per [`SEEDS_RELOAD_INTERVAL`].
     fn read_seeds<D: dialect::Dialect>(&self, shared: &state::Shared<D>) {
         let mut read_at = locks::lock(&self.seeds_read);
         if read_at.elapsed() < SEEDS_RELOAD_INTERVAL {
@@ -225,10 +226,12 @@
             Ok(read) => {
                 let seeds: Vec<_> = read.discovery.seeds.iter().map(|it| *it.ip()).collect();
                 if locks::lock(&self.links).set_seeds(seeds.clone()) {
-                    ::log::info!(seeds:? = seeds; "gateway: settings changed, new seeds");
+                    ::log::info!(seeds:? = seeds; "gateway: seeds changed in the settings");
                 }
             }
-            Err(e) => ::log::warn!(error:% = e; "gateway: settings not read, the old seeds stay"),
+            Err(e) => {
+                ::log::warn!(error:% = e; "gateway: cannot read the settings, keeping the current seeds")
+            }
         }
     }
 }
--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -140,7 +140,7 @@
 #[test]
 fn an_entry_process_is_told_what_changed_and_the_whole_at_its_start() {
     let (mut fleet, _engines) = Fleet::ready();
-    let came = "configuration came as a change";
+    let came = "received a configuration as a delta";
     for (version, name) in [(20, "first"), (30, "second")] {
         fleet.replace(&operator::config_with(version, &route(name)));
         for entry in 0..2 {
@@ -162,7 +162,12 @@
     assert_eq!(status(&fleet, 0, "/first/x"), 404);
     // A control process that is behind by a heartbeat may send the one before first, and the newest as a change of it.
     let log = fleet.entries[0].log().split_off(before);
-    let first = log.lines().find(|it| it.contains("configuration came"));
+    let first = log
+        .lines()
+        .find(|it| it.contains("\"message\":\"received a "));
     let first = first.expect("one came");
-    assert!(first.contains("configuration came whole"), "{first}");
+    assert!(
+        first.contains("received a complete configuration"),
+        "{first}"
+    );
 }
--- a/tests/fleet/crashing.rs
+++ b/tests/fleet/crashing.rs
@@ -134,7 +134,7 @@
                     .count()
             })
             .sum();
-        ends >= 3 && logs().all(|it| it.contains("request is held"))
+        ends >= 3 && logs().all(|it| it.contains("request is quarantined"))
     });
     let other = Ask {
         body: "another prompt",
--- a/tests/fleet/said.rs
+++ b/tests/fleet/said.rs
@@ -53,7 +53,7 @@
 fn knows(entry: &Process) -> bool {
     let log = entry.log();
     log.contains("\"state\":\"Leaving\"")
-        || log.contains("endpoint says in an answer that it leaves")
+        || log.contains("endpoint reports in a response that it is leaving")
 }
 
 /// Requests that arrived at or after `from`.
