--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -52,7 +52,7 @@
 }
 
 /// What a step has to say so far.
-type Out = Vec<event::Action>;
+type Actions = Vec<event::Action>;
 
 /// Why a request is refused, before the request's own part is added.
 #[derive(Debug, Clone, PartialEq)]
@@ -103,7 +103,7 @@
 
     /// Takes one event and says what to do.
     pub fn step(&mut self, now: time::Instant, event: event::Event) -> Vec<event::Action> {
-        let mut out = Out::new();
+        let mut out = Actions::new();
         self.now = now;
         match event {
             event::Event::Arrived(facts) => self.arrived(now, facts, &mut out),
@@ -131,7 +131,7 @@
         now: time::Instant,
         report: &sageshed_types::endpoints::Report,
         age: time::Millis,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let router = &mut self.router;
         let taken = router
@@ -143,7 +143,7 @@
     }
 
     /// Refuses an open request, with the verdict over all its tries, and forgets it.
-    fn refuse(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Out) {
+    fn refuse(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -22,7 +22,7 @@
 
 use crate::{event, fleet, names, queue, request, router};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Cause, Decider};
 
 /// The least time after which a caller is asked to come back, in milliseconds.
 const LEAST_RETRY_AFTER: f64 = 100.0;
@@ -52,7 +52,7 @@
 impl Decider {
     /// Sends a request that was just let in, or lets it wait, or refuses it. One that may not be
     /// repeated is claimed first, so that a claim is asked for only if the request could be served.
-    pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let admission = self.assess(now, req);
         let needs_claim = self.requests.get(&req).is_some_and(|request| {
             request.not_repeatable && request.claim == request::Claim::Missing
@@ -73,7 +73,7 @@
         now: time::Instant,
         req: event::ReqId,
         cause: Cause,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let request = self.requests.get(&req);
         if let Some(request) = request.filter(|_| cause.reason == verdict::Reason::NoRoute) {
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -4,7 +4,7 @@
 
 use crate::{event, limits, names, queue, request, rules};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Cause, Decider};
 
 /// What the rules say of a request.
 enum Ruled {
@@ -15,7 +15,7 @@
 }
 
 impl Decider {
-    pub(super) fn arrived(&mut self, now: time::Instant, facts: event::Facts, out: &mut Out) {
+    pub(super) fn arrived(&mut self, now: time::Instant, facts: event::Facts, out: &mut Actions) {
         let req = facts.id;
         let request = self.open(now, facts);
         self.requests.insert(req, request);
@@ -158,7 +158,7 @@
     }
 
     /// The rules let it in: admits it, by way of a claim if it may not be repeated.
-    fn take_in(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn take_in(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         if let Some(request) = self.requests.get(&req) {
             self.demand.arrived(request.lane.target);
         }
@@ -166,7 +166,7 @@
     }
 
     /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
-    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -6,7 +6,7 @@
 
 use crate::{event, queue, request, router};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Cause, Decider};
 
 /// Requests of a lane that are tried when its first cannot be sent: a retry may be waiting for
 /// another endpoint than the one with room.
@@ -33,7 +33,7 @@
         now: time::Instant,
         req: event::ReqId,
         pick: router::Pick,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         self.weigh(now, req, Some(pick.endpoint));
         let limit = self.first_byte_limit(now, req, pick);
@@ -125,7 +125,7 @@
     }
 
     /// Puts a request in the queue. If its class is full, another one gives way to it.
-    pub(super) fn enqueue(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn enqueue(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -145,7 +145,7 @@
         while let Progress::Moved = self.send_from(now, lane, out) {}
     }
 
-    fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -159,7 +159,7 @@
         &mut self,
         now: time::Instant,
         endpoint: Option<arena::EndpointKey>,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let mut heads = collections::BinaryHeap::new();
         for (lane, places) in self.queues.lanes() {
@@ -175,7 +175,7 @@
         }
     }
 
-    fn send_from(&mut self, now: time::Instant, lane: queue::Lane, out: &mut Out) -> Progress {
+    fn send_from(&mut self, now: time::Instant, lane: queue::Lane, out: &mut Actions) -> Progress {
         let first = self.queues.first(lane, LOOK_PAST).collect::<Vec<_>>();
         for place in first {
             let Some(request) = self.requests.get(&place.req) else {
@@ -198,7 +198,7 @@
 
     /// Time went on: gives up on what is long past its deadline, sends what can be sent, and refuses
     /// what waits and can no longer be on time.
-    pub(super) fn tick(&mut self, now: time::Instant, out: &mut Out) {
+    pub(super) fn tick(&mut self, now: time::Instant, out: &mut Actions) {
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
         self.cold.retain(|lane, _| router.is_cold(now, *lane));
@@ -207,7 +207,7 @@
         self.shed_waiting(now, out);
     }
 
-    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Out) {
+    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Actions) {
         while let Some((at, req)) = self.expiries.first().copied() {
             if at > now {
                 return;
@@ -217,7 +217,7 @@
         }
     }
 
-    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -245,7 +245,7 @@
         self.refuse(now, req, cause, out);
     }
 
-    fn shed_waiting(&mut self, now: time::Instant, out: &mut Out) {
+    fn shed_waiting(&mut self, now: time::Instant, out: &mut Actions) {
         if !self.policy.shed {
             return;
         }
@@ -282,7 +282,13 @@
         found
     }
 
-    fn refuse_late(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Out) {
+    fn refuse_late(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        cause: Cause,
+        out: &mut Actions,
+    ) {
         let request = self.requests.get(&req);
         if let Some(request) = request.filter(|_| cause.reason == verdict::Reason::NoRoute) {
             self.demand.unserved(request.lane.target);
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -9,7 +9,7 @@
 
 use crate::{event, request};
 
-use super::{Cause, Decider, Out, admit};
+use super::{Actions, Cause, Decider, admit};
 
 /// The status with which an endpoint says that it is full for now, which is no failure.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn caller_gone(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn caller_gone(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -69,7 +69,7 @@
         now: time::Instant,
         req: event::ReqId,
         outcome: event::TryOutcome,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let Some(request) = self.requests.get(&req) else {
             return;
@@ -124,7 +124,7 @@
         sent: request::Sent,
         verdict: verdict::Verdict,
         fault: event::Fault,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         self.give_back(now, sent);
         if !self.was_only_late(sent, fault) {
@@ -205,7 +205,7 @@
         sent: request::Sent,
         fault: event::Fault,
         why: &str,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let Some(request) = self.requests.get(&req) else {
             return;
