--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -56,7 +56,7 @@
 
 /// Why a request is refused, before the request's own part is added.
 #[derive(Debug, Clone, PartialEq)]
-struct Cause {
+struct RefusalCause {
     reason: verdict::Reason,
     detail: String,
     retry_after: Option<time::Millis>,
@@ -143,7 +143,13 @@
     }
 
     /// Refuses an open request, with the verdict over all its tries, and forgets it.
-    fn refuse(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Actions) {
+    fn refuse(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        cause: RefusalCause,
+        out: &mut Actions,
+    ) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -22,7 +22,7 @@
 
 use crate::{event, fleet, names, queue, request, router};
 
-use super::{Actions, Cause, Decider};
+use super::{Actions, Decider, RefusalCause};
 
 /// The least time after which a caller is asked to come back, in milliseconds.
 const LEAST_RETRY_AFTER: f64 = 100.0;
@@ -38,7 +38,7 @@
     /// Let it wait.
     Wait,
     /// Refuse it.
-    Refuse(Cause),
+    Refuse(RefusalCause),
 }
 
 /// When a target that no endpoint holds may be served.
@@ -72,7 +72,7 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        cause: Cause,
+        cause: RefusalCause,
         out: &mut Actions,
     ) {
         let request = self.requests.get(&req);
@@ -94,7 +94,7 @@
             router::Choice::Pick(pick) if ahead == 0 => self.assess_pick(now, request, pick),
             router::Choice::Pick(_) | router::Choice::Full => self.assess_wait(now, request),
             router::Choice::Cold => self.assess_cold(now, request),
-            router::Choice::Exhausted => Admission::Refuse(Cause {
+            router::Choice::Exhausted => Admission::Refuse(RefusalCause {
                 reason: verdict::Reason::EndpointFailed,
                 detail: "it has failed on each endpoint that could serve it".to_owned(),
                 retry_after: Some(self.policy.eject_base_ms),
@@ -141,7 +141,7 @@
         now: time::Instant,
         request: &request::Request,
         wait: f64,
-    ) -> Option<Cause> {
+    ) -> Option<RefusalCause> {
         let left = request.left(now).0 as f64;
         let learned = self.router.learned(request.lane.target);
         let service = self.router.service(&request.ask());
@@ -157,10 +157,10 @@
         learned.trusted() && !learned.is_dated(now, self.policy.probe_ms)
     }
 
-    pub(super) fn queue_full(&self, request: &request::Request, wait: f64) -> Cause {
+    pub(super) fn queue_full(&self, request: &request::Request, wait: f64) -> RefusalCause {
         let class = self.names.classes.name(request.class);
         let bound = self.names.class_row(request.class).queue;
-        Cause {
+        RefusalCause {
             reason: verdict::Reason::QueueFull,
             detail: format!("{bound} requests of class `{class}` wait here already"),
             retry_after: Some(time::Millis::rounded_up(wait.max(LEAST_RETRY_AFTER))),
@@ -210,12 +210,16 @@
     }
 
     /// Why a request for a target that no endpoint holds cannot be served in time, if so.
-    pub(super) fn too_cold(&self, now: time::Instant, request: &request::Request) -> Option<Cause> {
+    pub(super) fn too_cold(
+        &self,
+        now: time::Instant,
+        request: &request::Request,
+    ) -> Option<RefusalCause> {
         let target = self.names.target(request.lane.target);
         let wait = match self.warm(now, request.lane) {
             Warm::After(wait) => wait,
             Warm::Never(retry_after) => {
-                return Some(Cause {
+                return Some(RefusalCause {
                     reason: verdict::Reason::NoRoute,
                     detail: format!("no endpoint is known that can serve `{target}`"),
                     retry_after,
@@ -225,7 +229,7 @@
         let left = request.left(now).0 as f64;
         let service = self.router.service(&request.ask());
         let late = self.policy.shed && wait + service > left;
-        late.then(|| Cause {
+        late.then(|| RefusalCause {
             reason: verdict::Reason::NoRoute,
             detail: format!(
                 "no endpoint holds `{target}`; a load takes about {wait:.0} ms more, and \
@@ -271,9 +275,9 @@
     by_rule && by_model && !endpoint.leaving
 }
 
-fn unmeetable(wait: f64, service: f64, left: f64) -> Cause {
+fn unmeetable(wait: f64, service: f64, left: f64) -> RefusalCause {
     let excess = (wait + service - left).max(LEAST_RETRY_AFTER);
-    Cause {
+    RefusalCause {
         reason: verdict::Reason::DeadlineUnmeetable,
         detail: format!(
             "it would wait about {wait:.0} ms and run about {service:.0} ms, and {left:.0} ms are \
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -4,14 +4,14 @@
 
 use crate::{event, limits, names, queue, request, rules};
 
-use super::{Actions, Cause, Decider};
+use super::{Actions, Decider, RefusalCause};
 
 /// What the rules say of a request.
 enum Ruled {
     /// Go on with it.
     Go,
     /// Refuse it.
-    Refuse(Cause),
+    Refuse(RefusalCause),
 }
 
 impl Decider {
@@ -21,7 +21,7 @@
         self.requests.insert(req, request);
         self.expiries.insert((self.expiry(req), req));
         if self.refusing_new {
-            let cause = Cause {
+            let cause = RefusalCause {
                 reason: verdict::Reason::Draining,
                 detail: "this entry process is shutting down; another one will take it".to_owned(),
                 retry_after: Some(time::Millis(0)),
@@ -77,7 +77,7 @@
         let id = &rule.id;
         match &rule.act {
             rules::Act::Route { .. } => self.within_caller_limit(now, req),
-            rules::Act::RouteToUnknown { model } => Ruled::Refuse(Cause {
+            rules::Act::RouteToUnknown { model } => Ruled::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
                 retry_after: None,
@@ -120,7 +120,7 @@
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
             limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(Cause {
+            limits::Pass::Over(retry_after) => Ruled::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
                     "caller `{}` is over its limit of {rate} requests a second",
@@ -146,7 +146,7 @@
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
             limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(Cause {
+            limits::Pass::Over(retry_after) => Ruled::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
                     "rule `{id}` allows {} requests a second over all entry processes",
@@ -217,13 +217,13 @@
     }
 }
 
-fn rule_refused(id: &str, refuse: &types_rules::Refuse) -> Cause {
+fn rule_refused(id: &str, refuse: &types_rules::Refuse) -> RefusalCause {
     let detail = if refuse.reason.is_empty() {
         format!("rule `{id}` refuses it")
     } else {
         format!("rule `{id}` refuses it: {}", refuse.reason)
     };
-    Cause {
+    RefusalCause {
         reason: verdict::Reason::RuleRefused,
         detail,
         retry_after: refuse.retry_after_ms,
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -6,7 +6,7 @@
 
 use crate::{event, queue, request, router};
 
-use super::{Actions, Cause, Decider};
+use super::{Actions, Decider, RefusalCause};
 
 /// Requests of a lane that are tried when its first cannot be sent: a retry may be waiting for
 /// another endpoint than the one with room.
@@ -237,7 +237,7 @@
             ),
             _ => (verdict::Reason::DeadlineUnmeetable, "it was still waiting"),
         };
-        let cause = Cause {
+        let cause = RefusalCause {
             reason,
             detail: format!("{what} after its deadline of {deadline} ms"),
             retry_after: None,
@@ -259,7 +259,7 @@
 
     /// The requests of a lane that can no longer be on time. Each is counted as gone for those after
     /// it.
-    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, Cause)> {
+    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, RefusalCause)> {
         let mut found = Vec::new();
         let cold = self.router.is_cold(now, lane);
         let mut first_wait = None;
@@ -286,7 +286,7 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        cause: Cause,
+        cause: RefusalCause,
         out: &mut Actions,
     ) {
         let request = self.requests.get(&req);
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -9,7 +9,7 @@
 
 use crate::{event, request};
 
-use super::{Actions, Cause, Decider, admit};
+use super::{Actions, Decider, RefusalCause, admit};
 
 /// The status with which an endpoint says that it is full for now, which is no failure.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -213,7 +213,7 @@
         let repeatable = !request.not_repeatable || request.verdict == verdict::Verdict::NotRun;
         let endpoint = self.names.endpoints.name(sent.endpoint);
         let overdue = is_silence(fault) && request.left(now).0 == 0;
-        let cause = Cause {
+        let cause = RefusalCause {
             reason: if overdue {
                 verdict::Reason::DeadlinePassed
             } else {
