--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -24,7 +24,7 @@
 pub use crate::account::{AccountPart, Gauges};
 
 /// Ended requests whose account is still known.
-const KEPT_ACCOUNTS: usize = 1_024;
+const KEPT_ENDED_REQUESTS: usize = 1_024;
 
 /// Decides for one entry process.
 #[derive(Debug)]
@@ -183,7 +183,7 @@
     }
 
     fn keep_account(&mut self, req: event::ReqId) {
-        if self.ended.len() == KEPT_ACCOUNTS
+        if self.ended.len() == KEPT_ENDED_REQUESTS
             && let Some(oldest) = self.ended.pop_front()
         {
             self.requests.remove(&oldest);
