--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -7,7 +7,7 @@
 use super::{Actions, Decider, RefusalCause};
 
 /// What the rules say of a request.
-enum Ruled {
+enum RuleOutcome {
     /// Go on with it.
     Go,
     /// Refuse it.
@@ -29,8 +29,8 @@
             return self.refuse(now, req, cause, out);
         }
         match self.rule(now, req) {
-            Ruled::Refuse(cause) => self.refuse(now, req, cause, out),
-            Ruled::Go => self.take_in(now, req, out),
+            RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
+            RuleOutcome::Go => self.take_in(now, req, out),
         }
     }
 
@@ -64,9 +64,9 @@
     }
 
     /// Finds the rule that decides and does what it says.
-    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> Ruled {
+    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Go;
         };
         let query = query(request, &self.names);
         let Some(rule) = self.rules.first_match(&query).cloned() else {
@@ -77,16 +77,16 @@
         let id = &rule.id;
         match &rule.act {
             rules::Act::Route { .. } => self.within_caller_limit(now, req),
-            rules::Act::RouteToUnknown { model } => Ruled::Refuse(RefusalCause {
+            rules::Act::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
                 retry_after: None,
             }),
-            rules::Act::Refuse(refuse) => Ruled::Refuse(rule_refused(id, refuse)),
+            rules::Act::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::Act::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
-                    Ruled::Go => self.within_caller_limit(now, req),
-                    refused @ Ruled::Refuse(_) => refused,
+                    RuleOutcome::Go => self.within_caller_limit(now, req),
+                    refused @ RuleOutcome::Refuse(_) => refused,
                 }
             }
         }
@@ -108,19 +108,19 @@
         self.expiries.insert((self.expiry(req), req));
     }
 
-    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> Ruled {
+    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Go;
         };
         let caller = request.facts.caller;
         let row = self.names.caller_row(caller);
         let Some(rate) = row.rate else {
-            return Ruled::Go;
+            return RuleOutcome::Go;
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(RefusalCause {
+            limits::Pass::Passed => RuleOutcome::Go,
+            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
                     "caller `{}` is over its limit of {rate} requests a second",
@@ -138,15 +138,15 @@
         limit: types_rules::Limit,
         slot: u32,
         id: &str,
-    ) -> Ruled {
+    ) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Go;
         };
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(RefusalCause {
+            limits::Pass::Passed => RuleOutcome::Go,
+            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
                     "rule `{id}` allows {} requests a second over all entry processes",
