--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -9,7 +9,7 @@
 /// What the rules say of a request.
 enum RuleOutcome {
     /// Go on with it.
-    Go,
+    Continue,
     /// Refuse it.
     Refuse(RefusalCause),
 }
@@ -30,7 +30,7 @@
         }
         match self.rule(now, req) {
             RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
-            RuleOutcome::Go => self.take_in(now, req, out),
+            RuleOutcome::Continue => self.take_in(now, req, out),
         }
     }
 
@@ -66,7 +66,7 @@
     /// Finds the rule that decides and does what it says.
     fn rule(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return RuleOutcome::Go;
+            return RuleOutcome::Continue;
         };
         let query = query(request, &self.names);
         let Some(rule) = self.rules.first_match(&query).cloned() else {
@@ -85,7 +85,7 @@
             rules::Act::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::Act::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
-                    RuleOutcome::Go => self.within_caller_limit(now, req),
+                    RuleOutcome::Continue => self.within_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
                 }
             }
@@ -110,16 +110,16 @@
 
     fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return RuleOutcome::Go;
+            return RuleOutcome::Continue;
         };
         let caller = request.facts.caller;
         let row = self.names.caller_row(caller);
         let Some(rate) = row.rate else {
-            return RuleOutcome::Go;
+            return RuleOutcome::Continue;
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::Pass::Passed => RuleOutcome::Go,
+            limits::Pass::Passed => RuleOutcome::Continue,
             limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
@@ -140,12 +140,12 @@
         id: &str,
     ) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return RuleOutcome::Go;
+            return RuleOutcome::Continue;
         };
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::Pass::Passed => RuleOutcome::Go,
+            limits::Pass::Passed => RuleOutcome::Continue,
             limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
