--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -30,7 +30,7 @@
         }
         match self.rule(now, req) {
             RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
-            RuleOutcome::Continue => self.take_in(now, req, out),
+            RuleOutcome::Continue => self.admit_new(now, req, out),
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// The rules let it in: admits it, by way of a claim if it may not be repeated.
-    fn take_in(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    fn admit_new(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         if let Some(request) = self.requests.get(&req) {
             self.demand.arrived(request.lane.target);
         }
