--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -174,7 +174,7 @@
         match state {
             request::State::Ended => return,
             request::State::Queued => self.queues.remove(lane, &place),
-            request::State::Sent(sent) => self.give_back(now, sent),
+            request::State::Sent(sent) => self.release_slot(now, sent),
             request::State::Deciding | request::State::Claiming => {}
         }
         let expiry = self.expiry(req);
@@ -192,7 +192,7 @@
     }
 
     /// Gives back the slot of a try. One that went to an earlier start of the endpoint holds none.
-    fn give_back(&mut self, now: time::Instant, sent: request::Sent) {
+    fn release_slot(&mut self, now: time::Instant, sent: request::Sent) {
         let endpoint = self.router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation == sent.incarnation {
             endpoint.set_own(now, endpoint.own.saturating_sub(1));
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -126,7 +126,7 @@
         fault: event::Fault,
         out: &mut Actions,
     ) {
-        self.give_back(now, sent);
+        self.release_slot(now, sent);
         if !self.was_only_late(sent, fault) {
             self.blame(now, sent, fault);
         }
