--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -108,7 +108,7 @@
         match event {
             event::Event::Arrived(facts) => self.arrived(now, facts, &mut out),
             event::Event::Claimed(req) => self.claimed(now, req, &mut out),
-            event::Event::ClaimDenied(req) => self.forget(now, req),
+            event::Event::ClaimDenied(req) => self.end_request(now, req),
             event::Event::Ended { req, outcome } => self.ended(now, req, outcome, &mut out),
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.answer_began(req);
@@ -159,13 +159,13 @@
         }
         refusal.revision = request.revision;
         refusal.retry_after = cause.retry_after;
-        self.forget(now, req);
+        self.end_request(now, req);
         out.push(event::Action::Refuse { req, refusal });
     }
 
     /// Ends an open request: gives back its slot or its place in the queue. Its account stays known
     /// for a while.
-    fn forget(&mut self, now: time::Instant, req: event::ReqId) {
+    fn end_request(&mut self, now: time::Instant, req: event::ReqId) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -40,7 +40,7 @@
             return;
         };
         let state = request.state;
-        self.forget(now, req);
+        self.end_request(now, req);
         if let request::State::Sent(sent) = state {
             let endpoint = sent.endpoint;
             out.push(event::Action::Cancel { req, endpoint });
@@ -80,11 +80,11 @@
         match outcome {
             event::TryOutcome::Done { tokens } => {
                 self.learn(now, req, sent, tokens);
-                self.forget(now, req);
+                self.end_request(now, req);
             }
             event::TryOutcome::Refused { status } => {
                 self.judge_status(now, sent, status);
-                self.forget(now, req);
+                self.end_request(now, req);
             }
             event::TryOutcome::Failed { verdict, fault } => {
                 self.failed(now, req, sent, verdict, fault, out);
