--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -98,7 +98,7 @@
     /// the requests of the others.
     fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
-            self.blame(now, sent, event::Fault::Status(status));
+            self.record_failure(now, sent, event::Fault::Status(status));
         } else {
             let endpoint = self.router.fleet.get_mut(sent.endpoint);
             endpoint.health.succeeded(now, sent.at);
@@ -128,7 +128,7 @@
     ) {
         self.release_slot(now, sent);
         if !self.was_only_late(sent, fault) {
-            self.blame(now, sent, fault);
+            self.record_failure(now, sent, fault);
         }
         let Some(request) = self.requests.get_mut(&req) else {
             return;
@@ -155,7 +155,7 @@
 
     /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
     /// one.
-    fn blame(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
+    fn record_failure(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
         let router = &mut self.router;
         let endpoint = router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation != sent.incarnation {
