--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -135,7 +135,7 @@
         };
         request.state = request::State::Deciding;
         request.failed_on.push(sent.endpoint);
-        request.verdict = request.verdict.and(at_least(fault, verdict));
+        request.verdict = request.verdict.and(safe_verdict(fault, verdict));
         match self.next(now, req) {
             Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
             Next::Again(_) => self.enqueue(now, req, out),
@@ -241,7 +241,7 @@
 /// The verdict of a failed try. Once a connection stood, bytes may have gone out, and only the
 /// endpoint's own answer can say that it did not run: `NotRun` with any other fault is a mistake of
 /// the reader of that connection, and believing it would run a request twice.
-fn at_least(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
+fn safe_verdict(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
     match fault {
         event::Fault::ConnectRefused
         | event::Fault::ConnectTimeout
