--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -150,7 +150,7 @@
     /// eject endpoints in good order at the very moment at which all of them are needed.
     fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
-        is_silence(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
+        is_timeout(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
     /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
@@ -212,7 +212,7 @@
         };
         let repeatable = !request.not_repeatable || request.verdict == verdict::Verdict::NotRun;
         let endpoint = self.names.endpoints.name(sent.endpoint);
-        let overdue = is_silence(fault) && request.left(now).0 == 0;
+        let overdue = is_timeout(fault) && request.left(now).0 == 0;
         let cause = RefusalCause {
             reason: if overdue {
                 verdict::Reason::DeadlinePassed
@@ -231,7 +231,7 @@
 }
 
 /// Whether a fault is that nothing came in time.
-fn is_silence(fault: event::Fault) -> bool {
+fn is_timeout(fault: event::Fault) -> bool {
     matches!(fault, event::Fault::NoFirstByte | event::Fault::Stalled)
 }
 
