--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -110,7 +110,7 @@
             return;
         };
         let took = now.since(sent.at).0 as f64;
-        let span = (took - sent.wait).max(took * LEAST_SERVICE);
+        let span = (took - sent.wait).max(took * MIN_SERVICE_SHARE);
         let endpoint = sent.endpoint;
         self.router.learn(&request.ask(), endpoint, span, tokens);
         let health = &mut self.router.fleet.get_mut(endpoint).health;
@@ -236,7 +236,7 @@
 }
 
 /// The least share of the time of a try that is taken to be service, whatever wait was predicted.
-const LEAST_SERVICE: f64 = 0.25;
+const MIN_SERVICE_SHARE: f64 = 0.25;
 
 /// The verdict of a failed try. Once a connection stood, bytes may have gone out, and only the
 /// endpoint's own answer can say that it did not run: `NotRun` with any other fault is a mistake of
