--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -25,7 +25,7 @@
 use super::{Actions, Decider, RefusalCause};
 
 /// The least time after which a caller is asked to come back, in milliseconds.
-const LEAST_RETRY_AFTER: f64 = 100.0;
+const MIN_RETRY_AFTER_MS: f64 = 100.0;
 
 /// When to ask again for a plain service of which no instance is known: about the time in which one
 /// that restarts is heard of.
@@ -163,7 +163,7 @@
         RefusalCause {
             reason: verdict::Reason::QueueFull,
             detail: format!("{bound} requests of class `{class}` wait here already"),
-            retry_after: Some(time::Millis::rounded_up(wait.max(LEAST_RETRY_AFTER))),
+            retry_after: Some(time::Millis::rounded_up(wait.max(MIN_RETRY_AFTER_MS))),
         }
     }
 
@@ -235,7 +235,7 @@
                 "no endpoint holds `{target}`; a load takes about {wait:.0} ms more, and \
                  {left:.0} ms are left"
             ),
-            retry_after: Some(time::Millis::rounded_up(wait.max(LEAST_RETRY_AFTER))),
+            retry_after: Some(time::Millis::rounded_up(wait.max(MIN_RETRY_AFTER_MS))),
         })
     }
 
@@ -276,7 +276,7 @@
 }
 
 fn unmeetable(wait: f64, service: f64, left: f64) -> RefusalCause {
-    let excess = (wait + service - left).max(LEAST_RETRY_AFTER);
+    let excess = (wait + service - left).max(MIN_RETRY_AFTER_MS);
     RefusalCause {
         reason: verdict::Reason::DeadlineUnmeetable,
         detail: format!(
@@ -284,6 +284,6 @@
              left"
         ),
         retry_after: (wait > 0.0)
-            .then(|| time::Millis::rounded_up(excess.min(wait.max(LEAST_RETRY_AFTER)))),
+            .then(|| time::Millis::rounded_up(excess.min(wait.max(MIN_RETRY_AFTER_MS)))),
     }
 }
