--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -18,7 +18,7 @@
 const WINDOW: u32 = 20;
 
 /// Tries below which the share of failures says nothing.
-const LEAST_TRIES: u32 = 10;
+const MIN_ATTEMPTS: u32 = 10;
 
 /// The most that jitter adds to an ejection, as a share of it.
 const JITTER: f64 = 0.25;
@@ -162,7 +162,7 @@
         returning
             || fault == event::Fault::ConnectRefused
             || self.in_row >= policy.eject_after_failures.max(1)
-            || (self.tries >= LEAST_TRIES && share >= policy.eject_failure_share)
+            || (self.tries >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
     }
 
     fn eject(
