--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -21,7 +21,7 @@
 const UNBOUNDED_LENGTH: f64 = 4.0;
 
 /// The least share of the mean service time that a short answer is taken to need.
-const LEAST_LENGTH: f64 = 0.1;
+const MIN_LENGTH_RATIO: f64 = 0.1;
 
 /// A running mean and deviation.
 #[derive(Debug, Clone, Copy, Default)]
@@ -114,7 +114,7 @@
     fn length(&self, max_tokens: u32) -> f64 {
         match self.tokens.mean() {
             Some(mean) if max_tokens > 0 && f64::from(max_tokens) < mean => {
-                (f64::from(max_tokens) / mean).max(LEAST_LENGTH)
+                (f64::from(max_tokens) / mean).max(MIN_LENGTH_RATIO)
             }
             _ => 1.0,
         }
