--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -18,7 +18,7 @@
 const SPEED_BOUNDS: (f64, f64) = (0.25, 8.0);
 
 /// How many times the mean an answer may be long whose request sets no bound.
-const UNBOUNDED_LENGTH: f64 = 4.0;
+const UNBOUNDED_LENGTH_RATIO: f64 = 4.0;
 
 /// The least share of the mean service time that a short answer is taken to need.
 const MIN_LENGTH_RATIO: f64 = 0.1;
@@ -105,7 +105,7 @@
     pub fn stretch(&self, max_tokens: u32) -> Option<f64> {
         let mean = self.tokens.mean().filter(|mean| *mean > 0.0)?;
         if max_tokens == 0 {
-            return Some(UNBOUNDED_LENGTH);
+            return Some(UNBOUNDED_LENGTH_RATIO);
         }
         Some((f64::from(max_tokens) / mean).max(1.0))
     }
