--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -15,7 +15,7 @@
 pub const TRUSTED_SAMPLES: u32 = 5;
 
 /// The least and greatest factor by which one endpoint is taken to be slower than the mean.
-const SPEED_BOUNDS: (f64, f64) = (0.25, 8.0);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 8.0);
 
 /// How many times the mean an answer may be long whose request sets no bound.
 const UNBOUNDED_LENGTH_RATIO: f64 = 4.0;
@@ -133,7 +133,8 @@
     pub fn add(&mut self, span: f64, expected: f64) {
         if expected > 0.0 {
             let ratio = span / expected;
-            self.speed.add(ratio.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1));
+            self.speed
+                .add(ratio.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1));
         }
         self.holding.add(span);
     }
