--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -124,7 +124,7 @@
 /// What was learned of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Endpoint {
-    speed: Mean,
+    slowdown: Mean,
     holding: Mean,
 }
 
@@ -133,7 +133,7 @@
     pub fn add(&mut self, span: f64, expected: f64) {
         if expected > 0.0 {
             let ratio = span / expected;
-            self.speed
+            self.slowdown
                 .add(ratio.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1));
         }
         self.holding.add(span);
@@ -141,8 +141,8 @@
 
     /// How much slower than usual it is; 1 if it is as fast.
     #[must_use]
-    pub fn speed(&self) -> f64 {
-        self.speed.mean().unwrap_or(1.0)
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown.mean().unwrap_or(1.0)
     }
 
     /// Mean time that a request holds one of its slots, in milliseconds.
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -256,7 +256,7 @@
     #[must_use]
     pub fn pick(&self, ask: &Ask<'_>, key: arena::EndpointKey) -> Pick {
         let endpoint = self.fleet.get(key);
-        let service = self.service(ask) * endpoint.learned.speed();
+        let service = self.service(ask) * endpoint.learned.slowdown();
         let holding = endpoint.learned.holding().unwrap_or(service);
         let over = (endpoint.load() + 1).saturating_sub(endpoint.slots);
         // Endpoints honour priorities: an urgent request takes the next slot that comes free.
