--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -125,7 +125,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Endpoint {
     slowdown: Mean,
-    holding: Mean,
+    slot_time: Mean,
 }
 
 impl Endpoint {
@@ -136,7 +136,7 @@
             self.slowdown
                 .add(ratio.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1));
         }
-        self.holding.add(span);
+        self.slot_time.add(span);
     }
 
     /// How much slower than usual it is; 1 if it is as fast.
@@ -147,7 +147,7 @@
 
     /// Mean time that a request holds one of its slots, in milliseconds.
     #[must_use]
-    pub fn holding(&self) -> Option<f64> {
-        self.holding.mean()
+    pub fn slot_time(&self) -> Option<f64> {
+        self.slot_time.mean()
     }
 }
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -245,11 +245,11 @@
         let endpoint = self.fleet.get(key);
         let limit = endpoint.limit(now, &self.policy, self.entries, ask.urgent);
         let busy = f64::from(limit) / self.policy.in_flight_per_slot.max(1.0);
-        let holding = endpoint
+        let slot_time = endpoint
             .learned
-            .holding()
+            .slot_time()
             .unwrap_or_else(|| self.service(ask));
-        busy.min(f64::from(endpoint.slots)) / holding.max(1.0)
+        busy.min(f64::from(endpoint.slots)) / slot_time.max(1.0)
     }
 
     /// The pick of an endpoint, with its estimate.
@@ -257,13 +257,13 @@
     pub fn pick(&self, ask: &Ask<'_>, key: arena::EndpointKey) -> Pick {
         let endpoint = self.fleet.get(key);
         let service = self.service(ask) * endpoint.learned.slowdown();
-        let holding = endpoint.learned.holding().unwrap_or(service);
+        let slot_time = endpoint.learned.slot_time().unwrap_or(service);
         let over = (endpoint.load() + 1).saturating_sub(endpoint.slots);
         // Endpoints honour priorities: an urgent request takes the next slot that comes free.
         let over = if ask.urgent { over.min(1) } else { over };
         Pick {
             endpoint: key,
-            wait: f64::from(over) / f64::from(endpoint.slots) * holding,
+            wait: f64::from(over) / f64::from(endpoint.slots) * slot_time,
             service,
         }
     }
