--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -25,13 +25,13 @@
 
 /// A running mean and deviation.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Mean {
+pub struct RunningMean {
     value: f64,
     deviation: f64,
     samples: u32,
 }
 
-impl Mean {
+impl RunningMean {
     /// Takes a sample.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
@@ -53,8 +53,8 @@
 /// What was learned of one model, adapter or service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Target {
-    service: Mean,
-    tokens: Mean,
+    service: RunningMean,
+    tokens: RunningMean,
     last_sent: time::Instant,
 }
 
@@ -124,8 +124,8 @@
 /// What was learned of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Endpoint {
-    slowdown: Mean,
-    slot_time: Mean,
+    slowdown: RunningMean,
+    slot_time: RunningMean,
 }
 
 impl Endpoint {
