--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -95,7 +95,7 @@
 
     /// Whether enough was seen to refuse by it.
     #[must_use]
-    pub fn trusted(&self) -> bool {
+    pub fn has_enough_samples(&self) -> bool {
         self.service.samples >= TRUSTED_SAMPLES
     }
 
