--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -154,7 +154,7 @@
 
     fn may_refuse_by_estimate(&self, now: time::Instant, request: &request::Request) -> bool {
         let learned = self.router.learned(request.lane.target);
-        learned.has_enough_samples() && !learned.is_dated(now, self.policy.probe_ms)
+        learned.has_enough_samples() && !learned.is_stale(now, self.policy.probe_ms)
     }
 
     pub(super) fn queue_full(&self, request: &request::Request, wait: f64) -> RefusalCause {
--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -76,7 +76,7 @@
 
     /// Whether what was learned may be out of date, since nothing was sent for `span`.
     #[must_use]
-    pub fn is_dated(&self, now: time::Instant, span: time::Millis) -> bool {
+    pub fn is_stale(&self, now: time::Instant, span: time::Millis) -> bool {
         now.since(self.last_sent) >= span
     }
 
