--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -78,21 +78,21 @@
         req: event::ReqId,
         pick: router::Pick,
     ) -> time::Millis {
-        let Some(stretch) = self.stretch(req) else {
+        let Some(max_length_ratio) = self.max_length_ratio(req) else {
             return self.expiry(req).since(now);
         };
-        let usual = (pick.wait + pick.service * stretch) * self.policy.first_byte_factor;
+        let usual = (pick.wait + pick.service * max_length_ratio) * self.policy.first_byte_factor;
         time::Millis::rounded_up(usual).max(self.policy.first_byte_min_ms)
     }
 
     /// How much longer than the estimate the wait for the first byte may be, by the length of the
     /// answer.
-    fn stretch(&self, req: event::ReqId) -> Option<f64> {
+    fn max_length_ratio(&self, req: event::ReqId) -> Option<f64> {
         let request = self.requests.get(&req)?;
         match request.lane.target {
             event::Target::Model(_) if !request.facts.streaming => {
                 let learned = self.router.learned(request.lane.target);
-                learned.stretch(request.facts.max_tokens)
+                learned.max_length_ratio(request.facts.max_tokens)
             }
             event::Target::Model(_) | event::Target::Service(_) => Some(1.0),
         }
--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -102,7 +102,7 @@
     /// How much longer than the mean answer the longest one is that `max_tokens` allows, at least 1;
     /// none if the mean is not known.
     #[must_use]
-    pub fn stretch(&self, max_tokens: u32) -> Option<f64> {
+    pub fn max_length_ratio(&self, max_tokens: u32) -> Option<f64> {
         let mean = self.tokens.mean().filter(|mean| *mean > 0.0)?;
         if max_tokens == 0 {
             return Some(UNBOUNDED_LENGTH_RATIO);
