--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -10,7 +10,7 @@
 
 /// Requests of a lane that are tried when its first cannot be sent: a retry may be waiting for
 /// another endpoint than the one with room.
-const LOOK_PAST: usize = 4;
+const LANE_LOOKAHEAD: usize = 4;
 
 /// What came of trying to send from a lane.
 enum Progress {
@@ -176,7 +176,7 @@
     }
 
     fn send_from(&mut self, now: time::Instant, lane: queue::Lane, out: &mut Actions) -> Progress {
-        let first = self.queues.first(lane, LOOK_PAST).collect::<Vec<_>>();
+        let first = self.queues.first(lane, LANE_LOOKAHEAD).collect::<Vec<_>>();
         for place in first {
             let Some(request) = self.requests.get(&place.req) else {
                 continue;
