--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -13,7 +13,7 @@
 const LANE_LOOKAHEAD: usize = 4;
 
 /// What came of trying to send from a lane.
-enum Progress {
+enum DequeueResult {
     /// One left the queue.
     Moved,
     /// None can be sent now.
@@ -142,7 +142,7 @@
         self.set_state(req, request::State::Queued);
         self.queues.push(lane, place);
         out.push(event::Action::Queue { req });
-        while let Progress::Moved = self.send_from(now, lane, out) {}
+        while let DequeueResult::Moved = self.send_from(now, lane, out) {}
     }
 
     fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
@@ -168,14 +168,19 @@
             heads.extend(first.map(|place| cmp::Reverse((*place, lane))));
         }
         while let Some(cmp::Reverse((_, lane))) = heads.pop() {
-            if let Progress::Moved = self.send_from(now, lane, out) {
+            if let DequeueResult::Moved = self.send_from(now, lane, out) {
                 let next = self.queues.first(lane, 1).next();
                 heads.extend(next.map(|place| cmp::Reverse((place, lane))));
             }
         }
     }
 
-    fn send_from(&mut self, now: time::Instant, lane: queue::Lane, out: &mut Actions) -> Progress {
+    fn send_from(
+        &mut self,
+        now: time::Instant,
+        lane: queue::Lane,
+        out: &mut Actions,
+    ) -> DequeueResult {
         let first = self.queues.first(lane, LANE_LOOKAHEAD).collect::<Vec<_>>();
         for place in first {
             let Some(request) = self.requests.get(&place.req) else {
@@ -187,13 +192,13 @@
             self.cold.remove(&lane);
             if let Some(cause) = self.too_late(now, request, pick.wait) {
                 self.refuse(now, place.req, cause, out);
-                return Progress::Moved;
+                return DequeueResult::Moved;
             }
             self.queues.remove(lane, &place);
             self.send(now, place.req, pick, out);
-            return Progress::Moved;
+            return DequeueResult::Moved;
         }
-        Progress::Blocked
+        DequeueResult::Blocked
     }
 
     /// Time went on: gives up on what is long past its deadline, sends what can be sent, and refuses
