--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -15,7 +15,7 @@
 /// What came of trying to send from a lane.
 enum DequeueResult {
     /// One left the queue.
-    Moved,
+    Dequeued,
     /// None can be sent now.
     Blocked,
 }
@@ -142,7 +142,7 @@
         self.set_state(req, request::State::Queued);
         self.queues.push(lane, place);
         out.push(event::Action::Queue { req });
-        while let DequeueResult::Moved = self.send_from(now, lane, out) {}
+        while let DequeueResult::Dequeued = self.send_from(now, lane, out) {}
     }
 
     fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
@@ -168,7 +168,7 @@
             heads.extend(first.map(|place| cmp::Reverse((*place, lane))));
         }
         while let Some(cmp::Reverse((_, lane))) = heads.pop() {
-            if let DequeueResult::Moved = self.send_from(now, lane, out) {
+            if let DequeueResult::Dequeued = self.send_from(now, lane, out) {
                 let next = self.queues.first(lane, 1).next();
                 heads.extend(next.map(|place| cmp::Reverse((place, lane))));
             }
@@ -192,11 +192,11 @@
             self.cold.remove(&lane);
             if let Some(cause) = self.too_late(now, request, pick.wait) {
                 self.refuse(now, place.req, cause, out);
-                return DequeueResult::Moved;
+                return DequeueResult::Dequeued;
             }
             self.queues.remove(lane, &place);
             self.send(now, place.req, pick, out);
-            return DequeueResult::Moved;
+            return DequeueResult::Dequeued;
         }
         DequeueResult::Blocked
     }
