--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -114,7 +114,7 @@
         let ask = request.ask();
         let router = &self.router;
         let holders = router.fleet.holders(ask.target).iter();
-        let weighed = holders.map(|key| request::Weighed {
+        let weighed = holders.map(|key| request::ConsideredEndpoint {
             endpoint: *key,
             estimate: router::estimate(router.pick(&ask, *key)),
             room: router.has_room(now, *key, ask.urgent),
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -85,7 +85,7 @@
         })
     }
 
-    fn candidate(&self, weighed: &request::Weighed) -> types_account::Candidate {
+    fn candidate(&self, weighed: &request::ConsideredEndpoint) -> types_account::Candidate {
         let why = match weighed.standing {
             _ if weighed.taken => None,
             router::Standing::OtherPool => Some("the rule names another pool"),
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -48,7 +48,7 @@
 
 /// An endpoint that was weighed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weighed {
+pub struct ConsideredEndpoint {
     /// Which.
     pub endpoint: arena::EndpointKey,
     /// Estimated time to the whole answer.
@@ -99,7 +99,7 @@
     /// How long it waited before it was first sent.
     pub queued: time::Millis,
     /// The endpoints weighed for the first try.
-    pub candidates: Vec<Weighed>,
+    pub candidates: Vec<ConsideredEndpoint>,
 }
 
 impl Request {
