--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -114,14 +114,14 @@
         let ask = request.ask();
         let router = &self.router;
         let holders = router.fleet.holders(ask.target).iter();
-        let weighed = holders.map(|key| request::ConsideredEndpoint {
+        let considered = holders.map(|key| request::ConsideredEndpoint {
             endpoint: *key,
             estimate: router::estimate(router.pick(&ask, *key)),
             room: router.has_room(now, *key, ask.urgent),
             taken: taken == Some(*key),
             standing: router.standing(now, &ask, *key),
         });
-        request.candidates = weighed.collect();
+        request.candidates = considered.collect();
     }
 
     /// Puts a request in the queue. If its class is full, another one gives way to it.
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -81,25 +81,27 @@
             not_repeatable: request.not_repeatable,
             deadline: request.deadline,
             queued: request.queued,
-            candidates: candidates.map(|weighed| self.candidate(weighed)).collect(),
+            candidates: candidates
+                .map(|considered| self.candidate(considered))
+                .collect(),
         })
     }
 
-    fn candidate(&self, weighed: &request::ConsideredEndpoint) -> types_account::Candidate {
-        let why = match weighed.standing {
-            _ if weighed.taken => None,
+    fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
+        let why = match considered.standing {
+            _ if considered.taken => None,
             router::Standing::OtherPool => Some("the rule names another pool"),
             router::Standing::Leaving => Some("it is leaving"),
             router::Standing::Failed => Some("the request failed there"),
             router::Standing::Ejected => Some("it fails too often"),
             router::Standing::Silent => Some("it has not been heard"),
             router::Standing::Gone => Some("it fails and has not been heard"),
-            router::Standing::Able if !weighed.room => Some("it is full"),
+            router::Standing::Able if !considered.room => Some("it is full"),
             router::Standing::Able => Some("another was drawn or scored better"),
         };
         types_account::Candidate {
-            endpoint: self.names.endpoints.name(weighed.endpoint).to_owned(),
-            estimate: weighed.estimate,
+            endpoint: self.names.endpoints.name(considered.endpoint).to_owned(),
+            estimate: considered.estimate,
             passed_over: why.map(str::to_owned),
         }
     }
