--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -79,7 +79,7 @@
         if let Some(request) = request.filter(|_| cause.reason == verdict::Reason::NoRoute) {
             self.demand.unserved(request.lane.target);
         }
-        self.weigh(now, req, None);
+        self.record_candidates(now, req, None);
         self.refuse(now, req, cause, out);
     }
 
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -35,7 +35,7 @@
         pick: router::Pick,
         out: &mut Actions,
     ) {
-        self.weigh(now, req, Some(pick.endpoint));
+        self.record_candidates(now, req, Some(pick.endpoint));
         let limit = self.first_byte_limit(now, req, pick);
         let left = self.expiry(req).since(now);
         let endpoint = self.router.fleet.get_mut(pick.endpoint);
@@ -99,7 +99,7 @@
     }
 
     /// Notes the endpoints weighed for the first try.
-    pub(super) fn weigh(
+    pub(super) fn record_candidates(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
