--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -128,8 +128,11 @@
     fn assess_queue(&self, request: &request::Request, wait: f64) -> Admission {
         let bound = self.names.class_row(request.class).queue;
         let full = self.queues.class_len(request.class) >= bound;
-        let gives_way = || self.queues.gives_way(request.class, request.facts.caller);
-        if full && gives_way().is_none() {
+        let displaced_by = || {
+            self.queues
+                .displaced_by(request.class, request.facts.caller)
+        };
+        if full && displaced_by().is_none() {
             return Admission::Refuse(self.queue_full(request, wait));
         }
         Admission::Wait
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -132,7 +132,7 @@
         let (lane, place) = (request.lane, request.place());
         let bound = self.names.class_row(place.class).queue;
         if self.queues.class_len(place.class) >= bound
-            && let Some(other) = self.queues.gives_way(place.class, place.caller)
+            && let Some(other) = self.queues.displaced_by(place.class, place.caller)
         {
             self.refuse_for_another(now, other, out);
         }
--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -123,7 +123,7 @@
     /// Who gives way in a full class for one more of `caller`: the last one of the caller that has
     /// the most, if that one has at least two more than `caller`.
     #[must_use]
-    pub fn gives_way(
+    pub fn displaced_by(
         &self,
         class: arena::ClassKey,
         caller: arena::CallerKey,
