--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -134,7 +134,7 @@
         if self.queues.class_len(place.class) >= bound
             && let Some(other) = self.queues.displaced_by(place.class, place.caller)
         {
-            self.refuse_for_another(now, other, out);
+            self.refuse_displaced(now, other, out);
         }
         if self.router.is_cold(now, lane) {
             self.cold.entry(lane).or_insert(now);
@@ -145,7 +145,7 @@
         while let DequeueResult::Dequeued = self.send_from(now, lane, out) {}
     }
 
-    fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    fn refuse_displaced(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
