--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -206,14 +206,14 @@
     }
 
     fn assess_cold(&self, now: time::Instant, request: &request::Request) -> Admission {
-        match self.too_cold(now, request) {
+        match self.cold_start_too_late(now, request) {
             Some(cause) => Admission::Refuse(cause),
             None => self.assess_queue(request, self.policy.load_order_ms.0 as f64),
         }
     }
 
     /// Why a request for a target that no endpoint holds cannot be served in time, if so.
-    pub(super) fn too_cold(
+    pub(super) fn cold_start_too_late(
         &self,
         now: time::Instant,
         request: &request::Request,
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -274,7 +274,7 @@
                 continue;
             };
             let cause = if cold {
-                self.too_cold(now, request)
+                self.cold_start_too_late(now, request)
             } else {
                 let first = *first_wait.get_or_insert_with(|| self.queue_wait(now, request));
                 self.too_late(now, request, first * (1.0 + kept))
