--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -42,7 +42,7 @@
 }
 
 /// When a target that no endpoint holds may be served.
-enum Warm {
+enum ColdStart {
     /// After this many milliseconds, as far as can be known.
     After(f64),
     /// Nothing known here can ever hold it.
@@ -220,8 +220,8 @@
     ) -> Option<RefusalCause> {
         let target = self.names.target(request.lane.target);
         let wait = match self.warm(now, request.lane) {
-            Warm::After(wait) => wait,
-            Warm::Never(retry_after) => {
+            ColdStart::After(wait) => wait,
+            ColdStart::Never(retry_after) => {
                 return Some(RefusalCause {
                     reason: verdict::Reason::NoRoute,
                     detail: format!("no endpoint is known that can serve `{target}`"),
@@ -244,9 +244,9 @@
 
     /// When a lane's target may be held by an endpoint. A load that was seen to begin has the rest
     /// of its time to go; else the first request that waits for it is taken to have set it off.
-    fn warm(&self, now: time::Instant, lane: queue::Lane) -> Warm {
+    fn warm(&self, now: time::Instant, lane: queue::Lane) -> ColdStart {
         let event::Target::Model(model) = lane.target else {
-            return Warm::Never(Some(SERVICE_RETRY_AFTER));
+            return ColdStart::Never(Some(SERVICE_RETRY_AFTER));
         };
         let row = self.names.model_row(model);
         let load = row.load.0 as f64;
@@ -255,7 +255,7 @@
             .filter(|endpoint| may_hold(endpoint, row, lane))
             .collect::<Vec<_>>();
         if may_hold.is_empty() {
-            return Warm::Never(Some(row.load));
+            return ColdStart::Never(Some(row.load));
         }
         let began = may_hold.iter().filter_map(|e| e.loading_since(model)).min();
         let order = self.policy.load_order_ms.0 as f64;
@@ -264,7 +264,7 @@
             (None, Some(since)) => (now.since(*since).0 as f64).min(order),
             (None, None) => 0.0,
         };
-        Warm::After((load + order - spent).max(0.0))
+        ColdStart::After((load + order - spent).max(0.0))
     }
 }
 
