--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -219,7 +219,7 @@
         request: &request::Request,
     ) -> Option<RefusalCause> {
         let target = self.names.target(request.lane.target);
-        let wait = match self.warm(now, request.lane) {
+        let wait = match self.cold_start(now, request.lane) {
             ColdStart::After(wait) => wait,
             ColdStart::Never(retry_after) => {
                 return Some(RefusalCause {
@@ -244,7 +244,7 @@
 
     /// When a lane's target may be held by an endpoint. A load that was seen to begin has the rest
     /// of its time to go; else the first request that waits for it is taken to have set it off.
-    fn warm(&self, now: time::Instant, lane: queue::Lane) -> ColdStart {
+    fn cold_start(&self, now: time::Instant, lane: queue::Lane) -> ColdStart {
         let event::Target::Model(model) = lane.target else {
             return ColdStart::Never(Some(SERVICE_RETRY_AFTER));
         };
