--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -175,33 +175,35 @@
     /// expect the endpoints to finish.
     pub(super) fn queue_wait(&self, now: time::Instant, request: &request::Request) -> f64 {
         let ask = request.ask();
-        let Ok(able) = self.router.able(now, &ask) else {
+        let Ok(eligible) = self.router.eligible(now, &ask) else {
             return 0.0;
         };
-        let rates = able.iter().map(|key| self.router.own_rate(now, *key, &ask));
+        let rates = eligible
+            .iter()
+            .map(|key| self.router.own_rate(now, *key, &ask));
         let rate = rates.sum::<f64>().max(f64::MIN_POSITIVE);
-        (self.ahead_of(request, &able) + 1.0) / rate
+        (self.ahead_of(request, &eligible) + 1.0) / rate
     }
 
-    fn ahead_of(&self, request: &request::Request, able: &[arena::EndpointKey]) -> f64 {
+    fn ahead_of(&self, request: &request::Request, eligible: &[arena::EndpointKey]) -> f64 {
         let place = request.place();
         let mut ahead = 0.0;
         for (lane, _) in self.queues.lanes() {
             let before = self.queues.ahead(lane, &place) as f64;
             if before > 0.0 {
-                ahead += before * self.overlap(request.lane, lane, able);
+                ahead += before * self.overlap(request.lane, lane, eligible);
             }
         }
         ahead
     }
 
-    /// The part of another lane's endpoints that are among `able`.
-    fn overlap(&self, own: queue::Lane, lane: queue::Lane, able: &[arena::EndpointKey]) -> f64 {
+    /// The part of another lane's endpoints that are among `eligible`.
+    fn overlap(&self, own: queue::Lane, lane: queue::Lane, eligible: &[arena::EndpointKey]) -> f64 {
         if own == lane {
             return 1.0;
         }
         let holders = self.router.fleet.holders(lane.target);
-        let shared = holders.iter().filter(|key| able.contains(key)).count();
+        let shared = holders.iter().filter(|key| eligible.contains(key)).count();
         shared as f64 / holders.len().max(1) as f64
     }
 
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -153,12 +153,12 @@
 
     /// Chooses an endpoint with room.
     pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let able = match self.able(now, ask) {
-            Ok(able) => able,
+        let eligible = match self.eligible(now, ask) {
+            Ok(eligible) => eligible,
             Err(choice) => return choice,
         };
         let has_room = |key: &arena::EndpointKey| self.has_room(now, *key, ask.urgent);
-        let room = able.into_iter().filter(has_room).collect::<Vec<_>>();
+        let room = eligible.into_iter().filter(has_room).collect::<Vec<_>>();
         let chosen = match self.policy.routing {
             settings::Routing::TwoChoices => self.two_choices(ask, &room),
             settings::Routing::Random => self.draw(&room),
@@ -168,25 +168,25 @@
     }
 
     /// The endpoints that may take the request, with room or without; or why there is none.
-    pub fn able(
+    pub fn eligible(
         &self,
         now: time::Instant,
         ask: &Ask<'_>,
     ) -> Result<Vec<arena::EndpointKey>, Choice> {
         let holders = self.fleet.holders(ask.target);
-        let mut able = Vec::with_capacity(holders.len());
+        let mut eligible = Vec::with_capacity(holders.len());
         let mut doubtful = Vec::new();
         let mut any_failed = false;
         for key in holders {
             match self.standing(now, ask, *key) {
-                Standing::Able => able.push(*key),
+                Standing::Able => eligible.push(*key),
                 Standing::Ejected | Standing::Silent => doubtful.push(*key),
                 Standing::Failed => any_failed = true,
                 Standing::OtherPool | Standing::Leaving | Standing::Gone => {}
             }
         }
-        match (able.is_empty(), doubtful.is_empty(), any_failed) {
-            (false, _, _) => Ok(able),
+        match (eligible.is_empty(), doubtful.is_empty(), any_failed) {
+            (false, _, _) => Ok(eligible),
             (true, false, _) => Ok(doubtful),
             (true, true, true) => Err(Choice::Exhausted),
             (true, true, false) => Err(Choice::Cold),
@@ -204,7 +204,7 @@
             prefix: 0,
             failed_on: &[],
         };
-        self.able(now, &ask).is_err()
+        self.eligible(now, &ask).is_err()
     }
 
     /// How an endpoint that holds the target stands for the request.
