--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -96,8 +96,8 @@
             router::Standing::Ejected => Some("it fails too often"),
             router::Standing::Silent => Some("it has not been heard"),
             router::Standing::Gone => Some("it fails and has not been heard"),
-            router::Standing::Able if !considered.room => Some("it is full"),
-            router::Standing::Able => Some("another was drawn or scored better"),
+            router::Standing::Eligible if !considered.room => Some("it is full"),
+            router::Standing::Eligible => Some("another was drawn or scored better"),
         };
         types_account::Candidate {
             endpoint: self.names.endpoints.name(considered.endpoint).to_owned(),
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
     /// It may take it.
-    Able,
+    Eligible,
     /// Another pool.
     OtherPool,
     /// It is leaving.
@@ -179,7 +179,7 @@
         let mut any_failed = false;
         for key in holders {
             match self.standing(now, ask, *key) {
-                Standing::Able => eligible.push(*key),
+                Standing::Eligible => eligible.push(*key),
                 Standing::Ejected | Standing::Silent => doubtful.push(*key),
                 Standing::Failed => any_failed = true,
                 Standing::OtherPool | Standing::Leaving | Standing::Gone => {}
@@ -225,7 +225,7 @@
         }
         let ejected = endpoint.health.allowance(now, &self.policy) == health::Allowance::Ejected;
         match (ejected, endpoint.is_heard(now, &self.policy)) {
-            (false, true) => Standing::Able,
+            (false, true) => Standing::Eligible,
             (true, true) => Standing::Ejected,
             (false, false) => Standing::Silent,
             (true, false) => Standing::Gone,
