--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -90,14 +90,14 @@
     fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
         let why = match considered.standing {
             _ if considered.taken => None,
-            router::Standing::OtherPool => Some("the rule names another pool"),
-            router::Standing::Leaving => Some("it is leaving"),
-            router::Standing::Failed => Some("the request failed there"),
-            router::Standing::Ejected => Some("it fails too often"),
-            router::Standing::Silent => Some("it has not been heard"),
-            router::Standing::Gone => Some("it fails and has not been heard"),
-            router::Standing::Eligible if !considered.room => Some("it is full"),
-            router::Standing::Eligible => Some("another was drawn or scored better"),
+            router::Eligibility::OtherPool => Some("the rule names another pool"),
+            router::Eligibility::Leaving => Some("it is leaving"),
+            router::Eligibility::Failed => Some("the request failed there"),
+            router::Eligibility::Ejected => Some("it fails too often"),
+            router::Eligibility::Silent => Some("it has not been heard"),
+            router::Eligibility::Gone => Some("it fails and has not been heard"),
+            router::Eligibility::Eligible if !considered.room => Some("it is full"),
+            router::Eligibility::Eligible => Some("another was drawn or scored better"),
         };
         types_account::Candidate {
             endpoint: self.names.endpoints.name(considered.endpoint).to_owned(),
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -58,7 +58,7 @@
     /// Whether it was taken.
     pub taken: bool,
     /// How it stood for the request.
-    pub standing: router::Standing,
+    pub standing: router::Eligibility,
 }
 
 /// A request from its arrival on.
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -75,7 +75,7 @@
 
 /// How an endpoint stands for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Eligibility {
     /// It may take it.
     Eligible,
     /// Another pool.
@@ -179,10 +179,10 @@
         let mut any_failed = false;
         for key in holders {
             match self.standing(now, ask, *key) {
-                Standing::Eligible => eligible.push(*key),
-                Standing::Ejected | Standing::Silent => doubtful.push(*key),
-                Standing::Failed => any_failed = true,
-                Standing::OtherPool | Standing::Leaving | Standing::Gone => {}
+                Eligibility::Eligible => eligible.push(*key),
+                Eligibility::Ejected | Eligibility::Silent => doubtful.push(*key),
+                Eligibility::Failed => any_failed = true,
+                Eligibility::OtherPool | Eligibility::Leaving | Eligibility::Gone => {}
             }
         }
         match (eligible.is_empty(), doubtful.is_empty(), any_failed) {
@@ -209,26 +209,31 @@
 
     /// How an endpoint that holds the target stands for the request.
     #[must_use]
-    pub fn standing(&self, now: time::Instant, ask: &Ask<'_>, key: arena::EndpointKey) -> Standing {
+    pub fn standing(
+        &self,
+        now: time::Instant,
+        ask: &Ask<'_>,
+        key: arena::EndpointKey,
+    ) -> Eligibility {
         let endpoint = self.fleet.get(key);
         let other_pool = ask
             .pool
             .is_some_and(|pool| matches!(endpoint.kind, fleet::Kind::Engine(own) if own != pool));
         if other_pool {
-            return Standing::OtherPool;
+            return Eligibility::OtherPool;
         }
         if endpoint.leaving {
-            return Standing::Leaving;
+            return Eligibility::Leaving;
         }
         if ask.failed_on.contains(&key) {
-            return Standing::Failed;
+            return Eligibility::Failed;
         }
         let ejected = endpoint.health.allowance(now, &self.policy) == health::Allowance::Ejected;
         match (ejected, endpoint.is_heard(now, &self.policy)) {
-            (false, true) => Standing::Eligible,
-            (true, true) => Standing::Ejected,
-            (false, false) => Standing::Silent,
-            (true, false) => Standing::Gone,
+            (false, true) => Eligibility::Eligible,
+            (true, true) => Eligibility::Ejected,
+            (false, false) => Eligibility::Silent,
+            (true, false) => Eligibility::Gone,
         }
     }
 
