--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -88,7 +88,7 @@
         let Some(request) = self.requests.get(&req) else {
             return Admission::Wait;
         };
-        let choice = self.router.choose(now, &request.ask());
+        let choice = self.router.choose(now, &request.requirements());
         let ahead = self.queues.ahead(request.lane, &request.place());
         match choice {
             router::Choice::Pick(pick) if ahead == 0 => self.assess_pick(now, request, pick),
@@ -147,7 +147,7 @@
     ) -> Option<RefusalCause> {
         let left = request.left(now).0 as f64;
         let learned = self.router.learned(request.lane.target);
-        let service = self.router.service(&request.ask());
+        let service = self.router.service(&request.requirements());
         let needed = service + learned.deviation();
         let late = self.may_refuse_by_estimate(now, request)
             && wait * (1.0 + self.policy.shed_margin) + needed > left;
@@ -174,13 +174,13 @@
     /// the part of their endpoints that it shares, in others, at the rate at which this process may
     /// expect the endpoints to finish.
     pub(super) fn queue_wait(&self, now: time::Instant, request: &request::Request) -> f64 {
-        let ask = request.ask();
-        let Ok(eligible) = self.router.eligible(now, &ask) else {
+        let requirements = request.requirements();
+        let Ok(eligible) = self.router.eligible(now, &requirements) else {
             return 0.0;
         };
         let rates = eligible
             .iter()
-            .map(|key| self.router.own_rate(now, *key, &ask));
+            .map(|key| self.router.own_rate(now, *key, &requirements));
         let rate = rates.sum::<f64>().max(f64::MIN_POSITIVE);
         (self.ahead_of(request, &eligible) + 1.0) / rate
     }
@@ -232,7 +232,7 @@
             }
         };
         let left = request.left(now).0 as f64;
-        let service = self.router.service(&request.ask());
+        let service = self.router.service(&request.requirements());
         let late = self.policy.shed && wait + service > left;
         late.then(|| RefusalCause {
             reason: verdict::Reason::NoRoute,
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -111,15 +111,15 @@
         if request.attempts > 0 {
             return;
         }
-        let ask = request.ask();
+        let requirements = request.requirements();
         let router = &self.router;
-        let holders = router.fleet.holders(ask.target).iter();
+        let holders = router.fleet.holders(requirements.target).iter();
         let considered = holders.map(|key| request::ConsideredEndpoint {
             endpoint: *key,
-            estimate: router::estimate(router.pick(&ask, *key)),
-            room: router.has_room(now, *key, ask.urgent),
+            estimate: router::estimate(router.pick(&requirements, *key)),
+            room: router.has_room(now, *key, requirements.urgent),
             taken: taken == Some(*key),
-            standing: router.standing(now, &ask, *key),
+            standing: router.standing(now, &requirements, *key),
         });
         request.candidates = considered.collect();
     }
@@ -186,7 +186,8 @@
             let Some(request) = self.requests.get(&place.req) else {
                 continue;
             };
-            let router::Choice::Pick(pick) = self.router.choose(now, &request.ask()) else {
+            let router::Choice::Pick(pick) = self.router.choose(now, &request.requirements())
+            else {
                 continue;
             };
             self.cold.remove(&lane);
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -112,7 +112,8 @@
         let took = now.since(sent.at).0 as f64;
         let span = (took - sent.wait).max(took * MIN_SERVICE_SHARE);
         let endpoint = sent.endpoint;
-        self.router.learn(&request.ask(), endpoint, span, tokens);
+        self.router
+            .learn(&request.requirements(), endpoint, span, tokens);
         let health = &mut self.router.fleet.get_mut(endpoint).health;
         health.succeeded(now, sent.at);
     }
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -129,7 +129,7 @@
 
     /// What it needs of an endpoint.
     #[must_use]
-    pub fn ask(&self) -> router::Ask<'_> {
+    pub fn requirements(&self) -> router::Ask<'_> {
         router::Ask {
             target: self.lane.target,
             pool: self.lane.pool,
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -137,48 +137,56 @@
     }
 
     /// Learns from a whole answer that took `span` milliseconds without the predicted wait.
-    pub fn learn(&mut self, ask: &Ask<'_>, endpoint: arena::EndpointKey, span: f64, tokens: u32) {
-        let expected = self.service(ask);
+    pub fn learn(
+        &mut self,
+        requirements: &Ask<'_>,
+        endpoint: arena::EndpointKey,
+        span: f64,
+        tokens: u32,
+    ) {
+        let expected = self.service(requirements);
         self.fleet.get_mut(endpoint).learned.add(span, expected);
-        let learned = self.learned_mut(ask.target);
-        learned.add(span, tokens, ask.max_tokens);
+        let learned = self.learned_mut(requirements.target);
+        learned.add(span, tokens, requirements.max_tokens);
     }
 
     /// Service time on an endpoint of mean speed, in milliseconds.
     #[must_use]
-    pub fn service(&self, ask: &Ask<'_>) -> f64 {
-        let learned = self.learned(ask.target);
-        learned.service(ask.max_tokens, self.policy.initial_service_ms)
+    pub fn service(&self, requirements: &Ask<'_>) -> f64 {
+        let learned = self.learned(requirements.target);
+        learned.service(requirements.max_tokens, self.policy.initial_service_ms)
     }
 
     /// Chooses an endpoint with room.
-    pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let eligible = match self.eligible(now, ask) {
+    pub fn choose(&mut self, now: time::Instant, requirements: &Ask<'_>) -> Choice {
+        let eligible = match self.eligible(now, requirements) {
             Ok(eligible) => eligible,
             Err(choice) => return choice,
         };
-        let has_room = |key: &arena::EndpointKey| self.has_room(now, *key, ask.urgent);
+        let has_room = |key: &arena::EndpointKey| self.has_room(now, *key, requirements.urgent);
         let room = eligible.into_iter().filter(has_room).collect::<Vec<_>>();
         let chosen = match self.policy.routing {
-            settings::Routing::TwoChoices => self.two_choices(ask, &room),
+            settings::Routing::TwoChoices => self.two_choices(requirements, &room),
             settings::Routing::Random => self.draw(&room),
             settings::Routing::LeastReported => self.least_reported(&room),
         };
-        chosen.map_or(Choice::Full, |key| Choice::Pick(self.pick(ask, key)))
+        chosen.map_or(Choice::Full, |key| {
+            Choice::Pick(self.pick(requirements, key))
+        })
     }
 
     /// The endpoints that may take the request, with room or without; or why there is none.
     pub fn eligible(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        requirements: &Ask<'_>,
     ) -> Result<Vec<arena::EndpointKey>, Choice> {
-        let holders = self.fleet.holders(ask.target);
+        let holders = self.fleet.holders(requirements.target);
         let mut eligible = Vec::with_capacity(holders.len());
         let mut doubtful = Vec::new();
         let mut any_failed = false;
         for key in holders {
-            match self.standing(now, ask, *key) {
+            match self.standing(now, requirements, *key) {
                 Eligibility::Eligible => eligible.push(*key),
                 Eligibility::Ejected | Eligibility::Silent => doubtful.push(*key),
                 Eligibility::Failed => any_failed = true,
@@ -196,7 +204,7 @@
     /// Whether no endpoint that may take new work holds a target.
     #[must_use]
     pub fn is_cold(&self, now: time::Instant, lane: queue::Lane) -> bool {
-        let ask = Ask {
+        let requirements = Ask {
             target: lane.target,
             pool: lane.pool,
             urgent: false,
@@ -204,7 +212,7 @@
             prefix: 0,
             failed_on: &[],
         };
-        self.eligible(now, &ask).is_err()
+        self.eligible(now, &requirements).is_err()
     }
 
     /// How an endpoint that holds the target stands for the request.
@@ -212,11 +220,11 @@
     pub fn standing(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        requirements: &Ask<'_>,
         key: arena::EndpointKey,
     ) -> Eligibility {
         let endpoint = self.fleet.get(key);
-        let other_pool = ask
+        let other_pool = requirements
             .pool
             .is_some_and(|pool| matches!(endpoint.kind, fleet::Kind::Engine(own) if own != pool));
         if other_pool {
@@ -225,7 +233,7 @@
         if endpoint.leaving {
             return Eligibility::Leaving;
         }
-        if ask.failed_on.contains(&key) {
+        if requirements.failed_on.contains(&key) {
             return Eligibility::Failed;
         }
         let ejected = endpoint.health.allowance(now, &self.policy) == health::Allowance::Ejected;
@@ -246,26 +254,35 @@
 
     /// Requests a millisecond that this process may expect an endpoint to finish for it.
     #[must_use]
-    pub fn own_rate(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    pub fn own_rate(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        requirements: &Ask<'_>,
+    ) -> f64 {
         let endpoint = self.fleet.get(key);
-        let limit = endpoint.limit(now, &self.policy, self.entries, ask.urgent);
+        let limit = endpoint.limit(now, &self.policy, self.entries, requirements.urgent);
         let busy = f64::from(limit) / self.policy.in_flight_per_slot.max(1.0);
         let slot_time = endpoint
             .learned
             .slot_time()
-            .unwrap_or_else(|| self.service(ask));
+            .unwrap_or_else(|| self.service(requirements));
         busy.min(f64::from(endpoint.slots)) / slot_time.max(1.0)
     }
 
     /// The pick of an endpoint, with its estimate.
     #[must_use]
-    pub fn pick(&self, ask: &Ask<'_>, key: arena::EndpointKey) -> Pick {
+    pub fn pick(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> Pick {
         let endpoint = self.fleet.get(key);
-        let service = self.service(ask) * endpoint.learned.slowdown();
+        let service = self.service(requirements) * endpoint.learned.slowdown();
         let slot_time = endpoint.learned.slot_time().unwrap_or(service);
         let over = (endpoint.load() + 1).saturating_sub(endpoint.slots);
         // Endpoints honour priorities: an urgent request takes the next slot that comes free.
-        let over = if ask.urgent { over.min(1) } else { over };
+        let over = if requirements.urgent {
+            over.min(1)
+        } else {
+            over
+        };
         Pick {
             endpoint: key,
             wait: f64::from(over) / f64::from(endpoint.slots) * slot_time,
@@ -275,7 +292,7 @@
 
     fn two_choices(
         &mut self,
-        ask: &Ask<'_>,
+        requirements: &Ask<'_>,
         room: &[arena::EndpointKey],
     ) -> Option<arena::EndpointKey> {
         let first = self.draw(room)?;
@@ -287,22 +304,22 @@
             } else {
                 room[at]
             };
-            best = self.better(ask, first, second);
+            best = self.better(requirements, first, second);
         }
-        let near = self.near(ask);
+        let near = self.near(requirements);
         match near.filter(|near| room.contains(near)) {
-            Some(near) => Some(self.better(ask, best, near)),
+            Some(near) => Some(self.better(requirements, best, near)),
             None => Some(best),
         }
     }
 
     fn better(
         &self,
-        ask: &Ask<'_>,
+        requirements: &Ask<'_>,
         a: arena::EndpointKey,
         b: arena::EndpointKey,
     ) -> arena::EndpointKey {
-        if self.score(ask, b) < self.score(ask, a) {
+        if self.score(requirements, b) < self.score(requirements, a) {
             b
         } else {
             a
@@ -311,16 +328,16 @@
 
     /// Lower is better: the estimate, with what distance costs, what a cached prefix saves, and how
     /// full the endpoint is, which decides between two that have slots free.
-    fn score(&self, ask: &Ask<'_>, key: arena::EndpointKey) -> f64 {
+    fn score(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> f64 {
         let endpoint = self.fleet.get(key);
-        let pick = self.pick(ask, key);
+        let pick = self.pick(requirements, key);
         let far = endpoint.zone != names::OWN_ZONE;
         let distance = if far {
             self.policy.cross_zone_ms.0 as f64
         } else {
             0.0
         };
-        let near = self.near(ask);
+        let near = self.near(requirements);
         let saved = if near == Some(key) {
             self.policy.affinity_share
         } else {
@@ -332,12 +349,12 @@
 
     /// The endpoint that a prefix belongs to: the holder with the greatest hash of both. When an
     /// endpoint comes or goes, only the prefixes that belong to it move.
-    fn near(&self, ask: &Ask<'_>) -> Option<arena::EndpointKey> {
-        if ask.prefix == 0 {
+    fn near(&self, requirements: &Ask<'_>) -> Option<arena::EndpointKey> {
+        if requirements.prefix == 0 {
             return None;
         }
-        let holders = self.fleet.holders(ask.target).iter().copied();
-        holders.max_by_key(|key| random::mix(ask.prefix ^ self.fleet.get(*key).name_hash))
+        let holders = self.fleet.holders(requirements.target).iter().copied();
+        holders.max_by_key(|key| random::mix(requirements.prefix ^ self.fleet.get(*key).name_hash))
     }
 
     fn draw(&mut self, room: &[arena::EndpointKey]) -> Option<arena::EndpointKey> {
