--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -15,7 +15,12 @@
 }
 
 impl Decider {
-    pub(super) fn arrived(&mut self, now: time::Instant, facts: event::Facts, out: &mut Actions) {
+    pub(super) fn arrived(
+        &mut self,
+        now: time::Instant,
+        facts: event::RequestInfo,
+        out: &mut Actions,
+    ) {
         let req = facts.id;
         let request = self.open(now, facts);
         self.requests.insert(req, request);
@@ -34,7 +39,7 @@
         }
     }
 
-    fn open(&self, now: time::Instant, facts: event::Facts) -> request::Request {
+    fn open(&self, now: time::Instant, facts: event::RequestInfo) -> request::Request {
         let caller = self.names.caller_row(facts.caller);
         let class = facts.class.unwrap_or(caller.class);
         let row = self.names.class_row(class);
--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -25,7 +25,7 @@
 
 /// What is known of a request when it has arrived whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestInfo {
     /// Which request.
     pub id: ReqId,
     /// Who asks.
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request arrived whole.
-    Arrived(Facts),
+    Arrived(RequestInfo),
     /// The claim of a request that may not be repeated is granted: it may be sent.
     Claimed(ReqId),
     /// The claim was not granted and the daemon has answered; the request is forgotten.
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// What is known of it.
-    pub facts: event::Facts,
+    pub facts: event::RequestInfo,
     /// The class it was put in.
     pub class: arena::ClassKey,
     /// Its priority, by class or rule.
--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -238,7 +238,7 @@
 #[test]
 fn nothing_is_sent_before_its_claim() {
     let mut bench = one_engine();
-    let once = |f: &mut event::Facts| f.not_repeatable = true;
+    let once = |f: &mut event::RequestInfo| f.not_repeatable = true;
     let (req, actions) = bench.arrive(once);
     assert_eq!(common::told(&actions, req), "claim");
     assert_eq!(common::told(&bench.tick_after(50), req), "");
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -103,8 +103,8 @@
 }
 
 /// A plain request of the first caller for a model.
-pub fn facts(id: event::ReqId, model: arena::ModelKey) -> event::Facts {
-    event::Facts {
+pub fn facts(id: event::ReqId, model: arena::ModelKey) -> event::RequestInfo {
+    event::RequestInfo {
         id,
         caller: arena::CallerKey(0),
         class: None,
@@ -161,11 +161,11 @@
         self.step(event::Event::Report(Box::new(report), time::Millis(0)))
     }
 
-    pub fn facts(&mut self, target: &str) -> event::Facts {
+    pub fn facts(&mut self, target: &str) -> event::RequestInfo {
         self.next += 1;
         let decider = &self.decider;
         let target = decider.model(target).or_else(|| decider.service(target));
-        event::Facts {
+        event::RequestInfo {
             target: target.expect("a target of the settings"),
             ..facts(event::ReqId(self.next), arena::ModelKey(0))
         }
@@ -174,7 +174,7 @@
     /// A request as `change` makes it of the usual one for `sort`.
     pub fn arrive(
         &mut self,
-        change: impl Fn(&mut event::Facts),
+        change: impl Fn(&mut event::RequestInfo),
     ) -> (event::ReqId, Vec<event::Action>) {
         let mut facts = self.facts("sort");
         change(&mut facts);
--- a/examples/measure_slopes/main.rs
+++ b/examples/measure_slopes/main.rs
@@ -264,7 +264,7 @@
 fn one_request(decider: &mut decider::Decider, now: Instant, n: u64, models: usize) -> bool {
     let req = event::ReqId(n);
     let model = u32::try_from(n % models as u64).unwrap_or(0);
-    let facts = event::Facts {
+    let facts = event::RequestInfo {
         id: req,
         caller: arena::CallerKey(u32::try_from(n % 20).unwrap_or(0)),
         class: None,
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -82,7 +82,7 @@
     pub request_id: String,
     /// The idempotency key, if the caller gave one.
     pub idempotency_key: Option<String>,
-    pub(super) facts: event::Facts,
+    pub(super) facts: event::RequestInfo,
     pub(super) meta: Meta,
     rx: mpsc::Receiver<event::Action>,
     pub(super) account: account::Account,
@@ -104,7 +104,7 @@
     #[must_use]
     pub fn new(
         shared: &'s shared::Shared,
-        facts: event::Facts,
+        facts: event::RequestInfo,
         caller: String,
         target: String,
         meta: Meta,
--- a/src/sageshed/entry/serve.rs
+++ b/src/sageshed/entry/serve.rs
@@ -76,7 +76,7 @@
             Ok(parsed) => parsed,
             Err(refusal) => return self.refuse(&req, reply, Some(caller), refusal),
         };
-        let asked = event::Facts {
+        let asked = event::RequestInfo {
             id: self.shared.next_req(),
             caller: caller.key,
             class: None,
@@ -121,7 +121,7 @@
         // Whoever marks a request knows best; a POST that nobody marked is taken for an order that
         // must not be given twice.
         let by_method = req.repeatable.is_none() && req.method == "POST";
-        let asked = event::Facts {
+        let asked = event::RequestInfo {
             id: self.shared.next_req(),
             caller: caller.key,
             class: None,
@@ -160,9 +160,9 @@
     fn facts(
         &self,
         req: &callers_request::Request,
-        asked: event::Facts,
+        asked: event::RequestInfo,
         wanted: &Wanted<'_>,
-    ) -> Result<event::Facts, refusal::Refusal> {
+    ) -> Result<event::RequestInfo, refusal::Refusal> {
         let decider = locks::lock(&self.shared.decider);
         let target = match wanted {
             Wanted::Model(name) => decider.model(name),
@@ -179,7 +179,7 @@
         drop(decider);
         let longest = self.shared.settings.limits.longest_deadline_ms;
         let deadline = req.deadline.map(|deadline| deadline.min(longest));
-        Ok(event::Facts {
+        Ok(event::RequestInfo {
             class,
             target,
             deadline,
