--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -68,7 +68,7 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        outcome: event::TryOutcome,
+        outcome: event::AttemptOutcome,
         out: &mut Actions,
     ) {
         let Some(request) = self.requests.get(&req) else {
@@ -78,15 +78,15 @@
             return;
         };
         match outcome {
-            event::TryOutcome::Done { tokens } => {
+            event::AttemptOutcome::Done { tokens } => {
                 self.learn(now, req, sent, tokens);
                 self.end_request(now, req);
             }
-            event::TryOutcome::Refused { status } => {
+            event::AttemptOutcome::Refused { status } => {
                 self.judge_status(now, sent, status);
                 self.end_request(now, req);
             }
-            event::TryOutcome::Failed { verdict, fault } => {
+            event::AttemptOutcome::Failed { verdict, fault } => {
                 self.failed(now, req, sent, verdict, fault, out);
             }
         }
--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -3,8 +3,8 @@
 //! For each [`Event::Arrived`] the same step says one of [`Action::Send`], [`Action::Claim`],
 //! [`Action::Queue`] and [`Action::Refuse`] for that request; what it queues it may send in the same
 //! step. Every step may also return actions for other requests. [`Action::Refuse`] is always the
-//! last word on a request. After it, after a try that ended with [`TryOutcome::Done`] or
-//! [`TryOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
+//! last word on a request. After it, after a try that ended with [`AttemptOutcome::Done`] or
+//! [`AttemptOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
 //! forgotten, and later events about it change nothing.
 
 pub use sageshed_types::fault::Fault;
@@ -66,7 +66,7 @@
         /// Of which request.
         req: ReqId,
         /// How.
-        outcome: TryOutcome,
+        outcome: AttemptOutcome,
     },
     /// The endpoint has turned a try away and wants no request from this process for a while. Comes before the try's
     /// [`Self::Ended`].
@@ -106,7 +106,7 @@
 
 /// How one try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryOutcome {
+pub enum AttemptOutcome {
     /// The whole answer came.
     Done {
         /// Tokens of the answer; 0 from a plain service.
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -182,7 +182,7 @@
     }
 
     pub fn done(&mut self, req: event::ReqId) -> Vec<event::Action> {
-        let outcome = event::TryOutcome::Done { tokens: 0 };
+        let outcome = event::AttemptOutcome::Done { tokens: 0 };
         self.step(event::Event::Ended { req, outcome })
     }
 
@@ -192,7 +192,7 @@
         verdict: sageshed_types::verdict::Verdict,
         fault: event::Fault,
     ) -> Vec<event::Action> {
-        let outcome = event::TryOutcome::Failed { verdict, fault };
+        let outcome = event::AttemptOutcome::Failed { verdict, fault };
         self.step(event::Event::Ended { req, outcome })
     }
 
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -244,7 +244,7 @@
         let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
         for _ in 0..3 {
             let (req, _) = bench.arrive(|_| {});
-            let outcome = event::TryOutcome::Refused { status };
+            let outcome = event::AttemptOutcome::Refused { status };
             bench.step(event::Event::Ended { req, outcome });
             bench.pass(300);
         }
@@ -417,7 +417,7 @@
         for _ in 0..6 {
             let (req, _) = bench.arrive(|f| f.max_tokens = 2);
             bench.pass(100);
-            let outcome = event::TryOutcome::Done { tokens: 2 };
+            let outcome = event::AttemptOutcome::Done { tokens: 2 };
             bench.step(event::Event::Ended { req, outcome });
         }
         let (_, actions) = bench.arrive(|f| {
@@ -452,7 +452,7 @@
             let (other, _) = bench.arrive(|_| {});
             bench.pass(600);
             if answers_others {
-                let outcome = event::TryOutcome::Done { tokens: 1 };
+                let outcome = event::AttemptOutcome::Done { tokens: 1 };
                 bench.step(event::Event::Ended {
                     req: other,
                     outcome,
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -160,7 +160,7 @@
             self.engines[engine].running.pop_first();
             self.start(engine);
             self.settle(req, true);
-            let outcome = event::TryOutcome::Done { tokens: 0 };
+            let outcome = event::AttemptOutcome::Done { tokens: 0 };
             self.step(entry, event::Event::Ended { req, outcome });
         }
     }
--- a/examples/measure_slopes/main.rs
+++ b/examples/measure_slopes/main.rs
@@ -278,7 +278,7 @@
         prefix: 0,
     };
     let actions = decider.step(now, event::Event::Arrived(facts));
-    let outcome = event::TryOutcome::Done { tokens: 100 };
+    let outcome = event::AttemptOutcome::Done { tokens: 100 };
     decider.step(now, event::Event::Ended { req, outcome });
     matches!(actions.first(), Some(event::Action::Send { .. }))
 }
--- a/src/sageshed/entry/completion.rs
+++ b/src/sageshed/entry/completion.rs
@@ -132,8 +132,8 @@
     );
     open.note_rest(status, answer.retry_after);
     open.done(match status {
-        400.. => event::TryOutcome::Refused { status },
-        _ => event::TryOutcome::Done {
+        400.. => event::AttemptOutcome::Refused { status },
+        _ => event::AttemptOutcome::Done {
             tokens: tokens_of(&body),
         },
     });
@@ -299,7 +299,7 @@
             Ok(()) => {
                 let tokens = u32::try_from(events.data_seen()).unwrap_or(u32::MAX);
                 open.note_try(order, sageshed_types::verdict::Verdict::Ran, "streamed");
-                open.done(event::TryOutcome::Done { tokens });
+                open.done(event::AttemptOutcome::Done { tokens });
                 let sent = self.stream.finish();
                 open.answered(200, self.bytes, &sent);
                 sent
@@ -317,7 +317,7 @@
             Err(Broken::Engine(e)) => {
                 open.note_try(order, e.verdict, &e.to_string());
                 open.note_break(order, e.fault, e.verdict);
-                let outcome = event::TryOutcome::Failed {
+                let outcome = event::AttemptOutcome::Failed {
                     verdict: e.verdict,
                     fault: e.fault,
                 };
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -268,7 +268,7 @@
         }
         self.note_try(order, e.verdict, &e.to_string());
         self.note_break(order, e.fault, e.verdict);
-        let outcome = event::TryOutcome::Failed {
+        let outcome = event::AttemptOutcome::Failed {
             verdict: e.verdict,
             fault: e.fault,
         };
@@ -289,8 +289,8 @@
     }
 
     /// Tells the decider that a try ended with an answer.
-    pub fn done(&self, outcome: event::TryOutcome) {
-        if matches!(outcome, event::TryOutcome::Done { .. }) {
+    pub fn done(&self, outcome: event::AttemptOutcome) {
+        if matches!(outcome, event::AttemptOutcome::Done { .. }) {
             self.clear_of_crashes();
         }
         self.shared.step(event::Event::Ended {
--- a/src/sageshed/entry/service.rs
+++ b/src/sageshed/entry/service.rs
@@ -99,8 +99,8 @@
     let (status, content_type, headers) = head;
     open.note_try(order, verdict::Verdict::Ran, &format!("status {status}"));
     open.done(match status {
-        400.. => event::TryOutcome::Refused { status: *status },
-        _ => event::TryOutcome::Done { tokens: 0 },
+        400.. => event::AttemptOutcome::Refused { status: *status },
+        _ => event::AttemptOutcome::Done { tokens: 0 },
     });
     open.record(*status, content_type, body);
     let headers = filter::to_caller(headers);
