--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -70,7 +70,7 @@
     },
     /// The endpoint has turned a try away and wants no request from this process for a while. Comes before the try's
     /// [`Self::Ended`].
-    AskedToRest {
+    BackoffRequested {
         /// Of which request.
         req: ReqId,
         /// For how long.
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -492,7 +492,7 @@
             bench.report(report);
         }
         let span = time::Millis(3_000);
-        bench.step(event::Event::AskedToRest { req, span });
+        bench.step(event::Event::BackoffRequested { req, span });
         bench.fail(req, NOT_RUN, event::Fault::Status(503));
         bench.pass(after);
         let (next, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(10_000)));
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -255,7 +255,7 @@
     /// An endpoint that turned a request away gets the rest that it asks for.
     pub fn note_rest(&self, status: u16, retry_after: Option<types_time::Millis>) {
         if let Some(span) = retry_after.filter(|_| matches!(status, 429 | 503)) {
-            self.shared.step(event::Event::AskedToRest {
+            self.shared.step(event::Event::BackoffRequested {
                 req: self.req,
                 span,
             });
