--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -107,9 +107,9 @@
         self.now = now;
         match event {
             event::Event::Arrived(facts) => self.arrived(now, facts, &mut out),
-            event::Event::Claimed(req) => self.claimed(now, req, &mut out),
+            event::Event::ClaimGranted(req) => self.claimed(now, req, &mut out),
             event::Event::ClaimDenied(req) => self.end_request(now, req),
-            event::Event::Ended { req, outcome } => self.ended(now, req, outcome, &mut out),
+            event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.answer_began(req);
             }
--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -58,18 +58,18 @@
     /// A request arrived whole.
     Arrived(RequestInfo),
     /// The claim of a request that may not be repeated is granted: it may be sent.
-    Claimed(ReqId),
+    ClaimGranted(ReqId),
     /// The claim was not granted and the daemon has answered; the request is forgotten.
     ClaimDenied(ReqId),
     /// A try ended.
-    Ended {
+    AttemptEnded {
         /// Of which request.
         req: ReqId,
         /// How.
         outcome: AttemptOutcome,
     },
     /// The endpoint has turned a try away and wants no request from this process for a while. Comes before the try's
-    /// [`Self::Ended`].
+    /// [`Self::AttemptEnded`].
     BackoffRequested {
         /// Of which request.
         req: ReqId,
@@ -148,7 +148,7 @@
         /// How long to wait for the first byte of the answer, in milliseconds.
         first_byte_limit: time::Millis,
     },
-    /// Ask the control group for a claim, then feed [`Event::Claimed`] or [`Event::ClaimDenied`].
+    /// Ask the control group for a claim, then feed [`Event::ClaimGranted`] or [`Event::ClaimDenied`].
     Claim {
         /// Which request.
         req: ReqId,
@@ -166,7 +166,7 @@
         refusal: refusal::Refusal,
     },
     /// Stop the try that is under way and tell the endpoint, if it takes that. No
-    /// [`Event::Ended`] is expected for it.
+    /// [`Event::AttemptEnded`] is expected for it.
     Cancel {
         /// Which request.
         req: ReqId,
--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -242,14 +242,14 @@
     let (req, actions) = bench.arrive(once);
     assert_eq!(common::told(&actions, req), "claim");
     assert_eq!(common::told(&bench.tick_after(50), req), "");
-    let actions = bench.step(event::Event::Claimed(req));
+    let actions = bench.step(event::Event::ClaimGranted(req));
     assert_eq!(common::told(&actions, req), "send");
     let (waits, _) = bench.arrive(once);
-    let actions = bench.step(event::Event::Claimed(waits));
+    let actions = bench.step(event::Event::ClaimGranted(waits));
     assert_eq!(common::told(&actions, waits), "queue");
     let (denied, _) = bench.arrive(once);
     bench.step(event::Event::ClaimDenied(denied));
-    assert_eq!(bench.step(event::Event::Claimed(denied)), Vec::new());
+    assert_eq!(bench.step(event::Event::ClaimGranted(denied)), Vec::new());
     let (silent, _) = bench.arrive(once);
     assert_eq!(
         common::told(&bench.tick_after(20_000), silent),
@@ -274,7 +274,7 @@
     for (not_repeatable, waits) in [(false, 12_500), (true, 20_000)] {
         let mut bench = one_engine();
         let (req, _) = bench.arrive(|f| f.not_repeatable = not_repeatable);
-        bench.step(event::Event::Claimed(req));
+        bench.step(event::Event::ClaimGranted(req));
         assert_eq!(common::told(&bench.tick_after(waits - 1), req), "");
         let actions = bench.tick_after(1);
         assert_eq!(
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -183,7 +183,7 @@
 
     pub fn done(&mut self, req: event::ReqId) -> Vec<event::Action> {
         let outcome = event::AttemptOutcome::Done { tokens: 0 };
-        self.step(event::Event::Ended { req, outcome })
+        self.step(event::Event::AttemptEnded { req, outcome })
     }
 
     pub fn fail(
@@ -193,7 +193,7 @@
         fault: event::Fault,
     ) -> Vec<event::Action> {
         let outcome = event::AttemptOutcome::Failed { verdict, fault };
-        self.step(event::Event::Ended { req, outcome })
+        self.step(event::Event::AttemptEnded { req, outcome })
     }
 
     /// Teaches the decider that `sort` takes `span` milliseconds.
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -93,7 +93,7 @@
             f.streaming = case.begun;
         });
         if case.not_repeatable {
-            actions = bench.step(event::Event::Claimed(req));
+            actions = bench.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
         if case.begun {
@@ -245,7 +245,7 @@
         for _ in 0..3 {
             let (req, _) = bench.arrive(|_| {});
             let outcome = event::AttemptOutcome::Refused { status };
-            bench.step(event::Event::Ended { req, outcome });
+            bench.step(event::Event::AttemptEnded { req, outcome });
             bench.pass(300);
         }
         assert_eq!(bench.decider.gauges().ejected, ejected, "{status}");
@@ -418,7 +418,7 @@
             let (req, _) = bench.arrive(|f| f.max_tokens = 2);
             bench.pass(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
-            bench.step(event::Event::Ended { req, outcome });
+            bench.step(event::Event::AttemptEnded { req, outcome });
         }
         let (_, actions) = bench.arrive(|f| {
             f.max_tokens = max_tokens;
@@ -453,7 +453,7 @@
             bench.pass(600);
             if answers_others {
                 let outcome = event::AttemptOutcome::Done { tokens: 1 };
-                bench.step(event::Event::Ended {
+                bench.step(event::Event::AttemptEnded {
                     req: other,
                     outcome,
                 });
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -161,7 +161,7 @@
             self.start(engine);
             self.settle(req, true);
             let outcome = event::AttemptOutcome::Done { tokens: 0 };
-            self.step(entry, event::Event::Ended { req, outcome });
+            self.step(entry, event::Event::AttemptEnded { req, outcome });
         }
     }
 
--- a/examples/measure_slopes/main.rs
+++ b/examples/measure_slopes/main.rs
@@ -279,7 +279,7 @@
     };
     let actions = decider.step(now, event::Event::Arrived(facts));
     let outcome = event::AttemptOutcome::Done { tokens: 100 };
-    decider.step(now, event::Event::Ended { req, outcome });
+    decider.step(now, event::Event::AttemptEnded { req, outcome });
     matches!(actions.first(), Some(event::Action::Send { .. }))
 }
 
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -150,7 +150,7 @@
         loop {
             match self.next(&reply) {
                 Next::Claim => match self.ask_claim() {
-                    Ok(()) => self.shared.step(event::Event::Claimed(self.req)),
+                    Ok(()) => self.shared.step(event::Event::ClaimGranted(self.req)),
                     Err(denied) => return self.deny(reply, denied),
                 },
                 Next::Send(order) => {
@@ -272,7 +272,7 @@
             verdict: e.verdict,
             fault: e.fault,
         };
-        self.shared.step(event::Event::Ended {
+        self.shared.step(event::Event::AttemptEnded {
             req: self.req,
             outcome,
         });
@@ -293,7 +293,7 @@
         if matches!(outcome, event::AttemptOutcome::Done { .. }) {
             self.clear_of_crashes();
         }
-        self.shared.step(event::Event::Ended {
+        self.shared.step(event::Event::AttemptEnded {
             req: self.req,
             outcome,
         });
