--- a/crates/sageshed-place/src/lib.rs
+++ b/crates/sageshed-place/src/lib.rs
@@ -11,7 +11,7 @@
 //! it out of the table; the daemon commits that in the order of the actions. The table keeps the
 //! last order to each engine even when it is done, for the reason given there.
 //!
-//! A daemon that fails to commit a proposal while it still leads must feed [`Event::LeaderLost`] and
+//! A daemon that fails to commit a proposal while it still leads must feed [`Event::LeadershipLost`] and
 //! [`Event::OrdersRestored`]: until then the memory proposed stays reserved.
 
 pub mod budget;
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -66,7 +66,7 @@
     Plan,
     /// This process leads no longer: nothing is proposed or sent until
     /// [`Event::OrdersRestored`].
-    LeaderLost,
+    LeadershipLost,
 }
 
 /// What the daemon is to do.
@@ -163,7 +163,7 @@
                 Vec::new()
             }
             Event::Plan => self.plan(now),
-            Event::LeaderLost => {
+            Event::LeadershipLost => {
                 self.leading = false;
                 self.ledger.clear_orders();
                 Vec::new()
--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -336,7 +336,7 @@
             }
         }
         let old = self.leader;
-        self.step_at(old, place::Event::LeaderLost);
+        self.step_at(old, place::Event::LeadershipLost);
         self.leader = next;
         let open = self.table.open.clone();
         self.step(place::Event::OrdersRestored(open));
--- a/src/sageshed/control/placing.rs
+++ b/src/sageshed/control/placing.rs
@@ -114,7 +114,7 @@
                 self.step(place::Event::Demand { from_vm, demand });
             }
             Input::Decided(fate) => self.decided(fate),
-            Input::Follow => self.step(place::Event::LeaderLost),
+            Input::Follow => self.step(place::Event::LeadershipLost),
             Input::Pins(pins) => self.step(place::Event::Pins(pins)),
             Input::Sent { order, sent } => self.sent(order, &sent),
         }
@@ -125,7 +125,7 @@
             // The ledger holds memory for what was proposed, and would hold it for as long as this
             // process leads. It starts again from the table of open orders, behind a barrier: a
             // proposal whose fate is open is committed before it or never.
-            self.step(place::Event::LeaderLost);
+            self.step(place::Event::LeadershipLost);
             self.restart = true;
             return;
         };
