--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -272,7 +272,7 @@
     }
 
     /// Takes `task` off the proposals. Whether it was there.
-    pub fn unpropose(&mut self, task: Task) -> bool {
+    pub fn remove_proposal(&mut self, task: Task) -> bool {
         let position = self.proposed.iter().position(|t| *t == task);
         position.map(|at| self.proposed.remove(at)).is_some()
     }
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -181,7 +181,7 @@
         let id = order.order;
         let engine = self.ledger.engine_mut(&order.endpoint);
         let same_start = order.incarnation == engine.incarnation;
-        let ours = engine.unpropose(task) && same_start;
+        let ours = engine.remove_proposal(task) && same_start;
         let allowed = ours && self.still_allowed(now, &order.endpoint, task);
         let mut actions = settle(self.ledger.add(now, order.clone(), !ours));
         if !ours {
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -158,7 +158,7 @@
         }
         let task = self.ledger.task(&order.task);
         let engine = self.ledger.engine_mut(&order.endpoint);
-        let ours = engine.unpropose(task);
+        let ours = engine.remove_proposal(task);
         let engine = engine.clone();
         let allowed = ours && self.allows(&engine, task);
         let removed = self.ledger.add(NOW, order.clone(), !ours);
