--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -279,7 +279,7 @@
     }
 
     /// The engine that has `order` in the table.
-    pub fn holder_of(&mut self, order: endpoints::OrderId) -> Option<&mut Engine> {
+    pub fn engine_with_order(&mut self, order: endpoints::OrderId) -> Option<&mut Engine> {
         self.engines
             .iter_mut()
             .find(|e| e.orders.iter().any(|open| open.order.order == order))
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -224,7 +224,7 @@
     }
 
     fn open_order(&mut self, id: endpoints::OrderId) -> Option<&mut orders::Open> {
-        let engine = self.ledger.holder_of(id)?;
+        let engine = self.ledger.engine_with_order(id)?;
         engine.orders.iter_mut().find(|open| open.order.order == id)
     }
 
@@ -232,7 +232,7 @@
     fn withdraw(&mut self, id: endpoints::OrderId) -> Vec<Action> {
         let withdrawn = self
             .ledger
-            .holder_of(id)
+            .engine_with_order(id)
             .is_some_and(|engine| engine.withdraw(id));
         if withdrawn {
             return settle(vec![id]);
@@ -242,7 +242,7 @@
 
     fn removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
-            if let Some(engine) = self.ledger.holder_of(*id) {
+            if let Some(engine) = self.ledger.engine_with_order(*id) {
                 engine.remove(*id);
             }
         }
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -183,7 +183,7 @@
     /// The removal of these from the table is committed.
     pub fn removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
-            if let Some(engine) = self.ledger.holder_of(*id) {
+            if let Some(engine) = self.ledger.engine_with_order(*id) {
                 engine.remove(*id);
             }
         }
@@ -191,7 +191,7 @@
     }
 
     fn count_send(&mut self, id: endpoints::OrderId) {
-        if let Some(engine) = self.ledger.holder_of(id) {
+        if let Some(engine) = self.ledger.engine_with_order(id) {
             let mut orders = engine.orders.iter_mut();
             if let Some(open) = orders.find(|open| open.order.order == id) {
                 open.sends += 1;
