--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -126,14 +126,14 @@
 
     /// Whether `report` says something newer than what is known.
     #[must_use]
-    pub fn is_news(&self, report: &endpoints::Report) -> bool {
+    pub fn is_newer(&self, report: &endpoints::Report) -> bool {
         let incarnation = report.identity.incarnation;
         incarnation > self.incarnation
             || incarnation == self.incarnation
                 && self.sequence.is_none_or(|known| report.sequence > known)
     }
 
-    /// Takes in a report that [`Self::is_news`]. Returns the orders to remove from the table.
+    /// Takes in a report that [`Self::is_newer`]. Returns the orders to remove from the table.
     pub fn see(
         &mut self,
         report: &endpoints::Report,
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -173,7 +173,7 @@
             return Vec::new();
         };
         let key = self.intern(&report.identity.endpoint);
-        if !self.engines[key.index()].is_news(report) {
+        if !self.engines[key.index()].is_newer(report) {
             return Vec::new();
         }
         let sighting = engine::Sighting {
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -222,9 +222,9 @@
 
     /// Whether `report` says anything new.
     #[must_use]
-    pub fn is_news(&self, report: &endpoints::Report) -> bool {
+    pub fn is_newer(&self, report: &endpoints::Report) -> bool {
         let known = self.ledger.endpoint(&report.identity.endpoint);
-        known.is_none_or(|key| self.ledger.engine(key).is_news(report))
+        known.is_none_or(|key| self.ledger.engine(key).is_newer(report))
     }
 
     /// Takes in a report. Returns orders to remove from the table.
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -328,7 +328,7 @@
     fn reports_to(&self, by: usize, spec: Orders, all: &mut Nexts) {
         for (name, engine) in leader::ENGINES.iter().zip(&self.engines) {
             for report in engine.reports(name, spec.says_fenced()) {
-                if !self.leaders[by].is_news(&report) {
+                if !self.leaders[by].is_newer(&report) {
                     continue;
                 }
                 let held: Vec<_> = report.resident.iter().map(|it| it.model.as_str()).collect();
