--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -21,7 +21,7 @@
 
 use crate::{budget, demand, event, fleet, limits, names, queue, request, router, rules, settings};
 
-pub use crate::account::{AccountPart, Gauges};
+pub use crate::request_trace::{Gauges, RequestTracePart};
 
 /// Ended requests whose account is still known.
 const KEPT_ENDED_REQUESTS: usize = 1_024;
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -2,7 +2,7 @@
 
 use sageshed_types::{account as types_account, arena, messages, rules, secret, time};
 
-use crate::{account, event, fleet, health, names, request, router};
+use crate::{event, fleet, health, names, request, request_trace, router};
 
 use super::Decider;
 
@@ -71,10 +71,10 @@
 
     /// What was decided about a request: while it is open, and for a while after its end.
     #[must_use]
-    pub fn account(&self, req: event::ReqId) -> Option<account::AccountPart> {
+    pub fn request_trace(&self, req: event::ReqId) -> Option<request_trace::RequestTracePart> {
         let request = self.requests.get(&req)?;
         let candidates = request.candidates.iter();
-        Some(account::AccountPart {
+        Some(request_trace::RequestTracePart {
             rule: request.rule.as_deref().map(str::to_owned),
             revision: request.revision,
             class: self.names.classes.name(request.class).to_owned(),
@@ -142,7 +142,7 @@
 
     /// Figures for metrics, as of the last step.
     #[must_use]
-    pub fn gauges(&self) -> account::Gauges {
+    pub fn gauges(&self) -> request_trace::Gauges {
         let now = self.now;
         let is_ejected = |e: &&fleet::Endpoint| {
             e.health.allowance(now, &self.policy) == health::Allowance::Ejected
@@ -150,7 +150,7 @@
         let open = self.requests.len() - self.ended.len();
         let fleet = &self.router.fleet;
         let in_flight = fleet.iter().map(|e| e.own as usize).sum();
-        account::Gauges {
+        request_trace::Gauges {
             open,
             in_flight,
             queued: self.queued_by_class(),
--- a/crates/sageshed-decide/src/lib.rs
+++ b/crates/sageshed-decide/src/lib.rs
@@ -14,7 +14,6 @@
 //! 4. [`router`]: which endpoint, by the estimate of [`learned`] times and the shares of [`fleet`].
 //! 5. At the end of a try: [`health`] of the endpoint, and another try within the [`budget`].
 
-pub mod account;
 pub mod bits;
 pub mod budget;
 pub mod decider;
@@ -28,6 +27,7 @@
 pub mod queue;
 pub mod random;
 pub mod request;
+pub mod request_trace;
 pub mod router;
 pub mod rules;
 pub mod settings;
--- a/crates/sageshed-decide/src/account.rs
+++ b/crates/sageshed-decide/src/request_trace.rs
@@ -4,7 +4,7 @@
 
 /// The part of a request's account that is decided here.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AccountPart {
+pub struct RequestTracePart {
     /// The rule that decided, or `default`; none if no rule was asked.
     pub rule: Option<String>,
     /// The revision that decided.
--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -361,10 +361,10 @@
     leaving.leaving = true;
     bench.report(leaving);
     let (req, _) = bench.arrive(|_| {});
-    let account = bench.decider.account(req).expect("known");
-    assert_eq!(account.rule.as_deref(), Some("default"));
-    assert_eq!(account.class, "usual");
-    let why = account
+    let trace = bench.decider.request_trace(req).expect("known");
+    assert_eq!(trace.rule.as_deref(), Some("default"));
+    assert_eq!(trace.class, "usual");
+    let why = trace
         .candidates
         .iter()
         .map(|c| (c.endpoint.as_str(), c.passed_over.as_deref()));
@@ -374,7 +374,7 @@
     );
     bench.done(req);
     assert!(
-        bench.decider.account(req).is_some(),
+        bench.decider.request_trace(req).is_some(),
         "known for a while after its end"
     );
 }
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -71,7 +71,10 @@
         bench.install(1, vec![rule]);
         let target = bench.facts(case.target).target;
         let (req, _) = bench.arrive(|facts| facts.target = target);
-        let by = bench.decider.account(req).and_then(|account| account.rule);
+        let by = bench
+            .decider
+            .request_trace(req)
+            .and_then(|trace| trace.rule);
         let wanted = if case.matches { "r" } else { "default" };
         assert_eq!(
             by.as_deref(),
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -309,7 +309,7 @@
     }
 
     pub(super) fn note_decision(&mut self) {
-        let part = locks::lock(&self.shared.decider).account(self.req);
+        let part = locks::lock(&self.shared.decider).request_trace(self.req);
         if let Some(part) = part {
             self.account.rule = part.rule;
             self.account.revision = part.revision;
