--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -263,7 +263,7 @@
             seen: false,
             sends: 0,
             restored,
-            withdrawn: false,
+            cancelled: false,
             sent: now,
             committed: self.clock,
             settled: None,
@@ -283,27 +283,27 @@
     /// something else instead, would be followed by one that finds both orders in the table. An
     /// unload that was taken back here and made elsewhere would then be made twice, and the model be
     /// gone.
-    pub fn withdraw(&mut self, id: endpoints::OrderId) -> bool {
+    pub fn cancel_unsent(&mut self, id: endpoints::OrderId) -> bool {
         let mut orders = self.orders.iter_mut();
         let unsent = orders
             .find(|open| open.order.order == id && !open.restored && !open.seen && open.sends <= 1);
         let Some(open) = unsent else {
             return false;
         };
-        open.withdrawn = true;
+        open.cancelled = true;
         true
     }
 
     /// Orders that were taken back and are in the table still.
-    pub fn withdrawn(&self) -> impl Iterator<Item = endpoints::OrderId> + '_ {
-        let withdrawn = self.orders.iter().filter(|open| open.withdrawn);
-        withdrawn.map(|open| open.order.order)
+    pub fn cancelled(&self) -> impl Iterator<Item = endpoints::OrderId> + '_ {
+        let cancelled = self.orders.iter().filter(|open| open.cancelled);
+        cancelled.map(|open| open.order.order)
     }
 
     /// Forgets an order that was taken back and is in the table no more.
     pub fn remove(&mut self, id: endpoints::OrderId) {
         self.orders
-            .retain(|open| open.order.order != id || !open.withdrawn);
+            .retain(|open| open.order.order != id || !open.cancelled);
     }
 
     /// Whether the newest report is later than every order that was found in the table.
--- a/crates/sageshed-place/src/orders.rs
+++ b/crates/sageshed-place/src/orders.rs
@@ -60,7 +60,7 @@
     pub restored: bool,
     /// Taken back before a byte of it left, and its removal from the table not committed yet. It
     /// counts as if it were under way, since the next leader would find and send it.
-    pub withdrawn: bool,
+    pub cancelled: bool,
     /// When it was last sent, or found.
     pub sent: time::Instant,
     /// Position of the commit in this leader's count.
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -145,7 +145,7 @@
                 self.leading = true;
                 settle(self.ledger.restore(now, orders))
             }
-            Event::OrderNotSent(id) => self.withdraw(id),
+            Event::OrderNotSent(id) => self.cancel_unsent(id),
             Event::OrderSent(id) => {
                 self.sent(now, id);
                 Vec::new()
@@ -188,7 +188,7 @@
             return actions;
         }
         if !allowed {
-            actions.extend(self.withdraw(id));
+            actions.extend(self.cancel_unsent(id));
             return actions;
         }
         if let Some(open) = self.open_order(id) {
@@ -229,12 +229,12 @@
     }
 
     /// Takes an order back that has certainly not been sent.
-    fn withdraw(&mut self, id: endpoints::OrderId) -> Vec<Action> {
-        let withdrawn = self
+    fn cancel_unsent(&mut self, id: endpoints::OrderId) -> Vec<Action> {
+        let cancelled = self
             .ledger
             .engine_with_order(id)
-            .is_some_and(|engine| engine.withdraw(id));
-        if withdrawn {
+            .is_some_and(|engine| engine.cancel_unsent(id));
+        if cancelled {
             return settle(vec![id]);
         }
         Vec::new()
@@ -250,9 +250,9 @@
 
     /// Asks again for the removal of orders that were taken back: a command may get lost before it
     /// reaches the log.
-    fn withdraw_again(&self) -> Vec<Action> {
+    fn repeat_cancellations(&self) -> Vec<Action> {
         let engines = self.ledger.engines().iter();
-        settle(engines.flat_map(engine::Engine::withdrawn).collect())
+        settle(engines.flat_map(engine::Engine::cancelled).collect())
     }
 
     fn sent(&mut self, now: time::Instant, id: endpoints::OrderId) {
@@ -274,7 +274,7 @@
         if !self.leading {
             return Vec::new();
         }
-        let mut actions = self.withdraw_again();
+        let mut actions = self.repeat_cancellations();
         actions.extend(self.resend(now));
         self.budget.refill(now, &self.ledger, &self.policy);
         let pins = self.pinned();
@@ -310,7 +310,7 @@
         for engine in self.ledger.engines_mut().iter_mut().filter(fresh) {
             for open in &mut engine.orders {
                 let due = now.since(open.sent) >= policy.resend_after_ms;
-                if open.seen || open.withdrawn || open.is_settled() || !due {
+                if open.seen || open.cancelled || open.is_settled() || !due {
                     continue;
                 }
                 open.sent = now;
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -174,7 +174,7 @@
             return todo;
         }
         let engine = self.ledger.engine_mut(&order.endpoint);
-        if engine.withdraw(order.order) {
+        if engine.cancel_unsent(order.order) {
             todo.push(Todo::Settle(vec![order.order]));
         }
         todo
