--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -106,7 +106,7 @@
         let mut out = Actions::new();
         self.now = now;
         match event {
-            event::Event::Arrived(facts) => self.arrived(now, facts, &mut out),
+            event::Event::Arrived(info) => self.arrived(now, info, &mut out),
             event::Event::ClaimGranted(req) => self.claimed(now, req, &mut out),
             event::Event::ClaimDenied(req) => self.end_request(now, req),
             event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -128,10 +128,7 @@
     fn assess_queue(&self, request: &request::Request, wait: f64) -> Admission {
         let bound = self.names.class_row(request.class).queue;
         let full = self.queues.class_len(request.class) >= bound;
-        let displaced_by = || {
-            self.queues
-                .displaced_by(request.class, request.facts.caller)
-        };
+        let displaced_by = || self.queues.displaced_by(request.class, request.info.caller);
         if full && displaced_by().is_none() {
             return Admission::Refuse(self.queue_full(request, wait));
         }
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -18,11 +18,11 @@
     pub(super) fn arrived(
         &mut self,
         now: time::Instant,
-        facts: event::RequestInfo,
+        info: event::RequestInfo,
         out: &mut Actions,
     ) {
-        let req = facts.id;
-        let request = self.open(now, facts);
+        let req = info.id;
+        let request = self.open(now, info);
         self.requests.insert(req, request);
         self.expiries.insert((self.expiry(req), req));
         if self.refusing_new {
@@ -39,25 +39,25 @@
         }
     }
 
-    fn open(&self, now: time::Instant, facts: event::RequestInfo) -> request::Request {
-        let caller = self.names.caller_row(facts.caller);
-        let class = facts.class.unwrap_or(caller.class);
+    fn open(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
+        let caller = self.names.caller_row(info.caller);
+        let class = info.class.unwrap_or(caller.class);
         let row = self.names.class_row(class);
         request::Request {
-            facts,
+            info,
             class,
             priority: row.priority,
             urgent: row.priority >= self.policy.urgent_priority,
             lane: queue::Lane {
-                target: facts.target,
+                target: info.target,
                 pool: None,
             },
             rule: None,
             revision: self.rules.revision(),
-            not_repeatable: facts.not_repeatable,
+            not_repeatable: info.not_repeatable,
             claim: request::Claim::Missing,
             arrived: now,
-            deadline: facts.deadline.unwrap_or(row.deadline),
+            deadline: info.deadline.unwrap_or(row.deadline),
             state: request::State::Deciding,
             attempts: 0,
             failed_on: Vec::new(),
@@ -117,7 +117,7 @@
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
-        let caller = request.facts.caller;
+        let caller = request.info.caller;
         let row = self.names.caller_row(caller);
         let Some(rate) = row.rate else {
             return RuleOutcome::Continue;
@@ -186,12 +186,12 @@
 
 fn query(request: &request::Request, names: &names::Names) -> rules::Query {
     rules::Query {
-        caller: request.facts.caller,
+        caller: request.info.caller,
         class: request.class,
-        target: request.facts.target,
-        streaming: request.facts.streaming,
-        not_repeatable: request.facts.not_repeatable,
-        prompt_tokens: request.facts.prompt_tokens,
+        target: request.info.target,
+        streaming: request.info.streaming,
+        not_repeatable: request.info.not_repeatable,
+        prompt_tokens: request.info.prompt_tokens,
         priority: names.class_row(request.class).priority,
     }
 }
@@ -200,12 +200,12 @@
 /// request as not repeatable, but lifts only a mark that the method gave.
 fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
-        let asked = request.facts.deadline.unwrap_or(deadline);
+        let asked = request.info.deadline.unwrap_or(deadline);
         request.deadline = deadline.min(asked);
     }
     match rule.not_repeatable {
         Some(true) => request.not_repeatable = true,
-        Some(false) if request.facts.not_repeatable_by_default => request.not_repeatable = false,
+        Some(false) if request.info.not_repeatable_by_default => request.not_repeatable = false,
         _ => {}
     }
     if let rules::Act::Route {
@@ -216,7 +216,7 @@
     {
         request.lane.pool = pool;
         request.priority = priority.unwrap_or(request.priority);
-        if let (event::Target::Model(_), Some(model)) = (request.facts.target, model) {
+        if let (event::Target::Model(_), Some(model)) = (request.info.target, model) {
             request.lane.target = event::Target::Model(model);
         }
     }
@@ -237,9 +237,9 @@
 
 fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::Owner {
     let class: arena::ClassKey = request.class;
-    match (per, request.facts.target) {
+    match (per, request.info.target) {
         (types_rules::Per::Rule, _) => limits::Owner::Rule(slot),
-        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.facts.caller),
+        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.info.caller),
         (types_rules::Per::Class, _) => limits::Owner::RuleClass(slot, class),
         (types_rules::Per::Model, event::Target::Model(key)) => limits::Owner::RuleModel(slot, key),
         (types_rules::Per::Model, event::Target::Service(key)) => {
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -90,9 +90,9 @@
     fn max_length_ratio(&self, req: event::ReqId) -> Option<f64> {
         let request = self.requests.get(&req)?;
         match request.lane.target {
-            event::Target::Model(_) if !request.facts.streaming => {
+            event::Target::Model(_) if !request.info.streaming => {
                 let learned = self.router.learned(request.lane.target);
-                learned.max_length_ratio(request.facts.max_tokens)
+                learned.max_length_ratio(request.info.max_tokens)
             }
             event::Target::Model(_) | event::Target::Service(_) => Some(1.0),
         }
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -180,7 +180,7 @@
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
             return Next::GiveUp("it may not be repeated");
         }
-        if request.begun && request.facts.streaming {
+        if request.begun && request.info.streaming {
             return Next::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// What is known of it.
-    pub facts: event::RequestInfo,
+    pub info: event::RequestInfo,
     /// The class it was put in.
     pub class: arena::ClassKey,
     /// Its priority, by class or rule.
@@ -121,9 +121,9 @@
         queue::Place {
             priority: cmp::Reverse(self.priority),
             deadline: self.due(),
-            req: self.facts.id,
+            req: self.info.id,
             class: self.class,
-            caller: self.facts.caller,
+            caller: self.info.caller,
         }
     }
 
@@ -134,8 +134,8 @@
             target: self.lane.target,
             pool: self.lane.pool,
             urgent: self.urgent,
-            max_tokens: self.facts.max_tokens,
-            prefix: self.facts.prefix,
+            max_tokens: self.info.max_tokens,
+            prefix: self.info.prefix,
             failed_on: &self.failed_on,
         }
     }
