--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -245,7 +245,7 @@
         let engines = self.ledger.engines().iter();
         let orders = engines.flat_map(|engine| engine.orders.iter());
         let unseen = orders.filter(|open| {
-            let unsent = open.seen || open.withdrawn;
+            let unsent = open.seen || open.cancelled;
             self.term.is_some() && !unsent
         });
         unseen.map(|open| open.order.clone()).collect()
