--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -22,10 +22,10 @@
 
 use crate::{event, fleet, names, queue, request, router};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Decider, RefusalCause};
 
 /// The least time after which a caller is asked to come back, in milliseconds.
-const LEAST_RETRY_AFTER: f64 = 100.0;
+const MIN_RETRY_AFTER_MS: f64 = 100.0;
 
 /// When to ask again for a plain service of which no instance is known: about the time in which one
 /// that restarts is heard of.
@@ -38,11 +38,11 @@
     /// Let it wait.
     Wait,
     /// Refuse it.
-    Refuse(Cause),
+    Refuse(RefusalCause),
 }
 
 /// When a target that no endpoint holds may be served.
-enum Warm {
+enum ColdStart {
     /// After this many milliseconds, as far as can be known.
     After(f64),
     /// Nothing known here can ever hold it.
@@ -52,7 +52,7 @@
 impl Decider {
     /// Sends a request that was just let in, or lets it wait, or refuses it. One that may not be
     /// repeated is claimed first, so that a claim is asked for only if the request could be served.
-    pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let admission = self.assess(now, req);
         let needs_claim = self.requests.get(&req).is_some_and(|request| {
             request.not_repeatable && request.claim == request::Claim::Missing
@@ -72,14 +72,14 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        cause: Cause,
-        out: &mut Out,
+        cause: RefusalCause,
+        out: &mut Actions,
     ) {
         let request = self.requests.get(&req);
         if let Some(request) = request.filter(|_| cause.reason == verdict::Reason::NoRoute) {
             self.demand.unserved(request.lane.target);
         }
-        self.weigh(now, req, None);
+        self.record_candidates(now, req, None);
         self.refuse(now, req, cause, out);
     }
 
@@ -88,13 +88,13 @@
         let Some(request) = self.requests.get(&req) else {
             return Admission::Wait;
         };
-        let choice = self.router.choose(now, &request.ask());
+        let choice = self.router.choose(now, &request.requirements());
         let ahead = self.queues.ahead(request.lane, &request.place());
         match choice {
             router::Choice::Pick(pick) if ahead == 0 => self.assess_pick(now, request, pick),
             router::Choice::Pick(_) | router::Choice::Full => self.assess_wait(now, request),
             router::Choice::Cold => self.assess_cold(now, request),
-            router::Choice::Exhausted => Admission::Refuse(Cause {
+            router::Choice::Exhausted => Admission::Refuse(RefusalCause {
                 reason: verdict::Reason::EndpointFailed,
                 detail: "it has failed on each endpoint that could serve it".to_owned(),
                 retry_after: Some(self.policy.eject_base_ms),
@@ -128,8 +128,8 @@
     fn assess_queue(&self, request: &request::Request, wait: f64) -> Admission {
         let bound = self.names.class_row(request.class).queue;
         let full = self.queues.class_len(request.class) >= bound;
-        let gives_way = || self.queues.gives_way(request.class, request.facts.caller);
-        if full && gives_way().is_none() {
+        let displaced_by = || self.queues.displaced_by(request.class, request.info.caller);
+        if full && displaced_by().is_none() {
             return Admission::Refuse(self.queue_full(request, wait));
         }
         Admission::Wait
@@ -141,10 +141,10 @@
         now: time::Instant,
         request: &request::Request,
         wait: f64,
-    ) -> Option<Cause> {
+    ) -> Option<RefusalCause> {
         let left = request.left(now).0 as f64;
         let learned = self.router.learned(request.lane.target);
-        let service = self.router.service(&request.ask());
+        let service = self.router.service(&request.requirements());
         let needed = service + learned.deviation();
         let late = self.may_refuse_by_estimate(now, request)
             && wait * (1.0 + self.policy.shed_margin) + needed > left;
@@ -154,16 +154,16 @@
 
     fn may_refuse_by_estimate(&self, now: time::Instant, request: &request::Request) -> bool {
         let learned = self.router.learned(request.lane.target);
-        learned.trusted() && !learned.is_dated(now, self.policy.probe_ms)
+        learned.has_enough_samples() && !learned.is_stale(now, self.policy.probe_ms)
     }
 
-    pub(super) fn queue_full(&self, request: &request::Request, wait: f64) -> Cause {
+    pub(super) fn queue_full(&self, request: &request::Request, wait: f64) -> RefusalCause {
         let class = self.names.classes.name(request.class);
         let bound = self.names.class_row(request.class).queue;
-        Cause {
+        RefusalCause {
             reason: verdict::Reason::QueueFull,
             detail: format!("{bound} requests of class `{class}` wait here already"),
-            retry_after: Some(time::Millis::rounded_up(wait.max(LEAST_RETRY_AFTER))),
+            retry_after: Some(time::Millis::rounded_up(wait.max(MIN_RETRY_AFTER_MS))),
         }
     }
 
@@ -171,51 +171,57 @@
     /// the part of their endpoints that it shares, in others, at the rate at which this process may
     /// expect the endpoints to finish.
     pub(super) fn queue_wait(&self, now: time::Instant, request: &request::Request) -> f64 {
-        let ask = request.ask();
-        let Ok(able) = self.router.able(now, &ask) else {
+        let requirements = request.requirements();
+        let Ok(eligible) = self.router.eligible(now, &requirements) else {
             return 0.0;
         };
-        let rates = able.iter().map(|key| self.router.own_rate(now, *key, &ask));
+        let rates = eligible
+            .iter()
+            .map(|key| self.router.own_rate(now, *key, &requirements));
         let rate = rates.sum::<f64>().max(f64::MIN_POSITIVE);
-        (self.ahead_of(request, &able) + 1.0) / rate
+        (self.ahead_of(request, &eligible) + 1.0) / rate
     }
 
-    fn ahead_of(&self, request: &request::Request, able: &[arena::EndpointKey]) -> f64 {
+    fn ahead_of(&self, request: &request::Request, eligible: &[arena::EndpointKey]) -> f64 {
         let place = request.place();
         let mut ahead = 0.0;
         for (lane, _) in self.queues.lanes() {
             let before = self.queues.ahead(lane, &place) as f64;
             if before > 0.0 {
-                ahead += before * self.overlap(request.lane, lane, able);
+                ahead += before * self.overlap(request.lane, lane, eligible);
             }
         }
         ahead
     }
 
-    /// The part of another lane's endpoints that are among `able`.
-    fn overlap(&self, own: queue::Lane, lane: queue::Lane, able: &[arena::EndpointKey]) -> f64 {
+    /// The part of another lane's endpoints that are among `eligible`.
+    fn overlap(&self, own: queue::Lane, lane: queue::Lane, eligible: &[arena::EndpointKey]) -> f64 {
         if own == lane {
             return 1.0;
         }
         let holders = self.router.fleet.holders(lane.target);
-        let shared = holders.iter().filter(|key| able.contains(key)).count();
+        let shared = holders.iter().filter(|key| eligible.contains(key)).count();
         shared as f64 / holders.len().max(1) as f64
     }
 
     fn assess_cold(&self, now: time::Instant, request: &request::Request) -> Admission {
-        match self.too_cold(now, request) {
+        match self.cold_start_too_late(now, request) {
             Some(cause) => Admission::Refuse(cause),
             None => self.assess_queue(request, self.policy.load_order_ms.0 as f64),
         }
     }
 
     /// Why a request for a target that no endpoint holds cannot be served in time, if so.
-    pub(super) fn too_cold(&self, now: time::Instant, request: &request::Request) -> Option<Cause> {
+    pub(super) fn cold_start_too_late(
+        &self,
+        now: time::Instant,
+        request: &request::Request,
+    ) -> Option<RefusalCause> {
         let target = self.names.target(request.lane.target);
-        let wait = match self.warm(now, request.lane) {
-            Warm::After(wait) => wait,
-            Warm::Never(retry_after) => {
-                return Some(Cause {
+        let wait = match self.cold_start(now, request.lane) {
+            ColdStart::After(wait) => wait,
+            ColdStart::Never(retry_after) => {
+                return Some(RefusalCause {
                     reason: verdict::Reason::NoRoute,
                     detail: format!("no endpoint is known that can serve `{target}`"),
                     retry_after,
@@ -223,23 +229,23 @@
             }
         };
         let left = request.left(now).0 as f64;
-        let service = self.router.service(&request.ask());
+        let service = self.router.service(&request.requirements());
         let late = self.policy.shed && wait + service > left;
-        late.then(|| Cause {
+        late.then(|| RefusalCause {
             reason: verdict::Reason::NoRoute,
             detail: format!(
                 "no endpoint holds `{target}`; a load takes about {wait:.0} ms more, and \
                  {left:.0} ms are left"
             ),
-            retry_after: Some(time::Millis::rounded_up(wait.max(LEAST_RETRY_AFTER))),
+            retry_after: Some(time::Millis::rounded_up(wait.max(MIN_RETRY_AFTER_MS))),
         })
     }
 
     /// When a lane's target may be held by an endpoint. A load that was seen to begin has the rest
     /// of its time to go; else the first request that waits for it is taken to have set it off.
-    fn warm(&self, now: time::Instant, lane: queue::Lane) -> Warm {
+    fn cold_start(&self, now: time::Instant, lane: queue::Lane) -> ColdStart {
         let event::Target::Model(model) = lane.target else {
-            return Warm::Never(Some(SERVICE_RETRY_AFTER));
+            return ColdStart::Never(Some(SERVICE_RETRY_AFTER));
         };
         let row = self.names.model_row(model);
         let load = row.load.0 as f64;
@@ -248,7 +254,7 @@
             .filter(|endpoint| may_hold(endpoint, row, lane))
             .collect::<Vec<_>>();
         if may_hold.is_empty() {
-            return Warm::Never(Some(row.load));
+            return ColdStart::Never(Some(row.load));
         }
         let began = may_hold.iter().filter_map(|e| e.loading_since(model)).min();
         let order = self.policy.load_order_ms.0 as f64;
@@ -257,7 +263,7 @@
             (None, Some(since)) => (now.since(*since).0 as f64).min(order),
             (None, None) => 0.0,
         };
-        Warm::After((load + order - spent).max(0.0))
+        ColdStart::After((load + order - spent).max(0.0))
     }
 }
 
@@ -271,15 +277,15 @@
     by_rule && by_model && !endpoint.leaving
 }
 
-fn unmeetable(wait: f64, service: f64, left: f64) -> Cause {
-    let excess = (wait + service - left).max(LEAST_RETRY_AFTER);
-    Cause {
+fn unmeetable(wait: f64, service: f64, left: f64) -> RefusalCause {
+    let excess = (wait + service - left).max(MIN_RETRY_AFTER_MS);
+    RefusalCause {
         reason: verdict::Reason::DeadlineUnmeetable,
         detail: format!(
             "it would wait about {wait:.0} ms and run about {service:.0} ms, and {left:.0} ms are \
              left"
         ),
         retry_after: (wait > 0.0)
-            .then(|| time::Millis::rounded_up(excess.min(wait.max(LEAST_RETRY_AFTER)))),
+            .then(|| time::Millis::rounded_up(excess.min(wait.max(MIN_RETRY_AFTER_MS)))),
     }
 }
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -4,24 +4,29 @@
 
 use crate::{event, limits, names, queue, request, rules};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Decider, RefusalCause};
 
 /// What the rules say of a request.
-enum Ruled {
+enum RuleOutcome {
     /// Go on with it.
-    Go,
+    Continue,
     /// Refuse it.
-    Refuse(Cause),
+    Refuse(RefusalCause),
 }
 
 impl Decider {
-    pub(super) fn arrived(&mut self, now: time::Instant, facts: event::Facts, out: &mut Out) {
-        let req = facts.id;
-        let request = self.open(now, facts);
+    pub(super) fn arrived(
+        &mut self,
+        now: time::Instant,
+        info: event::RequestInfo,
+        out: &mut Actions,
+    ) {
+        let req = info.id;
+        let request = self.open(now, info);
         self.requests.insert(req, request);
         self.expiries.insert((self.expiry(req), req));
         if self.refusing_new {
-            let cause = Cause {
+            let cause = RefusalCause {
                 reason: verdict::Reason::Draining,
                 detail: "this entry process is shutting down; another one will take it".to_owned(),
                 retry_after: Some(time::Millis(0)),
@@ -29,30 +34,30 @@
             return self.refuse(now, req, cause, out);
         }
         match self.rule(now, req) {
-            Ruled::Refuse(cause) => self.refuse(now, req, cause, out),
-            Ruled::Go => self.take_in(now, req, out),
+            RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
+            RuleOutcome::Continue => self.admit_new(now, req, out),
         }
     }
 
-    fn open(&self, now: time::Instant, facts: event::Facts) -> request::Request {
-        let caller = self.names.caller_row(facts.caller);
-        let class = facts.class.unwrap_or(caller.class);
+    fn open(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
+        let caller = self.names.caller_row(info.caller);
+        let class = info.class.unwrap_or(caller.class);
         let row = self.names.class_row(class);
         request::Request {
-            facts,
+            info,
             class,
             priority: row.priority,
             urgent: row.priority >= self.policy.urgent_priority,
             lane: queue::Lane {
-                target: facts.target,
+                target: info.target,
                 pool: None,
             },
             rule: None,
             revision: self.rules.revision(),
-            not_repeatable: facts.not_repeatable,
+            not_repeatable: info.not_repeatable,
             claim: request::Claim::Missing,
             arrived: now,
-            deadline: facts.deadline.unwrap_or(row.deadline),
+            deadline: info.deadline.unwrap_or(row.deadline),
             state: request::State::Deciding,
             attempts: 0,
             failed_on: Vec::new(),
@@ -64,9 +69,9 @@
     }
 
     /// Finds the rule that decides and does what it says.
-    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> Ruled {
+    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Continue;
         };
         let query = query(request, &self.names);
         let Some(rule) = self.rules.first_match(&query).cloned() else {
@@ -77,16 +82,16 @@
         let id = &rule.id;
         match &rule.act {
             rules::Act::Route { .. } => self.within_caller_limit(now, req),
-            rules::Act::RouteToUnknown { model } => Ruled::Refuse(Cause {
+            rules::Act::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
                 retry_after: None,
             }),
-            rules::Act::Refuse(refuse) => Ruled::Refuse(rule_refused(id, refuse)),
+            rules::Act::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::Act::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
-                    Ruled::Go => self.within_caller_limit(now, req),
-                    refused @ Ruled::Refuse(_) => refused,
+                    RuleOutcome::Continue => self.within_caller_limit(now, req),
+                    refused @ RuleOutcome::Refuse(_) => refused,
                 }
             }
         }
@@ -108,19 +113,19 @@
         self.expiries.insert((self.expiry(req), req));
     }
 
-    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> Ruled {
+    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Continue;
         };
-        let caller = request.facts.caller;
+        let caller = request.info.caller;
         let row = self.names.caller_row(caller);
         let Some(rate) = row.rate else {
-            return Ruled::Go;
+            return RuleOutcome::Continue;
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(Cause {
+            limits::Pass::Passed => RuleOutcome::Continue,
+            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
                     "caller `{}` is over its limit of {rate} requests a second",
@@ -138,15 +143,15 @@
         limit: types_rules::Limit,
         slot: u32,
         id: &str,
-    ) -> Ruled {
+    ) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
-            return Ruled::Go;
+            return RuleOutcome::Continue;
         };
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::Pass::Passed => Ruled::Go,
-            limits::Pass::Over(retry_after) => Ruled::Refuse(Cause {
+            limits::Pass::Passed => RuleOutcome::Continue,
+            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
                     "rule `{id}` allows {} requests a second over all entry processes",
@@ -158,7 +163,7 @@
     }
 
     /// The rules let it in: admits it, by way of a claim if it may not be repeated.
-    fn take_in(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn admit_new(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         if let Some(request) = self.requests.get(&req) {
             self.demand.arrived(request.lane.target);
         }
@@ -166,7 +171,7 @@
     }
 
     /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
-    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -181,12 +186,12 @@
 
 fn query(request: &request::Request, names: &names::Names) -> rules::Query {
     rules::Query {
-        caller: request.facts.caller,
+        caller: request.info.caller,
         class: request.class,
-        target: request.facts.target,
-        streaming: request.facts.streaming,
-        not_repeatable: request.facts.not_repeatable,
-        prompt_tokens: request.facts.prompt_tokens,
+        target: request.info.target,
+        streaming: request.info.streaming,
+        not_repeatable: request.info.not_repeatable,
+        prompt_tokens: request.info.prompt_tokens,
         priority: names.class_row(request.class).priority,
     }
 }
@@ -195,12 +200,12 @@
 /// request as not repeatable, but lifts only a mark that the method gave.
 fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
-        let asked = request.facts.deadline.unwrap_or(deadline);
+        let asked = request.info.deadline.unwrap_or(deadline);
         request.deadline = deadline.min(asked);
     }
     match rule.not_repeatable {
         Some(true) => request.not_repeatable = true,
-        Some(false) if request.facts.not_repeatable_by_default => request.not_repeatable = false,
+        Some(false) if request.info.not_repeatable_by_default => request.not_repeatable = false,
         _ => {}
     }
     if let rules::Act::Route {
@@ -211,19 +216,19 @@
     {
         request.lane.pool = pool;
         request.priority = priority.unwrap_or(request.priority);
-        if let (event::Target::Model(_), Some(model)) = (request.facts.target, model) {
+        if let (event::Target::Model(_), Some(model)) = (request.info.target, model) {
             request.lane.target = event::Target::Model(model);
         }
     }
 }
 
-fn rule_refused(id: &str, refuse: &types_rules::Refuse) -> Cause {
+fn rule_refused(id: &str, refuse: &types_rules::Refuse) -> RefusalCause {
     let detail = if refuse.reason.is_empty() {
         format!("rule `{id}` refuses it")
     } else {
         format!("rule `{id}` refuses it: {}", refuse.reason)
     };
-    Cause {
+    RefusalCause {
         reason: verdict::Reason::RuleRefused,
         detail,
         retry_after: refuse.retry_after_ms,
@@ -232,9 +237,9 @@
 
 fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::Owner {
     let class: arena::ClassKey = request.class;
-    match (per, request.facts.target) {
+    match (per, request.info.target) {
         (types_rules::Per::Rule, _) => limits::Owner::Rule(slot),
-        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.facts.caller),
+        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.info.caller),
         (types_rules::Per::Class, _) => limits::Owner::RuleClass(slot, class),
         (types_rules::Per::Model, event::Target::Model(key)) => limits::Owner::RuleModel(slot, key),
         (types_rules::Per::Model, event::Target::Service(key)) => {
--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -15,23 +15,23 @@
 pub const TRUSTED_SAMPLES: u32 = 5;
 
 /// The least and greatest factor by which one endpoint is taken to be slower than the mean.
-const SPEED_BOUNDS: (f64, f64) = (0.25, 8.0);
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 8.0);
 
 /// How many times the mean an answer may be long whose request sets no bound.
-const UNBOUNDED_LENGTH: f64 = 4.0;
+const UNBOUNDED_LENGTH_RATIO: f64 = 4.0;
 
 /// The least share of the mean service time that a short answer is taken to need.
-const LEAST_LENGTH: f64 = 0.1;
+const MIN_LENGTH_RATIO: f64 = 0.1;
 
 /// A running mean and deviation.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Mean {
+pub struct RunningMean {
     value: f64,
     deviation: f64,
     samples: u32,
 }
 
-impl Mean {
+impl RunningMean {
     /// Takes a sample.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
@@ -53,8 +53,8 @@
 /// What was learned of one model, adapter or service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Target {
-    service: Mean,
-    tokens: Mean,
+    service: RunningMean,
+    tokens: RunningMean,
     last_sent: time::Instant,
 }
 
@@ -76,7 +76,7 @@
 
     /// Whether what was learned may be out of date, since nothing was sent for `span`.
     #[must_use]
-    pub fn is_dated(&self, now: time::Instant, span: time::Millis) -> bool {
+    pub fn is_stale(&self, now: time::Instant, span: time::Millis) -> bool {
         now.since(self.last_sent) >= span
     }
 
@@ -95,17 +95,17 @@
 
     /// Whether enough was seen to refuse by it.
     #[must_use]
-    pub fn trusted(&self) -> bool {
+    pub fn has_enough_samples(&self) -> bool {
         self.service.samples >= TRUSTED_SAMPLES
     }
 
     /// How much longer than the mean answer the longest one is that `max_tokens` allows, at least 1;
     /// none if the mean is not known.
     #[must_use]
-    pub fn stretch(&self, max_tokens: u32) -> Option<f64> {
+    pub fn max_length_ratio(&self, max_tokens: u32) -> Option<f64> {
         let mean = self.tokens.mean().filter(|mean| *mean > 0.0)?;
         if max_tokens == 0 {
-            return Some(UNBOUNDED_LENGTH);
+            return Some(UNBOUNDED_LENGTH_RATIO);
         }
         Some((f64::from(max_tokens) / mean).max(1.0))
     }
@@ -114,7 +114,7 @@
     fn length(&self, max_tokens: u32) -> f64 {
         match self.tokens.mean() {
             Some(mean) if max_tokens > 0 && f64::from(max_tokens) < mean => {
-                (f64::from(max_tokens) / mean).max(LEAST_LENGTH)
+                (f64::from(max_tokens) / mean).max(MIN_LENGTH_RATIO)
             }
             _ => 1.0,
         }
@@ -124,8 +124,8 @@
 /// What was learned of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Endpoint {
-    speed: Mean,
-    holding: Mean,
+    slowdown: RunningMean,
+    slot_time: RunningMean,
 }
 
 impl Endpoint {
@@ -133,20 +133,21 @@
     pub fn add(&mut self, span: f64, expected: f64) {
         if expected > 0.0 {
             let ratio = span / expected;
-            self.speed.add(ratio.clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1));
+            self.slowdown
+                .add(ratio.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1));
         }
-        self.holding.add(span);
+        self.slot_time.add(span);
     }
 
     /// How much slower than usual it is; 1 if it is as fast.
     #[must_use]
-    pub fn speed(&self) -> f64 {
-        self.speed.mean().unwrap_or(1.0)
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown.mean().unwrap_or(1.0)
     }
 
     /// Mean time that a request holds one of its slots, in milliseconds.
     #[must_use]
-    pub fn holding(&self) -> Option<f64> {
-        self.holding.mean()
+    pub fn slot_time(&self) -> Option<f64> {
+        self.slot_time.mean()
     }
 }
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -48,7 +48,7 @@
 
 /// An endpoint that was weighed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weighed {
+pub struct ConsideredEndpoint {
     /// Which.
     pub endpoint: arena::EndpointKey,
     /// Estimated time to the whole answer.
@@ -58,14 +58,14 @@
     /// Whether it was taken.
     pub taken: bool,
     /// How it stood for the request.
-    pub standing: router::Standing,
+    pub standing: router::Eligibility,
 }
 
 /// A request from its arrival on.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// What is known of it.
-    pub facts: event::Facts,
+    pub info: event::RequestInfo,
     /// The class it was put in.
     pub class: arena::ClassKey,
     /// Its priority, by class or rule.
@@ -99,7 +99,7 @@
     /// How long it waited before it was first sent.
     pub queued: time::Millis,
     /// The endpoints weighed for the first try.
-    pub candidates: Vec<Weighed>,
+    pub candidates: Vec<ConsideredEndpoint>,
 }
 
 impl Request {
@@ -121,21 +121,21 @@
         queue::Place {
             priority: cmp::Reverse(self.priority),
             deadline: self.due(),
-            req: self.facts.id,
+            req: self.info.id,
             class: self.class,
-            caller: self.facts.caller,
+            caller: self.info.caller,
         }
     }
 
     /// What it needs of an endpoint.
     #[must_use]
-    pub fn ask(&self) -> router::Ask<'_> {
+    pub fn requirements(&self) -> router::Ask<'_> {
         router::Ask {
             target: self.lane.target,
             pool: self.lane.pool,
             urgent: self.urgent,
-            max_tokens: self.facts.max_tokens,
-            prefix: self.facts.prefix,
+            max_tokens: self.info.max_tokens,
+            prefix: self.info.prefix,
             failed_on: &self.failed_on,
         }
     }
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -93,7 +93,7 @@
             f.streaming = case.begun;
         });
         if case.not_repeatable {
-            actions = bench.step(event::Event::Claimed(req));
+            actions = bench.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
         if case.begun {
@@ -244,8 +244,8 @@
         let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
         for _ in 0..3 {
             let (req, _) = bench.arrive(|_| {});
-            let outcome = event::TryOutcome::Refused { status };
-            bench.step(event::Event::Ended { req, outcome });
+            let outcome = event::AttemptOutcome::Refused { status };
+            bench.step(event::Event::AttemptEnded { req, outcome });
             bench.pass(300);
         }
         assert_eq!(bench.decider.gauges().ejected, ejected, "{status}");
@@ -417,8 +417,8 @@
         for _ in 0..6 {
             let (req, _) = bench.arrive(|f| f.max_tokens = 2);
             bench.pass(100);
-            let outcome = event::TryOutcome::Done { tokens: 2 };
-            bench.step(event::Event::Ended { req, outcome });
+            let outcome = event::AttemptOutcome::Done { tokens: 2 };
+            bench.step(event::Event::AttemptEnded { req, outcome });
         }
         let (_, actions) = bench.arrive(|f| {
             f.max_tokens = max_tokens;
@@ -452,8 +452,8 @@
             let (other, _) = bench.arrive(|_| {});
             bench.pass(600);
             if answers_others {
-                let outcome = event::TryOutcome::Done { tokens: 1 };
-                bench.step(event::Event::Ended {
+                let outcome = event::AttemptOutcome::Done { tokens: 1 };
+                bench.step(event::Event::AttemptEnded {
                     req: other,
                     outcome,
                 });
@@ -492,7 +492,7 @@
             bench.report(report);
         }
         let span = time::Millis(3_000);
-        bench.step(event::Event::AskedToRest { req, span });
+        bench.step(event::Event::BackoffRequested { req, span });
         bench.fail(req, NOT_RUN, event::Fault::Status(503));
         bench.pass(after);
         let (next, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(10_000)));
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -66,7 +66,7 @@
     Plan,
     /// This process leads no longer: nothing is proposed or sent until
     /// [`Event::OrdersRestored`].
-    LeaderLost,
+    LeadershipLost,
 }
 
 /// What the daemon is to do.
@@ -145,7 +145,7 @@
                 self.leading = true;
                 settle(self.ledger.restore(now, orders))
             }
-            Event::OrderNotSent(id) => self.withdraw(id),
+            Event::OrderNotSent(id) => self.cancel_unsent(id),
             Event::OrderSent(id) => {
                 self.sent(now, id);
                 Vec::new()
@@ -163,7 +163,7 @@
                 Vec::new()
             }
             Event::Plan => self.plan(now),
-            Event::LeaderLost => {
+            Event::LeadershipLost => {
                 self.leading = false;
                 self.ledger.clear_orders();
                 Vec::new()
@@ -181,14 +181,14 @@
         let id = order.order;
         let engine = self.ledger.engine_mut(&order.endpoint);
         let same_start = order.incarnation == engine.incarnation;
-        let ours = engine.unpropose(task) && same_start;
+        let ours = engine.remove_proposal(task) && same_start;
         let allowed = ours && self.still_allowed(now, &order.endpoint, task);
         let mut actions = settle(self.ledger.add(now, order.clone(), !ours));
         if !ours {
             return actions;
         }
         if !allowed {
-            actions.extend(self.withdraw(id));
+            actions.extend(self.cancel_unsent(id));
             return actions;
         }
         if let Some(open) = self.open_order(id) {
@@ -224,17 +224,17 @@
     }
 
     fn open_order(&mut self, id: endpoints::OrderId) -> Option<&mut orders::Open> {
-        let engine = self.ledger.holder_of(id)?;
+        let engine = self.ledger.engine_with_order(id)?;
         engine.orders.iter_mut().find(|open| open.order.order == id)
     }
 
     /// Takes an order back that has certainly not been sent.
-    fn withdraw(&mut self, id: endpoints::OrderId) -> Vec<Action> {
-        let withdrawn = self
+    fn cancel_unsent(&mut self, id: endpoints::OrderId) -> Vec<Action> {
+        let cancelled = self
             .ledger
-            .holder_of(id)
-            .is_some_and(|engine| engine.withdraw(id));
-        if withdrawn {
+            .engine_with_order(id)
+            .is_some_and(|engine| engine.cancel_unsent(id));
+        if cancelled {
             return settle(vec![id]);
         }
         Vec::new()
@@ -242,7 +242,7 @@
 
     fn removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
-            if let Some(engine) = self.ledger.holder_of(*id) {
+            if let Some(engine) = self.ledger.engine_with_order(*id) {
                 engine.remove(*id);
             }
         }
@@ -250,9 +250,9 @@
 
     /// Asks again for the removal of orders that were taken back: a command may get lost before it
     /// reaches the log.
-    fn withdraw_again(&self) -> Vec<Action> {
+    fn repeat_cancellations(&self) -> Vec<Action> {
         let engines = self.ledger.engines().iter();
-        settle(engines.flat_map(engine::Engine::withdrawn).collect())
+        settle(engines.flat_map(engine::Engine::cancelled).collect())
     }
 
     fn sent(&mut self, now: time::Instant, id: endpoints::OrderId) {
@@ -274,7 +274,7 @@
         if !self.leading {
             return Vec::new();
         }
-        let mut actions = self.withdraw_again();
+        let mut actions = self.repeat_cancellations();
         actions.extend(self.resend(now));
         self.budget.refill(now, &self.ledger, &self.policy);
         let pins = self.pinned();
@@ -310,7 +310,7 @@
         for engine in self.ledger.engines_mut().iter_mut().filter(fresh) {
             for open in &mut engine.orders {
                 let due = now.since(open.sent) >= policy.resend_after_ms;
-                if open.seen || open.withdrawn || open.is_settled() || !due {
+                if open.seen || open.cancelled || open.is_settled() || !due {
                     continue;
                 }
                 open.sent = now;
