--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -1,4 +1,5 @@
-//! What a control process knows of a fleet's endpoints and entry processes, and who waits for news.
+//! The state of a fleet at a control process: its endpoints, its entry processes, and the watchers that wait for
+//! changes.
 
 use std::{
     collections, net,
@@ -12,17 +13,17 @@
 use super::{planning, watchers};
 use crate::{locks, records, sampler};
 
-/// How long an entry process counts as there after it was heard. It watches without a pause, and a
-/// watch lasts a second at the most.
+/// How long an entry process counts as present after its last call. It watches without a pause, and a long poll
+/// lasts one second at most.
 const ENTRY_TIMEOUT: time::Millis = time::Millis(3_000);
 
-/// What is known, and who waits for a change of it. A watcher is answered by a `W`.
+/// The known state, and the watchers that wait for a change of it. `W` is the handle that answers a watcher.
 #[derive(Debug)]
 pub struct Hub<W = sageshed_vms::Later> {
-    /// Words of endpoints and of other processes that could not be read.
+    /// Samples the log of messages of endpoints and of other processes that could not be decoded.
     pub misread: sampler::Sampler,
     inner: sync::Mutex<Inner<W>>,
-    /// A round of answers to watchers is due.
+    /// Notified when a round of answers to watchers becomes due sooner.
     due: sync::Condvar,
     planning_tx: mpsc::SyncSender<planning::Input>,
     planning_rx: sync::Mutex<Option<mpsc::Receiver<planning::Input>>>,
@@ -32,74 +33,77 @@
 struct Inner<W> {
     watchers: watchers::Watchers<W>,
     directory: directory::Directory,
-    /// Records of the directory as they travel.
+    /// Encoded records of the directory.
     packed: collections::HashMap<directory::InstanceId, EncodedRecord>,
-    /// Configurations that were held here.
+    /// The versions of the configuration that this process has held.
     versions: versions::Versions,
-    /// Entry processes that this process hears itself.
+    /// The entry processes that watch this process.
     entries: collections::BTreeMap<net::Ipv4Addr, Entry>,
-    /// Entry processes that another control process hears.
+    /// The entry processes that watch other control processes, and when those reported them.
     entries_elsewhere: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
-    /// Up to where the directories of the other control processes are known here.
+    /// Up to which change the directories of the other control processes are known here.
     peers: collections::BTreeMap<net::Ipv4Addr, directory::Mark>,
-    /// Where the other control processes are, as they said.
+    /// The availability zones that the other control processes have reported.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
-    /// What callers asked for and the leader was not told yet.
+    /// The demand of callers that was not reported to the leader yet.
     tally: tally::Tally,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
 
-/// An entry process that is heard.
+/// An entry process that watches this process.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     at: time::Instant,
     /// The version of the configuration in force there.
     config: u64,
-    /// Whether it was behind for [`LAGGING_AFTER`] when it was heard last.
+    /// Whether its configuration had been out of date for [`LAGGING_AFTER`] at its last call.
     is_lagging: bool,
 }
 
-/// Entry processes whose configuration is not the newest.
+/// The entry processes whose configuration is not the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutdatedEntries {
-    /// How many.
+    /// How many there are.
     pub count: usize,
-    /// For how long the one that is behind most has been.
+    /// The longest time that one of them has been out of date.
     pub longest: time::Millis,
 }
 
-/// An entry process whose configuration is older than the newest for this long is logged.
+/// An entry process whose configuration has been out of date for this long is logged.
 const LAGGING_AFTER: time::Millis = time::Millis(1_000);
 
-/// Records in one answer to an entry process. The answers to all watchers that know nothing yet, after a start, have to
-/// fit into the memory of the smallest VMs at once, and each into the time that its watcher waits.
+/// The most records in one response to an entry process. After a start, the responses to all watchers, which know
+/// nothing yet, have to fit into the memory of the smallest VMs at once, and each has to arrive before its watcher
+/// times out.
 const MAX_RECORDS: usize = 200;
 
-/// Bytes of these records, if it is more than one. That of an engine with copies of hundreds of models has 15 KB.
+/// The most bytes of these records, unless a single record is larger. The record of an engine with cached weights of
+/// hundreds of models takes 15 KB.
 const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// How long a record is passed on as it was encoded. It tells how old the word of its endpoint was at that moment; the
-/// shortest time that is judged by that is several times as long.
+/// How long an encoded record is reused. It contains the age of the endpoint's announcement at the time of encoding;
+/// the shortest timeout that is checked against that age is several times as long.
 const ENCODED_LIFETIME: time::Millis = time::Millis(500);
 
-/// A record as it travels.
+/// A record encoded for the wire.
 #[derive(Debug)]
 struct EncodedRecord {
-    /// The change that it tells of.
+    /// The number of the change that it contains.
     number: u64,
     at: time::Instant,
     record: messages::Packed,
 }
 
-/// Lines a second on words that could not be read.
+/// The messages that could not be decoded and are logged per second.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
-/// Inputs for planning that may wait. What entry processes report comes again.
+/// The most inputs that wait for the planning thread. Those that are dropped are lost only for a while: entry processes
+/// report again.
 const PLANNING_QUEUE: usize = 4_096;
 
 impl<W> Hub<W> {
-    /// Knows nothing. `start` tells this start of the process from others.
+    /// Creates an empty hub. `start` distinguishes this start of the process from others.
     #[must_use]
     pub fn new(start: u64) -> Self {
         let (planning_tx, planning_rx) = mpsc::sync_channel(PLANNING_QUEUE);
@@ -124,22 +128,22 @@
         }
     }
 
-    /// The inputs for the planning thread. Given once.
+    /// Takes the receiver of the planning thread's inputs; none if it was taken before.
     pub fn take_planning(&self) -> Option<mpsc::Receiver<planning::Input>> {
         locks::lock(&self.planning_rx).take()
     }
 
-    /// Takes the word of an endpoint.
+    /// Merges the announcement of an endpoint.
     pub fn announce(&self, now: time::Instant, instance: directory::Instance) -> directory::Offer {
         self.change_directory(|it| it.announce(now, instance))
     }
 
-    /// Takes an endpoint's word that it goes.
+    /// Records that an endpoint has announced its end.
     pub fn leave(&self, now: time::Instant, id: &directory::InstanceId) {
         self.change_directory(|it| it.leave(now, id));
     }
 
-    /// Takes what entry processes were told in answers: that these endpoints leave.
+    /// Marks endpoints as leaving that have reported so in their responses to other processes.
     pub fn mark_leaving(&self, now: time::Instant, ids: &[directory::InstanceId]) {
         if ids.is_empty() {
             return;
@@ -147,13 +151,13 @@
         self.change_directory(|it| {
             for id in ids {
                 if it.leaves(now, id) {
-                    ::log::info!(endpoint:% = id; "control: endpoint leaves, by its answers");
+                    ::log::info!(endpoint:% = id; "control: endpoint is leaving, by its responses");
                 }
             }
         });
     }
 
-    /// Takes what the leader's orders did to an engine.
+    /// Amends the record of an engine by the effect of the leader's orders.
     pub fn amend(
         &self,
         now: time::Instant,
@@ -163,7 +167,7 @@
         self.change_directory(|it| it.amend(now, id, amend));
     }
 
-    /// Takes what another control process passes on.
+    /// Merges records that another control process has sent.
     pub fn merge(&self, now: time::Instant, records: Vec<directory::Record>) {
         self.change_directory(|it| {
             for record in records {
@@ -172,7 +176,7 @@
         });
     }
 
-    /// Takes another control process's word of which endpoints live.
+    /// Applies signs of life that another control process has received from endpoints.
     pub fn confirm(&self, now: time::Instant, alive: &[directory::Alive]) {
         if alive.is_empty() {
             return;
@@ -184,7 +188,7 @@
         });
     }
 
-    /// A configuration with this number is held now.
+    /// Records that this process holds the configuration of this version, and tells watchers if it is newer.
     pub fn set_config(&self, now: time::Instant, version: u64) {
         let is_news = self.change(|inner| {
             let is_news = inner.versions.newest() < version;
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Takes those for gone that were silent for too long. Returns their ids.
+    /// Removes entry processes and endpoints that were silent for too long. Returns the ids of the endpoints.
     pub fn expire(&self, now: time::Instant) -> Vec<directory::InstanceId> {
         self.change(|inner| {
             let recent = |at: &time::Instant| now.since(*at) < ENTRY_TIMEOUT;
@@ -208,7 +212,7 @@
         self.change_directory(|it| it.expire(now))
     }
 
-    /// The process stops: nobody is kept waiting.
+    /// Has all watchers answered, since the process stops.
     pub fn stop(&self) {
         self.change(|inner| inner.is_stopping = true);
         self.notify_watchers(watchers::Urgency::Immediate);
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Has `to` answered once something is newer than what `req` knows, or its patience is over.
+    /// Adds a watcher, which is answered once there is a change that `req` does not know, or its timeout has passed.
     pub fn watch(&self, req: messages::WatchReq, responder: W) {
         let is_due_sooner = self.change(|inner| {
             let has_news = inner.has_updates_for(&req);
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Waits for the next round of answers, and takes the watchers that are to be answered in it.
+    /// Waits for the next round of answers, and returns the watchers to answer in it.
     #[must_use]
     pub fn next_round(&self) -> Vec<watchers::Watcher<W>> {
         let mut inner = locks::lock(&self.inner);
@@ -252,7 +256,7 @@
         }
     }
 
-    /// Takes note of who watches.
+    /// Records the process that sends `req`, and the entry processes that it reports.
     pub fn note_watcher(&self, now: time::Instant, req: &messages::WatchReq) {
         self.change(|inner| match req.watcher {
             messages::Watcher::Entry => inner.record_entry(now, req),
@@ -265,13 +269,13 @@
         });
     }
 
-    /// The entry processes that this process hears itself.
+    /// The entry processes that watch this process.
     #[must_use]
     pub fn own_entries(&self) -> Vec<net::Ipv4Addr> {
         locks::lock(&self.inner).entries.keys().copied().collect()
     }
 
-    /// The entry processes heard here whose configuration is not the newest.
+    /// Counts the entry processes that watch this process and whose configuration is not the newest.
     #[must_use]
     pub fn outdated_entries(&self, now: time::Instant) -> OutdatedEntries {
         let inner = locks::lock(&self.inner);
@@ -283,7 +287,7 @@
         })
     }
 
-    /// The entry processes that are there, in order.
+    /// All present entry processes, in the order of their addresses.
     #[must_use]
     pub fn entries(&self) -> Vec<net::Ipv4Addr> {
         let inner = locks::lock(&self.inner);
@@ -292,7 +296,7 @@
         all.into_iter().copied().collect()
     }
 
-    /// What is newer than what `req` knows.
+    /// The changes that the sender of `req` does not know.
     #[must_use]
     pub fn updates(&self, now: time::Instant, req: &messages::WatchReq) -> Updates {
         let mut inner = locks::lock(&self.inner);
@@ -303,12 +307,13 @@
         };
         let (most, most_bytes) = match req.watcher {
             messages::Watcher::Entry => (MAX_RECORDS, MAX_RECORD_BYTES),
-            // Few, and each needs every sign of life in time: by half of them endpoints seem silent.
+            // Control processes are few, and each needs every sign of life in time: with only a part of them,
+            // endpoints would seem silent.
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
         let portion = passing.map(|it| inner.directory.portion(req.mark, it, most));
         let told = portion.map_or_else(
-            // Without the records nothing more is known than before.
+            // Without records the position of the watcher does not advance.
             || DirectoryUpdate::nothing(req.mark),
             |it| inner.encode_portion(now, req, it, most_bytes),
         );
@@ -328,49 +333,49 @@
         }
     }
 
-    /// The directory of another control process is known up to `mark`.
+    /// Records that the directory of another control process is known up to `mark`.
     pub fn set_peer_cursor(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
         self.change(|inner| inner.peers.insert(ip, mark));
     }
 
-    /// Up to where the directories of the other control processes are known.
+    /// Up to which change the directories of the other control processes are known.
     #[must_use]
     pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Mark)> {
         let inner = locks::lock(&self.inner);
         inner.peers.iter().map(|(ip, mark)| (*ip, *mark)).collect()
     }
 
-    /// Where another control process is, if it has said so.
+    /// The availability zone of another control process, if it has reported one.
     #[must_use]
     pub fn control_zone(&self, ip: net::Ipv4Addr) -> Option<String> {
         locks::lock(&self.inner).control_zones.get(&ip).cloned()
     }
 
-    /// The instances that are there, and their latest word.
+    /// All present instances, as they were announced last.
     #[must_use]
     pub fn present(&self) -> Vec<sync::Arc<directory::Instance>> {
         locks::lock(&self.inner).directory.snapshot()
     }
 
-    /// The instances that are there and followed another start of their endpoint lately.
+    /// The present instances that have recently replaced another one of the same endpoint.
     #[must_use]
     pub fn restarted(&self) -> Vec<directory::InstanceId> {
         locks::lock(&self.inner).directory.restarted()
     }
 
-    /// Hands what callers asked for to the planning thread.
+    /// Hands the demand of callers to the planning thread.
     pub fn demand(&self, demand: Vec<messages::Demand>) {
         if !demand.is_empty() {
             self.plan(planning::Input::Demand(demand));
         }
     }
 
-    /// What callers asked for and the leader was not told yet.
+    /// Runs `tell` on the demand that was not reported to the leader yet.
     pub fn with_demand<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
         self.change(|inner| tell(&mut inner.tally))
     }
 
-    /// Takes crashes that another process tells of, and wakes those who are to know.
+    /// Merges crashes that another process reports, and answers watchers at once if they have to know.
     pub fn merge_crashes(&self, now: time::Instant, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
@@ -378,17 +383,17 @@
         let taken = self.change(|inner| inner.quarantine.take_all(now, crashes));
         for content in &taken.held {
             ::log::warn!(content:% = content, ends = quarantine::ENDS;
-                "control: request is held, endpoints ended under it");
+                "control: request is quarantined, endpoints crashed while running it");
         }
         for content in &taken.released {
-            ::log::info!(content:% = content; "control: request is held no more, it was answered");
+            ::log::info!(content:% = content; "control: request is no longer quarantined, it was answered");
         }
         if taken.is_news {
             self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
-    /// Takes which requests are held by the replicated log.
+    /// Applies the quarantined requests that the replicated log has stored.
     pub fn restore_held(&self, now: time::Instant, held: &[quarantine::Held]) {
         let is_news = self.change(|inner| {
             let before = inner.quarantine.mark();
@@ -396,31 +401,31 @@
             inner.quarantine.mark() != before
         });
         if is_news {
-            ::log::info!(requests = held.len(); "control: requests are held by the log");
+            ::log::info!(requests = held.len(); "control: quarantined requests restored from the log");
             self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
-    /// Looks at which requests endpoints have ended under.
+    /// Runs `look` on the recorded crashes and quarantined requests.
     pub fn with_quarantine<T>(&self, look: impl FnOnce(&mut quarantine::Quarantine) -> T) -> T {
         self.change(|inner| look(&mut inner.quarantine))
     }
 
-    /// Hands a want to the planning thread.
+    /// Hands the request for an adapter to the planning thread.
     pub fn request_adapter(&self, want: messages::WantReq) {
         self.plan(planning::Input::Want(want));
     }
 
-    /// Hands something to the planning thread.
+    /// Hands an input to the planning thread. It is dropped if the queue is full.
     pub fn plan(&self, input: planning::Input) {
         if self.planning_tx.try_send(input).is_err() {
-            ::log::warn!("control: planning is behind, an input is dropped");
+            ::log::warn!("control: planning queue is full, dropped an input");
         }
     }
 
-    /// Changes the directory, and wakes those who watch it where there is news by that.
+    /// Changes the directory, and tells watchers if the change concerns them.
     ///
-    /// Signs of life are no news: each would cost an answer to each watcher, mostly with nothing to use.
+    /// Signs of life do not: each would cost a response to each watcher, mostly without useful content.
     fn change_directory<T>(&self, change: impl FnOnce(&mut directory::Directory) -> T) -> T {
         let (made, is_news) = self.change(|inner| {
             let before = inner.directory.mark();
@@ -439,7 +444,7 @@
 }
 
 impl<W> Inner<W> {
-    /// Takes the watchers that are to be answered now.
+    /// Removes and returns the watchers to answer now.
     fn take_due(&mut self, now: std_time::Instant) -> Vec<watchers::Watcher<W>> {
         let mut watchers = std::mem::take(&mut self.watchers);
         let due = watchers.take_due(now, |req| self.has_updates_for(req));
@@ -447,7 +452,7 @@
         due
     }
 
-    /// The records of a portion as they travel, as many as so many bytes hold, and one at least.
+    /// Encodes the records of a portion: as many as fit into `most_bytes`, and at least one.
     fn encode_portion(
         &mut self,
         now: time::Instant,
@@ -479,10 +484,10 @@
         told
     }
 
-    /// The record of a change as it travels, encoded once for all watchers.
+    /// Returns the encoded record of a change, encoded once for all watchers.
     ///
-    /// Encoded for each of some hundred watchers anew, the records of a fleet took all of the processor, and the watchers
-    /// were answered too late.
+    /// Encoding the records of a fleet for each of several hundred watchers took all of the CPU, and the watchers were
+    /// answered too late.
     fn encode_record(
         &mut self,
         now: time::Instant,
@@ -505,7 +510,7 @@
         Some(record)
     }
 
-    /// Takes note of an entry process, and logs when its configuration becomes or no longer is out of date.
+    /// Records an entry process, and logs when its configuration becomes out of date or is up to date again.
     fn record_entry(&mut self, now: time::Instant, req: &messages::WatchReq) {
         let behind = self.versions.behind(now, req.config);
         let is_lagging = behind.is_some_and(|it| it >= LAGGING_AFTER);
@@ -528,12 +533,12 @@
         }
     }
 
-    /// Whether a watcher is to be told of a newer configuration. One that was told fetches it, which takes a while.
+    /// Whether a watcher has to be told of a newer configuration. One that was told of it needs a while to fetch it.
     fn has_config_for(&self, req: &messages::WatchReq) -> bool {
         self.versions.newest() > req.config.max(req.config_told.unwrap_or(0))
     }
 
-    /// Whether there is something for a watcher.
+    /// Whether there is something to answer a watcher with.
     fn has_updates_for(&self, req: &messages::WatchReq) -> bool {
         let has_news = req.wants != messages::Wants::Digest && self.directory.has_news(req.mark);
         let crashes_known = req.crashes_known;
@@ -543,7 +548,7 @@
     }
 }
 
-/// What of the crashes a watcher is to be told.
+/// Which crashes a watcher is sent.
 fn sync_scope(req: &messages::WatchReq) -> quarantine::Telling {
     match req.watcher {
         messages::Watcher::Control => quarantine::Telling::All,
@@ -551,10 +556,10 @@
     }
 }
 
-/// What a watcher is told of the directory.
+/// The changes of the directory that a watcher is sent.
 #[derive(Debug)]
 struct DirectoryUpdate {
-    /// Up to where it knows the directory then.
+    /// Up to which change it knows the directory with them.
     mark: directory::Mark,
     records: Vec<messages::Packed>,
     alive: Vec<directory::Alive>,
@@ -572,27 +577,27 @@
     }
 }
 
-/// What is newer than what a watcher knows.
+/// The changes that a watcher does not know.
 #[derive(Debug)]
 pub struct Updates {
-    /// Up to where the directory is known with it.
+    /// Up to which change the watcher knows the directory with them.
     pub mark: directory::Mark,
-    /// What changed in the directory, as far as it goes into one answer.
+    /// The changed records of the directory that fit into one response.
     pub records: Vec<messages::Packed>,
-    /// Of which instances nothing changed but that they were heard.
+    /// The instances of which only a sign of life is new.
     pub alive: Vec<directory::Alive>,
-    /// Whether there is more.
+    /// Whether more changes are to be fetched.
     pub has_more: bool,
     /// The digest of the directory.
     pub digest: u64,
-    /// Up to where the directory has that digest.
+    /// The last change that the digest includes.
     pub digest_mark: directory::Mark,
-    /// Its last change that was news.
+    /// The last change of the directory other than a sign of life.
     pub news_mark: directory::Mark,
-    /// The number of the configuration that is held.
+    /// The version of the configuration that this process holds.
     pub config: u64,
-    /// Up to where crashes are known with it.
+    /// Up to which change the watcher knows the crashes with them.
     pub crashes_mark: quarantine::Mark,
-    /// What was learnt of them.
+    /// The crashes that are new to the watcher.
     pub crashes: Vec<quarantine::Crash>,
 }
--- a/src/sageshed/control/fleet/mod.rs
+++ b/src/sageshed/control/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What a control process does for a fleet whose configuration an operator replaces as a whole.
+//! The part of a control process that serves a fleet whose configuration the operator replaces as a whole.
 //!
-//! The replicated log, elections and membership are those of any control process. On top of them this
-//! takes the operator's configuration and the endpoints' announcements ([`port`]), tells entry
-//! processes and the other control processes what is new ([`watch`], [`hub`]), and orders engines
-//! while this process leads ([`planning`]).
+//! The replicated log, elections and membership are shared with other control processes. On top of them,
+//! this module takes the operator's configuration and the endpoints' announcements ([`port`]), sends
+//! changes to entry processes and other control processes ([`watch`], [`hub`]), and plans the placement
+//! of models on engines while this process leads ([`planning`]).
 
 pub mod hub;
 pub mod planning;
@@ -19,14 +19,14 @@
 use super::{inputs, run::StartError, shared};
 use crate::{metrics_port, settings};
 
-/// The servers of the fleet's ports; they run for as long as this is kept.
+/// The servers of the fleet's ports, which run until this is dropped.
 #[derive(Debug)]
 pub struct Ports {
     _fleet: server::Server,
     _metrics: Option<server::Server>,
 }
 
-/// Starts the ports, within `limits` each, and threads.
+/// Starts the servers, each within `limits`, and the threads of the fleet.
 pub(super) fn start<D: dialect::Dialect>(
     shared: &sync::Arc<shared::Shared>,
     inputs: &inputs::Inputs,
@@ -97,6 +97,6 @@
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) {
     let spawned = thread::Builder::new().name(name.to_owned()).spawn(run);
     if let Err(e) = spawned {
-        ::log::error!(name, error:% = e; "control: no thread");
+        ::log::error!(name, error:% = e; "control: cannot start a thread");
     }
 }
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -1,4 +1,4 @@
-//! The thread that plans placement while this process leads, and those that carry its orders out.
+//! Plans the placement of models while this process leads, and sends the planner's orders and queries to engines.
 
 use std::{
     net,
@@ -11,43 +11,43 @@
 
 use crate::{control::shared, locks};
 
-/// Between two looks at what there is to do. A want is looked at when it comes.
+/// The longest interval between two planning passes. An input starts one at once.
 const PLANNING_INTERVAL: std_time::Duration = std_time::Duration::from_millis(50);
 
-/// Between two lines in the log on what a leader sees.
+/// The interval between two summaries of the placement in the log.
 const SUMMARY_INTERVAL: std_time::Duration = std_time::Duration::from_secs(2);
 
-/// Inputs taken in before one look.
+/// The most inputs that are applied before one planning pass.
 const MAX_BATCH: usize = 256;
 
-/// Threads that give orders to engines.
+/// The number of threads that send orders to engines.
 const ORDER_THREADS: usize = 6;
 
-/// Threads that ask engines for their reports. An order never waits behind a query.
+/// The number of threads that query engines for their reports. They are separate, so that no order waits for a query.
 const REPORT_THREADS: usize = 6;
 
-/// The part of the time that looks may take: after each, others follow only once so many times its own length
-/// has passed. A look walks all engines.
+/// The pause after a planning pass, as a multiple of its duration. It bounds the CPU time of planning, since a pass
+/// iterates over all engines.
 const PAUSE_PER_PASS: u32 = 4;
 
-/// How long an engine may take to answer an order or a query.
+/// The timeout for an order or a query to an engine.
 const CALL_TIMEOUT: std_time::Duration = std_time::Duration::from_millis(500);
 
-/// The largest answer of an engine, in bytes.
+/// The largest response of an engine.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Something for the planner.
+/// An input for the planner.
 #[derive(Debug)]
 pub enum Input {
-    /// What callers asked an entry process for.
+    /// The demand that an entry process has reported.
     Demand(Vec<messages::Demand>),
     /// A request waits for an adapter.
     Want(messages::WantReq),
-    /// What became of an order.
+    /// An order, and the engine's answer if one arrived.
     Answered(Box<dialect::Order>, Option<dialect::OrderAnswer>),
-    /// An engine's report, if it gave one.
+    /// The report of an engine; none if the query failed.
     Reported(directory::InstanceId, Option<dialect::Report>),
-    /// What an engine says of itself in an answer.
+    /// A backpressure notice that an engine has added to a response.
     Notice(directory::InstanceId, dialect::Notice),
 }
 
@@ -58,7 +58,7 @@
     address: net::SocketAddrV4,
 }
 
-/// What the planning thread owns.
+/// The state of the planning thread.
 struct Planning<D> {
     shared: sync::Arc<shared::Shared>,
     dialect: D,
@@ -70,14 +70,14 @@
     last_summary: std_time::Instant,
 }
 
-/// Runs until the process stops.
+/// Runs the planning thread until the process stops.
 pub fn run<D: dialect::Dialect>(
     shared: &sync::Arc<shared::Shared>,
     dialect: D,
     policy: planner::Policy,
 ) {
     let Some(inputs) = shared.hub.take_planning() else {
-        return ::log::error!("control: planning was started twice");
+        return ::log::error!("control: planning thread started twice");
     };
     let pool = pool::Pool::new(pool::Settings::default());
     let orders = start_workers(shared, "orders", ORDER_THREADS, {
@@ -120,7 +120,7 @@
                 }
                 Input::Notice(instance, notice) => {
                     ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.rest,
-                        leaves = notice.leaves; "control: endpoint asks for something in an answer");
+                        leaves = notice.leaves; "control: engine reports a backpressure notice");
                     self.planner.heed(now, &instance, notice);
                 }
                 Input::Answered(order, answer) => {
@@ -163,7 +163,7 @@
         self.carry_out(actions);
     }
 
-    /// Whether this process leads. Tells the planner when that changes.
+    /// Returns whether this process leads, and tells the planner when that changes.
     fn follow_leadership(&mut self) -> bool {
         let term = locks::read(&self.shared.view).status.term.0;
         if !self.shared.leads() {
@@ -173,7 +173,7 @@
         if !self.planner.is_leading() || self.term != term {
             self.term = term;
             self.planner.leads(self.shared.clock.now(), term);
-            ::log::info!(term; "control: plans placement");
+            ::log::info!(term; "control: planning placement as leader");
         }
         true
     }
@@ -187,7 +187,7 @@
         }
         match self.dialect.config(fleet.text.as_bytes()) {
             Ok(config) => self.config = Some(config),
-            Err(e) => ::log::error!(error:% = e; "control: configuration held can't be read"),
+            Err(e) => ::log::error!(error:% = e; "control: cannot parse the stored configuration"),
         }
     }
 
@@ -202,7 +202,7 @@
                 }
                 planner::Action::Order(order) => {
                     if self.orders.send(order).is_err() {
-                        ::log::error!("control: no thread carries out orders");
+                        ::log::error!("control: no thread sends orders");
                     }
                 }
                 planner::Action::AskReport { instance, address } => {
@@ -211,7 +211,7 @@
                         .send(ReportQuery { instance, address })
                         .is_err()
                     {
-                        ::log::error!("control: no thread asks for reports");
+                        ::log::error!("control: no thread queries reports");
                     }
                 }
             }
@@ -219,7 +219,7 @@
     }
 }
 
-/// The busiest models in a few words: copies and those on their way, and the engines kept busy.
+/// Describes the busiest models for the log: loaded and loading replicas, and the number of engines kept busy.
 fn describe_busiest(models: &[planner::Busy]) -> String {
     let models = models.iter().map(|it| {
         let planner::Busy {
@@ -233,7 +233,7 @@
     models.collect::<Vec<_>>().join(", ")
 }
 
-/// Shows in an engine's record what an order did to it.
+/// Applies the effect of an order to the record of an engine.
 fn apply_task(instance: &mut directory::Instance, task: &dialect::Task) {
     match task {
         dialect::Task::Load(_) => {}
@@ -253,7 +253,7 @@
     }
 }
 
-/// Starts threads that carry out calls to engines, each by `call`, and hand what came of them to the planner.
+/// Starts threads that call engines by `call` and hand the results to the planner.
 fn start_workers<T: Send + 'static>(
     shared: &sync::Arc<shared::Shared>,
     name: &str,
@@ -275,20 +275,20 @@
             }
         });
         if let Err(e) = spawned {
-            ::log::error!(error:% = e, name; "control: no thread for calls to engines");
+            ::log::error!(error:% = e, name; "control: cannot start a thread for calls to engines");
         }
     }
     tx
 }
 
-/// Gives an order to an engine.
+/// Sends an order to an engine, if this process still leads.
 fn send_order<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
     pool: &pool::Pool,
     order: dialect::Order,
 ) -> Input {
-    // The process may have been frozen since the order was decided.
+    // The process may have been suspended since the order was planned.
     let answer = if shared.leads() {
         match exchange_with(pool, order.address, &dialect.order(&order)) {
             Ok((head, _)) => {
@@ -304,7 +304,7 @@
     Input::Answered(Box::new(order), answer)
 }
 
-/// Asks an engine for its report.
+/// Queries an engine for its report.
 fn query_report<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
@@ -319,7 +319,7 @@
             read_report(dialect, &instance, head.status, &body)
         }
         Err(e) => {
-            ::log::info!(endpoint:% = instance, error:% = e; "control: no report");
+            ::log::info!(endpoint:% = instance, error:% = e; "control: cannot query the report of an engine");
             None
         }
     };
@@ -333,19 +333,19 @@
     body: &[u8],
 ) -> Option<dialect::Report> {
     if status != 200 {
-        ::log::info!(endpoint:% = instance, status; "control: no report");
+        ::log::info!(endpoint:% = instance, status; "control: engine refused to report");
         return None;
     }
     match dialect.report(body) {
         Ok(report) => Some(report),
         Err(e) => {
-            ::log::warn!(endpoint:% = instance, error:% = e; "control: report not read");
+            ::log::warn!(endpoint:% = instance, error:% = e; "control: cannot parse the report of an engine");
             None
         }
     }
 }
 
-/// Takes note of what an engine says of itself in an answer.
+/// Applies the notice in a response of an engine.
 fn heed<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
@@ -387,7 +387,7 @@
         until: std_time::Instant::now() + CALL_TIMEOUT,
         stop: &|| false,
     };
-    // A connection that the engine closes in this very moment would leave the fate of an order open.
+    // If the engine closed an idle connection at the same moment, the outcome of the order would be unknown.
     let max_age = std_time::Duration::from_secs(1);
     let mut answer = pool.exchange(address, &req, max_age, &patience)?;
     let head = answer.head.clone();
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -1,4 +1,4 @@
-//! The port for the operator and for endpoints.
+//! The HTTP port for the operator's configuration and the endpoints' announcements.
 
 use std::{net, sync};
 
@@ -15,35 +15,35 @@
     locks, sampler,
 };
 
-/// When to come back while there is no leader or the group can't commit.
+/// The retry delay while there is no leader or the group can't commit.
 const RETRY_AFTER: time::Millis = time::Millis(300);
 
-/// The largest announcement that is read, in bytes. An engine that holds three of 500 models and copies of
-/// all of them announces some 15 KB; each is passed on to all entry processes.
+/// The largest announcement that is accepted. An engine that holds three of 500 models and has the weights of all of
+/// them cached announces about 15 KB; each announcement is sent to all entry processes.
 const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
-/// Takes the calls of the operator and of endpoints.
+/// Handles the calls of the operator and of endpoints.
 #[derive(Debug)]
 pub struct FleetHandler<D> {
-    /// What this process publishes.
+    /// The shared state of this process.
     pub shared: sync::Arc<shared::Shared>,
-    /// To the driver of the log.
+    /// The queue to the driver of the replicated log.
     pub inputs: inputs::Inputs,
-    /// The protocol.
+    /// The protocol of the operator and of endpoints.
     pub dialect: D,
-    /// This port, the same on every control VM.
+    /// The number of this port, which is the same on every control VM.
     pub port: u16,
 }
 
-/// What to answer.
+/// The result of a call.
 enum Outcome {
-    /// Done.
+    /// The call succeeded, with this body.
     Ok(String),
-    /// The leader answers this.
+    /// Only the leader serves the call, at this address.
     Redirect(net::Ipv4Addr),
-    /// It can't be done now; it was not done, or may have been where that does no harm.
+    /// The call can't be served now. It had no effect, or may have had one if repeating it is harmless.
     Unavailable(&'static str),
-    /// It can't be done.
+    /// The call is invalid.
     Invalid(String),
 }
 
@@ -143,7 +143,7 @@
             directory::Offer::Confirmed => {}
             directory::Offer::Full => {
                 ::log::warn!(endpoint:% = id, kept = directory::MOST_KEPT;
-                    "control: too many endpoints, one is not taken in");
+                    "control: too many endpoints, refused another one");
                 return Outcome::Unavailable("as many endpoints are known as are kept");
             }
         }
@@ -156,29 +156,29 @@
             Err(e) => return self.refuse_malformed(endpoint, &e),
         };
         self.shared.hub.leave(self.shared.clock.now(), &id);
-        ::log::info!(endpoint:% = id; "control: endpoint leaves");
+        ::log::info!(endpoint:% = id; "control: endpoint announces its end");
         Outcome::Ok("{}".to_owned())
     }
 
-    /// What can't be read names no endpoint, and what is believed stays. A writer that goes wrong may
-    /// send such words without end, so few of them are logged.
+    /// Refuses a malformed announcement, which identifies no endpoint and changes no record. A faulty client may send
+    /// them without end, so only a sample is logged.
     fn refuse_malformed(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
-                ::log::warn!(endpoint, error:% = e; "control: word of an endpoint not understood");
+                ::log::warn!(endpoint, error:% = e; "control: malformed announcement refused");
             }
             sampler::Line::WriteAfter(left_out) => {
-                ::log::warn!(endpoint, error:% = e, left_out; "control: word of an endpoint not understood");
+                ::log::warn!(endpoint, error:% = e, left_out; "control: malformed announcement refused");
             }
             sampler::Line::LeaveOut => {}
         }
         Outcome::Invalid(e.to_string())
     }
 
-    /// Has a configuration committed.
+    /// Commits a configuration to the replicated log.
     ///
-    /// It is acknowledged only by a group that is large enough: with three voters two would do so, and
-    /// both may be gone right after with their disks ([`sageshed_quorum::repair`]).
+    /// It is acknowledged only if the group is large enough: of three voters two would acknowledge it, and
+    /// both might then lose their disks ([`sageshed_quorum::repair`]).
     fn replace(&self, body: &[u8]) -> Outcome {
         let config = match self.dialect.config(body) {
             Ok(config) => config,
@@ -190,8 +190,8 @@
         let Ok(text) = String::from_utf8(body.to_vec()) else {
             return refuse_config("it is not UTF-8".to_owned());
         };
-        if let Some(redirect) = self.redirect_unless_leader() {
-            return redirect;
+        if let Some(outcome) = self.redirect_unless_leader() {
+            return outcome;
         }
         if !self.is_large_enough() {
             return Outcome::Unavailable(
@@ -206,28 +206,28 @@
                 Outcome::Ok("{}".to_owned())
             }
             Fate::Applied(None) | Fate::Unknown => {
-                ::log::warn!(version; "control: configuration may be in force or not");
+                ::log::warn!(version; "control: unknown whether the configuration was committed");
                 Outcome::Unavailable("it is not known whether the change was accepted")
             }
             Fate::NotDone(why) => {
-                ::log::warn!(version, why:? = why; "control: configuration not accepted");
+                ::log::warn!(version, why:? = why; "control: configuration not committed");
                 Outcome::Unavailable("the change can't be committed now")
             }
         }
     }
 
     fn is_large_enough(&self) -> bool {
-        // A configuration was accepted only once the group had all its voters.
+        // The first configuration is acknowledged only when the group has all its voters.
         let was_complete = locks::read(&self.shared.state).fleet().version > 0;
         let view = locks::read(&self.shared.view);
         let policy = self.shared.repair_policy();
         policy.may_acknowledge(&view.status.membership, was_complete)
     }
 
-    /// The configuration, once a majority has confirmed that this process still leads.
+    /// Reads the configuration once a majority has confirmed that this process still leads.
     fn read(&self) -> Outcome {
-        if let Some(redirect) = self.redirect_unless_leader() {
-            return redirect;
+        if let Some(outcome) = self.redirect_unless_leader() {
+            return outcome;
         }
         match self.inputs.read() {
             Fate::Applied(_) => {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Where to send a call that only the leader answers, if this process is not it.
+    /// Redirects a call that only the leader serves, unless this process leads.
     fn redirect_unless_leader(&self) -> Option<Outcome> {
         if self.shared.leads() {
             return None;
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! Answers those who watch this process, and watches the other control processes.
+//! Answers the long polls of watchers, and watches the other control processes.
 
 use std::{
     collections::{self, hash_map},
@@ -13,27 +13,27 @@
 
 use crate::{control::shared, locks, records};
 
-/// How long a watch is kept where nothing is new. A watcher takes a connection for lost soon after.
+/// How long a long poll is kept open if nothing changes. The watcher takes the connection for lost soon after that.
 const WATCH_TIMEOUT: time::Millis = time::Millis(800);
 
-/// The same at the leader, which is told then what callers asked for: loads take seconds, and begin late
-/// where a rise of demand is known late.
+/// The same for calls to the leader, which report the demand of callers: model loads take seconds, and start late if
+/// a rise of demand is reported late.
 const LEADER_WATCH_TIMEOUT: time::Millis = time::Millis(200);
 
-/// Added to the patience of a call: the way there and back, and a pause of either process.
+/// Added to the timeout of a long poll: the round trip, and a pause of either process.
 const CALL_MARGIN: std_time::Duration = std_time::Duration::from_millis(400);
 
-/// Between two looks for control processes that are not watched yet.
+/// The interval between two checks for control processes that are not watched yet.
 const PEER_CHECK_INTERVAL: std_time::Duration = std_time::Duration::from_millis(200);
 
-/// Between two tries to watch one that can't be reached.
+/// The delay after a failed call to another control process.
 const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(300);
 
-/// A control process that could not be reached for this long is watched no longer, until it is heard
-/// of again.
+/// How long a control process may be unreachable until it is no longer watched. It is watched again once another
+/// process reports it.
 const PEER_LOST_AFTER: std_time::Duration = std_time::Duration::from_secs(30);
 
-/// Takes a watch, which is answered by [`answer_watchers`] once there is something new.
+/// Accepts a long poll, which [`answer_watchers`] answers once there is something new.
 pub fn accept_watch(
     shared: &shared::Shared,
     mut req: messages::WatchReq,
@@ -65,13 +65,13 @@
     }
 }
 
-/// What the answers of one round have in common.
+/// The data that all answers of one round share.
 struct RoundData {
     control: Vec<messages::ControlVm>,
     leader: Option<net::Ipv4Addr>,
     entries: Vec<net::Ipv4Addr>,
     entries_number: u64,
-    /// Read before what is told of the directory, which then has at least as much.
+    /// Read before the changes of the directory, which then include at least these positions.
     peers: Vec<(net::Ipv4Addr, directory::Mark)>,
 }
 
@@ -89,7 +89,7 @@
 
     fn answer(&self, shared: &shared::Shared, req: &messages::WatchReq) -> messages::WatchResp {
         let news = shared.hub.updates(shared.clock.now(), req);
-        // Only whoever takes endpoints takes the list of entry processes too.
+        // Only the link that receives endpoint records receives the list of entry processes too.
         let takes_entries = req.wants == messages::Wants::News;
         let entries_number = if takes_entries {
             self.entries_number
@@ -121,7 +121,7 @@
     }
 }
 
-/// The configuration that is newer than that of a watcher which does not fetch it.
+/// The newest configuration, for a watcher that has an older one and does not fetch it in chunks.
 fn newer_config(shared: &shared::Shared, req: &messages::WatchReq) -> Option<document::Document> {
     if req.config_told.is_some() {
         return None;
@@ -131,14 +131,15 @@
     (newest.version > req.config).then(|| newest.clone())
 }
 
-/// Answers with a chunk of the newest configuration, or of the one that is being fetched.
+/// Answers the request for a chunk of the newest configuration, or of the one whose fetch is in progress.
 #[must_use]
 pub fn chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> messages::ConfigResp {
     let chunk = match lookup_chunk(shared, req) {
         changes::Answer::Chunk(chunk) => Some(chunk),
         changes::Answer::Nothing => None,
         changes::Answer::Compress(_) => {
-            // One at a time: many ask for the same at once, and the driver of the log must not wait for it.
+            // One thread at a time: many processes request the same payload at once, and the driver of the log must
+            // not wait for the compression.
             let _one = locks::lock(&shared.compressing);
             compress(shared, req)
         }
@@ -150,7 +151,7 @@
     locks::lock(&shared.config_history).answer(shared.clock.now(), req)
 }
 
-/// Makes the payload, unless another thread has made it meanwhile, and takes the chunk of it.
+/// Compresses the payload unless another thread has done so meanwhile, and returns the requested chunk.
 fn compress(shared: &shared::Shared, req: &messages::ConfigReq) -> Option<transfer::Chunk> {
     if let changes::Answer::Compress(job) = lookup_chunk(shared, req) {
         match job.run() {
@@ -158,7 +159,7 @@
                 let mut history = locks::lock(&shared.config_history);
                 history.keep_payload(shared.clock.now(), &job, bytes);
             }
-            Err(e) => ::log::error!(error:% = e; "control: configuration not sent"),
+            Err(e) => ::log::error!(error:% = e; "control: cannot compress the configuration"),
         }
     }
     match lookup_chunk(shared, req) {
@@ -167,7 +168,8 @@
     }
 }
 
-/// Hands what callers asked for to the planner where this process leads, else on to the leader.
+/// Hands the reported demand to the planner if this process leads. Otherwise adds what an entry process has reported to
+/// the demand that is reported to the leader.
 fn take_demand(shared: &shared::Shared, req: &mut messages::WatchReq) {
     let demand = std::mem::take(&mut req.demand);
     if shared.leads() {
@@ -177,7 +179,7 @@
     }
 }
 
-/// The control processes that this one knows, itself included.
+/// All known control processes, this one included.
 fn control_vms(shared: &shared::Shared) -> Vec<messages::ControlVm> {
     let own = messages::ControlVm {
         ip: shared.node.vm.into(),
@@ -194,14 +196,14 @@
     peers.chain([own]).collect()
 }
 
-/// Equal for equal lists, and hardly ever for others.
+/// A hash that identifies a list of entry processes.
 fn entries_hash(entries: &[net::Ipv4Addr]) -> u64 {
     let mut hasher = hash_map::DefaultHasher::new();
     entries.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Watches each other control process with a thread of its own, for as long as this one runs.
+/// Watches each other control process in a thread of its own, for as long as this process runs.
 pub fn watch_peers(shared: &sync::Arc<shared::Shared>, client: &sageshed_vms::Client) {
     let watched: sync::Arc<sync::Mutex<collections::BTreeSet<u32>>> = sync::Arc::default();
     while !shared.is_stopping() {
@@ -218,7 +220,7 @@
                     locks::lock(&watched).remove(&vm);
                 });
             if let Err(e) = spawned {
-                ::log::error!(error:% = e; "control: no thread to watch another control process");
+                ::log::error!(error:% = e; "control: cannot start a thread to watch another control process");
             }
         }
         thread::sleep(PEER_CHECK_INTERVAL);
@@ -246,7 +248,7 @@
             ip: shared.node.vm.into(),
             availability_zone: shared.settings.vm.availability_zone.clone(),
             wants: messages::Wants::All,
-            // The log brings the configuration.
+            // Control processes receive the configuration by the replicated log.
             config: u64::MAX,
             config_told: None,
             mark,
@@ -284,7 +286,7 @@
                 crashes_known = resp.crashes_mark.unwrap_or_default();
             }
             Err(e) => {
-                ::log::debug!(error:% = e; "control: another control process is not watched");
+                ::log::debug!(error:% = e; "control: cannot watch another control process");
                 let now = shared.clock.now();
                 shared.hub.with_demand(|it| it.put_back(now, req.demand));
                 thread::sleep(RETRY_INTERVAL);
--- a/src/sageshed/control/fleet/watchers.rs
+++ b/src/sageshed/control/fleet/watchers.rs
@@ -1,43 +1,43 @@
-//! Calls that wait for news, and when they are answered.
+//! The long polls that wait for changes, and when they are answered.
 //!
-//! # The load pattern
+//! # Load
 //!
-//! Hundreds of processes watch one control process, and in a release or after a start an endpoint changes every
-//! few milliseconds. Answered change by change, each watcher would cost an answer for each change. So news is
-//! collected and all watchers are answered in rounds, at most one in [`MIN_ROUND_INTERVAL`]; a new configuration and what
-//! concerns held requests begin a round at once. Watchers whose patience is over are answered with the next round.
+//! Hundreds of processes watch one control process, and during a release or after a start an endpoint changes every
+//! few milliseconds. Answering change by change would cost one response per watcher and change. So changes are
+//! collected and all watchers are answered in rounds, at most one per [`MIN_ROUND_INTERVAL`]. A new configuration and
+//! changes of quarantined requests start a round at once. Watchers that time out are answered with the next round.
 
 use std::time;
 
 use sageshed_fleet::messages;
 
-/// At least this long between two rounds of answers that could be collected.
+/// The shortest interval between two rounds of answers for changes that may be collected.
 pub const MIN_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(30);
 
-/// How soon watchers have to know.
+/// How soon watchers have to be told of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next round.
     Batched,
-    /// At once.
+    /// At once, in a round of its own.
     Immediate,
 }
 
-/// A call that waits.
+/// A long poll that waits for changes.
 #[derive(Debug)]
 pub struct Watcher<W> {
-    /// What it knows.
+    /// The call, which says what its sender knows.
     pub req: messages::WatchReq,
-    /// The means to answer it.
+    /// The handle that answers the call.
     pub responder: W,
     until: time::Instant,
 }
 
-/// All calls that wait.
+/// All long polls that wait for changes.
 #[derive(Debug)]
 pub struct Watchers<W> {
     waiting: Vec<Watcher<W>>,
-    /// The end of the shortest patience.
+    /// When the next long poll times out.
     next_timeout: Option<time::Instant>,
     last_round: Option<time::Instant>,
     news: Option<Urgency>,
@@ -55,7 +55,7 @@
 }
 
 impl<W> Watchers<W> {
-    /// Adds a call. Returns whether the next round is sooner by that.
+    /// Adds a long poll. Returns whether the next round is due sooner because of it.
     pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, responder: W) -> bool {
         let until = now + req.patience.into();
         self.waiting.push(Watcher {
@@ -70,7 +70,7 @@
         is_sooner
     }
 
-    /// Something changed. Returns whether the next round is sooner by that.
+    /// Notes a change. Returns whether the next round is due sooner because of it.
     pub fn note_change(&mut self, urgency: Urgency) -> bool {
         let is_sooner = match self.news {
             None => true,
@@ -83,7 +83,7 @@
         is_sooner
     }
 
-    /// How long it is to the next round; none while nobody waits for anything.
+    /// The time until the next round is due; none while no watcher waits and nothing has changed.
     #[must_use]
     pub fn next_round(&self, now: time::Instant) -> Option<time::Duration> {
         let due = match self.news {
@@ -97,8 +97,8 @@
         Some(due.saturating_duration_since(now))
     }
 
-    /// Takes the calls that are to be answered now: where a round is due, those for which `is_newer` holds and
-    /// those whose patience is over.
+    /// Removes and returns the long polls to answer now: if a round is due, those for which `is_newer` holds and those
+    /// that have timed out.
     pub fn take_due(
         &mut self,
         now: time::Instant,
