--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -10,29 +10,29 @@
 const ADAPTER_ARRIVAL: time::Millis = time::Millis(25);
 
 /// Adapters on their way to one engine at once.
-const ADAPTERS_IN_TRANSIT: usize = 3;
+const MAX_ADAPTERS_IN_TRANSIT: usize = 3;
 
 /// How long an order without an answer may still be carried out. Some were after twelve seconds.
-pub(super) const UNKNOWN_FATE: time::Millis = time::Millis(13_000);
+pub(super) const UNCONFIRMED_TIMEOUT: time::Millis = time::Millis(13_000);
 
 /// Between two questions for a report.
 const REPORT_INTERVAL: time::Millis = time::Millis(1_000);
 
 /// How long a question for a report may be under way.
-const QUESTION_LIMIT: time::Millis = time::Millis(5_000);
+const REPORT_REQUEST_TIMEOUT: time::Millis = time::Millis(5_000);
 
 /// Between two questions of an engine that gave no report, at the most.
-const SILENT_INTERVAL: time::Millis = time::Millis(8_000);
+const MAX_REPORT_INTERVAL: time::Millis = time::Millis(8_000);
 
 /// Between two questions for a report while a model is dropped: nothing else tells when its memory is
 /// free, and the load that waits for it is urgent.
-const UNLOAD_INTERVAL: time::Millis = time::Millis(400);
+const UNLOAD_REPORT_INTERVAL: time::Millis = time::Millis(400);
 
 /// How old a report may be.
-const REPORT_AGE: time::Millis = time::Millis(1_000);
+const MAX_REPORT_AGE: time::Millis = time::Millis(1_000);
 
 /// How long after the time for a load an engine that does not show it is asked for a report.
-const LOAD_PATIENCE: time::Millis = time::Millis(1_500);
+const LOAD_GRACE: time::Millis = time::Millis(1_500);
 
 /// Where an engine takes weights from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -71,22 +71,22 @@
 
 /// What is known of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum OrderState {
     /// It is on its way.
     Sent,
     /// The engine carries it out, and should be done by then.
     Accepted(time::Instant),
     /// No answer came; it may be carried out until then.
-    Unknown(time::Instant),
+    Unconfirmed(time::Instant),
     /// No answer came, and it was not carried out when the engine last reported. The same order may be
     /// given again: of two that stand behind the same number only one is obeyed.
-    Open(time::Instant),
+    Resendable(time::Instant),
 }
 
 #[derive(Debug, Clone)]
-struct Open {
+struct PendingOrder {
     task: dialect::Task,
-    fate: Fate,
+    state: OrderState,
     from_store: bool,
     load_time: time::Millis,
     accepted_before: u64,
@@ -97,28 +97,28 @@
 pub(super) struct Engine {
     /// Orders that it has accepted; none until it was asked.
     accepted: Option<u64>,
-    open: Vec<Open>,
+    pending: Vec<PendingOrder>,
     /// Adapters that it was told to load, with when they arrive. An engine announces itself now and
     /// then, and its word may be older than an order that it has carried out since.
     adapters: collections::BTreeMap<(String, String), time::Instant>,
     /// The models in its latest report.
-    reported: Vec<String>,
-    asked_at: Option<time::Instant>,
+    reported_models: Vec<String>,
+    report_requested_at: Option<time::Instant>,
     /// Whether a question is under way.
-    is_asked: bool,
+    report_pending: bool,
     /// Questions in a row that brought no report.
-    unanswered: u32,
+    failed_reports: u32,
     /// It refused, or could not be reached: no order before.
-    rest_until: time::Instant,
+    orders_paused_until: time::Instant,
     /// Until then it may carry out what the start before it was ordered.
     unsettled_until: time::Instant,
     /// It has named a limit or asked for rest: nothing is asked of it before.
-    spared_until: time::Instant,
+    calls_paused_until: time::Instant,
 }
 
 impl Engine {
     /// The account of a start that may carry out orders to the start before it until then.
-    pub(super) fn following(until: time::Instant) -> Self {
+    pub(super) fn after_restart(until: time::Instant) -> Self {
         Self {
             unsettled_until: until,
             ..Self::default()
@@ -126,23 +126,31 @@
     }
 
     /// Closes the orders whose outcome the engine's own word shows.
-    pub(super) fn see(&mut self, now: time::Instant, instance: &directory::Instance) {
+    pub(super) fn apply_announcement(
+        &mut self,
+        now: time::Instant,
+        instance: &directory::Instance,
+    ) {
         // Of accepted orders a load shows in the engine's word. The rest shows only in a report, since
         // the directory is amended when such an order is taken.
-        self.open.retain(|open| match (&open.task, open.fate) {
-            (_, Fate::Unknown(until) | Fate::Open(until)) => now < until,
-            (dialect::Task::Load(model), Fate::Accepted(_)) => instance.resident(model).is_none(),
-            (_, Fate::Sent | Fate::Accepted(_)) => true,
-        });
-        let open = &self.open;
+        self.pending
+            .retain(|order| match (&order.task, order.state) {
+                (_, OrderState::Unconfirmed(until) | OrderState::Resendable(until)) => now < until,
+                (dialect::Task::Load(model), OrderState::Accepted(_)) => {
+                    instance.resident(model).is_none()
+                }
+                (_, OrderState::Sent | OrderState::Accepted(_)) => true,
+            });
+        let pending = &self.pending;
         self.adapters.retain(|(model, _), _| {
-            let drops = |it: &Open| matches!(&it.task, dialect::Task::Unload(m) if m == model);
-            instance.resident(model).is_some() || open.iter().any(drops)
+            let unloads =
+                |it: &PendingOrder| matches!(&it.task, dialect::Task::Unload(m) if m == model);
+            instance.resident(model).is_some() || pending.iter().any(unloads)
         });
     }
 
     /// The adapters that it has by now and that its own word does not show.
-    pub(super) fn unshown(
+    pub(super) fn unannounced_adapters(
         &self,
         now: time::Instant,
         instance: &directory::Instance,
@@ -150,8 +158,8 @@
         let mut tasks = Vec::new();
         for ((model, adapter), arrives) in &self.adapters {
             let is_shown = instance.holds(model, Some(adapter));
-            let drops = self.drops(model) || self.drops_adapter(model, adapter);
-            if now >= *arrives && !is_shown && !drops && instance.resident(model).is_some() {
+            let unloads = self.unloads(model) || self.unloads_adapter(model, adapter);
+            if now >= *arrives && !is_shown && !unloads && instance.resident(model).is_some() {
                 tasks.push(dialect::Task::LoadAdapter(model.clone(), adapter.clone()));
             }
         }
@@ -163,94 +171,103 @@
     /// An unload waits for the requests that run, for seconds, and the engine announces the model until
     /// then. Shown to entry processes, it goes on to be sent requests for the model and rejects each, which uses up
     /// the repeats that failed requests need.
-    pub(super) fn dropped_but_shown(&self, instance: &directory::Instance) -> Vec<dialect::Task> {
-        let dropped = self.open.iter().filter(|it| {
+    pub(super) fn unloading_but_announced(
+        &self,
+        instance: &directory::Instance,
+    ) -> Vec<dialect::Task> {
+        let dropped = self.pending.iter().filter(|it| {
             let is_dropped = matches!(it.task, dialect::Task::Unload(_));
-            let is_taken = matches!(it.fate, Fate::Accepted(_));
+            let is_taken = matches!(it.state, OrderState::Accepted(_));
             is_dropped && is_taken && instance.resident(it.task.model()).is_some()
         });
         dropped.map(|it| it.task.clone()).collect()
     }
 
-    fn drops_adapter(&self, model: &str, adapter: &str) -> bool {
-        self.open.iter().any(|it| {
+    fn unloads_adapter(&self, model: &str, adapter: &str) -> bool {
+        self.pending.iter().any(|it| {
             matches!(&it.task, dialect::Task::UnloadAdapter(m, a) if m == model && a == adapter)
         })
     }
 
     /// Whether its count of orders is not known, or an order should have shown by now.
     pub(super) fn needs_report(&self, now: time::Instant) -> bool {
-        let drops = |it: &Open| {
+        let unloads = |it: &PendingOrder| {
             matches!(
                 it.task,
                 dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..)
             )
         };
-        let interval = if self.open.iter().any(drops) {
-            UNLOAD_INTERVAL
+        let interval = if self.pending.iter().any(unloads) {
+            UNLOAD_REPORT_INTERVAL
         } else {
             REPORT_INTERVAL
         };
-        let interval = time::Millis(interval.0 << self.unanswered.min(4)).min(SILENT_INTERVAL);
-        let lately = self.asked_at.is_some_and(|at| now.since(at) < interval);
-        let overdue = |it: &Open| match (it.fate, &it.task) {
-            (Fate::Accepted(by), dialect::Task::Load(_)) => now >= by + LOAD_PATIENCE,
-            (Fate::Accepted(_), dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..))
-            | (Fate::Unknown(_) | Fate::Open(_), _) => true,
+        let interval =
+            time::Millis(interval.0 << self.failed_reports.min(4)).min(MAX_REPORT_INTERVAL);
+        let recently = self
+            .report_requested_at
+            .is_some_and(|at| now.since(at) < interval);
+        let overdue = |it: &PendingOrder| match (it.state, &it.task) {
+            (OrderState::Accepted(by), dialect::Task::Load(_)) => now >= by + LOAD_GRACE,
+            (
+                OrderState::Accepted(_),
+                dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..),
+            )
+            | (OrderState::Unconfirmed(_) | OrderState::Resendable(_), _) => true,
             _ => false,
         };
-        let is_sending = self.open.iter().any(|it| it.fate == Fate::Sent);
-        if now < self.spared_until {
+        let is_sending = self.pending.iter().any(|it| it.state == OrderState::Sent);
+        if now < self.calls_paused_until {
             return false;
         }
-        !lately && !is_sending && (self.accepted.is_none() || self.open.iter().any(overdue))
+        !recently && !is_sending && (self.accepted.is_none() || self.pending.iter().any(overdue))
     }
 
     /// Nothing is asked of it for `span`.
-    pub(super) fn spare(&mut self, now: time::Instant, span: time::Millis) {
-        self.spared_until = self.spared_until.max(now + span);
+    pub(super) fn pause_calls(&mut self, now: time::Instant, span: time::Millis) {
+        self.calls_paused_until = self.calls_paused_until.max(now + span);
     }
 
-    pub(super) fn asked(&mut self, now: time::Instant) {
-        self.asked_at = Some(now);
-        self.is_asked = true;
+    pub(super) fn report_requested(&mut self, now: time::Instant) {
+        self.report_requested_at = Some(now);
+        self.report_pending = true;
     }
 
     /// Whether a question for its report is under way.
-    pub(super) fn is_asked(&self, now: time::Instant) -> bool {
-        let lately = self
-            .asked_at
-            .is_some_and(|at| now.since(at) < QUESTION_LIMIT);
-        self.is_asked && lately
+    pub(super) fn awaits_report(&self, now: time::Instant) -> bool {
+        let recently = self
+            .report_requested_at
+            .is_some_and(|at| now.since(at) < REPORT_REQUEST_TIMEOUT);
+        self.report_pending && recently
     }
 
     /// Whether it has orders whose outcome is not known.
-    pub(super) fn is_at_work(&self) -> bool {
-        !self.open.is_empty()
+    pub(super) fn has_pending_orders(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    pub(super) fn reported(&mut self, now: time::Instant, report: Option<dialect::Report>) {
-        self.is_asked = false;
+    pub(super) fn apply_report(&mut self, now: time::Instant, report: Option<dialect::Report>) {
+        self.report_pending = false;
         let Some(report) = report else {
-            self.unanswered += 1;
+            self.failed_reports += 1;
             return;
         };
-        self.unanswered = 0;
-        self.reported = report.models.iter().map(|it| it.model.clone()).collect();
+        self.failed_reports = 0;
+        self.reported_models = report.models.iter().map(|it| it.model.clone()).collect();
         // What it is doing was ordered by an earlier leader, and shows only once it is done.
-        let is_foreign = report.is_busy && !self.open.iter().any(|it| it.task.is_weights());
+        let is_foreign = report.is_busy && !self.pending.iter().any(|it| it.task.is_weights());
         self.accepted = (!is_foreign).then_some(report.accepted);
-        for open in &mut self.open {
-            let is_carried_out = report.accepted > open.accepted_before;
-            open.fate = match open.fate {
-                Fate::Unknown(_) | Fate::Open(_) if is_carried_out => {
-                    Fate::Accepted(now + open.load_time)
+        for order in &mut self.pending {
+            let is_carried_out = report.accepted > order.accepted_before;
+            order.state = match order.state {
+                OrderState::Unconfirmed(_) | OrderState::Resendable(_) if is_carried_out => {
+                    OrderState::Accepted(now + order.load_time)
                 }
-                Fate::Unknown(until) => Fate::Open(until),
-                fate => fate,
+                OrderState::Unconfirmed(until) => OrderState::Resendable(until),
+                state => state,
             };
         }
-        self.see_adapters(now, &report);
+        self.reconcile_adapters(now, &report);
         let has = |model: &str, adapter: &str| {
             let mut held = report.models.iter().filter(|it| it.model == model);
             let pending = report.adapters_pending.iter();
@@ -258,36 +275,37 @@
                 || pending.into_iter().any(|(m, a)| m == model && a == adapter)
         };
         let adapters = &mut self.adapters;
-        self.open.retain(|open| match (&open.task, open.fate) {
-            (dialect::Task::Load(model), Fate::Accepted(by)) => {
-                let holds = report.models.iter().any(|it| it.model == *model);
-                // Not busy, not there and past its time: it has failed.
-                let failed = !report.is_busy && now >= by + LOAD_PATIENCE;
-                !holds && !failed
-            }
-            (dialect::Task::Unload(model), Fate::Accepted(_)) => {
-                report.is_busy || report.models.iter().any(|it| it.model == *model)
-            }
-            (dialect::Task::LoadAdapter(model, adapter), Fate::Accepted(_)) => {
-                if has(model, adapter) {
-                    adapters.insert((model.clone(), adapter.clone()), now);
+        self.pending
+            .retain(|order| match (&order.task, order.state) {
+                (dialect::Task::Load(model), OrderState::Accepted(by)) => {
+                    let holds = report.models.iter().any(|it| it.model == *model);
+                    // Not busy, not there and past its time: it has failed.
+                    let failed = !report.is_busy && now >= by + LOAD_GRACE;
+                    !holds && !failed
                 }
-                false
-            }
-            (dialect::Task::UnloadAdapter(model, adapter), Fate::Accepted(_)) => {
-                let is_there = has(model, adapter);
-                if !is_there {
-                    adapters.remove(&(model.clone(), adapter.clone()));
+                (dialect::Task::Unload(model), OrderState::Accepted(_)) => {
+                    report.is_busy || report.models.iter().any(|it| it.model == *model)
                 }
-                is_there
-            }
-            _ => true,
-        });
+                (dialect::Task::LoadAdapter(model, adapter), OrderState::Accepted(_)) => {
+                    if has(model, adapter) {
+                        adapters.insert((model.clone(), adapter.clone()), now);
+                    }
+                    false
+                }
+                (dialect::Task::UnloadAdapter(model, adapter), OrderState::Accepted(_)) => {
+                    let is_there = has(model, adapter);
+                    if !is_there {
+                        adapters.remove(&(model.clone(), adapter.clone()));
+                    }
+                    is_there
+                }
+                _ => true,
+            });
     }
 
     /// Corrects the account of adapters by a report, which may be some hundred milliseconds old. A new
     /// leader learns by it what the one before had loaded.
-    fn see_adapters(&mut self, now: time::Instant, report: &dialect::Report) {
+    fn reconcile_adapters(&mut self, now: time::Instant, report: &dialect::Report) {
         let held = report.models.iter().flat_map(|it| {
             let adapters = it.adapters.iter();
             adapters.map(|adapter| (it.model.clone(), adapter.clone()))
@@ -296,7 +314,7 @@
             .chain(report.adapters_pending.iter().cloned())
             .collect();
         self.adapters.retain(|key, arrives| {
-            there.contains(key) || now.since(*arrives) < REPORT_AGE || now < *arrives
+            there.contains(key) || now.since(*arrives) < MAX_REPORT_AGE || now < *arrives
         });
         for key in there {
             self.adapters.entry(key).or_insert(now);
@@ -304,41 +322,41 @@
     }
 
     /// Takes the answer to an order. Returns whether the engine has taken it.
-    pub(super) fn answered(
+    pub(super) fn apply_order_response(
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
         answer: Option<dialect::OrderAnswer>,
     ) -> bool {
-        let sent = |it: &Open| it.task == order.task && it.fate == Fate::Sent;
-        let Some(at) = self.open.iter().position(sent) else {
+        let sent = |it: &PendingOrder| it.task == order.task && it.state == OrderState::Sent;
+        let Some(at) = self.pending.iter().position(sent) else {
             return false;
         };
-        let load_time = self.open[at].load_time;
+        let load_time = self.pending[at].load_time;
         match answer {
             Some(dialect::OrderAnswer::Accepted) => {
                 self.accepted = Some(order.accepted_before + 1);
-                self.open[at].fate = Fate::Accepted(now + load_time);
+                self.pending[at].state = OrderState::Accepted(now + load_time);
                 if let dialect::Task::LoadAdapter(model, adapter) = &order.task {
                     let key = (model.clone(), adapter.clone());
                     self.adapters.insert(key, now + ADAPTER_ARRIVAL);
-                    self.open.remove(at);
+                    self.pending.remove(at);
                 }
                 true
             }
             Some(dialect::OrderAnswer::Done) => {
                 // Whether it has counted this one is not said, and the next order may be urgent.
                 self.accepted = None;
-                self.asked_at = None;
-                self.open[at].fate = Fate::Accepted(now);
-                self.done(now, at, &order.task);
+                self.report_requested_at = None;
+                self.pending[at].state = OrderState::Accepted(now);
+                self.complete_adapter_order(now, at, &order.task);
                 true
             }
             None => {
                 self.accepted = None;
-                self.open[at].fate = Fate::Unknown(now + UNKNOWN_FATE);
-                self.asked_at = None;
-                self.rest_until = now;
+                self.pending[at].state = OrderState::Unconfirmed(now + UNCONFIRMED_TIMEOUT);
+                self.report_requested_at = None;
+                self.orders_paused_until = now;
                 false
             }
             Some(
@@ -348,8 +366,8 @@
                 | dialect::OrderAnswer::Refused(_),
             ) => {
                 self.accepted = None;
-                self.open.remove(at);
-                self.rest_until = now + REPORT_INTERVAL;
+                self.pending.remove(at);
+                self.orders_paused_until = now + REPORT_INTERVAL;
                 false
             }
         }
@@ -357,11 +375,11 @@
 
     /// Until when an order that it was given may still be carried out, if there is such a one.
     pub(super) fn unsettled_until(&self, now: time::Instant) -> Option<time::Instant> {
-        let until = self.open.iter().filter_map(|it| match it.fate {
-            Fate::Sent => Some(now + UNKNOWN_FATE),
-            Fate::Unknown(until) | Fate::Open(until) => Some(until),
+        let until = self.pending.iter().filter_map(|it| match it.state {
+            OrderState::Sent => Some(now + UNCONFIRMED_TIMEOUT),
+            OrderState::Unconfirmed(until) | OrderState::Resendable(until) => Some(until),
             // It was at work on it when it ended.
-            Fate::Accepted(_) => None,
+            OrderState::Accepted(_) => None,
         });
         until
             .chain([self.unsettled_until])
@@ -370,18 +388,18 @@
     }
 
     /// An order that is to be given again, if there is one, with the number that it stands behind.
-    pub(super) fn give_again(&mut self, now: time::Instant) -> Option<(dialect::Task, u64)> {
-        if now < self.spared_until {
+    pub(super) fn resend(&mut self, now: time::Instant) -> Option<(dialect::Task, u64)> {
+        if now < self.calls_paused_until {
             return None;
         }
-        let is_open = |it: &&mut Open| matches!(it.fate, Fate::Open(_));
-        let open = self.open.iter_mut().find(is_open)?;
-        open.fate = Fate::Sent;
-        Some((open.task.clone(), open.accepted_before))
+        let is_resendable = |it: &&mut PendingOrder| matches!(it.state, OrderState::Resendable(_));
+        let order = self.pending.iter_mut().find(is_resendable)?;
+        order.state = OrderState::Sent;
+        Some((order.task.clone(), order.accepted_before))
     }
 
     /// Notes what an order about an adapter did at once.
-    fn done(&mut self, now: time::Instant, at: usize, task: &dialect::Task) {
+    fn complete_adapter_order(&mut self, now: time::Instant, at: usize, task: &dialect::Task) {
         match task {
             dialect::Task::LoadAdapter(model, adapter) => {
                 self.adapters.insert((model.clone(), adapter.clone()), now);
@@ -391,27 +409,27 @@
             }
             dialect::Task::Load(_) | dialect::Task::Unload(_) => return,
         }
-        self.open.remove(at);
+        self.pending.remove(at);
     }
 
     /// Notes an order that goes out. Returns the number of orders accepted before, or none where the
     /// engine can take no order now.
-    pub(super) fn begin(
+    pub(super) fn begin_order(
         &mut self,
         now: time::Instant,
         task: &dialect::Task,
         from_store: bool,
         load_time: time::Millis,
     ) -> Option<u64> {
-        let takes = if task.is_weights() {
-            self.takes_weights(now)
+        let is_accepted = if task.is_weights() {
+            self.accepts_weight_orders(now)
         } else {
-            self.takes_adapters(now)
+            self.accepts_adapter_orders(now)
         };
-        let accepted_before = self.accepted.filter(|_| takes)?;
-        self.open.push(Open {
+        let accepted_before = self.accepted.filter(|_| is_accepted)?;
+        self.pending.push(PendingOrder {
             task: task.clone(),
-            fate: Fate::Sent,
+            state: OrderState::Sent,
             from_store,
             load_time,
             accepted_before,
@@ -420,29 +438,30 @@
     }
 
     /// Whether it can take an order about weights now.
-    pub(super) fn takes_weights(&self, now: time::Instant) -> bool {
-        let is_busy = self.open.iter().any(|it| it.task.is_weights());
-        self.takes_any(now) && !is_busy
+    pub(super) fn accepts_weight_orders(&self, now: time::Instant) -> bool {
+        let is_busy = self.pending.iter().any(|it| it.task.is_weights());
+        self.accepts_orders(now) && !is_busy
     }
 
     /// Whether it can take an order about adapters now.
-    pub(super) fn takes_adapters(&self, now: time::Instant) -> bool {
+    pub(super) fn accepts_adapter_orders(&self, now: time::Instant) -> bool {
         let in_transit = self.adapters.values().filter(|at| now < **at).count();
-        self.takes_any(now) && in_transit < ADAPTERS_IN_TRANSIT
+        self.accepts_orders(now) && in_transit < MAX_ADAPTERS_IN_TRANSIT
     }
 
-    fn takes_any(&self, now: time::Instant) -> bool {
-        let unsettled = |it: &Open| {
-            let drops_adapter = matches!(it.task, dialect::Task::UnloadAdapter(..));
-            drops_adapter || !matches!(it.fate, Fate::Accepted(_))
+    fn accepts_orders(&self, now: time::Instant) -> bool {
+        let unsettled = |it: &PendingOrder| {
+            let unloads_adapter = matches!(it.task, dialect::Task::UnloadAdapter(..));
+            unloads_adapter || !matches!(it.state, OrderState::Accepted(_))
         };
-        let is_open = self.open.iter().any(unsettled);
-        let rests = now < self.rest_until.max(self.spared_until) || now < self.unsettled_until;
-        self.accepted.is_some() && !is_open && !rests
+        let has_unsettled = self.pending.iter().any(unsettled);
+        let is_paused = now < self.orders_paused_until.max(self.calls_paused_until)
+            || now < self.unsettled_until;
+        self.accepted.is_some() && !has_unsettled && !is_paused
     }
 
     /// Megabytes that it may hold.
-    pub(super) fn weights_at_worst(
+    pub(super) fn max_weights_mb(
         &self,
         instance: &directory::Instance,
         offer: &config::EnginePool,
@@ -456,9 +475,9 @@
             .fold(0.0, f64::max);
         // One that is told to drop a model holds it until its requests are done, and its own word may
         // be older than its report.
-        let ordered = self.open.iter().filter(|it| it.task.is_weights());
+        let ordered = self.pending.iter().filter(|it| it.task.is_weights());
         let ordered = ordered.map(|it| it.task.model());
-        let reported = self.reported.iter().map(String::as_str);
+        let reported = self.reported_models.iter().map(String::as_str);
         let shown = instance.models.iter().map(|it| it.model.as_str());
         let may_hold: collections::BTreeSet<&str> = shown.chain(reported).chain(ordered).collect();
         let held: f64 = may_hold.into_iter().map(mb).sum();
@@ -467,7 +486,7 @@
     }
 
     /// Adapters that it may hold.
-    pub(super) fn adapters_at_worst(&self, instance: &directory::Instance) -> usize {
+    pub(super) fn max_adapters(&self, instance: &directory::Instance) -> usize {
         let mut may_hold: collections::BTreeSet<(&str, &str)> = collections::BTreeSet::new();
         for resident in &instance.models {
             let adapters = resident.adapters.iter();
@@ -475,8 +494,8 @@
         }
         let told = self.adapters.keys();
         may_hold.extend(told.map(|(model, adapter)| (model.as_str(), adapter.as_str())));
-        for open in &self.open {
-            if let dialect::Task::LoadAdapter(model, adapter) = &open.task {
+        for order in &self.pending {
+            if let dialect::Task::LoadAdapter(model, adapter) = &order.task {
                 may_hold.insert((model, adapter));
             }
         }
@@ -484,20 +503,21 @@
     }
 
     /// Whether it was told to load the adapter, and not to drop it since.
-    pub(super) fn awaits(&self, model: &str, adapter: &str) -> bool {
-        let is_load = |it: &Open| matches!(&it.task, dialect::Task::LoadAdapter(m, a) if m == model && a == adapter);
+    pub(super) fn holds_or_loads_adapter(&self, model: &str, adapter: &str) -> bool {
+        let is_load = |it: &PendingOrder| matches!(&it.task, dialect::Task::LoadAdapter(m, a) if m == model && a == adapter);
         let key = (model.to_owned(), adapter.to_owned());
-        self.open.iter().any(is_load) || self.adapters.contains_key(&key)
+        self.pending.iter().any(is_load) || self.adapters.contains_key(&key)
     }
 
-    pub(super) fn drops(&self, model: &str) -> bool {
-        let is_drop = |it: &Open| matches!(&it.task, dialect::Task::Unload(m) if m == model);
-        self.open.iter().any(is_drop)
+    pub(super) fn unloads(&self, model: &str) -> bool {
+        let is_drop =
+            |it: &PendingOrder| matches!(&it.task, dialect::Task::Unload(m) if m == model);
+        self.pending.iter().any(is_drop)
     }
 
     /// The model whose weights it is told to load, if any.
-    pub(super) fn loads(&self) -> Option<&str> {
-        self.open.iter().find_map(|it| match &it.task {
+    pub(super) fn loading_model(&self) -> Option<&str> {
+        self.pending.iter().find_map(|it| match &it.task {
             dialect::Task::Load(model) => Some(model.as_str()),
             _ => None,
         })
@@ -505,6 +525,6 @@
 
     /// Loads from the store under way here.
     pub(super) fn store_loads(&self) -> usize {
-        self.open.iter().filter(|it| it.from_store).count()
+        self.pending.iter().filter(|it| it.from_store).count()
     }
 }
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -77,7 +77,7 @@
 }
 
 /// What a full engine weighs against an empty one, in engines kept busy: less than anything else.
-const EMPTIER: f64 = 0.01;
+const FILL_COST: f64 = 0.01;
 
 /// Models that a summary names.
 const SUMMARY_MODELS: usize = 4;
@@ -100,7 +100,7 @@
         /// Where it is.
         address: net::SocketAddrV4,
     },
-    /// Tell the directory what an engine holds or drops by an order.
+    /// Tell the directory what an engine holds or unloads by an order.
     Amend {
         /// The engine.
         instance: directory::InstanceId,
@@ -110,7 +110,7 @@
 }
 
 /// Between two calls to an engine that has named a limit.
-const SPARED_FOR: time::Millis = time::Millis(1_000);
+const LIMITED_CALL_INTERVAL: time::Millis = time::Millis(1_000);
 
 /// What a leader sees of one service, for its log.
 #[derive(Debug, Clone, PartialEq)]
@@ -241,13 +241,13 @@
         let Some(engine) = self.engines.get_mut(&order.instance) else {
             return Vec::new();
         };
-        let is_taken = engine.answered(now, order, answer);
-        let drops = matches!(
+        let is_taken = engine.apply_order_response(now, order, answer);
+        let unloads = matches!(
             order.task,
             dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..)
         );
         // What is loaded shows once it had the time to arrive.
-        if is_taken && drops {
+        if is_taken && unloads {
             return vec![amend(&order.instance, &order.task)];
         }
         Vec::new()
@@ -263,7 +263,7 @@
         // A report of another start under the same name says nothing of this one.
         let is_own = |it: &dialect::Report| it.born.is_none() || it.born == instance.born;
         if let Some(engine) = self.engines.get_mut(instance) {
-            engine.reported(now, report.filter(is_own));
+            engine.apply_report(now, report.filter(is_own));
         }
     }
 
@@ -281,10 +281,10 @@
             return;
         };
         if notice.limit.is_some() {
-            engine.spare(now, SPARED_FOR);
+            engine.pause_calls(now, LIMITED_CALL_INTERVAL);
         }
         if let Some(span) = notice.rest {
-            engine.spare(now, span);
+            engine.pause_calls(now, span);
         }
     }
 
@@ -298,7 +298,7 @@
         if !self.tenure.is_some_and(|it| it.has_begun(now)) {
             return Vec::new();
         }
-        self.see(now, instances);
+        self.update_engines(now, instances);
         let mut actions = self.correct(now, instances);
         for service in &config.services {
             let Some(offer) = &service.engines else {
@@ -306,7 +306,7 @@
             };
             let pool = pool_of(service, offer, instances);
             actions.extend(self.ask_reports(now, &pool));
-            actions.extend(self.give_again(now, &pool));
+            actions.extend(self.resend(now, &pool));
             actions.extend(self.serve_wants(now, &pool));
             actions.extend(self.place(now, &pool));
         }
@@ -329,9 +329,9 @@
     }
 
     fn summary_of(&self, now: time::Instant, pool: &Pool<'_>) -> Summary {
-        let takes = |it: &&&directory::Instance| {
+        let is_free = |it: &&&directory::Instance| {
             let engine = self.engines.get(&it.id);
-            engine.is_some_and(|it| it.takes_weights(now))
+            engine.is_some_and(|it| it.accepts_weight_orders(now))
         };
         let survey = weights::Survey::new(self, now, pool);
         let short = survey.short_of_copies();
@@ -340,7 +340,7 @@
         Summary {
             service: pool.service.to_owned(),
             engines: pool.instances.len(),
-            free_for_orders: pool.instances.iter().filter(takes).count(),
+            free_for_orders: pool.instances.iter().filter(is_free).count(),
             short: short.into_iter().map(|it| it.name.clone()).collect(),
             busiest: survey.busiest(SUMMARY_MODELS),
             store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
@@ -350,7 +350,7 @@
     }
 
     /// Keeps an account of each engine that is there, and of no other.
-    fn see(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
+    fn update_engines(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
         let present: collections::HashSet<&directory::InstanceId> =
             instances.iter().map(|it| &it.id).collect();
         let is_there = |id: &directory::InstanceId| present.contains(id);
@@ -359,9 +359,9 @@
         for instance in instances {
             let engine = self.engines.entry(instance.id.clone()).or_insert_with(|| {
                 let until = self.restarts.unsettled_until(&instance.id);
-                engine::Engine::following(until)
+                engine::Engine::after_restart(until)
             });
-            engine.see(now, instance);
+            engine.apply_announcement(now, instance);
         }
         self.wants.retain(|it| now.since(it.at) < WANT_LIFE);
     }
@@ -374,8 +374,8 @@
             let Some(engine) = self.engines.get(&instance.id) else {
                 continue;
             };
-            let tasks = engine.unshown(now, instance);
-            let hidden = engine.dropped_but_shown(instance);
+            let tasks = engine.unannounced_adapters(now, instance);
+            let hidden = engine.unloading_but_announced(instance);
             let tasks = tasks.iter().chain(&hidden);
             actions.extend(tasks.map(|task| amend(&instance.id, task)));
         }
@@ -384,7 +384,7 @@
 
     /// Asks engines whose count of orders is not known, those first from which something is waited for.
     fn ask_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
-        let under_way = self.engines.values().filter(|it| it.is_asked(now));
+        let under_way = self.engines.values().filter(|it| it.awaits_report(now));
         let room = self
             .policy
             .questions_at_once
@@ -396,7 +396,7 @@
             .collect();
         let is_urgent = |instance: &directory::Instance, engine: &engine::Engine| {
             let mut models = instance.models.iter();
-            engine.is_at_work() || models.any(|it| wanted.contains(it.model.as_str()))
+            engine.has_pending_orders() || models.any(|it| wanted.contains(it.model.as_str()))
         };
         let mut urgent = Vec::new();
         let mut others = Vec::new();
@@ -416,7 +416,7 @@
         let mut actions = Vec::new();
         for instance in urgent.into_iter().chain(others).take(room) {
             if let Some(engine) = self.engines.get_mut(&instance.id) {
-                engine.asked(now);
+                engine.report_requested(now);
             }
             actions.push(Action::AskReport {
                 instance: instance.id.clone(),
@@ -427,11 +427,11 @@
     }
 
     /// Gives orders again that were lost on their way.
-    fn give_again(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    fn resend(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in &pool.instances {
             let engine = self.engines.get_mut(&instance.id);
-            if let Some((task, accepted_before)) = engine.and_then(|it| it.give_again(now)) {
+            if let Some((task, accepted_before)) = engine.and_then(|it| it.resend(now)) {
                 actions.push(Action::Order(dialect::Order {
                     instance: instance.id.clone(),
                     address: instance.address,
@@ -483,7 +483,7 @@
             .map_or(time::Millis(0), |it| it.store_load);
         let from_store = matches!(task, dialect::Task::Load(_))
             && engine::source(instance, task.model()) == engine::Source::Store;
-        let accepted_before = engine.begin(now, &task, from_store, load_time)?;
+        let accepted_before = engine.begin_order(now, &task, from_store, load_time)?;
         if from_store {
             self.store.spend(now);
         }
--- a/crates/sageshed-fleet/src/planner/moves.rs
+++ b/crates/sageshed-fleet/src/planner/moves.rs
@@ -78,7 +78,7 @@
             let loads = self
                 .engines
                 .get(&instance.id)
-                .and_then(engine::Engine::loads);
+                .and_then(engine::Engine::loading_model);
             let is_loaded = loads == Some(&open.model) || instance.resident(&open.model).is_some();
             is_loaded || now.since(open.since) > KEPT || survey.is_needless(&open.model)
         };
--- a/crates/sageshed-fleet/src/planner/restarts.rs
+++ b/crates/sageshed-fleet/src/planner/restarts.rs
@@ -28,7 +28,7 @@
     /// Another leader gave orders until `from`, and what it gave is not known.
     pub(super) fn leads(&mut self, from: time::Instant) {
         self.unsettled.clear();
-        self.earlier_leader_until = from + engine::UNKNOWN_FATE;
+        self.earlier_leader_until = from + engine::UNCONFIRMED_TIMEOUT;
     }
 
     /// Takes the starts that are there and followed another lately.
--- a/crates/sageshed-fleet/src/planner/wants.rs
+++ b/crates/sageshed-fleet/src/planner/wants.rs
@@ -63,7 +63,8 @@
             .copied()
             .collect();
         let is_there = |it: &&directory::Instance| {
-            let coming = |engine: &engine::Engine| engine.awaits(&req.model, &req.adapter);
+            let coming =
+                |engine: &engine::Engine| engine.holds_or_loads_adapter(&req.model, &req.adapter);
             it.holds(&req.model, Some(&req.adapter)) || self.engines.get(&it.id).is_some_and(coming)
         };
         let is_meant = |it: &&directory::Instance| {
@@ -76,9 +77,9 @@
         let is_elsewhere = holders.iter().any(is_there);
         let room = |it: &&directory::Instance| {
             let engine = self.engines.get(&it.id)?;
-            let used = engine.adapters_at_worst(it);
+            let used = engine.max_adapters(it);
             let free = (pool.offer.adapter_slots as usize).checked_sub(used + 1)?;
-            (engine.takes_adapters(now)).then_some((free, it.id.clone()))
+            (engine.accepts_adapter_orders(now)).then_some((free, it.id.clone()))
         };
         let meant = holders.iter().filter(|it| is_meant(it));
         let mut roomiest = meant.filter_map(room).max();
@@ -107,7 +108,7 @@
     ) -> Served {
         let mut oldest: Option<(time::Instant, directory::InstanceId, dialect::Task)> = None;
         for instance in holders {
-            let takes = |it: &engine::Engine| it.takes_adapters(now);
+            let takes = |it: &engine::Engine| it.accepts_adapter_orders(now);
             if !self.engines.get(&instance.id).is_some_and(takes) {
                 continue;
             }
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -4,7 +4,7 @@
 
 use sageshed_types::time;
 
-use super::{Busy, EMPTIER, Planner, Pool, engine};
+use super::{Busy, FILL_COST, Planner, Pool, engine};
 use crate::{config, dialect, directory};
 
 /// A model with less work than this, in engines kept busy, is not taken for the next to rise.
@@ -28,7 +28,7 @@
 const GIVES_WAY: f64 = 0.5;
 
 /// What giving up a last copy weighs, in engines kept busy: whoever asks next waits for a load. Any
-/// spare copy that may go goes before.
+/// pause_calls copy that may go goes before.
 const LAST_COPY: f64 = 2.0;
 
 /// What a model without any copy weighs that callers ask for: more than any work.
@@ -195,14 +195,14 @@
             return None;
         }
         let engine = self.planner.engines.get(&instance.id)?;
-        if !engine.takes_weights(self.now) || instance.resident(&model.name).is_some() {
+        if !engine.accepts_weight_orders(self.now) || instance.resident(&model.name).is_some() {
             return None;
         }
         let source = engine::source(instance, &model.name);
         if source == engine::Source::Store && !self.store_is_free(instance) {
             return None;
         }
-        let used = engine.weights_at_worst(instance, self.pool.offer);
+        let used = engine.max_weights_mb(instance, self.pool.offer);
         let has_room = self.pool.offer.weights_mb - used >= model.weights_mb;
         let (task, price) = if has_room {
             (dialect::Task::Load(model.name.clone()), 0.0)
@@ -211,7 +211,7 @@
             (dialect::Task::Unload(victim), UNLOAD + after)
         };
         // Of engines that are equal otherwise, the emptier one.
-        let fill = EMPTIER * used / self.pool.offer.weights_mb;
+        let fill = FILL_COST * used / self.pool.offer.weights_mb;
         let cost = price + source.cost(model) + self.engine_work(instance) + fill;
         Some((cost, task))
     }
@@ -276,14 +276,14 @@
 ) {
     let engine = planner.engines.get(&instance.id);
     for resident in &instance.models {
-        let is_dropped = engine.is_some_and(|it| it.drops(&resident.model));
+        let is_dropped = engine.is_some_and(|it| it.unloads(&resident.model));
         if let Some(standing) = models.get_mut(resident.model.as_str())
             && !is_dropped
         {
             standing.copies += 1;
         }
     }
-    let Some(loads) = engine.and_then(engine::Engine::loads) else {
+    let Some(loads) = engine.and_then(engine::Engine::loading_model) else {
         return;
     };
     if let Some(standing) = models.get_mut(loads)
