--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -1,4 +1,8 @@
-//! The account of one engine: the orders it was given, and what it may hold at its worst.
+//! The leader's state of one engine: its pending orders, and an upper bound of the weights and adapters that it
+//! may hold.
+//!
+//! A leader learns what an engine does from announcements, reports and responses to orders, any of which may be
+//! late or lost. An order counts as pending, and its memory as used, until one of them shows its outcome.
 
 use std::collections;
 
@@ -6,35 +10,35 @@
 
 use crate::{config, dialect, directory};
 
-/// How long an adapter takes to arrive after the engine took the order. The slowest take 19 ms.
+/// Time from an accepted order until its adapter is loaded. The slowest take 19 ms.
 const ADAPTER_ARRIVAL: time::Millis = time::Millis(25);
 
-/// Adapters on their way to one engine at once.
+/// Adapters that one engine loads at the same time.
 const MAX_ADAPTERS_IN_TRANSIT: usize = 3;
 
-/// How long an order without an answer may still be carried out. Some were after twelve seconds.
+/// How long an order without a response may still be executed. Some were executed after 12 s.
 pub(super) const UNCONFIRMED_TIMEOUT: time::Millis = time::Millis(13_000);
 
-/// Between two questions for a report.
+/// Interval between two report requests to one engine.
 const REPORT_INTERVAL: time::Millis = time::Millis(1_000);
 
-/// How long a question for a report may be under way.
+/// Timeout of a report request.
 const REPORT_REQUEST_TIMEOUT: time::Millis = time::Millis(5_000);
 
-/// Between two questions of an engine that gave no report, at the most.
+/// Upper bound of the backoff between report requests to an engine that doesn't answer them.
 const MAX_REPORT_INTERVAL: time::Millis = time::Millis(8_000);
 
-/// Between two questions for a report while a model is dropped: nothing else tells when its memory is
-/// free, and the load that waits for it is urgent.
+/// Interval between two report requests while an unload is pending. Only a report tells when its memory is free,
+/// and the load that waits for it is urgent.
 const UNLOAD_REPORT_INTERVAL: time::Millis = time::Millis(400);
 
-/// How old a report may be.
+/// Maximum age of the data in a report.
 const MAX_REPORT_AGE: time::Millis = time::Millis(1_000);
 
-/// How long after the time for a load an engine that does not show it is asked for a report.
+/// How long after its expected end a load that the engine doesn't show is checked by a report request.
 const LOAD_GRACE: time::Millis = time::Millis(1_500);
 
-/// Where an engine takes weights from.
+/// Where an engine loads weights from, the fastest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Source {
     /// Its host's memory.
@@ -46,7 +50,7 @@
 }
 
 impl Source {
-    /// What a load from there weighs against others, in engines kept busy.
+    /// Cost of a load from this source when engines are compared, in busy engines.
     pub(super) fn cost(self, model: &config::Model) -> f64 {
         let span = match self {
             Self::Memory => model.memory_load,
@@ -57,7 +61,7 @@
     }
 }
 
-/// Where `instance` would take the weights of `model` from.
+/// Where `instance` would load the weights of `model` from.
 pub(super) fn source(instance: &directory::Instance, model: &str) -> Source {
     let has = |list: &[String]| list.iter().any(|it| it == model);
     if has(&instance.in_memory) {
@@ -69,17 +73,17 @@
     }
 }
 
-/// What is known of an order.
+/// What the leader knows of an order that it has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OrderState {
-    /// It is on its way.
+    /// It is in flight.
     Sent,
-    /// The engine carries it out, and should be done by then.
+    /// The engine has accepted it and should have executed it by then.
     Accepted(time::Instant),
-    /// No answer came; it may be carried out until then.
+    /// No response came; it may be executed until then.
     Unconfirmed(time::Instant),
-    /// No answer came, and it was not carried out when the engine last reported. The same order may be
-    /// given again: of two that stand behind the same number only one is obeyed.
+    /// No response came, and the engine's latest report doesn't count it; it may still be executed until then.
+    /// It can be sent again: of two orders with the same `accepted_before` the engine accepts only one.
     Resendable(time::Instant),
 }
 
@@ -92,32 +96,32 @@
     accepted_before: u64,
 }
 
-/// The account of one engine.
+/// The leader's state of one engine.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
-    /// Orders that it has accepted; none until it was asked.
+    /// Number of orders that it has accepted; none while that is not known.
     accepted: Option<u64>,
     pending: Vec<PendingOrder>,
-    /// Adapters that it was told to load, with when they arrive. An engine announces itself now and
-    /// then, and its word may be older than an order that it has carried out since.
+    /// Adapters that it was ordered to load, with when they are loaded. An announcement may be older than an order
+    /// that was executed since, so these count in addition to the announced ones.
     adapters: collections::BTreeMap<(String, String), time::Instant>,
     /// The models in its latest report.
     reported_models: Vec<String>,
     report_requested_at: Option<time::Instant>,
-    /// Whether a question is under way.
+    /// Whether a report request is in flight.
     report_pending: bool,
-    /// Questions in a row that brought no report.
+    /// Consecutive report requests without a report.
     failed_reports: u32,
-    /// It refused, or could not be reached: no order before.
+    /// It refused an order or could not be reached: no orders are sent until then.
     orders_paused_until: time::Instant,
-    /// Until then it may carry out what the start before it was ordered.
+    /// Until then it may execute orders that were sent to an earlier instance of the same endpoint.
     unsettled_until: time::Instant,
-    /// It has named a limit or asked for rest: nothing is asked of it before.
+    /// It announced a rate limit or a `Retry-After`: neither orders nor report requests are sent until then.
     calls_paused_until: time::Instant,
 }
 
 impl Engine {
-    /// The account of a start that may carry out orders to the start before it until then.
+    /// State of an instance that may execute orders to an earlier instance of its endpoint until `until`.
     pub(super) fn after_restart(until: time::Instant) -> Self {
         Self {
             unsettled_until: until,
@@ -125,14 +129,14 @@
         }
     }
 
-    /// Closes the orders whose outcome the engine's own word shows.
+    /// Removes the pending orders whose outcome the announced instance shows, and those that have expired.
     pub(super) fn apply_announcement(
         &mut self,
         now: time::Instant,
         instance: &directory::Instance,
     ) {
-        // Of accepted orders a load shows in the engine's word. The rest shows only in a report, since
-        // the directory is amended when such an order is taken.
+        // Only accepted loads are confirmed by announcements. For other orders the directory was amended when they
+        // were accepted, so only a report shows their outcome.
         self.pending
             .retain(|order| match (&order.task, order.state) {
                 (_, OrderState::Unconfirmed(until) | OrderState::Resendable(until)) => now < until,
@@ -149,7 +153,7 @@
         });
     }
 
-    /// The adapters that it has by now and that its own word does not show.
+    /// The adapters that are loaded by now but missing in the announced instance, as load tasks.
     pub(super) fn unannounced_adapters(
         &self,
         now: time::Instant,
@@ -166,11 +170,11 @@
         tasks
     }
 
-    /// The models that it has been told to drop and that its own word shows again.
+    /// The models with an accepted unload that the announced instance still shows, as unload tasks.
     ///
-    /// An unload waits for the requests that run, for seconds, and the engine announces the model until
-    /// then. Shown to entry processes, it goes on to be sent requests for the model and rejects each, which uses up
-    /// the repeats that failed requests need.
+    /// An unload waits up to seconds for running requests, and the engine announces the model until then. If entry
+    /// processes saw it, they would go on to send requests for the model; the engine rejects each, which uses up
+    /// the retry budget that failed requests need.
     pub(super) fn unloading_but_announced(
         &self,
         instance: &directory::Instance,
@@ -189,7 +193,8 @@
         })
     }
 
-    /// Whether its count of orders is not known, or an order should have shown by now.
+    /// Whether a report request is due: the number of accepted orders is unknown, or the outcome of a pending order
+    /// is overdue or only shows in a report.
     pub(super) fn needs_report(&self, now: time::Instant) -> bool {
         let unloads = |it: &PendingOrder| {
             matches!(
@@ -223,7 +228,7 @@
         !recently && !is_sending && (self.accepted.is_none() || self.pending.iter().any(overdue))
     }
 
-    /// Nothing is asked of it for `span`.
+    /// Sends no orders or report requests for `span`.
     pub(super) fn pause_calls(&mut self, now: time::Instant, span: time::Millis) {
         self.calls_paused_until = self.calls_paused_until.max(now + span);
     }
@@ -233,7 +238,7 @@
         self.report_pending = true;
     }
 
-    /// Whether a question for its report is under way.
+    /// Whether a report request is in flight.
     pub(super) fn awaits_report(&self, now: time::Instant) -> bool {
         let recently = self
             .report_requested_at
@@ -241,7 +246,7 @@
         self.report_pending && recently
     }
 
-    /// Whether it has orders whose outcome is not known.
+    /// Whether it has orders whose outcome is not known yet.
     pub(super) fn has_pending_orders(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -254,7 +259,7 @@
         };
         self.failed_reports = 0;
         self.reported_models = report.models.iter().map(|it| it.model.clone()).collect();
-        // What it is doing was ordered by an earlier leader, and shows only once it is done.
+        // It executes an order of an earlier leader, whose outcome shows only once it is done.
         let is_foreign = report.is_busy && !self.pending.iter().any(|it| it.task.is_weights());
         self.accepted = (!is_foreign).then_some(report.accepted);
         for order in &mut self.pending {
@@ -279,7 +284,7 @@
             .retain(|order| match (&order.task, order.state) {
                 (dialect::Task::Load(model), OrderState::Accepted(by)) => {
                     let holds = report.models.iter().any(|it| it.model == *model);
-                    // Not busy, not there and past its time: it has failed.
+                    // Idle, without the model and past the expected end: the load has failed.
                     let failed = !report.is_busy && now >= by + LOAD_GRACE;
                     !holds && !failed
                 }
@@ -303,8 +308,8 @@
             });
     }
 
-    /// Corrects the account of adapters by a report, which may be some hundred milliseconds old. A new
-    /// leader learns by it what the one before had loaded.
+    /// Reconciles the known adapters with a report, which may be some hundred milliseconds old. A new leader learns
+    /// from it which adapters its predecessor has loaded.
     fn reconcile_adapters(&mut self, now: time::Instant, report: &dialect::Report) {
         let held = report.models.iter().flat_map(|it| {
             let adapters = it.adapters.iter();
@@ -321,7 +326,7 @@
         }
     }
 
-    /// Takes the answer to an order. Returns whether the engine has taken it.
+    /// Applies the response to an order; none where none came in time. Returns whether the engine has accepted it.
     pub(super) fn apply_order_response(
         &mut self,
         now: time::Instant,
@@ -345,7 +350,8 @@
                 true
             }
             Some(dialect::OrderAnswer::Done) => {
-                // Whether it has counted this one is not said, and the next order may be urgent.
+                // The response doesn't say whether this order was counted, and the next one may be urgent, so the
+                // report is requested at once.
                 self.accepted = None;
                 self.report_requested_at = None;
                 self.pending[at].state = OrderState::Accepted(now);
@@ -373,12 +379,12 @@
         }
     }
 
-    /// Until when an order that it was given may still be carried out, if there is such a one.
+    /// Until when any order that was sent to it may still be executed, if there is one.
     pub(super) fn unsettled_until(&self, now: time::Instant) -> Option<time::Instant> {
         let until = self.pending.iter().filter_map(|it| match it.state {
             OrderState::Sent => Some(now + UNCONFIRMED_TIMEOUT),
             OrderState::Unconfirmed(until) | OrderState::Resendable(until) => Some(until),
-            // It was at work on it when it ended.
+            // It executed this one before it ended.
             OrderState::Accepted(_) => None,
         });
         until
@@ -387,7 +393,7 @@
             .filter(|until| now < *until)
     }
 
-    /// An order that is to be given again, if there is one, with the number that it stands behind.
+    /// An order to send again, if there is one, with its `accepted_before`.
     pub(super) fn resend(&mut self, now: time::Instant) -> Option<(dialect::Task, u64)> {
         if now < self.calls_paused_until {
             return None;
@@ -398,7 +404,7 @@
         Some((order.task.clone(), order.accepted_before))
     }
 
-    /// Notes what an order about an adapter did at once.
+    /// Removes an adapter order that was executed at once, and applies its effect.
     fn complete_adapter_order(&mut self, now: time::Instant, at: usize, task: &dialect::Task) {
         match task {
             dialect::Task::LoadAdapter(model, adapter) => {
@@ -412,8 +418,8 @@
         self.pending.remove(at);
     }
 
-    /// Notes an order that goes out. Returns the number of orders accepted before, or none where the
-    /// engine can take no order now.
+    /// Records an order that is about to be sent. Returns its `accepted_before`, or none where the engine can't
+    /// take the order now.
     pub(super) fn begin_order(
         &mut self,
         now: time::Instant,
@@ -437,7 +443,7 @@
         Some(accepted_before)
     }
 
-    /// Whether it can take an order about weights now.
+    /// Whether it can take an order about weights now, of which it executes one at a time.
     pub(super) fn accepts_weight_orders(&self, now: time::Instant) -> bool {
         let is_busy = self.pending.iter().any(|it| it.task.is_weights());
         self.accepts_orders(now) && !is_busy
@@ -460,7 +466,7 @@
         self.accepted.is_some() && !has_unsettled && !is_paused
     }
 
-    /// Megabytes that it may hold.
+    /// Upper bound of the megabytes of weights and adapters that it holds, counting all adapter slots as used.
     pub(super) fn max_weights_mb(
         &self,
         instance: &directory::Instance,
@@ -473,8 +479,8 @@
             .iter()
             .map(|it| it.adapter_mb)
             .fold(0.0, f64::max);
-        // One that is told to drop a model holds it until its requests are done, and its own word may
-        // be older than its report.
+        // A model that is being unloaded takes memory until its requests are done, and the announcement may be
+        // older than the latest report.
         let ordered = self.pending.iter().filter(|it| it.task.is_weights());
         let ordered = ordered.map(|it| it.task.model());
         let reported = self.reported_models.iter().map(String::as_str);
@@ -485,7 +491,7 @@
         held + adapters
     }
 
-    /// Adapters that it may hold.
+    /// Upper bound of the number of adapters that it holds.
     pub(super) fn max_adapters(&self, instance: &directory::Instance) -> usize {
         let mut may_hold: collections::BTreeSet<(&str, &str)> = collections::BTreeSet::new();
         for resident in &instance.models {
@@ -502,7 +508,7 @@
         may_hold.len()
     }
 
-    /// Whether it was told to load the adapter, and not to drop it since.
+    /// Whether it holds the adapter or was ordered to load it, and was not ordered to unload it since.
     pub(super) fn holds_or_loads_adapter(&self, model: &str, adapter: &str) -> bool {
         let is_load = |it: &PendingOrder| matches!(&it.task, dialect::Task::LoadAdapter(m, a) if m == model && a == adapter);
         let key = (model.to_owned(), adapter.to_owned());
@@ -515,7 +521,7 @@
         self.pending.iter().any(is_drop)
     }
 
-    /// The model whose weights it is told to load, if any.
+    /// The model whose weights it was ordered to load, if any.
     pub(super) fn loading_model(&self) -> Option<&str> {
         self.pending.iter().find_map(|it| match &it.task {
             dialect::Task::Load(model) => Some(model.as_str()),
@@ -523,7 +529,7 @@
         })
     }
 
-    /// Loads from the store under way here.
+    /// Number of its pending loads from the weight store.
     pub(super) fn store_loads(&self) -> usize {
         self.pending.iter().filter(|it| it.from_store).count()
     }
