--- a/crates/sageshed-fleet/src/planner/wants.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -6,17 +6,17 @@
 use crate::{dialect, directory, messages};
 
 /// How long an adapter that was in use is not given up, so that the requests for it are done.
-const ADAPTER_REST: time::Millis = time::Millis(1_500);
+const ADAPTER_MIN_IDLE: time::Millis = time::Millis(1_500);
 
 /// A want of an adapter that is not served yet.
 #[derive(Debug, Clone)]
-pub(super) struct Want {
+pub(super) struct PendingAdapterRequest {
     pub(super) req: messages::WantReq,
     pub(super) at: time::Instant,
 }
 
 /// What came of a want.
-enum Served {
+enum Progress {
     /// The adapter is there or on its way.
     Done,
     /// This order serves it, or makes room for it.
@@ -27,35 +27,39 @@
 
 impl Planner {
     /// Has adapters loaded for which requests wait.
-    pub(super) fn serve_wants(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    pub(super) fn serve_adapter_requests(
+        &mut self,
+        now: time::Instant,
+        pool: &Pool<'_>,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
-        let wants = std::mem::take(&mut self.wants);
-        for want in wants {
-            if want.req.service != pool.service {
-                self.wants.push(want);
+        let requests = std::mem::take(&mut self.adapter_requests);
+        for request in requests {
+            if request.req.service != pool.service {
+                self.adapter_requests.push(request);
                 continue;
             }
-            match self.serve_want(now, pool, &want.req) {
-                Served::Done => {}
-                Served::By(order) => {
+            match self.serve_adapter_request(now, pool, &request.req) {
+                Progress::Done => {}
+                Progress::By(order) => {
                     let is_eviction = matches!(order.task, dialect::Task::UnloadAdapter(..));
                     actions.push(Action::Order(order));
                     if is_eviction {
-                        self.wants.push(want);
+                        self.adapter_requests.push(request);
                     }
                 }
-                Served::Later => self.wants.push(want),
+                Progress::Later => self.adapter_requests.push(request),
             }
         }
         actions
     }
 
-    fn serve_want(
+    fn serve_adapter_request(
         &mut self,
         now: time::Instant,
         pool: &Pool<'_>,
         req: &messages::WantReq,
-    ) -> Served {
+    ) -> Progress {
         let holders: Vec<&directory::Instance> = pool
             .instances
             .iter()
@@ -63,16 +67,17 @@
             .copied()
             .collect();
         let is_there = |it: &&directory::Instance| {
-            let coming =
+            let has_or_loads =
                 |engine: &engine::Engine| engine.holds_or_loads_adapter(&req.model, &req.adapter);
-            it.holds(&req.model, Some(&req.adapter)) || self.engines.get(&it.id).is_some_and(coming)
+            it.holds(&req.model, Some(&req.adapter))
+                || self.engines.get(&it.id).is_some_and(has_or_loads)
         };
         let is_meant = |it: &&directory::Instance| {
             let engine = req.engine.as_ref();
             engine.is_none_or(|id| *id == it.id)
         };
         if holders.iter().filter(|it| is_meant(it)).any(is_there) {
-            return Served::Done;
+            return Progress::Done;
         }
         let is_elsewhere = holders.iter().any(is_there);
         let room = |it: &&directory::Instance| {
@@ -90,33 +95,35 @@
         if let Some((_, id)) = roomiest {
             return self
                 .order(now, pool, &id, task)
-                .map_or(Served::Later, Served::By);
+                .map_or(Progress::Later, Progress::By);
         }
         if is_elsewhere {
             // A second copy is not worth another adapter's place.
-            return Served::Done;
+            return Progress::Done;
         }
-        self.evict_for(now, pool, &holders)
+        self.evict_adapter(now, pool, &holders)
     }
 
     /// Gives up the adapter that was not used for longest, on an engine that could take another.
-    fn evict_for(
+    fn evict_adapter(
         &mut self,
         now: time::Instant,
         pool: &Pool<'_>,
         holders: &[&directory::Instance],
-    ) -> Served {
+    ) -> Progress {
         let mut oldest: Option<(time::Instant, directory::InstanceId, dialect::Task)> = None;
         for instance in holders {
-            let takes = |it: &engine::Engine| it.accepts_adapter_orders(now);
-            if !self.engines.get(&instance.id).is_some_and(takes) {
+            let accepts = |it: &engine::Engine| it.accepts_adapter_orders(now);
+            if !self.engines.get(&instance.id).is_some_and(accepts) {
                 continue;
             }
             for resident in &instance.models {
                 for adapter in &resident.adapters {
-                    let used = self.demand.last_use(pool.service, &resident.model, adapter);
-                    let rested = now.since(used) >= ADAPTER_REST;
-                    if rested && oldest.as_ref().is_none_or(|(at, ..)| used < *at) {
+                    let used = self
+                        .demand
+                        .last_adapter_use(pool.service, &resident.model, adapter);
+                    let is_idle = now.since(used) >= ADAPTER_MIN_IDLE;
+                    if is_idle && oldest.as_ref().is_none_or(|(at, ..)| used < *at) {
                         let (model, name) = (resident.model.clone(), adapter.clone());
                         let task = dialect::Task::UnloadAdapter(model, name);
                         oldest = Some((used, instance.id.clone(), task));
@@ -125,9 +132,9 @@
             }
         }
         let Some((_, id, task)) = oldest else {
-            return Served::Later;
+            return Progress::Later;
         };
         self.order(now, pool, &id, task)
-            .map_or(Served::Later, Served::By)
+            .map_or(Progress::Later, Progress::By)
     }
 }
--- a/crates/sageshed-fleet/src/planner/demand.rs
+++ b/crates/sageshed-fleet/src/planner/demand.rs
@@ -2,7 +2,7 @@
 //!
 //! Demand moves to other models within a second or two, and a load that begins late is late for all
 //! who wait for it. So the rate is the greater of that over the last second and that over the last
-//! [`SPAN_MS`]: it rises at once and falls slowly. The last second counts in full only where many
+//! [`WINDOW_MS`]: it rises at once and falls slowly. The last second counts in full only where many
 //! requests came in it.
 
 use std::collections;
@@ -15,17 +15,17 @@
 const BUCKET_MS: u64 = 250;
 
 /// How far back counts go, in milliseconds.
-const SPAN_MS: u64 = 4_000;
+const WINDOW_MS: u64 = 4_000;
 
 /// Microseconds in a millisecond.
-const MICROS_A_MS: f64 = 1_000.0;
+const MICROS_PER_MS: f64 = 1_000.0;
 
 /// The span that notices a rise, in milliseconds.
-const SHORT_MS: u64 = 1_000;
+const RISE_WINDOW_MS: u64 = 1_000;
 
 /// Requests at which the last second weighs a half against what came before. Prompts of a rare model
 /// come singly, and one of them in a second is no rise of demand.
-const FEW_REQUESTS: f64 = 3.0;
+const HALF_WEIGHT_REQUESTS: f64 = 3.0;
 
 /// What was asked for in one bucket.
 #[derive(Debug, Clone, Copy, Default)]
@@ -49,7 +49,7 @@
             count.requests += more.requests;
             count.reading_us += more.reading_us;
         }
-        let oldest = bucket.saturating_sub(SPAN_MS / BUCKET_MS);
+        let oldest = bucket.saturating_sub(WINDOW_MS / BUCKET_MS);
         while self.buckets.front().is_some_and(|(it, _)| *it < oldest) {
             self.buckets.pop_front();
         }
@@ -67,24 +67,24 @@
 
     /// Engines kept busy, as a number of engines.
     fn work(&self, bucket: u64) -> f64 {
-        let each =
-            |count: Count, span_ms: u64| count.reading_us as f64 / (span_ms as f64 * MICROS_A_MS);
-        let lately = self.within(bucket, SHORT_MS);
-        let requests = f64::from(lately.requests);
-        let weight = requests / (requests + FEW_REQUESTS);
-        let rise = each(lately, SHORT_MS) * weight;
-        rise.max(each(self.within(bucket, SPAN_MS), SPAN_MS))
+        let rate =
+            |count: Count, span_ms: u64| count.reading_us as f64 / (span_ms as f64 * MICROS_PER_MS);
+        let recent = self.within(bucket, RISE_WINDOW_MS);
+        let requests = f64::from(recent.requests);
+        let weight = requests / (requests + HALF_WEIGHT_REQUESTS);
+        let rise = rate(recent, RISE_WINDOW_MS) * weight;
+        rise.max(rate(self.within(bucket, WINDOW_MS), WINDOW_MS))
     }
 }
 
 /// The demand for all models.
 #[derive(Debug, Default)]
-pub(super) struct Demands {
+pub(super) struct DemandHistory {
     models: collections::HashMap<(String, String), Model>,
     adapters: collections::HashMap<(String, String, String), time::Instant>,
 }
 
-impl Demands {
+impl DemandHistory {
     pub(super) fn add(&mut self, now: time::Instant, demand: &[messages::Demand]) {
         for it in demand {
             let key = (it.service.clone(), it.model.clone());
@@ -95,18 +95,29 @@
             };
             model.add(now.0 / BUCKET_MS, count);
             for adapter in &it.adapters {
-                self.used(now, &it.service, &it.model, adapter);
+                self.record_adapter_use(now, &it.service, &it.model, adapter);
             }
         }
     }
 
-    pub(super) fn used(&mut self, now: time::Instant, service: &str, model: &str, adapter: &str) {
+    pub(super) fn record_adapter_use(
+        &mut self,
+        now: time::Instant,
+        service: &str,
+        model: &str,
+        adapter: &str,
+    ) {
         let key = (service.to_owned(), model.to_owned(), adapter.to_owned());
         self.adapters.insert(key, now);
     }
 
     /// When an adapter was last asked for; the start of the clock if it never was.
-    pub(super) fn last_use(&self, service: &str, model: &str, adapter: &str) -> time::Instant {
+    pub(super) fn last_adapter_use(
+        &self,
+        service: &str,
+        model: &str,
+        adapter: &str,
+    ) -> time::Instant {
         let key = (service.to_owned(), model.to_owned(), adapter.to_owned());
         self.adapters.get(&key).copied().unwrap_or_default()
     }
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -21,16 +21,16 @@
 //! # One leader
 //!
 //! Engines that check no fence would obey two leaders. A leader that was cut off stops to order when
-//! its quorum is gone; a new one begins only a lease after it was elected ([`tenure`]), and counts the
+//! its quorum is gone; a new one begins only a lease after it was elected ([`leadership`]), and counts the
 //! store's budget as just spent by the one before.
 
+mod adapters;
 mod demand;
 mod engine;
-mod moves;
+pub mod leadership;
+mod reservations;
 mod restarts;
 mod store;
-pub mod tenure;
-mod wants;
 mod weights;
 
 use std::{collections, net};
@@ -83,10 +83,10 @@
 const SUMMARY_MODELS: usize = 4;
 
 /// Wants that are kept while no engine can take them.
-const WANTS_KEPT: usize = 256;
+const MAX_ADAPTER_REQUESTS: usize = 256;
 
 /// How long a want is kept: whoever waits asks again.
-const WANT_LIFE: time::Millis = time::Millis(1_500);
+const ADAPTER_REQUEST_TTL: time::Millis = time::Millis(1_500);
 
 /// What the planner wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -153,12 +153,12 @@
     holder: String,
     fence: u64,
     /// While this process leads.
-    tenure: Option<tenure::Tenure>,
+    leadership: Option<leadership::Leadership>,
     engines: collections::BTreeMap<directory::InstanceId, engine::Engine>,
-    demand: demand::Demands,
-    store: store::Store,
-    moves: moves::Moves,
-    wants: Vec<wants::Want>,
+    demand: demand::DemandHistory,
+    store: store::StoreBudget,
+    reservations: reservations::Reservations,
+    adapter_requests: Vec<adapters::PendingAdapterRequest>,
     restarts: restarts::Restarts,
 }
 
@@ -177,38 +177,38 @@
             policy,
             holder: holder.to_owned(),
             fence: 0,
-            tenure: None,
+            leadership: None,
             engines: collections::BTreeMap::new(),
-            demand: demand::Demands::default(),
-            store: store::Store::new(policy.store_window),
-            moves: moves::Moves::new(),
-            wants: Vec::new(),
+            demand: demand::DemandHistory::default(),
+            store: store::StoreBudget::new(policy.store_window),
+            reservations: reservations::Reservations::new(),
+            adapter_requests: Vec::new(),
             restarts: restarts::Restarts::default(),
         }
     }
 
     /// This process leads from now on, with a fence above that of every leader before.
     pub fn leads(&mut self, now: time::Instant, fence: u64) {
-        let tenure = tenure::Tenure::elected(now, self.policy.lease);
+        let leadership = leadership::Leadership::elected(now, self.policy.lease);
         self.fence = fence;
-        self.tenure = Some(tenure);
+        self.leadership = Some(leadership);
         self.engines.clear();
-        self.moves.clear();
-        self.restarts.leads(tenure.from());
+        self.reservations.clear();
+        self.restarts.start_leading(leadership.orders_from());
         // The leader before may have begun loads up to the moment from which this one may order.
-        self.store.assume_spent(tenure.from());
+        self.store.assume_all_spent(leadership.orders_from());
     }
 
     /// This process leads no longer.
     pub fn follows(&mut self) {
-        self.tenure = None;
-        self.wants.clear();
+        self.leadership = None;
+        self.adapter_requests.clear();
     }
 
     /// Whether it leads.
     #[must_use]
     pub fn is_leading(&self) -> bool {
-        self.tenure.is_some()
+        self.leadership.is_some()
     }
 
     /// Takes what callers asked an entry process for.
@@ -219,16 +219,17 @@
     /// Takes an entry's word that a request waits for an adapter.
     pub fn want(&mut self, now: time::Instant, req: messages::WantReq) {
         self.demand
-            .used(now, &req.service, &req.model, &req.adapter);
-        let known = self.wants.iter().any(|it| it.req == req);
-        if !known && self.wants.len() < WANTS_KEPT {
-            self.wants.push(wants::Want { req, at: now });
+            .record_adapter_use(now, &req.service, &req.model, &req.adapter);
+        let known = self.adapter_requests.iter().any(|it| it.req == req);
+        if !known && self.adapter_requests.len() < MAX_ADAPTER_REQUESTS {
+            self.adapter_requests
+                .push(adapters::PendingAdapterRequest { req, at: now });
         }
     }
 
     /// Takes the engines that are there and were started anew lately.
     pub fn know_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
-        self.restarts.know(restarted);
+        self.restarts.set_restarted(restarted);
     }
 
     /// Takes the answer to an order; none where none came in time.
@@ -295,7 +296,7 @@
         config: &config::FleetConfig,
         instances: &[&directory::Instance],
     ) -> Vec<Action> {
-        if !self.tenure.is_some_and(|it| it.has_begun(now)) {
+        if !self.leadership.is_some_and(|it| it.may_order(now)) {
             return Vec::new();
         }
         self.update_engines(now, instances);
@@ -307,7 +308,7 @@
             let pool = pool_of(service, offer, instances);
             actions.extend(self.ask_reports(now, &pool));
             actions.extend(self.resend(now, &pool));
-            actions.extend(self.serve_wants(now, &pool));
+            actions.extend(self.serve_adapter_requests(now, &pool));
             actions.extend(self.place(now, &pool));
         }
         actions
@@ -333,8 +334,8 @@
             let engine = self.engines.get(&it.id);
             engine.is_some_and(|it| it.accepts_weight_orders(now))
         };
-        let survey = weights::Survey::new(self, now, pool);
-        let short = survey.short_of_copies();
+        let state = weights::PoolState::new(self, now, pool);
+        let short = state.short_of_copies();
         let models = pool.offer.models.iter();
         let work = models.map(|it| self.demand.work(now, pool.service, &it.name));
         Summary {
@@ -342,10 +343,10 @@
             engines: pool.instances.len(),
             free_for_orders: pool.instances.iter().filter(is_free).count(),
             short: short.into_iter().map(|it| it.name.clone()).collect(),
-            busiest: survey.busiest(SUMMARY_MODELS),
+            busiest: state.busiest(SUMMARY_MODELS),
             store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
             work: work.sum(),
-            wants: self.wants.len(),
+            wants: self.adapter_requests.len(),
         }
     }
 
@@ -354,7 +355,7 @@
         let present: collections::HashSet<&directory::InstanceId> =
             instances.iter().map(|it| &it.id).collect();
         let is_there = |id: &directory::InstanceId| present.contains(id);
-        self.restarts.note_ended(now, &self.engines, is_there);
+        self.restarts.record_ended(now, &self.engines, is_there);
         self.engines.retain(|id, _| is_there(id));
         for instance in instances {
             let engine = self.engines.entry(instance.id.clone()).or_insert_with(|| {
@@ -363,7 +364,8 @@
             });
             engine.apply_announcement(now, instance);
         }
-        self.wants.retain(|it| now.since(it.at) < WANT_LIFE);
+        self.adapter_requests
+            .retain(|it| now.since(it.at) < ADAPTER_REQUEST_TTL);
     }
 
     /// Corrects what engines announce by the orders that they have taken: shows adapters once they had
@@ -389,7 +391,7 @@
             .policy
             .questions_at_once
             .saturating_sub(under_way.count());
-        let wanted = self.wants.iter().map(|it| &it.req);
+        let wanted = self.adapter_requests.iter().map(|it| &it.req);
         let wanted: collections::BTreeSet<&str> = wanted
             .filter(|it| it.service == pool.service)
             .map(|it| it.model.as_str())
@@ -447,18 +449,18 @@
 
     /// Has weights loaded and unloaded.
     fn place(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
-        let orders = self.go_on_with_moves(now, pool);
+        let orders = self.continue_reservations(now, pool);
         let mut actions: Vec<Action> = orders.into_iter().map(Action::Order).collect();
-        for model in weights::Survey::new(self, now, pool).short_of_copies() {
+        for model in weights::PoolState::new(self, now, pool).short_of_copies() {
             // The order before may have changed what the next one finds.
-            let survey = weights::Survey::new(self, now, pool);
-            let Some((id, task)) = survey.next_step(model) else {
+            let state = weights::PoolState::new(self, now, pool);
+            let Some((id, task)) = state.next_step(model) else {
                 continue;
             };
             let makes_room = matches!(task, dialect::Task::Unload(_));
             let order = self.order(now, pool, &id, task);
             if order.is_some() && makes_room {
-                self.begin_move(now, id, &model.name);
+                self.reserve(now, id, &model.name);
             }
             actions.extend(order.map(Action::Order));
         }
--- a/crates/sageshed-fleet/src/planner/moves.rs
+++ b/crates/sageshed-fleet/src/planner/reservations.rs
@@ -14,35 +14,35 @@
 use crate::{dialect, directory};
 
 /// How long room is kept. An unload waits for requests that run, of which the longest take some seconds.
-const KEPT: time::Millis = time::Millis(8_000);
+const RESERVATION_TIMEOUT: time::Millis = time::Millis(8_000);
 
 /// Room that is kept for a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Move {
+pub(super) struct Reservation {
     pub(super) model: String,
     since: time::Instant,
 }
 
 /// Room kept, by engine.
-pub(super) type Moves = collections::BTreeMap<directory::InstanceId, Move>;
+pub(super) type Reservations = collections::BTreeMap<directory::InstanceId, Reservation>;
 
 impl Planner {
     /// Forgets the moves that have ended, and goes on with the others.
     ///
-    /// One survey serves all steps: each is on an engine of its own, and the store counts the room that
+    /// One state serves all steps: each is on an engine of its own, and the store counts the room that
     /// is kept on every other.
-    pub(super) fn go_on_with_moves(
+    pub(super) fn continue_reservations(
         &mut self,
         now: time::Instant,
         pool: &Pool<'_>,
     ) -> Vec<dialect::Order> {
-        self.end_moves(now, pool);
-        let survey = weights::Survey::new(self, now, pool);
+        self.release_reservations(now, pool);
+        let state = weights::PoolState::new(self, now, pool);
         let steps = pool.instances.iter().filter_map(|instance| {
-            let kept_for = self.moves.get(&instance.id)?;
+            let reserved = self.reservations.get(&instance.id)?;
             let mut models = pool.offer.models.iter();
-            let model = models.find(|it| it.name == kept_for.model)?;
-            let (_, task) = survey.step_at(instance, model)?;
+            let model = models.find(|it| it.name == reserved.model)?;
+            let (_, task) = state.step_at(instance, model)?;
             Some((instance.id.clone(), task))
         });
         let steps: Vec<(directory::InstanceId, dialect::Task)> = steps.collect();
@@ -53,46 +53,45 @@
     }
 
     /// Room is made on `id` for `model`.
-    pub(super) fn begin_move(
-        &mut self,
-        now: time::Instant,
-        id: directory::InstanceId,
-        model: &str,
-    ) {
+    pub(super) fn reserve(&mut self, now: time::Instant, id: directory::InstanceId, model: &str) {
         let model = model.to_owned();
-        self.moves.insert(id, Move { model, since: now });
+        self.reservations
+            .insert(id, Reservation { model, since: now });
     }
 
     /// Whether room is kept on `instance` for a model that the store has to give.
-    pub(super) fn keeps_for_store(&self, instance: &directory::Instance) -> bool {
-        let kept_for = self.moves.get(&instance.id);
-        kept_for.is_some_and(|it| engine::source(instance, &it.model) == engine::Source::Store)
+    pub(super) fn is_reserved_for_store(&self, instance: &directory::Instance) -> bool {
+        let reserved = self.reservations.get(&instance.id);
+        reserved.is_some_and(|it| engine::source(instance, &it.model) == engine::Source::Store)
     }
 
-    fn end_moves(&mut self, now: time::Instant, pool: &Pool<'_>) {
-        let survey = weights::Survey::new(self, now, pool);
-        let ended = |instance: &&&directory::Instance| {
-            let Some(open) = self.moves.get(&instance.id) else {
+    fn release_reservations(&mut self, now: time::Instant, pool: &Pool<'_>) {
+        let state = weights::PoolState::new(self, now, pool);
+        let is_over = |instance: &&&directory::Instance| {
+            let Some(reservation) = self.reservations.get(&instance.id) else {
                 return false;
             };
-            let loads = self
+            let loading = self
                 .engines
                 .get(&instance.id)
                 .and_then(engine::Engine::loading_model);
-            let is_loaded = loads == Some(&open.model) || instance.resident(&open.model).is_some();
-            is_loaded || now.since(open.since) > KEPT || survey.is_needless(&open.model)
+            let is_loaded = loading == Some(&reservation.model)
+                || instance.resident(&reservation.model).is_some();
+            is_loaded
+                || now.since(reservation.since) > RESERVATION_TIMEOUT
+                || state.has_spare_copy(&reservation.model)
         };
-        let ended: Vec<directory::InstanceId> = pool
+        let over: Vec<directory::InstanceId> = pool
             .instances
             .iter()
-            .filter(ended)
+            .filter(is_over)
             .map(|it| it.id.clone())
             .collect();
-        for id in ended {
-            self.moves.remove(&id);
+        for id in over {
+            self.reservations.remove(&id);
         }
         // What an engine was to load that has gone is loaded elsewhere.
         let engines = &self.engines;
-        self.moves.retain(|id, _| engines.contains_key(id));
+        self.reservations.retain(|id, _| engines.contains_key(id));
     }
 }
--- a/crates/sageshed-fleet/src/planner/restarts.rs
+++ b/crates/sageshed-fleet/src/planner/restarts.rs
@@ -26,18 +26,18 @@
 
 impl Restarts {
     /// Another leader gave orders until `from`, and what it gave is not known.
-    pub(super) fn leads(&mut self, from: time::Instant) {
+    pub(super) fn start_leading(&mut self, from: time::Instant) {
         self.unsettled.clear();
         self.earlier_leader_until = from + engine::UNCONFIRMED_TIMEOUT;
     }
 
     /// Takes the starts that are there and followed another lately.
-    pub(super) fn know(&mut self, restarted: Vec<directory::InstanceId>) {
+    pub(super) fn set_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
         self.restarted = restarted.into_iter().collect();
     }
 
     /// Keeps in mind what was left open at the engines that are not there any more.
-    pub(super) fn note_ended(
+    pub(super) fn record_ended(
         &mut self,
         now: time::Instant,
         engines: &collections::BTreeMap<directory::InstanceId, engine::Engine>,
--- a/crates/sageshed-fleet/src/planner/store.rs
+++ b/crates/sageshed-fleet/src/planner/store.rs
@@ -6,14 +6,14 @@
 
 /// The loads that began lately, or are taken to have begun.
 #[derive(Debug)]
-pub(super) struct Store {
+pub(super) struct StoreBudget {
     window: time::Millis,
     begun: collections::VecDeque<time::Instant>,
     /// Until then the whole of the window counts as spent by the leader before.
     spent_until: time::Instant,
 }
 
-impl Store {
+impl StoreBudget {
     pub(super) fn new(window: time::Millis) -> Self {
         Self {
             window,
@@ -23,14 +23,14 @@
     }
 
     /// Counts all that the store allows as begun at `at`.
-    pub(super) fn assume_spent(&mut self, at: time::Instant) {
+    pub(super) fn assume_all_spent(&mut self, at: time::Instant) {
         self.begun.clear();
         self.spent_until = at;
     }
 
-    /// Whether a load may begin now, where the store begins `per_s` in a second and `kept` others are to
+    /// Whether a load may begin now, where the store begins `per_s` in a second and `reserved` others are to
     /// begin soon.
-    pub(super) fn allows(&self, now: time::Instant, per_s: f64, kept: usize) -> bool {
+    pub(super) fn allows(&self, now: time::Instant, per_s: f64, reserved: usize) -> bool {
         if now < self.spent_until {
             return false;
         }
@@ -39,7 +39,7 @@
             .iter()
             .filter(|at| now.since(**at) <= self.window);
         let most = per_s * self.window.0 as f64 / 1_000.0;
-        (recent.count() + kept + 1) as f64 <= most.max(1.0)
+        (recent.count() + reserved + 1) as f64 <= most.max(1.0)
     }
 
     pub(super) fn spend(&mut self, now: time::Instant) {
