--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -1,32 +1,33 @@
-//! Adapters that requests wait for: where each is loaded, and which one makes room.
+//! Placement of adapters that requests wait for: on which engine each is loaded, and which one is evicted for it.
 
 use sageshed_types::time;
 
 use super::{Action, Planner, Pool, engine};
 use crate::{dialect, directory, messages};
 
-/// How long an adapter that was in use is not given up, so that the requests for it are done.
+/// How long an adapter must be unused before it may be evicted, so that its requests can finish.
 const ADAPTER_MIN_IDLE: time::Millis = time::Millis(1_500);
 
-/// A want of an adapter that is not served yet.
+/// A request for an adapter that is not served yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingAdapterRequest {
     pub(super) req: messages::WantReq,
+    /// When it arrived.
     pub(super) at: time::Instant,
 }
 
-/// What came of a want.
+/// Progress of a request for an adapter.
 enum Progress {
-    /// The adapter is there or on its way.
+    /// The adapter is loaded or being loaded.
     Done,
-    /// This order serves it, or makes room for it.
+    /// This order loads it, or unloads another one for it.
     By(dialect::Order),
-    /// No engine can take it now.
+    /// No engine can load it now.
     Later,
 }
 
 impl Planner {
-    /// Has adapters loaded for which requests wait.
+    /// Gives the orders that load the requested adapters.
     pub(super) fn serve_adapter_requests(
         &mut self,
         now: time::Instant,
@@ -98,13 +99,13 @@
                 .map_or(Progress::Later, Progress::By);
         }
         if is_elsewhere {
-            // A second copy is not worth another adapter's place.
+            // No adapter is evicted for a second replica of another one.
             return Progress::Done;
         }
         self.evict_adapter(now, pool, &holders)
     }
 
-    /// Gives up the adapter that was not used for longest, on an engine that could take another.
+    /// Evicts the least recently used adapter of the engines that can take an order now.
     fn evict_adapter(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/planner/demand.rs
+++ b/crates/sageshed-fleet/src/planner/demand.rs
@@ -1,9 +1,9 @@
-//! What callers ask of each model.
+//! The recent demand for each model, and the last use of each adapter.
 //!
-//! Demand moves to other models within a second or two, and a load that begins late is late for all
-//! who wait for it. So the rate is the greater of that over the last second and that over the last
-//! [`WINDOW_MS`]: it rises at once and falls slowly. The last second counts in full only where many
-//! requests came in it.
+//! Demand moves to other models within a second or two, and a load that begins late delays all requests that wait
+//! for it. The estimate is therefore the greater of the rate over the last [`RISE_WINDOW_MS`] and the rate over the
+//! last [`WINDOW_MS`]: it rises at once and falls slowly. The short window is weighted by the number of its
+//! requests, so that a single large prompt doesn't look like a rise.
 
 use std::collections;
 
@@ -11,32 +11,32 @@
 
 use crate::messages;
 
-/// The length of one count, in milliseconds.
+/// Length of one bucket.
 const BUCKET_MS: u64 = 250;
 
-/// How far back counts go, in milliseconds.
+/// Window over which demand is averaged.
 const WINDOW_MS: u64 = 4_000;
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// The span that notices a rise, in milliseconds.
+/// Window in which a rise of demand is noticed.
 const RISE_WINDOW_MS: u64 = 1_000;
 
-/// Requests at which the last second weighs a half against what came before. Prompts of a rare model
+/// Number of requests in the short window at which its rate is weighted by one half. Prompts of rarely used models
 /// come singly, and one of them in a second is no rise of demand.
 const HALF_WEIGHT_REQUESTS: f64 = 3.0;
 
-/// What was asked for in one bucket.
+/// The demand in one bucket, or in several of them.
 #[derive(Debug, Clone, Copy, Default)]
 struct Count {
     requests: u32,
     reading_us: u64,
 }
 
+/// The recent demand for one model.
 #[derive(Debug, Default)]
 struct Model {
-    /// By the number of the bucket.
+    /// Buckets with their numbers, the oldest first.
     buckets: collections::VecDeque<(u64, Count)>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What was asked for in the last `span_ms`.
+    /// The demand in the last `span_ms`.
     fn within(&self, bucket: u64, span_ms: u64) -> Count {
         let from = bucket.saturating_sub(span_ms / BUCKET_MS);
         let recent = self.buckets.iter().filter(|(it, _)| *it >= from);
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Engines kept busy, as a number of engines.
+    /// Number of engines that its requests keep busy.
     fn work(&self, bucket: u64) -> f64 {
         let rate =
             |count: Count, span_ms: u64| count.reading_us as f64 / (span_ms as f64 * MICROS_PER_MS);
@@ -77,7 +77,7 @@
     }
 }
 
-/// The demand for all models.
+/// The recent demand for all models.
 #[derive(Debug, Default)]
 pub(super) struct DemandHistory {
     models: collections::HashMap<(String, String), Model>,
@@ -85,6 +85,7 @@
 }
 
 impl DemandHistory {
+    /// Adds the demand that a process has reported.
     pub(super) fn add(&mut self, now: time::Instant, demand: &[messages::Demand]) {
         for it in demand {
             let key = (it.service.clone(), it.model.clone());
@@ -100,6 +101,7 @@
         }
     }
 
+    /// Records that an adapter is requested now.
     pub(super) fn record_adapter_use(
         &mut self,
         now: time::Instant,
@@ -111,7 +113,7 @@
         self.adapters.insert(key, now);
     }
 
-    /// When an adapter was last asked for; the start of the clock if it never was.
+    /// When an adapter was last requested; the origin of the clock if it never was.
     pub(super) fn last_adapter_use(
         &self,
         service: &str,
@@ -122,7 +124,7 @@
         self.adapters.get(&key).copied().unwrap_or_default()
     }
 
-    /// Engines that the requests for a model keep busy, as a number of engines.
+    /// Number of engines that the requests for a model keep busy.
     pub(super) fn work(&self, now: time::Instant, service: &str, model: &str) -> f64 {
         let key = (service.to_owned(), model.to_owned());
         let model = self.models.get(&key);
--- a/crates/sageshed-fleet/src/planner/leadership.rs
+++ b/crates/sageshed-fleet/src/planner/leadership.rs
@@ -1,24 +1,24 @@
-//! The span in which a leader may give orders.
+//! From when on a newly elected leader may give orders.
 
 use sageshed_types::time;
 
-/// Taken on top of a lease, in milliseconds: timers fire late, and an order is on its way for some time.
+/// Added to the lease, since timers fire late and an order takes time on the network.
 const ORDER_MARGIN: time::Millis = time::Millis(300);
 
-/// The leadership of one leader.
+/// The leadership of one elected leader.
 ///
-/// An engine that checks no fence obeys two leaders. The one before may give orders for as long as it
-/// believes to have its majority, which ends before another can be elected. From then on a lease has to
-/// pass. The clock has to go on while a VM is suspended: a leader that slept through the end of its
-/// majority would go on by a clock that stood still.
+/// An engine that doesn't check the fencing token executes the orders of two leaders. The previous leader may give
+/// orders for as long as it believes to have a majority, which ends at most a lease after it has lost it; so the new
+/// leader waits for a lease before its first order. The clock has to advance while a VM is suspended: otherwise a
+/// leader whose VM was suspended beyond its lease would go on giving orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Leadership {
-    /// No order before.
+    /// No order is given before.
     orders_from: time::Instant,
 }
 
 impl Leadership {
-    /// Of a leader that was elected at `now`.
+    /// The leadership of a leader that was elected at `now`.
     #[must_use]
     pub fn elected(now: time::Instant, lease: time::Millis) -> Self {
         Self {
@@ -26,13 +26,13 @@
         }
     }
 
-    /// When it begins.
+    /// When the first order may be given.
     #[must_use]
     pub const fn orders_from(self) -> time::Instant {
         self.orders_from
     }
 
-    /// Whether it has begun.
+    /// Whether orders may be given at `now`.
     #[must_use]
     pub fn may_order(self, now: time::Instant) -> bool {
         now >= self.orders_from
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -139,7 +139,7 @@
     /// Its name.
     pub model: String,
     /// Engines that hold it and are not told to drop it.
-    pub copies: usize,
+    pub replicas: usize,
     /// Engines that load it.
     pub loading: usize,
     /// Engines that its requests keep busy, as a number of engines.
@@ -335,7 +335,7 @@
             engine.is_some_and(|it| it.accepts_weight_orders(now))
         };
         let state = weights::PoolState::new(self, now, pool);
-        let short = state.short_of_copies();
+        let short = state.short_of_replicas();
         let models = pool.offer.models.iter();
         let work = models.map(|it| self.demand.work(now, pool.service, &it.name));
         Summary {
@@ -451,7 +451,7 @@
     fn place(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let orders = self.continue_reservations(now, pool);
         let mut actions: Vec<Action> = orders.into_iter().map(Action::Order).collect();
-        for model in weights::PoolState::new(self, now, pool).short_of_copies() {
+        for model in weights::PoolState::new(self, now, pool).short_of_replicas() {
             // The order before may have changed what the next one finds.
             let state = weights::PoolState::new(self, now, pool);
             let Some((id, task)) = state.next_step(model) else {
--- a/crates/sageshed-fleet/src/planner/reservations.rs
+++ b/crates/sageshed-fleet/src/planner/reservations.rs
@@ -1,10 +1,10 @@
-//! Room that is made on an engine for one model.
+//! Reservations of engine memory that is being freed for one model.
 //!
-//! An unload takes as long as the requests that run, up to seconds, and the load that it makes room for
-//! can begin only then. Meanwhile other models are short as well. Were the room not kept, the next model
-//! that loads quickly would take it, and the first would make room elsewhere: with demand moved to one
-//! model the last copies of seven others were dropped within 20 ms, and loaded again from the store
-//! that the first one needed.
+//! An unload waits for running requests, up to seconds, and the load that needs the memory can begin only then.
+//! Other models may be short of replicas meanwhile. Without a reservation the next model that loads quickly would
+//! take the memory, and the first one would evict a model elsewhere: when demand moved to one model, the last
+//! replicas of seven others were unloaded within 20 ms, and loaded again from the weight store that the first one
+//! needed.
 
 use std::collections;
 
@@ -13,24 +13,24 @@
 use super::{Planner, Pool, engine, weights};
 use crate::{dialect, directory};
 
-/// How long room is kept. An unload waits for requests that run, of which the longest take some seconds.
+/// How long a reservation is held. An unload waits for running requests, the longest of which take some seconds.
 const RESERVATION_TIMEOUT: time::Millis = time::Millis(8_000);
 
-/// Room that is kept for a model.
+/// Memory of one engine that is reserved for a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Reservation {
     pub(super) model: String,
     since: time::Instant,
 }
 
-/// Room kept, by engine.
+/// All reservations, by engine.
 pub(super) type Reservations = collections::BTreeMap<directory::InstanceId, Reservation>;
 
 impl Planner {
-    /// Forgets the moves that have ended, and goes on with the others.
+    /// Releases the reservations that are over, and gives the next order for each of the others.
     ///
-    /// One state serves all steps: each is on an engine of its own, and the store counts the room that
-    /// is kept on every other.
+    /// One pool state serves all of them: each order goes to another engine, and the store's budget already counts
+    /// all reservations.
     pub(super) fn continue_reservations(
         &mut self,
         now: time::Instant,
@@ -52,14 +52,14 @@
             .collect()
     }
 
-    /// Room is made on `id` for `model`.
+    /// Reserves the memory that is being freed on engine `id` for `model`.
     pub(super) fn reserve(&mut self, now: time::Instant, id: directory::InstanceId, model: &str) {
         let model = model.to_owned();
         self.reservations
             .insert(id, Reservation { model, since: now });
     }
 
-    /// Whether room is kept on `instance` for a model that the store has to give.
+    /// Whether memory on `instance` is reserved for a model that has to be loaded from the weight store.
     pub(super) fn is_reserved_for_store(&self, instance: &directory::Instance) -> bool {
         let reserved = self.reservations.get(&instance.id);
         reserved.is_some_and(|it| engine::source(instance, &it.model) == engine::Source::Store)
@@ -79,7 +79,7 @@
                 || instance.resident(&reservation.model).is_some();
             is_loaded
                 || now.since(reservation.since) > RESERVATION_TIMEOUT
-                || state.has_spare_copy(&reservation.model)
+                || state.has_spare_replica(&reservation.model)
         };
         let over: Vec<directory::InstanceId> = pool
             .instances
@@ -90,7 +90,7 @@
         for id in over {
             self.reservations.remove(&id);
         }
-        // What an engine was to load that has gone is loaded elsewhere.
+        // A reservation on an engine that has gone serves nothing; the model is placed elsewhere.
         let engines = &self.engines;
         self.reservations.retain(|id, _| engines.contains_key(id));
     }
--- a/crates/sageshed-fleet/src/planner/restarts.rs
+++ b/crates/sageshed-fleet/src/planner/restarts.rs
@@ -1,10 +1,10 @@
-//! Orders to an engine that has ended, which the next start under its name may carry out.
+//! Orders to an instance that has ended, which the next instance of the same endpoint may execute.
 //!
-//! An order names the engine, not its start, and may be carried out seconds after it was given. Of two starts
-//! the later one counts its orders from zero again, so an order to the earlier one can stand behind just
-//! the number that the later one has reached. It would then load weights that no account shows, and with
-//! those of the next order its memory would be overcommitted, which ends an engine with all that it runs. So
-//! a start is given no orders until those to the one before have settled.
+//! An order names the endpoint, not the instance, and may be executed seconds after it was sent. The next instance
+//! counts its orders from zero again, so its count can reach the `accepted_before` of an order to the previous one.
+//! It would then load weights that the leader doesn't know of, and the next order would overcommit its memory, which
+//! crashes the engine with all its requests. So an instance gets no orders until those to the previous one can no
+//! longer be executed.
 
 use std::collections;
 
@@ -13,30 +13,30 @@
 use super::engine;
 use crate::directory;
 
-/// What may still be under way to earlier starts.
+/// The orders to earlier instances that may still be executed.
 #[derive(Debug, Default)]
 pub(super) struct Restarts {
-    /// Until when an order to an earlier start may be carried out, by the name of the engine.
+    /// Until when an order to an earlier instance may be executed, by endpoint name.
     unsettled: collections::HashMap<String, time::Instant>,
-    /// Until when orders of the leader before may be carried out.
+    /// Until when orders of the previous leader may be executed.
     earlier_leader_until: time::Instant,
-    /// The starts that are there and followed another lately.
+    /// The present instances that have recently replaced another one.
     restarted: collections::HashSet<directory::InstanceId>,
 }
 
 impl Restarts {
-    /// Another leader gave orders until `from`, and what it gave is not known.
+    /// This process becomes the leader. The orders that another one gave until `from` are not known.
     pub(super) fn start_leading(&mut self, from: time::Instant) {
         self.unsettled.clear();
         self.earlier_leader_until = from + engine::UNCONFIRMED_TIMEOUT;
     }
 
-    /// Takes the starts that are there and followed another lately.
+    /// Sets the present instances that have recently replaced another one.
     pub(super) fn set_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
         self.restarted = restarted.into_iter().collect();
     }
 
-    /// Keeps in mind what was left open at the engines that are not there any more.
+    /// Records until when orders to the engines that have ended may be executed.
     pub(super) fn record_ended(
         &mut self,
         now: time::Instant,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Until when a start that was not there before may carry out orders to an earlier one.
+    /// Until when a new instance may execute orders to an earlier one.
     pub(super) fn unsettled_until(&self, id: &directory::InstanceId) -> time::Instant {
         let known = self.unsettled.get(&id.name).copied().unwrap_or_default();
         if self.restarted.contains(id) {
--- a/crates/sageshed-fleet/src/planner/store.rs
+++ b/crates/sageshed-fleet/src/planner/store.rs
@@ -1,19 +1,20 @@
-//! How many loads the weight store may begin.
+//! The budget of loads from the weight store, which all engines share.
 
 use std::collections;
 
 use sageshed_types::time;
 
-/// The loads that began lately, or are taken to have begun.
+/// The recent loads from the store, and those that a previous leader may have begun.
 #[derive(Debug)]
 pub(super) struct StoreBudget {
     window: time::Millis,
     begun: collections::VecDeque<time::Instant>,
-    /// Until then the whole of the window counts as spent by the leader before.
+    /// Until then the whole budget counts as spent by the previous leader.
     spent_until: time::Instant,
 }
 
 impl StoreBudget {
+    /// A budget that counts the loads begun within `window`.
     pub(super) fn new(window: time::Millis) -> Self {
         Self {
             window,
@@ -22,14 +23,14 @@
         }
     }
 
-    /// Counts all that the store allows as begun at `at`.
+    /// Counts the whole budget as spent until `at`.
     pub(super) fn assume_all_spent(&mut self, at: time::Instant) {
         self.begun.clear();
         self.spent_until = at;
     }
 
-    /// Whether a load may begin now, where the store begins `per_s` in a second and `reserved` others are to
-    /// begin soon.
+    /// Whether a load may begin now, where the store allows `per_s` loads a second and `reserved` others are
+    /// about to begin.
     pub(super) fn allows(&self, now: time::Instant, per_s: f64, reserved: usize) -> bool {
         if now < self.spent_until {
             return false;
@@ -42,6 +43,7 @@
         (recent.count() + reserved + 1) as f64 <= most.max(1.0)
     }
 
+    /// Counts a load that begins now.
     pub(super) fn spend(&mut self, now: time::Instant) {
         while self
             .begun
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -1,4 +1,5 @@
-//! Where weights are loaded and what makes room for them.
+//! Placement of weights: which models need another replica, on which engine it is loaded, and which replica is evicted
+//! for it.
 
 use std::collections;
 
@@ -7,65 +8,68 @@
 use super::{Busy, FILL_COST, Planner, Pool, engine};
 use crate::{config, dialect, directory};
 
-/// A model with less work than this, in engines kept busy, is not taken for the next to rise.
+/// Work in busy engines below which no further work is anticipated for a model.
 const MIN_ANTICIPATED_WORK: f64 = 0.15;
 
-/// A model with less than this part of the work of the one before it isn't either.
+/// Share of the work of the model ranked before it below which no further work is anticipated for a model.
 const MIN_ANTICIPATED_SHARE: f64 = 0.15;
 
-/// How far down the order of models work is anticipated.
+/// Number of models behind the busiest one for which further work may be anticipated.
 const ANTICIPATED_MODELS: usize = 2;
 
-/// What an unload weighs, in engines kept busy: its requests are waited for, and what was kept of its
-/// prompts is lost.
+/// Cost of an unload in busy engines: it waits for the model's running requests, and the model's prefix cache is
+/// lost.
 const UNLOAD_COST: f64 = 0.2;
 
-/// A last copy goes for a model without one if it has at most this part of its work.
-const LAST_COPY_MAX_WORK_SHARE: f64 = 0.5;
+/// A model's last replica may be evicted for a model without any replica if the first has at most this share of the
+/// other's work.
+const LAST_REPLICA_MAX_WORK_SHARE: f64 = 0.5;
 
-/// A copy goes where its work is at least so many times less, once it is gone, than that of a copy of
-/// the model that takes its place. Under overload no copy has little work, and none would move.
+/// A replica may be evicted if the remaining replicas of its model then have at most this share of the work per replica of
+/// the model that replaces it. Without such a relative bound no replica would be evicted under overload, where every
+/// replica has much work.
 const VICTIM_MAX_LOAD_SHARE: f64 = 0.5;
 
-/// What giving up a last copy weighs, in engines kept busy: whoever asks next waits for a load. Any
-/// pause_calls copy that may go goes before.
-const LAST_COPY_COST: f64 = 2.0;
+/// Cost of evicting a last replica in busy engines: the next request for the model waits for a load. It makes any
+/// evictable spare replica preferable.
+const LAST_REPLICA_COST: f64 = 2.0;
 
-/// What a model without any copy weighs that callers ask for: more than any work.
-const NO_COPY_NEED: f64 = 10.0;
+/// Need of a requested model without a replica, in busy engines: above that of any model with one.
+const NO_REPLICA_NEED: f64 = 10.0;
 
-/// The need of a model without a copy that nobody asks for, in parts of what makes a model short.
+/// Need of a model that has no replica and no requests, relative to the threshold above which a model is short of
+/// replicas.
 const IDLE_NEED_FACTOR: f64 = 1.01;
 
-/// What is known of one model at one moment.
+/// The state of one model at one moment.
 #[derive(Debug, Clone, Copy, Default)]
 struct ModelState {
-    /// Engines that hold it and are not told to drop it.
-    copies: usize,
-    /// Engines that load it.
+    /// Engines that hold it and are not ordered to unload it.
+    replicas: usize,
+    /// Engines that load it or on which memory is reserved for it.
     loading: usize,
-    /// Engines that its requests keep busy, as a number of engines.
+    /// Number of engines that its requests keep busy.
     work: f64,
-    /// Engines that it should be able to keep busy.
+    /// Number of busy engines for which replicas are provided: its work, or more where a rise is anticipated.
     provisioned_work: f64,
 }
 
 impl ModelState {
-    /// What each copy would bear with `copies` of them.
-    fn work_per_copy(&self, copies: usize) -> f64 {
-        self.provisioned_work / copies.max(1) as f64
+    /// The provisioned work for each of `replicas` replicas.
+    fn work_per_replica(&self, replicas: usize) -> f64 {
+        self.provisioned_work / replicas.max(1) as f64
     }
 }
 
-/// All models of one pool at one moment.
+/// The state of all models of one pool at one moment.
 pub(super) struct PoolState<'a, 'p> {
     planner: &'a Planner,
     pool: &'a Pool<'p>,
     now: time::Instant,
     models: collections::HashMap<&'p str, ModelState>,
-    /// Loads from the store under way.
+    /// Pending loads from the weight store.
     store_loads: usize,
-    /// Engines on which room is kept for a model that the store has to give.
+    /// Engines with memory reserved for a model that has to be loaded from the weight store.
     store_reservations: usize,
 }
 
@@ -82,7 +86,7 @@
             models.insert(&model.name, state);
         }
         for instance in &pool.instances {
-            count_copies(planner, instance, &mut models);
+            count_replicas(planner, instance, &mut models);
             let reservation = planner.reservations.get(&instance.id);
             if let Some(state) = reservation.and_then(|it| models.get_mut(it.model.as_str())) {
                 state.loading += 1;
@@ -114,7 +118,7 @@
     pub(super) fn busiest(&self, count: usize) -> Vec<Busy> {
         let models = self.models.iter().map(|(model, it)| Busy {
             model: (*model).to_owned(),
-            copies: it.copies,
+            replicas: it.replicas,
             loading: it.loading,
             work: it.work,
         });
@@ -124,15 +128,15 @@
         models
     }
 
-    /// Models that need another copy, the one that needs it most first.
-    pub(super) fn short_of_copies(&self) -> Vec<&'p config::Model> {
+    /// Models that need another replica, in decreasing order of need.
+    pub(super) fn short_of_replicas(&self) -> Vec<&'p config::Model> {
         let mut short: Vec<(f64, &'p config::Model)> = Vec::new();
         for model in &self.pool.offer.models {
             let it = self.of(&model.name);
-            let need = if it.copies + it.loading == 0 {
-                self.need_without_copy(it)
+            let need = if it.replicas + it.loading == 0 {
+                self.need_without_replica(it)
             } else {
-                it.work_per_copy(it.copies + it.loading)
+                it.work_per_replica(it.replicas + it.loading)
             };
             if need > self.planner.policy.high {
                 short.push((need, model));
@@ -142,25 +146,25 @@
         short.into_iter().map(|(_, model)| model).collect()
     }
 
-    /// Whether `model` bears its work with one copy less than are there, under way or planned.
-    pub(super) fn has_spare_copy(&self, model: &str) -> bool {
+    /// Whether `model` could handle its work with one replica less than are loaded, loading or reserved for.
+    pub(super) fn has_spare_replica(&self, model: &str) -> bool {
         let it = self.of(model);
-        let less = (it.copies + it.loading).saturating_sub(1);
-        less > 0 && it.work_per_copy(less) <= self.planner.policy.low
+        let less = (it.replicas + it.loading).saturating_sub(1);
+        less > 0 && it.work_per_replica(less) <= self.planner.policy.low
     }
 
-    /// Without a copy its callers get nothing at all. While nobody asks for it it comes behind all that
-    /// are short: a load from the store keeps its engine from any other order for nine seconds.
-    fn need_without_copy(&self, it: ModelState) -> f64 {
+    /// The need of a model without a replica, whose requests can't be served at all. While there are none it ranks
+    /// behind all models that are short: a load from the store blocks its engine for other orders for nine seconds.
+    fn need_without_replica(&self, it: ModelState) -> f64 {
         if it.work > 0.0 {
-            NO_COPY_NEED + it.work
+            NO_REPLICA_NEED + it.work
         } else {
             self.planner.policy.high * IDLE_NEED_FACTOR
         }
     }
 
-    /// The next order on the way to another copy of `model`: a load where there is room, else the
-    /// unload that makes room.
+    /// The next task on the way to another replica of `model`, with its engine: a load where memory is free, otherwise
+    /// the unload that frees it.
     pub(super) fn next_step(
         &self,
         model: &config::Model,
@@ -177,7 +181,7 @@
         best.map(|(_, id, task)| (id, task))
     }
 
-    /// Whether the store may begin a load on `instance` besides those for which room is kept elsewhere.
+    /// Whether the weight store may begin a load on `instance` in addition to the pending and the reserved ones.
     fn store_is_free(&self, instance: &directory::Instance) -> bool {
         let own = usize::from(self.planner.is_reserved_for_store(instance));
         let reserved = self.store_reservations - own;
@@ -186,7 +190,8 @@
             && self.planner.store.allows(self.now, per_s, reserved)
     }
 
-    /// What `instance` would be told to have `model` there, and what that weighs.
+    /// The next task on `instance` towards a replica of `model`, with its cost in busy engines; none where the engine
+    /// can't take it.
     pub(super) fn step_at(
         &self,
         instance: &directory::Instance,
@@ -212,35 +217,35 @@
             let (victim, after) = self.victim(instance, model)?;
             (dialect::Task::Unload(victim), UNLOAD_COST + after)
         };
-        // Of engines that are equal otherwise, the emptier one.
+        // Prefers the engine with more free memory where all else is equal.
         let fill = FILL_COST * used / self.pool.offer.weights_mb;
         let cost = eviction_cost + source.cost(model) + self.engine_work(instance) + fill;
         Some((cost, task))
     }
 
-    /// The model on `instance` that can best do with a copy less, and what its copies then bear.
+    /// The model on `instance` to evict for `wanted`, with the cost: the work per remaining replica.
     fn victim(
         &self,
         instance: &directory::Instance,
         wanted: &config::Model,
     ) -> Option<(String, f64)> {
         let wanted_state = self.of(&wanted.name);
-        let needed = wanted_state.work_per_copy(wanted_state.copies + wanted_state.loading);
+        let needed = wanted_state.work_per_replica(wanted_state.replicas + wanted_state.loading);
         let mut best: Option<(String, f64)> = None;
         for resident in &instance.models {
             let is_offered = self.models.contains_key(resident.model.as_str());
             let it = self.of(&resident.model);
-            let is_last = it.copies < 2 && is_offered;
-            let is_kept = is_last && !Self::may_evict_last_copy(it, wanted_state);
+            let is_last = it.replicas < 2 && is_offered;
+            let is_kept = is_last && !Self::may_evict_last_replica(it, wanted_state);
             if is_kept || resident.model == wanted.name {
                 continue;
             }
             let last = if is_last && is_offered {
-                LAST_COPY_COST
+                LAST_REPLICA_COST
             } else {
                 0.0
             };
-            let after = it.work_per_copy(it.copies.saturating_sub(1)) + last;
+            let after = it.work_per_replica(it.replicas.saturating_sub(1)) + last;
             let is_better = best.as_ref().is_none_or(|(_, least)| after < *least);
             let can_spare =
                 after <= self.planner.policy.low || after <= needed * VICTIM_MAX_LOAD_SHARE;
@@ -251,28 +256,28 @@
         best
     }
 
-    /// Whether the last copy of a model may go for another one.
+    /// Whether the last replica of a model may be evicted for `wanted`.
     ///
-    /// When engines are lost for good there may be fewer places than models. Were each last copy kept,
-    /// the models without one could not be asked for any more. What is given up stays on the engine's
-    /// disk, from which it is back within seconds when it is asked for.
-    fn may_evict_last_copy(it: ModelState, wanted: ModelState) -> bool {
-        let is_without = wanted.copies + wanted.loading == 0 && wanted.work > 0.0;
-        is_without && it.work <= wanted.work * LAST_COPY_MAX_WORK_SHARE
+    /// When engines are lost for good, their memory may no longer fit all models. If no last replica were evicted, the
+    /// models without one could never be served again. The weights of an evicted model stay on the engine's disk,
+    /// from which they are loaded within seconds.
+    fn may_evict_last_replica(it: ModelState, wanted: ModelState) -> bool {
+        let is_without = wanted.replicas + wanted.loading == 0 && wanted.work > 0.0;
+        is_without && it.work <= wanted.work * LAST_REPLICA_MAX_WORK_SHARE
     }
 
-    /// What the requests for the models on `instance` keep busy of it.
+    /// The work on `instance`, if requests are spread evenly over the replicas of each model.
     fn engine_work(&self, instance: &directory::Instance) -> f64 {
         let share = |it: &directory::Resident| {
             let state = self.of(&it.model);
-            state.work / state.copies.max(1) as f64
+            state.work / state.replicas.max(1) as f64
         };
         instance.models.iter().map(share).sum()
     }
 }
 
-/// Counts what `instance` holds and loads.
-fn count_copies(
+/// Adds the replicas that `instance` holds and loads to `models`.
+fn count_replicas(
     planner: &Planner,
     instance: &directory::Instance,
     models: &mut collections::HashMap<&str, ModelState>,
@@ -283,7 +288,7 @@
         if let Some(state) = models.get_mut(resident.model.as_str())
             && !is_dropped
         {
-            state.copies += 1;
+            state.replicas += 1;
         }
     }
     let Some(loads) = engine.and_then(engine::Engine::loading_model) else {
@@ -296,7 +301,7 @@
     }
 }
 
-/// Provides the next of the busy models for a part of the work of the one before it.
+/// Raises the provisioned work of the busiest models to a share of the work of the model ranked before each.
 fn anticipate(part: f64, models: &mut collections::HashMap<&str, ModelState>) {
     let mut order: Vec<(f64, &str)> = models.iter().map(|(name, it)| (it.work, *name)).collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
