--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -175,7 +175,7 @@
         let named = |model: u64| {
             let mut models = self.instance.models.iter();
             let found = models.find(|it| neighbours::key(&it.model) == model);
-            found.map(|it| dialect::Wanted {
+            found.map(|it| dialect::ModelRef {
                 model: it.model.clone(),
                 adapter: None,
             })
--- a/crates/sageshed-fleet/src/chooser/ask.rs
+++ b/crates/sageshed-fleet/src/chooser/ask.rs
@@ -46,7 +46,7 @@
     /// The service.
     pub service: &'a str,
     /// The model, for a service of engines.
-    pub wanted: Option<&'a dialect::Wanted>,
+    pub wanted: Option<&'a dialect::ModelRef>,
     /// Parts of the prompt.
     pub parts: &'a [dialect::PromptPart],
     /// Tokens of the whole prompt.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Read<'a> {
     /// For which model and adapter.
-    pub wanted: &'a dialect::Wanted,
+    pub wanted: &'a dialect::ModelRef,
     /// The parts of the prompt.
     pub parts: &'a [dialect::PromptPart],
 }
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -99,18 +99,18 @@
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
-        answered: &dialect::Answered<'_>,
+        answered: &dialect::ResponseMetadata<'_>,
     ) -> Option<Change> {
         if !answered.is_of(id) {
             return None;
         }
-        if let Some(span) = answered.notice.rest {
+        if let Some(span) = answered.notice.retry_after {
             self.rest(now, id, span);
         }
         match answered.notice.limit {
             Some(per_s) => self.limited(now, id, per_s),
             // A rejection may be too short to say all.
-            None if answered.word != dialect::Word::Vouched => None,
+            None if answered.execution != dialect::ExecutionStatus::Verified => None,
             None => self.unlimited(id),
         }
     }
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -104,7 +104,7 @@
     failed_at: time::Instant,
     pub(super) ejection: time::Millis,
     pub(super) ejected_until: time::Instant,
-    pub(super) denied: collections::HashMap<dialect::Wanted, time::Instant>,
+    pub(super) denied: collections::HashMap<dialect::ModelRef, time::Instant>,
     /// Models for which it rejected requests, with until when it is not asked for them.
     rejects: collections::HashMap<String, time::Instant>,
     pub(super) kept: kept::Kept,
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(super) fn holds(&self, now: time::Instant, wanted: &dialect::Wanted) -> bool {
+    pub(super) fn holds(&self, now: time::Instant, wanted: &dialect::ModelRef) -> bool {
         let is_before = |until: &time::Instant| now < *until;
         let denied = self.denied.get(wanted).is_some_and(is_before);
         let rejects = self.rejects.get(&wanted.model).is_some_and(is_before);
@@ -194,7 +194,7 @@
     ///
     /// An announcement does not lift this, as an engine that drops a model announces it until the
     /// requests that run there are done.
-    pub(super) fn reject(&mut self, now: time::Instant, wanted: Option<&dialect::Wanted>) {
+    pub(super) fn reject(&mut self, now: time::Instant, wanted: Option<&dialect::ModelRef>) {
         match wanted {
             Some(wanted) => drop(
                 self.rejects
@@ -205,7 +205,7 @@
     }
 
     /// It reads for this model.
-    pub(super) fn accept(&mut self, wanted: &dialect::Wanted) {
+    pub(super) fn accept(&mut self, wanted: &dialect::ModelRef) {
         self.rejects.remove(&wanted.model);
     }
 
--- a/crates/sageshed-fleet/src/chooser/kept.rs
+++ b/crates/sageshed-fleet/src/chooser/kept.rs
@@ -22,14 +22,14 @@
 impl Kept {
     /// Tokens at the beginning of a prompt that need not be read. What comes behind a part that is not
     /// kept has to be read too.
-    pub(super) fn tokens(&self, wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) -> u64 {
+    pub(super) fn tokens(&self, wanted: &dialect::ModelRef, parts: &[dialect::PromptPart]) -> u64 {
         let reader = Reader::of(wanted);
         let kept = |part: &&dialect::PromptPart| self.parts.contains_key(&(reader, part.id));
         parts.iter().take_while(kept).map(|part| part.tokens).sum()
     }
 
     /// The engine has read a prompt of these parts.
-    pub(super) fn remember(&mut self, wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) {
+    pub(super) fn remember(&mut self, wanted: &dialect::ModelRef, parts: &[dialect::PromptPart]) {
         self.insert(Reader::of(wanted), parts.iter().map(|part| part.id));
     }
 
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -232,7 +232,7 @@
         &mut self,
         now: time::Instant,
         ask: &Ask<'_>,
-        wanted: &dialect::Wanted,
+        wanted: &dialect::ModelRef,
     ) -> Choice {
         let (with, without) = self.holders(now, ask, wanted);
         if !with.is_empty() || !without.is_empty() {
@@ -333,9 +333,9 @@
         &self,
         now: time::Instant,
         ask: &Ask<'_>,
-        wanted: &dialect::Wanted,
+        wanted: &dialect::ModelRef,
     ) -> (Vec<arena::EndpointKey>, Vec<arena::EndpointKey>) {
-        let base = dialect::Wanted {
+        let base = dialect::ModelRef {
             model: wanted.model.clone(),
             adapter: None,
         };
@@ -419,7 +419,12 @@
         !ask.tried.contains(&key) && self.get(key).is_some_and(takes)
     }
 
-    fn holds(&self, now: time::Instant, key: arena::EndpointKey, wanted: &dialect::Wanted) -> bool {
+    fn holds(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        wanted: &dialect::ModelRef,
+    ) -> bool {
         self.get(key).is_some_and(|it| it.holds(now, wanted))
     }
 
@@ -448,8 +453,8 @@
     pub fn reading_us(
         &self,
         service: &str,
-        wanted: &dialect::Wanted,
-        passing: &dialect::Passing,
+        wanted: &dialect::ModelRef,
+        passing: &dialect::RequestMetadata,
         advised: Option<u64>,
     ) -> u64 {
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -87,7 +87,7 @@
         &mut self,
         now: time::Instant,
         pick: &Pick,
-        wanted: Option<&dialect::Wanted>,
+        wanted: Option<&dialect::ModelRef>,
         began: bool,
         how: Ended,
     ) {
--- a/crates/sageshed-fleet/src/dialect.rs
+++ b/crates/sageshed-fleet/src/dialect.rs
@@ -13,7 +13,7 @@
 /// Something that came and can't be understood.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{what}: {problem}")]
-pub struct Malformed {
+pub struct DecodeError {
     /// What it should have been.
     pub what: &'static str,
     /// What is wrong with it.
@@ -22,13 +22,13 @@
 
 /// What a caller's request says of itself besides method, path and body.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Passing {
+pub struct RequestMetadata {
     /// The caller's id of this request, echoed in its answer.
     pub id: Option<String>,
     /// How long the caller will wait.
     pub deadline: Option<time::Millis>,
     /// The model that it is for.
-    pub model: Option<Wanted>,
+    pub model: Option<ModelRef>,
     /// Tokens in its prompt.
     pub prompt_tokens: u64,
     /// Tokens that it may generate.
@@ -36,12 +36,12 @@
     /// The parts of its prompt, in order. Other requests may begin with the same ones.
     pub parts: Vec<PromptPart>,
     /// The last event that the caller has of an earlier answer to this request.
-    pub resumes_behind: Option<String>,
+    pub resume_after: Option<String>,
 }
 
 /// A model, or an adapter of it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Wanted {
+pub struct ModelRef {
     /// The model.
     pub model: String,
     /// The adapter, if one is asked for.
@@ -59,7 +59,7 @@
 
 /// What goes to an endpoint besides what the caller sent.
 #[derive(Debug, Clone, Copy)]
-pub struct Onward<'a> {
+pub struct UpstreamMetadata<'a> {
     /// The start of the endpoint that is meant. Another endpoint must refuse, as one that was given the
     /// address of an endpoint that has gone.
     pub instance: &'a directory::InstanceId,
@@ -68,18 +68,18 @@
     /// From 0, first, to 9; none leaves it to the engine.
     pub urgency: Option<u8>,
     /// The last event that came, where an answer goes on.
-    pub resume_behind: Option<&'a str>,
+    pub resume_after: Option<&'a str>,
     /// The name of the workspace that sends it, where that is known.
     pub workspace: Option<&'a str>,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Answered<'a> {
+pub struct ResponseMetadata<'a> {
     /// The id of the request that it answers.
     pub id: Option<&'a str>,
     /// What it says of the request.
-    pub word: Word,
+    pub execution: ExecutionStatus,
     /// Its load, where it tells.
     pub load: Option<Load>,
     /// The name of the endpoint that answered, where it tells.
@@ -88,14 +88,14 @@
     pub notice: Notice,
 }
 
-impl Answered<'_> {
+impl ResponseMetadata<'_> {
     /// Whether this is the answer of the start `id`, as far as it can be told.
     #[must_use]
     pub fn is_of(&self, id: &directory::InstanceId) -> bool {
         match self.endpoint {
             Some(name) => name == id.name,
             // One that was not meant answers so, and need not say who it is.
-            None => self.word != Word::Misdirected,
+            None => self.execution != ExecutionStatus::Misdirected,
         }
     }
 }
@@ -106,18 +106,18 @@
     /// Requests a second that it takes from all VMs together. None where it names no limit.
     pub limit: Option<f64>,
     /// It will stop and takes no new work.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// It has turned a request away and wants none for so long from the VM that sent it.
-    pub rest: Option<time::Millis>,
+    pub retry_after: Option<time::Millis>,
 }
 
 /// What an endpoint's answer says of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum ExecutionStatus {
     /// The endpoint ran it and vouches for the answer.
-    Vouched,
+    Verified,
     /// Nobody vouches for the answer, or its body is not as the endpoint made it.
-    Unvouched,
+    Unverified,
     /// The endpoint did not run it and never will.
     NotRun,
     /// The same, since it is not the start of the endpoint that was meant, or does not hold the model.
@@ -137,7 +137,7 @@
 
 /// A call that comes to a control process from outside.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ControlCall {
+pub enum ControlRequest {
     /// An endpoint announces itself.
     Announce {
         /// Its name.
@@ -217,7 +217,7 @@
 
 /// A call that goes out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OutCall {
+pub struct OutboundRequest {
     /// The method.
     pub method: &'static str,
     /// The path.
@@ -230,7 +230,7 @@
 
 /// What an engine answers to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It carries it out.
     Accepted,
     /// It was so already, or is done.
@@ -267,58 +267,66 @@
     /// # Errors
     ///
     /// If a header has a value that it can't have.
-    fn passing<'h>(&self, get: impl Fn(&str) -> Option<&'h str>) -> Result<Passing, Malformed>;
+    fn request_metadata<'h>(
+        &self,
+        get: impl Fn(&str) -> Option<&'h str>,
+    ) -> Result<RequestMetadata, DecodeError>;
 
     /// Whether a caller's header of this name stays here, since the system sets it or since only the
     /// system may use it.
-    fn stays_here(&self, name: &str) -> bool;
+    fn strips_header(&self, name: &str) -> bool;
 
     /// The headers that go to an endpoint besides the caller's.
-    fn onward(&self, onward: &Onward<'_>) -> Vec<(&'static str, String)>;
+    fn upstream_headers(&self, metadata: &UpstreamMetadata<'_>) -> Vec<(&'static str, String)>;
 
     /// Reads the head of an endpoint's answer.
-    fn answered<'h>(&self, status: u16, get: impl Fn(&str) -> Option<&'h str>) -> Answered<'h>;
+    fn response_metadata<'h>(
+        &self,
+        status: u16,
+        get: impl Fn(&str) -> Option<&'h str>,
+    ) -> ResponseMetadata<'h>;
 
     /// The id of the last whole event in `events`, which end with a whole one.
     fn last_event_id(&self, events: &[u8]) -> Option<String>;
 
     /// What a call from outside is, if it is one.
-    fn control_call(&self, method: &str, path: &str) -> Option<ControlCall>;
+    fn control_request(&self, method: &str, path: &str) -> Option<ControlRequest>;
 
     /// Reads an announcement.
     ///
     /// # Errors
     ///
     /// If it is not one.
-    fn announcement(&self, endpoint: &str, body: &[u8]) -> Result<directory::Instance, Malformed>;
+    fn announcement(&self, endpoint: &str, body: &[u8])
+    -> Result<directory::Instance, DecodeError>;
 
     /// Reads which start of an endpoint says that it stops.
     ///
     /// # Errors
     ///
     /// If that can't be told.
-    fn leaving(&self, endpoint: &str, body: &[u8]) -> Result<directory::InstanceId, Malformed>;
+    fn leaving(&self, endpoint: &str, body: &[u8]) -> Result<directory::InstanceId, DecodeError>;
 
     /// Reads a configuration, which may still be invalid by [`config::FleetConfig::check`].
     ///
     /// # Errors
     ///
     /// If it is not one, or not whole.
-    fn config(&self, body: &[u8]) -> Result<config::FleetConfig, Malformed>;
+    fn config(&self, body: &[u8]) -> Result<config::FleetConfig, DecodeError>;
 
     /// The call that gives an order.
-    fn order(&self, order: &Order) -> OutCall;
+    fn order(&self, order: &Order) -> OutboundRequest;
 
     /// What the status of the answer to an order means.
-    fn order_answer(&self, status: u16) -> OrderAnswer;
+    fn order_response(&self, status: u16) -> OrderResponse;
 
     /// The call that asks an engine for its report.
-    fn ask_report(&self, instance: &directory::InstanceId) -> OutCall;
+    fn report_request(&self, instance: &directory::InstanceId) -> OutboundRequest;
 
     /// Reads a report.
     ///
     /// # Errors
     ///
     /// If it is not one.
-    fn report(&self, body: &[u8]) -> Result<Report, Malformed>;
+    fn report(&self, body: &[u8]) -> Result<Report, DecodeError>;
 }
--- a/crates/sageshed-fleet/src/neighbours.rs
+++ b/crates/sageshed-fleet/src/neighbours.rs
@@ -190,7 +190,7 @@
 impl Reader {
     /// The one for `wanted`.
     #[must_use]
-    pub fn of(wanted: &dialect::Wanted) -> Self {
+    pub fn of(wanted: &dialect::ModelRef) -> Self {
         Self {
             model: key(&wanted.model),
             whole: hash(wanted),
@@ -202,7 +202,7 @@
     /// What of a prompt others may share: all parts but the last, which is its own or its session's. None
     /// where that is nothing.
     #[must_use]
-    pub fn of(wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) -> Option<Self> {
+    pub fn of(wanted: &dialect::ModelRef, parts: &[dialect::PromptPart]) -> Option<Self> {
         let (_, shared) = parts.split_last()?;
         let shared = &shared[..shared.len().min(MOST_PARTS)];
         (!shared.is_empty()).then(|| Self {
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -331,7 +331,7 @@
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
-        answer: Option<dialect::OrderAnswer>,
+        answer: Option<dialect::OrderResponse>,
     ) -> bool {
         let sent = |it: &PendingOrder| it.task == order.task && it.state == OrderState::Sent;
         let Some(at) = self.pending.iter().position(sent) else {
@@ -339,7 +339,7 @@
         };
         let load_time = self.pending[at].load_time;
         match answer {
-            Some(dialect::OrderAnswer::Accepted) => {
+            Some(dialect::OrderResponse::Accepted) => {
                 self.accepted = Some(order.accepted_before + 1);
                 self.pending[at].state = OrderState::Accepted(now + load_time);
                 if let dialect::Task::LoadAdapter(model, adapter) = &order.task {
@@ -349,7 +349,7 @@
                 }
                 true
             }
-            Some(dialect::OrderAnswer::Done) => {
+            Some(dialect::OrderResponse::Done) => {
                 // The response doesn't say whether this order was counted, and the next one may be urgent, so the
                 // report is requested at once.
                 self.accepted = None;
@@ -366,10 +366,10 @@
                 false
             }
             Some(
-                dialect::OrderAnswer::Conflict
-                | dialect::OrderAnswer::Fenced
-                | dialect::OrderAnswer::OtherInstance
-                | dialect::OrderAnswer::Refused(_),
+                dialect::OrderResponse::Conflict
+                | dialect::OrderResponse::Fenced
+                | dialect::OrderResponse::OtherInstance
+                | dialect::OrderResponse::Refused(_),
             ) => {
                 self.accepted = None;
                 self.pending.remove(at);
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -237,7 +237,7 @@
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
-        answer: Option<dialect::OrderAnswer>,
+        answer: Option<dialect::OrderResponse>,
     ) -> Vec<Action> {
         let Some(engine) = self.engines.get_mut(&order.instance) else {
             return Vec::new();
@@ -284,7 +284,7 @@
         if notice.limit.is_some() {
             engine.pause_calls(now, LIMITED_CALL_INTERVAL);
         }
-        if let Some(span) = notice.rest {
+        if let Some(span) = notice.retry_after {
             engine.pause_calls(now, span);
         }
     }
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -189,14 +189,14 @@
 
 const MODEL: &str = "m1";
 
-fn wanted() -> dialect::Wanted {
-    dialect::Wanted {
+fn wanted() -> dialect::ModelRef {
+    dialect::ModelRef {
         model: MODEL.to_owned(),
         adapter: None,
     }
 }
 
-fn ask(wanted: &dialect::Wanted) -> Ask<'_> {
+fn ask(wanted: &dialect::ModelRef) -> Ask<'_> {
     Ask {
         service: "engines",
         wanted: Some(wanted),
@@ -332,15 +332,18 @@
 /// The head of an answer, and whether the engine has its limit and rests after it.
 struct Head {
     name: &'static str,
-    answered: dialect::Answered<'static>,
+    answered: dialect::ResponseMetadata<'static>,
     is_limited: bool,
     rests: bool,
 }
 
-fn answered(word: dialect::Word, notice: dialect::Notice) -> dialect::Answered<'static> {
-    dialect::Answered {
+fn answered(
+    execution: dialect::ExecutionStatus,
+    notice: dialect::Notice,
+) -> dialect::ResponseMetadata<'static> {
+    dialect::ResponseMetadata {
         id: None,
-        word,
+        execution,
         load: None,
         endpoint: None,
         notice,
@@ -356,7 +359,7 @@
         ..dialect::Notice::default()
     };
     let rest = dialect::Notice {
-        rest: Some(Millis(700)),
+        retry_after: Some(Millis(700)),
         ..dialect::Notice::default()
     };
     let none = dialect::Notice::default();
@@ -366,13 +369,13 @@
         is_limited,
         rests,
     };
-    let vouched = dialect::Word::Vouched;
-    let misdirected = dialect::Word::Misdirected;
-    let other = dialect::Answered {
+    let vouched = dialect::ExecutionStatus::Verified;
+    let misdirected = dialect::ExecutionStatus::Misdirected;
+    let other = dialect::ResponseMetadata {
         endpoint: Some("e9"),
         ..answered(misdirected, none)
     };
-    let own = dialect::Answered {
+    let own = dialect::ResponseMetadata {
         endpoint: Some("e1"),
         ..answered(misdirected, rest)
     };
@@ -386,19 +389,19 @@
         head("it runs without one", answered(vouched, none), false, false),
         head(
             "it rejects",
-            answered(dialect::Word::NotRun, none),
+            answered(dialect::ExecutionStatus::NotRun, none),
             true,
             false,
         ),
         head(
             "it rejects and rests",
-            answered(dialect::Word::NotRun, rest),
+            answered(dialect::ExecutionStatus::NotRun, rest),
             true,
             true,
         ),
         head(
             "nobody vouches",
-            answered(dialect::Word::Unvouched, none),
+            answered(dialect::ExecutionStatus::Unverified, none),
             true,
             false,
         ),
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -10,8 +10,8 @@
 
 const T0: time::Instant = time::Instant(100_000);
 
-fn wanted(model: &str, adapter: Option<&str>) -> dialect::Wanted {
-    dialect::Wanted {
+fn wanted(model: &str, adapter: Option<&str>) -> dialect::ModelRef {
+    dialect::ModelRef {
         model: model.to_owned(),
         adapter: adapter.map(str::to_owned),
     }
@@ -159,7 +159,7 @@
     engine.models[0].adapters.push("a1".to_owned());
     chooser.know(&engine);
     let parts = [dialect::PromptPart { id: 1, tokens: 800 }];
-    let tokens_of = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
+    let tokens_of = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
         let ask = Ask {
             parts: &parts,
             ..support::ask(wanted, 1_000)
@@ -194,7 +194,7 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.know(&support::engine("e1", &["m0", "m1"]));
     let (large, small) = (wanted("m0", None), wanted("m1", None));
-    let answer = |chooser: &mut Chooser, wanted: &dialect::Wanted, took: u64| {
+    let answer = |chooser: &mut Chooser, wanted: &dialect::ModelRef, took: u64| {
         let pick = sent(chooser.choose(T0, &support::ask(wanted, 2_000)));
         let read = Read { wanted, parts: &[] };
         chooser.began(T0, &pick, Some(read), time::Millis(took), None);
@@ -215,7 +215,7 @@
 struct Case {
     name: &'static str,
     know: fn(&mut Chooser),
-    wanted: dialect::Wanted,
+    wanted: dialect::ModelRef,
     missing: Missing,
 }
 
--- a/crates/sageshed-fleet/tests/homes.rs
+++ b/crates/sageshed-fleet/tests/homes.rs
@@ -23,8 +23,8 @@
         .collect()
 }
 
-fn m0() -> dialect::Wanted {
-    dialect::Wanted {
+fn m0() -> dialect::ModelRef {
+    dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     }
@@ -41,7 +41,7 @@
     chooser
 }
 
-fn asks(wanted: &dialect::Wanted, tokens: u64) -> Ask<'_> {
+fn asks(wanted: &dialect::ModelRef, tokens: u64) -> Ask<'_> {
     Ask {
         patience: time::Millis(300),
         may_be_late: true,
--- a/crates/sageshed-fleet/tests/neighbours.rs
+++ b/crates/sageshed-fleet/tests/neighbours.rs
@@ -104,7 +104,7 @@
 }
 
 /// A request that waits 300 ms for an engine that reads little.
-fn waiting_ask(wanted: &dialect::Wanted, tokens: u64) -> Ask<'_> {
+fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> Ask<'_> {
     Ask {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
@@ -130,7 +130,7 @@
         pauses: None,
         trouble: None,
     };
-    let m0 = dialect::Wanted {
+    let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
@@ -165,7 +165,7 @@
         trouble: None,
     };
     chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
-    let m0 = dialect::Wanted {
+    let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
@@ -198,7 +198,7 @@
         trouble: None,
     };
     chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
-    let tokens = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
+    let tokens = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
         let ask = Ask {
             parts: &parts,
             ..support::ask(wanted, 6_500)
@@ -212,8 +212,8 @@
     assert_eq!(tokens(&mut chooser, &m1).1, 6_500);
 }
 
-fn wanted(model: &str) -> dialect::Wanted {
-    dialect::Wanted {
+fn wanted(model: &str) -> dialect::ModelRef {
+    dialect::ModelRef {
         model: model.to_owned(),
         adapter: None,
     }
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -6,7 +6,7 @@
 
 use sageshed_fleet::{
     config, dialect,
-    dialect::{Order, OrderAnswer, Report, Task},
+    dialect::{Order, OrderResponse, Report, Task},
     directory, messages,
     planner::{Action, Planner, Policy},
 };
@@ -113,7 +113,7 @@
         }
     }
 
-    fn obey(&mut self, order: &Order) -> Option<OrderAnswer> {
+    fn obey(&mut self, order: &Order) -> Option<OrderResponse> {
         let now = self.now;
         if self.lost > 0 {
             self.lost -= 1;
@@ -126,7 +126,7 @@
         if order.accepted_before != engine.accepted
             || engine.loading.is_some() && order.task.is_weights()
         {
-            return Some(OrderAnswer::Conflict);
+            return Some(OrderResponse::Conflict);
         }
         engine.accepted += 1;
         match &order.task {
@@ -143,8 +143,8 @@
         }
         engine.check();
         self.answers.then_some(match order.task {
-            Task::UnloadAdapter(..) => OrderAnswer::Done,
-            _ => OrderAnswer::Accepted,
+            Task::UnloadAdapter(..) => OrderResponse::Done,
+            _ => OrderResponse::Accepted,
         })
     }
 
@@ -624,7 +624,7 @@
     world.run(5_000);
     let id = world.engines["e1"].instance.id.clone();
     let notice = dialect::Notice {
-        rest: Some(time::Millis(3_000)),
+        retry_after: Some(time::Millis(3_000)),
         ..dialect::Notice::default()
     };
     world.planner.heed(world.now, &id, notice);
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -256,7 +256,7 @@
 #[test]
 fn an_entry_process_believes_nothing_of_the_start_before() {
     let mut chooser = Chooser::new("z1", 7);
-    let wanted = dialect::Wanted {
+    let wanted = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -22,8 +22,8 @@
     (1..=73).map(ip).collect()
 }
 
-fn m0() -> dialect::Wanted {
-    dialect::Wanted {
+fn m0() -> dialect::ModelRef {
+    dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     }
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -34,7 +34,7 @@
 }
 
 /// A request to the engines that has ten seconds and waits for nothing.
-pub fn ask(wanted: &dialect::Wanted, tokens: u64) -> chooser::Ask<'_> {
+pub fn ask(wanted: &dialect::ModelRef, tokens: u64) -> chooser::Ask<'_> {
     chooser::Ask {
         service: ENGINES,
         wanted: Some(wanted),
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -44,7 +44,7 @@
     /// A request waits for an adapter.
     Want(messages::WantReq),
     /// What became of an order.
-    Answered(Box<dialect::Order>, Option<dialect::OrderAnswer>),
+    Answered(Box<dialect::Order>, Option<dialect::OrderResponse>),
     /// An engine's report, if it gave one.
     Reported(directory::InstanceId, Option<dialect::Report>),
     /// What an engine says of itself in an answer.
@@ -122,8 +122,8 @@
                     self.planner.reported(now, &instance, report);
                 }
                 Input::Said(instance, notice) => {
-                    ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.rest,
-                        leaves = notice.leaves; "control: endpoint asks for something in an answer");
+                    ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.retry_after,
+                        leaves = notice.is_leaving; "control: endpoint asks for something in an answer");
                     self.planner.heed(now, &instance, notice);
                 }
                 Input::Answered(order, answer) => {
@@ -221,11 +221,11 @@
     let models = models.iter().map(|it| {
         let planner::Busy {
             model,
-            copies,
+            replicas,
             loading,
             work,
         } = it;
-        format!("{model} {copies}+{loading} {work:.1}")
+        format!("{model} {replicas}+{loading} {work:.1}")
     });
     models.collect::<Vec<_>>().join(", ")
 }
@@ -290,13 +290,13 @@
         match exchange_with(pool, order.address, &dialect.order(&order)) {
             Ok((head, _)) => {
                 heed(shared, dialect, &order.instance, &head);
-                Some(dialect.order_answer(head.status))
+                Some(dialect.order_response(head.status))
             }
-            Err(e) if !e.is_sent => Some(dialect::OrderAnswer::Refused(0)),
+            Err(e) if !e.is_sent => Some(dialect::OrderResponse::Refused(0)),
             Err(_) => None,
         }
     } else {
-        Some(dialect::OrderAnswer::Refused(0))
+        Some(dialect::OrderResponse::Refused(0))
     };
     Input::Answered(Box::new(order), answer)
 }
@@ -309,7 +309,7 @@
     question: Question,
 ) -> Input {
     let Question { instance, address } = question;
-    let answer = exchange_with(pool, address, &dialect.ask_report(&instance));
+    let answer = exchange_with(pool, address, &dialect.report_request(&instance));
     let report = match answer {
         Ok((head, body)) => {
             heed(shared, dialect, &instance, &head);
@@ -349,12 +349,12 @@
     instance: &directory::InstanceId,
     head: &exchange::Head,
 ) {
-    let answered = dialect.answered(head.status, |it| head.get(it));
+    let answered = dialect.response_metadata(head.status, |it| head.get(it));
     let notice = answered.notice;
     if !answered.is_of(instance) || notice == dialect::Notice::default() {
         return;
     }
-    if notice.leaves {
+    if notice.is_leaving {
         shared
             .hub
             .leaves(shared.clock.now(), std::slice::from_ref(instance));
@@ -365,7 +365,7 @@
 fn exchange_with(
     pool: &pool::Pool,
     address: net::SocketAddrV4,
-    call: &dialect::OutCall,
+    call: &dialect::OutboundRequest,
 ) -> Result<(exchange::Head, Vec<u8>), failure::Failure> {
     let host = address.to_string();
     let mut headers = vec![("Host", host.as_bytes())];
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -49,14 +49,14 @@
 
 impl<D: dialect::Dialect> handler::Handler for Port<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
-        let call = self.dialect.control_call(&req.method, &req.path);
+        let call = self.dialect.control_request(&req.method, &req.path);
         let outcome = match call {
-            Some(dialect::ControlCall::Announce { endpoint }) => {
+            Some(dialect::ControlRequest::Announce { endpoint }) => {
                 self.announce(&endpoint, &req.body)
             }
-            Some(dialect::ControlCall::Leave { endpoint }) => self.leave(&endpoint, &req.body),
-            Some(dialect::ControlCall::Replace) => self.replace(&req.body),
-            Some(dialect::ControlCall::Read) => self.read(),
+            Some(dialect::ControlRequest::Leave { endpoint }) => self.leave(&endpoint, &req.body),
+            Some(dialect::ControlRequest::Replace) => self.replace(&req.body),
+            Some(dialect::ControlRequest::Read) => self.read(),
             None => {
                 let detail = format!("no call {} {} is taken here", req.method, req.path);
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotFound, detail);
@@ -118,7 +118,7 @@
 
     fn announce(&self, endpoint: &str, body: &[u8]) -> Outcome {
         let read = if body.len() > ANNOUNCEMENT_BYTES {
-            Err(dialect::Malformed {
+            Err(dialect::DecodeError {
                 what: "an announcement",
                 problem: format!("{} bytes are too many", body.len()),
             })
@@ -162,7 +162,7 @@
 
     /// What can't be read names no endpoint, and what is believed stays. A writer that goes wrong may
     /// send such words without end, so few of them are logged.
-    fn refuse_word(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
+    fn refuse_word(&self, endpoint: &str, e: &dialect::DecodeError) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
                 ::log::warn!(endpoint, error:% = e; "control: word of an endpoint not understood");
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -199,7 +199,7 @@
 fn advise<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::Ipv4Addr, ask: words::Ask) {
     let now = shared.clock.now();
     let (id, request) = (ask.id, ask.request);
-    let wanted = dialect::Wanted {
+    let wanted = dialect::ModelRef {
         model: ask.model,
         adapter: ask.adapter,
     };
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -94,17 +94,17 @@
     fn exchange<S: Fn() -> bool>(
         &self,
         pick: &chooser::Pick,
-        resume_behind: Option<&str>,
+        resume_after: Option<&str>,
         patience: &exchange::Patience<'_, S>,
     ) -> Result<exchange::Exchange, failure::Failure> {
-        let onward = dialect::Onward {
+        let onward = dialect::UpstreamMetadata {
             instance: &pick.instance,
             time_left: self.left_ms(),
             urgency: Some(self.priority().min(9)),
-            resume_behind,
+            resume_after,
             workspace: self.workspace.as_ref().map(|it| it.name.as_str()),
         };
-        let set = self.shared.dialect.onward(&onward);
+        let set = self.shared.dialect.upstream_headers(&onward);
         let mut list: Vec<(&str, &[u8])> = Vec::with_capacity(self.req.headers.len() + set.len());
         for header in &self.req.headers {
             let is_set = set
@@ -142,7 +142,7 @@
         let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
         !of_connection
             && !self.req.is_connection_option(name)
-            && !self.shared.dialect.stays_here(name)
+            && !self.shared.dialect.strips_header(name)
     }
 
     /// Passes over answers to earlier requests on the same connection.
@@ -154,7 +154,10 @@
     ) -> Result<exchange::Exchange, failure::Failure> {
         loop {
             let head = &exchange.head;
-            let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
+            let answered = self
+                .shared
+                .dialect
+                .response_metadata(head.status, |it| head.get(it));
             self.heed(pick, &answered);
             if !self.is_foreign(&answered) {
                 return Ok(exchange);
@@ -164,7 +167,7 @@
         }
     }
 
-    fn is_foreign(&self, answered: &dialect::Answered<'_>) -> bool {
+    fn is_foreign(&self, answered: &dialect::ResponseMetadata<'_>) -> bool {
         let id = answered.id;
         id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
     }
@@ -180,14 +183,17 @@
     ) -> Sending<'c> {
         let stop = &|| watch.caller_gone();
         let head = exchange.head.clone();
-        let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
+        let answered = self
+            .shared
+            .dialect
+            .response_metadata(head.status, |it| head.get(it));
         let patience = exchange::Patience {
             until: self.until,
             stop,
         };
         let is_rejected = matches!(
-            answered.word,
-            dialect::Word::NotRun | dialect::Word::Misdirected
+            answered.execution,
+            dialect::ExecutionStatus::NotRun | dialect::ExecutionStatus::Misdirected
         );
         if is_rejected {
             if exchange.read_whole(ANSWER_BYTES, &patience).is_ok() {
@@ -197,7 +203,7 @@
         }
         self.runs += 1;
         let is_success = (200..300).contains(&head.status);
-        let is_vouched = answered.word == dialect::Word::Vouched;
+        let is_vouched = answered.execution == dialect::ExecutionStatus::Verified;
         if is_success && !is_vouched {
             let detail = "a success that the endpoint does not vouch for";
             return self.unusable(pick, outlet, detail.to_owned());
@@ -291,7 +297,7 @@
         &mut self,
         pick: &chooser::Pick,
         outlet: Outlet<'c>,
-        answered: &dialect::Answered<'_>,
+        answered: &dialect::ResponseMetadata<'_>,
         status: u16,
     ) -> Sending<'c> {
         ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
@@ -303,10 +309,10 @@
         self.story.came_to(verdict::Verdict::NotRun, &self.last);
         self.unuse_charge();
         let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
-        if answered.word == dialect::Word::Misdirected && is_replaced {
+        if answered.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
             self.ended(pick, false, chooser::Ended::GivenUp);
             self.shared.replaced(&pick.instance);
-        } else if answered.word == dialect::Word::Misdirected {
+        } else if answered.execution == dialect::ExecutionStatus::Misdirected {
             self.ended(pick, false, chooser::Ended::Misdirected);
         } else {
             self.ended(pick, false, chooser::Ended::Refused);
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/pass/backpressure.rs
@@ -11,14 +11,14 @@
 
 impl<D: dialect::Dialect> Life<'_, D> {
     /// Takes note of what the endpoint of `pick` says of itself in an answer.
-    pub(super) fn heed(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
+    pub(super) fn heed(&self, pick: &chooser::Pick, answered: &dialect::ResponseMetadata<'_>) {
         if !answered.is_of(&pick.instance) {
             return;
         }
-        if answered.notice.leaves {
+        if answered.notice.is_leaving {
             self.shared.leaves(&pick.instance);
         }
-        if let Some(span) = answered.notice.rest {
+        if let Some(span) = answered.notice.retry_after {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
                 "gateway: endpoint asks for rest");
         }
--- a/src/sageshed/gateway/pass/mod.rs
+++ b/src/sageshed/gateway/pass/mod.rs
@@ -46,7 +46,10 @@
 impl<D: dialect::Dialect> handler::Handler for Port<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let watch = reply.watch();
-        let passing = self.shared.dialect.passing(|name| req.header(name));
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
         let deadline = passing.as_ref().ok().and_then(|it| it.deadline);
         let routing = self
             .shared
@@ -127,7 +130,10 @@
         reply: reply::Reply<'_>,
         refusal: &refusal::Refusal,
     ) -> reply::Sent {
-        let passing = self.shared.dialect.passing(|name| req.header(name));
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
         let id = passing.ok().and_then(|it| it.id).unwrap_or_default();
         ::log::info!(request = id.as_str(), status = refusal.status, reason:% = refusal.reason,
             detail = refusal.detail.as_str(); "gateway: request refused before it was routed");
@@ -161,7 +167,7 @@
 struct Life<'a, D> {
     shared: &'a state::Shared<D>,
     req: &'a request::Request,
-    passing: &'a dialect::Passing,
+    passing: &'a dialect::RequestMetadata,
     /// The same in each try of its caller.
     content: quarantine::Fingerprint,
     route: &'a config::Route,
@@ -172,7 +178,7 @@
     /// Whether that one has workspaces, so that keys are for this system.
     asks_for_keys: bool,
     service: &'a str,
-    wanted: Option<&'a dialect::Wanted>,
+    wanted: Option<&'a dialect::ModelRef>,
     /// The model that it is for, as the configuration offers it.
     model: Option<&'a config::Model>,
     /// When its final answer is due.
@@ -243,7 +249,7 @@
     fn new(
         shared: &'a state::Shared<D>,
         req: &'a request::Request,
-        passing: &'a dialect::Passing,
+        passing: &'a dialect::RequestMetadata,
         routing: &'a routing::Routing,
         route: &'a config::Route,
         service: &'a str,
--- a/src/sageshed/gateway/pass/story.rs
+++ b/src/sageshed/gateway/pass/story.rs
@@ -72,7 +72,7 @@
     }
 }
 
-fn name_of(wanted: &dialect::Wanted) -> String {
+fn name_of(wanted: &dialect::ModelRef) -> String {
     match &wanted.adapter {
         Some(adapter) => format!("{}/{adapter}", wanted.model),
         None => wanted.model.clone(),
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -385,8 +385,8 @@
     pub fn ask(
         &mut self,
         service: &str,
-        wanted: &dialect::Wanted,
-        passing: &dialect::Passing,
+        wanted: &dialect::ModelRef,
+        passing: &dialect::RequestMetadata,
         kept: Option<u64>,
     ) {
         let reading_us = self.chooser.reading_us(service, wanted, passing, kept);
