--- a/spec/src/suspensions.rs
+++ b/spec/src/suspensions.rs
@@ -1,7 +1,7 @@
 //! Orders of two leaders over suspensions of their VMs.
 //!
 //! Two control processes and a third voter, whose vote decides. A process believes to lead by the real
-//! [`status::Status::leads_at`] and orders within the real [`tenure::Tenure`]. Time goes on in ticks, and
+//! [`status::Status::leads_at`] and orders within the real [`leadership::Leadership`]. Time goes on in ticks, and
 //! a VM may be suspended at any moment and resumed at any later one. The third voter answers heartbeats,
 //! and votes for the other process once it has heard none for an election timeout.
 //!
@@ -14,7 +14,7 @@
 
 use std::fmt;
 
-use sageshed_fleet::planner::tenure;
+use sageshed_fleet::planner::leadership;
 use sageshed_quorum::{log, status};
 use sageshed_types::time;
 
@@ -83,7 +83,7 @@
 struct Leads {
     /// When the latest round of heartbeats began that was answered, by its own clock.
     round: time::Instant,
-    tenure: tenure::Tenure,
+    leadership: leadership::Leadership,
 }
 
 /// Everything in one moment.
@@ -160,7 +160,7 @@
             ..status::Status::outside(id)
         };
         let has_majority = !self.guards.majority || status.leads_at(now);
-        has_majority && (!self.guards.lease || leads.tenure.has_begun(now))
+        has_majority && (!self.guards.lease || leads.leadership.may_order(now))
     }
 
     fn elect(state: &State, at: usize) -> State {
@@ -168,7 +168,7 @@
         let mut next = state.clone();
         next.processes[at].leads = Some(Leads {
             round: now,
-            tenure: tenure::Tenure::elected(now, LEASE),
+            leadership: leadership::Leadership::elected(now, LEASE),
         });
         next.follows = at;
         next.heard = state.now;
