--- a/crates/sageshed-fleet/src/directory/index.rs
+++ b/crates/sageshed-fleet/src/directory/index.rs
@@ -5,7 +5,7 @@
 
 use std::{collections, net};
 
-use super::{InstanceId, Passing};
+use super::{ChangeFilter, InstanceId};
 
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
@@ -72,11 +72,11 @@
     pub(super) fn after(
         &self,
         from: u64,
-        passing: Passing,
+        filter: ChangeFilter,
     ) -> impl Iterator<Item = (u64, &InstanceId)> {
-        let numbered = match passing {
-            Passing::All => &self.changes,
-            Passing::News => &self.news,
+        let numbered = match filter {
+            ChangeFilter::All => &self.changes,
+            ChangeFilter::Updates => &self.news,
         };
         let after = numbered.range(from.saturating_add(1)..);
         after.map(|(number, id)| (*number, id))
--- a/crates/sageshed-fleet/src/directory/instance.rs
+++ b/crates/sageshed-fleet/src/directory/instance.rs
@@ -234,7 +234,7 @@
 /// A word of an instance that says nothing new, as one directory passes it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
-pub struct Alive {
+pub struct LivenessRefresh {
     /// The instance, by [`InstanceId::short_key`].
     pub key: u64,
     /// The number of its latest announcement.
@@ -243,22 +243,22 @@
     pub age: time::Millis,
 }
 
-impl From<(u64, u64, u64)> for Alive {
+impl From<(u64, u64, u64)> for LivenessRefresh {
     fn from((key, sequence, age): (u64, u64, u64)) -> Self {
         let age = time::Millis(age);
         Self { key, sequence, age }
     }
 }
 
-impl From<Alive> for (u64, u64, u64) {
-    fn from(it: Alive) -> Self {
+impl From<LivenessRefresh> for (u64, u64, u64) {
+    fn from(it: LivenessRefresh) -> Self {
         (it.key, it.sequence, it.age.0)
     }
 }
 
 /// What an announcement or record was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum MergeOutcome {
     /// The first of its instance.
     New,
     /// It changes what is believed.
--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -3,11 +3,11 @@
 //! Announcements come to any control process, late and out of order. Each carries a number that grows
 //! within one start of an endpoint (an [`Instance`]), so the newest word of an instance is known from the
 //! word itself, whichever way it came. An instance that says that it goes never comes back: its id is
-//! kept for [`GONE_KEPT`], longer than an announcement may be delayed. Which of several starts of one
+//! kept for [`ENDED_RETENTION`], longer than an announcement may be delayed. Which of several starts of one
 //! endpoint lives is decided by [`succession`].
 //!
 //! A directory counts its changes. A peer that says up to which change it knows this directory gets
-//! what came after ([`Directory::since`]).
+//! what came after ([`Directory::records_after`]).
 
 mod index;
 mod instance;
@@ -17,32 +17,34 @@
 
 use sageshed_types::time;
 
-pub use sageshed_types::mark::Mark;
+pub use sageshed_types::mark::Mark as Cursor;
 
-pub use self::instance::{Alive, Instance, InstanceId, Offer, Record, Resident, State};
+pub use self::instance::{
+    Instance, InstanceId, LivenessRefresh, MergeOutcome, Record, Resident, State,
+};
 
 /// How long the id of an instance that has ended is remembered. Announcements were seen to arrive
 /// after a cut of the network of about ten seconds; this is several times that.
-pub const GONE_KEPT: time::Millis = time::Millis(60_000);
+pub const ENDED_RETENTION: time::Millis = time::Millis(60_000);
 
 /// How often the word of an instance that says nothing new is passed on, so that others know that it
 /// lives.
-pub const REFRESH: time::Millis = time::Millis(2_000);
+pub const REFRESH_INTERVAL: time::Millis = time::Millis(2_000);
 
 /// An instance whose first word here has at most this number was just started.
 const FIRST_WORDS: u64 = 3;
 
 /// How long one instance must be silent before another, which may have died before it, takes its place:
-/// its own words may have gone to other control processes, which pass them on every [`REFRESH`].
+/// its own words may have gone to other control processes, which pass them on every [`REFRESH_INTERVAL`].
 const RIVAL_SILENCE: time::Millis = time::Millis(5_000);
 
 /// How long an instance may be silent before it is taken for gone. Several announcements, which may
 /// be late by seconds.
-pub const SILENCE: time::Millis = time::Millis(12_000);
+pub const SILENCE_TIMEOUT: time::Millis = time::Millis(12_000);
 
 /// Instances that are kept at the most: twice the endpoints of the largest fleet that is aimed for. One
 /// takes about a kilobyte, and whoever can reach the port can announce any number of them.
-pub const MOST_KEPT: usize = 20_000;
+pub const MAX_INSTANCES: usize = 20_000;
 
 #[derive(Debug, Clone)]
 struct Entry {
@@ -84,22 +86,22 @@
 
 /// Some of what a peer does not know yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Portion {
+pub struct ChangeBatch {
     /// The changes, in their order.
     pub changes: Vec<Change>,
     /// Up to where the directory is known with them.
-    pub mark: Mark,
+    pub cursor: Cursor,
     /// Whether there are no more.
     pub is_last: bool,
 }
 
 /// What a peer is to be passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passing {
+pub enum ChangeFilter {
     /// What is new, and which instances live.
     All,
     /// What is new.
-    News,
+    Updates,
 }
 
 impl Directory {
@@ -114,8 +116,8 @@
 
     /// Up to where this directory is known to whom it is shown now.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn cursor(&self) -> Cursor {
+        Cursor {
             start: self.start,
             change: self.change,
         }
@@ -123,17 +125,17 @@
 
     /// The last change that was news.
     #[must_use]
-    pub fn news_mark(&self) -> Mark {
-        Mark {
+    pub fn update_cursor(&self) -> Cursor {
+        Cursor {
             start: self.start,
             change: self.news,
         }
     }
 
-    /// Whether there is news for a peer that knows this directory up to `mark`.
+    /// Whether there is news for a peer that knows this directory up to `cursor`.
     #[must_use]
-    pub fn has_news(&self, mark: Mark) -> bool {
-        mark.start != self.start || self.news > mark.change
+    pub fn has_updates(&self, cursor: Cursor) -> bool {
+        cursor.start != self.start || self.news > cursor.change
     }
 
     /// Equal for directories in which the same instances are there and hold the same, and hardly ever for
@@ -144,24 +146,24 @@
     }
 
     /// Takes an instance's own word, that came just now.
-    pub fn announce(&mut self, now: time::Instant, instance: Instance) -> Offer {
+    pub fn announce(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
         let (id, address) = (instance.id.clone(), instance.address);
         let is_first = instance.sequence <= FIRST_WORDS;
         let offer = self.take_word(now, instance);
-        if !matches!(offer, Offer::Stale | Offer::Full) {
+        if !matches!(offer, MergeOutcome::Stale | MergeOutcome::Full) {
             self.replace_at(now, &id, address, is_first);
         }
         offer
     }
 
-    fn take_word(&mut self, now: time::Instant, instance: Instance) -> Offer {
+    fn take_word(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
         let mut record = Record::fresh(instance);
         if let Some(entry) = self.entries.get(&record.instance.id) {
             record.amended = entry.amended;
             record.rank = entry.rank;
         }
         let offer = self.merge(now, record.clone());
-        if offer == Offer::Stale && self.has_outlived(now, &record) {
+        if offer == MergeOutcome::Stale && self.has_outlived(now, &record) {
             return self.put_back(now, record);
         }
         offer
@@ -190,12 +192,12 @@
         let rivals = there.filter(is_rival);
         let rivals: Vec<InstanceId> = rivals.map(|it| it.instance.id.clone()).collect();
         for rival in rivals {
-            self.gone(now, &rival);
+            self.mark_gone(now, &rival);
         }
     }
 
     /// Takes another directory's word that an instance is alive and has said nothing new.
-    pub fn confirm(&mut self, now: time::Instant, alive: Alive) {
+    pub fn confirm(&mut self, now: time::Instant, alive: LivenessRefresh) {
         let Some(id) = self.index.by_short_key(alive.key).cloned() else {
             return;
         };
@@ -213,13 +215,13 @@
             return;
         }
         sync::Arc::make_mut(&mut entry.instance).sequence = alive.sequence;
-        if now.since(entry.passed_on) >= REFRESH {
+        if now.since(entry.passed_on) >= REFRESH_INTERVAL {
             self.note_alive(now, &id);
         }
     }
 
     /// An instance that was taken for gone lives.
-    fn confirm_silent(&mut self, now: time::Instant, id: &InstanceId, alive: Alive) {
+    fn confirm_silent(&mut self, now: time::Instant, id: &InstanceId, alive: LivenessRefresh) {
         let Some(mut record) = self.record(now, id) else {
             return;
         };
@@ -232,10 +234,15 @@
     /// The word that an instance is alive, for a peer that knows all else of it: one with this mark, if it takes new
     /// work.
     #[must_use]
-    pub fn alive(&self, now: time::Instant, id: &InstanceId, mark: Mark) -> Option<Alive> {
+    pub fn alive(
+        &self,
+        now: time::Instant,
+        id: &InstanceId,
+        cursor: Cursor,
+    ) -> Option<LivenessRefresh> {
         let entry = self.entries.get(id)?;
-        let is_known = mark.start == self.start && entry.news <= mark.change;
-        (is_known && entry.instance.is_ready()).then(|| Alive {
+        let is_known = cursor.start == self.start && entry.news <= cursor.change;
+        (is_known && entry.instance.is_ready()).then(|| LivenessRefresh {
             key: id.short_key(),
             sequence: entry.instance.sequence,
             age: now.since(entry.heard),
@@ -243,21 +250,21 @@
     }
 
     /// Takes what another directory passes on.
-    pub fn merge(&mut self, now: time::Instant, record: Record) -> Offer {
+    pub fn merge(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let Some(entry) = self.entries.get(&record.instance.id) else {
             return self.first_word(now, record);
         };
         match entry.instance.state {
-            State::Gone => Offer::Stale,
+            State::Gone => MergeOutcome::Stale,
             State::Replaced => self.word_of_replaced(now, record),
             State::Ready | State::Leaving | State::Silent => self.update(now, record),
         }
     }
 
     /// The first word of an instance.
-    fn first_word(&mut self, now: time::Instant, record: Record) -> Offer {
-        if self.entries.len() >= MOST_KEPT {
-            return Offer::Full;
+    fn first_word(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
+        if self.entries.len() >= MAX_INSTANCES {
+            return MergeOutcome::Full;
         }
         match self.succeeds(now, &record) {
             succession::First::Lives => self.insert(now, record),
@@ -266,14 +273,14 @@
                 self.insert(now, record)
             }
             succession::First::Ends(current) => {
-                self.gone(now, &current);
-                Offer::Changed
+                self.mark_gone(now, &current);
+                MergeOutcome::Changed
             }
-            succession::First::Preceded => Offer::Stale,
+            succession::First::Preceded => MergeOutcome::Stale,
         }
     }
 
-    fn insert(&mut self, now: time::Instant, mut record: Record) -> Offer {
+    fn insert(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let leaves = self.is_leaving(&id) || record.instance.state == State::Leaving;
         if leaves && record.instance.state == State::Ready {
@@ -295,7 +302,7 @@
             self.digest ^= before.instance.digest();
         }
         self.note_news(now, &id);
-        Offer::New
+        MergeOutcome::New
     }
 
     /// Keeps an entry that has no number of a change yet.
@@ -334,17 +341,21 @@
     }
 
     /// A further word of an instance that has not ended.
-    fn update(&mut self, now: time::Instant, mut record: Record) -> Offer {
+    fn update(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let Some(entry) = self.entries.get_mut(&id) else {
-            return Offer::Stale;
+            return MergeOutcome::Stale;
         };
         let known = (entry.instance.sequence, entry.amended);
         if record.instance.state == State::Leaving && record.number() <= known {
             // A later word, which went elsewhere, does not undo it: it was said in an answer, and the
             // announcement of it is still to come.
-            let offer = self.leaves(now, &id);
-            return if offer { Offer::Changed } else { Offer::Stale };
+            let offer = self.mark_leaving(now, &id);
+            return if offer {
+                MergeOutcome::Changed
+            } else {
+                MergeOutcome::Stale
+            };
         }
         entry.leaves |= record.instance.state == State::Leaving;
         if entry.leaves && record.instance.state == State::Ready {
@@ -360,13 +371,13 @@
         if record.number() <= known && !goes {
             let is_same = record.number() == known;
             return if is_same {
-                Offer::Confirmed
+                MergeOutcome::Confirmed
             } else {
-                Offer::Stale
+                MergeOutcome::Stale
             };
         }
         let is_news = entry.instance.differs(&record.instance) || record.amended > entry.amended;
-        let is_due = now.since(entry.passed_on) >= REFRESH;
+        let is_due = now.since(entry.passed_on) >= REFRESH_INTERVAL;
         entry.amended = entry.amended.max(record.amended);
         self.digest ^= entry.instance.digest() ^ record.instance.digest();
         let (before, address) = (entry.instance.address, record.instance.address);
@@ -377,12 +388,12 @@
         entry.instance = sync::Arc::new(record.instance);
         if is_news {
             self.note_news(now, &id);
-            return Offer::Changed;
+            return MergeOutcome::Changed;
         }
         if is_due {
             self.note_alive(now, &id);
         }
-        Offer::Confirmed
+        MergeOutcome::Confirmed
     }
 
     /// Notes what the instance's own word does not show yet, as an adapter that the leader had it
@@ -409,7 +420,7 @@
 
     /// Notes that an instance has said that it leaves, be it in an announcement or in an answer. Returns whether
     /// that is new.
-    pub fn leaves(&mut self, now: time::Instant, id: &InstanceId) -> bool {
+    pub fn mark_leaving(&mut self, now: time::Instant, id: &InstanceId) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
@@ -424,7 +435,7 @@
     }
 
     /// Notes that an instance has gone. Returns false where it is not known, or has ended already.
-    pub fn gone(&mut self, now: time::Instant, id: &InstanceId) -> bool {
+    pub fn mark_gone(&mut self, now: time::Instant, id: &InstanceId) -> bool {
         self.amend(now, id, |it| it.state = State::Gone)
     }
 
@@ -433,23 +444,23 @@
     ///
     /// It is passed on also where the instance is not known here: a control process that was just started
     /// knows none, and others still do.
-    pub fn leave(&mut self, now: time::Instant, id: &InstanceId) {
+    pub fn deregister(&mut self, now: time::Instant, id: &InstanceId) {
         let record = Record::fresh(Instance::gone(id.clone()));
         match self.meant_by(now, &record) {
-            Some(meant) => drop(self.gone(now, &meant)),
+            Some(meant) => drop(self.mark_gone(now, &meant)),
             None if self.entries.contains_key(id) => {}
             None => drop(self.merge(now, record)),
         }
     }
 
-    /// Takes those for gone that were silent for [`SILENCE`], and forgets those that ended long ago.
+    /// Takes those for gone that were silent for [`SILENCE_TIMEOUT`], and forgets those that ended long ago.
     /// Returns the ids of the former.
     pub fn expire(&mut self, now: time::Instant) -> Vec<InstanceId> {
         self.forget_ended(now);
         let silent: Vec<InstanceId> = self
             .entries
             .values()
-            .filter(|it| it.instance.is_present() && now.since(it.heard) >= SILENCE)
+            .filter(|it| it.instance.is_present() && now.since(it.heard) >= SILENCE_TIMEOUT)
             .map(|it| it.instance.id.clone())
             .collect();
         for id in &silent {
@@ -462,7 +473,7 @@
     pub fn forget_ended(&mut self, now: time::Instant) {
         let index = &mut self.index;
         self.entries.retain(|id, entry| {
-            let is_kept = entry.instance.is_present() || now.since(entry.heard) < GONE_KEPT;
+            let is_kept = entry.instance.is_present() || now.since(entry.heard) < ENDED_RETENTION;
             if !is_kept {
                 index.forget(id, entry.instance.address, entry.changed, entry.news);
             }
@@ -470,31 +481,36 @@
         });
     }
 
-    /// What changed after `mark`; everything where the mark is of another start.
+    /// What changed after `cursor`; everything where the mark is of another start.
     #[must_use]
-    pub fn since(&self, now: time::Instant, mark: Mark, passing: Passing) -> Vec<Record> {
-        let all = self.portion(mark, passing, usize::MAX).changes;
+    pub fn records_after(
+        &self,
+        now: time::Instant,
+        cursor: Cursor,
+        filter: ChangeFilter,
+    ) -> Vec<Record> {
+        let all = self.changes_after(cursor, filter, usize::MAX).changes;
         let records = all.iter().filter_map(|it| self.record(now, &it.id));
         records.collect()
     }
 
-    /// The first `most` changes after `mark`, and up to where the directory is known with them.
+    /// The first `most` changes after `cursor`, and up to where the directory is known with them.
     #[must_use]
-    pub fn portion(&self, mark: Mark, passing: Passing, most: usize) -> Portion {
-        let from = if mark.start == self.start {
-            mark.change
+    pub fn changes_after(&self, cursor: Cursor, filter: ChangeFilter, most: usize) -> ChangeBatch {
+        let from = if cursor.start == self.start {
+            cursor.change
         } else {
             0
         };
         let mut changes: Vec<_> = self
             .index
-            .after(from, passing)
+            .after(from, filter)
             .take(most.saturating_add(1))
             .collect();
         let is_last = changes.len() <= most;
         changes.truncate(most);
         let last = changes.last().filter(|_| !is_last);
-        let mark = Mark {
+        let cursor = Cursor {
             start: self.start,
             change: last.map_or(self.change, |(number, _)| *number),
         };
@@ -502,9 +518,9 @@
             id: id.clone(),
             number,
         });
-        Portion {
+        ChangeBatch {
             changes: changes.collect(),
-            mark,
+            cursor,
             is_last,
         }
     }
@@ -539,14 +555,14 @@
 
     /// The start of the endpoint `name` that is there, if one is known.
     #[must_use]
-    pub fn get(&self, name: &str) -> Option<&Instance> {
+    pub fn current_instance(&self, name: &str) -> Option<&Instance> {
         let entry = self.current(name)?;
         entry.instance.is_present().then_some(&*entry.instance)
     }
 
     /// What is known of this start.
     #[must_use]
-    pub fn start(&self, id: &InstanceId) -> Option<&Instance> {
+    pub fn instance(&self, id: &InstanceId) -> Option<&Instance> {
         self.entries.get(id).map(|it| &*it.instance)
     }
 
@@ -563,7 +579,9 @@
         let ended = self.entries.values().filter(|it| it.instance.has_ended());
         let names: collections::BTreeSet<&str> =
             ended.map(|it| it.instance.id.name.as_str()).collect();
-        let there = names.into_iter().filter_map(|name| self.get(name));
+        let there = names
+            .into_iter()
+            .filter_map(|name| self.current_instance(name));
         there.map(|it| it.id.clone()).collect()
     }
 }
--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -23,8 +23,8 @@
 use sageshed_types::time;
 
 use super::{
-    Directory, Entry, FIRST_WORDS, Instance, InstanceId, Offer, RIVAL_SILENCE, Record, State,
-    heard_at,
+    Directory, Entry, FIRST_WORDS, Instance, InstanceId, MergeOutcome, RIVAL_SILENCE, Record,
+    State, heard_at,
 };
 
 /// For how long a start must speak before it takes the place of a silent one that seems later: two
@@ -82,7 +82,7 @@
     ///
     /// A word without a time of birth means the start that is known, unless that has spoken since or was
     /// just born in the place of another: then the word is of the one before, and came late. Taken for
-    /// the new one's, it would keep that out for [`super::GONE_KEPT`].
+    /// the new one's, it would keep that out for [`super::ENDED_RETENTION`].
     pub(super) fn meant_by(&self, now: time::Instant, record: &Record) -> Option<InstanceId> {
         let id = &record.instance.id;
         let current = self.current(&id.name)?;
@@ -106,7 +106,7 @@
     }
 
     /// A further word of a start that another has replaced.
-    pub(super) fn word_of_replaced(&mut self, now: time::Instant, record: Record) -> Offer {
+    pub(super) fn word_of_replaced(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let rival = self.current(&id.name);
         let comes_back = match rival {
@@ -127,7 +127,7 @@
         {
             sync::Arc::make_mut(&mut entry.instance).state = State::Gone;
         }
-        Offer::Stale
+        MergeOutcome::Stale
     }
 
     /// Whether a start whose word came just now, and that another has replaced or precedes, has spoken for
@@ -184,7 +184,7 @@
     }
 
     /// Puts a start that was replaced back into its place, with a rank by which all others take it in.
-    pub(super) fn put_back(&mut self, now: time::Instant, record: Record) -> Offer {
+    pub(super) fn put_back(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let name = record.instance.id.name.clone();
         let highest = self.starts(&name).map(|it| it.rank).max().unwrap_or(0);
         if let Some(rival) = self.current(&name).map(|it| it.instance.id.clone()) {
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -40,9 +40,9 @@
     /// Whether it has more of the endpoints to tell.
     pub has_more: bool,
     /// Its last change that was news; none from an earlier version.
-    pub news: Option<directory::Mark>,
+    pub news: Option<directory::Cursor>,
     /// Up to where it knows other control processes.
-    pub peers: &'a [(net::Ipv4Addr, directory::Mark)],
+    pub peers: &'a [(net::Ipv4Addr, directory::Cursor)],
 }
 
 /// One link.
@@ -54,7 +54,7 @@
     /// Since when it knows something that the near one was not told, as far as is known.
     differs_since: Option<time::Instant>,
     /// Its marks while digests differed that the near one is not known to have, and when each was told.
-    untold: collections::VecDeque<(time::Instant, directory::Mark)>,
+    untold: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
 impl Link {
@@ -67,8 +67,8 @@
     fn differs(
         &mut self,
         now: time::Instant,
-        news: Option<directory::Mark>,
-        known: Option<directory::Mark>,
+        news: Option<directory::Cursor>,
+        known: Option<directory::Cursor>,
     ) {
         let (Some(news), Some(known)) = (news, known) else {
             self.differs_since.get_or_insert(now);
@@ -82,7 +82,7 @@
     }
 
     /// The near one knows it up to `known`.
-    fn told(&mut self, known: directory::Mark) {
+    fn told(&mut self, known: directory::Cursor) {
         self.untold
             .retain(|(_, mark)| mark.start != known.start || mark.change > known.change);
         self.differs_since = self.untold.front().map(|(at, _)| *at);
@@ -97,7 +97,7 @@
     known: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
     each: [Link; LINKS],
     /// Up to where the control process that brings endpoints knows the others.
-    peers: collections::HashMap<net::Ipv4Addr, directory::Mark>,
+    peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     avoided: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
 
@@ -183,7 +183,7 @@
         }
     }
 
-    fn learn_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Mark)]) {
+    fn learn_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
         for link in &mut self.each {
             let known = link.held.and_then(|ip| self.peers.get(&ip));
--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -79,7 +79,7 @@
     #[serde(default)]
     pub config_told: Option<u64>,
     /// Up to where it knows the directory of the one that it asks.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// The list of entry processes that it knows, by the number that came with it.
     pub entries_known: u64,
     /// How long the call may be kept.
@@ -141,24 +141,24 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub config: Option<document::Document>,
     /// Up to where the directory is known with this answer.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// The digest of the directory; see [`directory::Directory::digest`].
     pub digest: u64,
     /// Up to where the directory is known to one that has this digest too; none from a process that does not
     /// tell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub digest_mark: Option<directory::Mark>,
+    pub digest_mark: Option<directory::Cursor>,
     /// The last change of the directory that was news; none from a process that does not tell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub news_mark: Option<directory::Mark>,
+    pub news_mark: Option<directory::Cursor>,
     /// Up to where other control processes are known with this answer, for one that takes endpoints.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub peers: Vec<(net::Ipv4Addr, directory::Mark)>,
+    pub peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
     /// What changed in it since the mark of the question, as [`directory::Record`].
     pub records: Vec<Packed>,
     /// Instances of which nothing changed but that they were heard since, for one that wants all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub alive: Vec<directory::Alive>,
+    pub alive: Vec<directory::LivenessRefresh>,
     /// Whether there is more of that, for the next question.
     #[serde(default)]
     pub has_more: bool,
--- a/crates/sageshed-fleet/tests/directory.rs
+++ b/crates/sageshed-fleet/tests/directory.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use sageshed_fleet::directory::{self, Directory, Offer, Passing, State};
+use sageshed_fleet::directory::{self, ChangeFilter, Directory, MergeOutcome, State};
 use sageshed_types::time;
 
 const T0: time::Instant = time::Instant(1_000);
@@ -18,11 +18,11 @@
 fn a_late_announcement_does_not_bring_an_instance_back() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
-    assert_eq!(directory.announce(T0, engine.clone()), Offer::New);
-    directory.leave(at(100), &"e1".into());
+    assert_eq!(directory.announce(T0, engine.clone()), MergeOutcome::New);
+    directory.deregister(at(100), &"e1".into());
     engine.sequence = 9;
-    assert_eq!(directory.announce(at(10_000), engine), Offer::Stale);
-    assert!(directory.get("e1").is_none());
+    assert_eq!(directory.announce(at(10_000), engine), MergeOutcome::Stale);
+    assert!(directory.current_instance("e1").is_none());
 }
 
 /// A control process that was just started hears first that an instance leaves, of which it knows
@@ -30,13 +30,13 @@
 #[test]
 fn the_word_of_an_unknown_instance_that_it_leaves_is_passed_on() {
     let mut fresh = Directory::new(2);
-    fresh.leave(T0, &"e1".into());
+    fresh.deregister(T0, &"e1".into());
     let mut other = Directory::new(1);
     other.announce(T0, support::engine("e1", &["m0"]));
-    for record in fresh.since(at(1), directory::Mark::default(), Passing::All) {
+    for record in fresh.records_after(at(1), directory::Cursor::default(), ChangeFilter::All) {
         other.merge(at(1), record);
     }
-    assert!(other.get("e1").is_none());
+    assert!(other.current_instance("e1").is_none());
 }
 
 /// An engine says that it leaves in an answer to an entry process. Announcements that are on their way, words of control
@@ -48,9 +48,9 @@
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
     let id = engine.id.clone();
-    assert!(directory.leaves(at(10), &id));
-    assert!(!directory.leaves(at(20), &id), "it is known");
-    let state = |directory: &Directory| directory.start(&id).map(|it| it.state);
+    assert!(directory.mark_leaving(at(10), &id));
+    assert!(!directory.mark_leaving(at(20), &id), "it is known");
+    let state = |directory: &Directory| directory.instance(&id).map(|it| it.state);
     assert_eq!(state(&directory), Some(State::Leaving));
     engine.sequence = 7;
     directory.announce(at(30), engine.clone());
@@ -62,16 +62,16 @@
     assert_eq!(state(&directory), Some(State::Leaving), "told by another");
     assert_eq!(state(&elsewhere), Some(State::Leaving), "the other is told");
     assert_eq!(directory.digest(), elsewhere.digest());
-    directory.expire(at(50) + directory::SILENCE);
+    directory.expire(at(50) + directory::SILENCE_TIMEOUT);
     assert_eq!(state(&directory), Some(State::Silent));
     engine.sequence = 20;
-    directory.announce(at(60) + directory::SILENCE, engine.clone());
+    directory.announce(at(60) + directory::SILENCE_TIMEOUT, engine.clone());
     assert_eq!(state(&directory), Some(State::Leaving), "out of sight");
     assert!(directory.is_leaving(&id));
     engine.id.born = Some(99);
     engine.sequence = 1;
-    directory.announce(at(70) + directory::SILENCE, engine);
-    let other = directory.get("e1").expect("another start");
+    directory.announce(at(70) + directory::SILENCE_TIMEOUT, engine);
+    let other = directory.current_instance("e1").expect("another start");
     assert_eq!(other.state, State::Ready);
 }
 
@@ -84,12 +84,15 @@
     directory.announce(T0, engine.clone());
     engine.sequence = 7;
     engine.state = State::Leaving;
-    assert_eq!(directory.announce(at(10), engine.clone()), Offer::Changed);
     assert_eq!(
-        directory.start(&engine.id).map(|it| it.state),
+        directory.announce(at(10), engine.clone()),
+        MergeOutcome::Changed
+    );
+    assert_eq!(
+        directory.instance(&engine.id).map(|it| it.state),
         Some(State::Leaving)
     );
-    assert!(directory.has_news(directory::Mark::default()));
+    assert!(directory.has_updates(directory::Cursor::default()));
 }
 
 #[test]
@@ -98,13 +101,13 @@
     let mut engine = support::engine("e1", &["m0"]);
     engine.sequence = 5;
     directory.announce(T0, engine.clone());
-    let mark = directory.mark();
+    let mark = directory.cursor();
     let mut older = support::engine("e1", &["m1"]);
     older.sequence = 4;
-    assert_eq!(directory.announce(at(10), older), Offer::Stale);
-    assert_eq!(directory.announce(at(10), engine), Offer::Confirmed);
-    assert_eq!(directory.mark(), mark);
-    let known = directory.get("e1").expect("it is there");
+    assert_eq!(directory.announce(at(10), older), MergeOutcome::Stale);
+    assert_eq!(directory.announce(at(10), engine), MergeOutcome::Confirmed);
+    assert_eq!(directory.cursor(), mark);
+    let known = directory.current_instance("e1").expect("it is there");
     assert!(known.holds("m0", None));
 }
 
@@ -117,12 +120,12 @@
     let mut b = Directory::new(2);
     a.announce(T0, support::engine("e1", &["m0"]));
     b.announce(T0, support::engine("e1", &["m1"]));
-    let mut marks = (directory::Mark::default(), directory::Mark::default());
+    let mut marks = (directory::Cursor::default(), directory::Cursor::default());
     let mut exchanged = 0;
     for round in 0..20 {
-        let from_a = a.since(at(round), marks.0, Passing::All);
-        let from_b = b.since(at(round), marks.1, Passing::All);
-        marks = (a.mark(), b.mark());
+        let from_a = a.records_after(at(round), marks.0, ChangeFilter::All);
+        let from_b = b.records_after(at(round), marks.1, ChangeFilter::All);
+        marks = (a.cursor(), b.cursor());
         exchanged += from_a.len() + from_b.len();
         for record in from_a {
             b.merge(at(round), record);
@@ -153,18 +156,18 @@
         it.models[0].adapters.push("a2".to_owned());
     });
     exchange(&mut leader, &mut other, at(5));
-    assert_eq!(leader.get("e1"), other.get("e1"));
-    let known = other.get("e1").expect("it is there");
+    assert_eq!(leader.current_instance("e1"), other.current_instance("e1"));
+    let known = other.current_instance("e1").expect("it is there");
     assert!(known.holds("m0", Some("a2")));
 }
 
 fn exchange(a: &mut Directory, b: &mut Directory, now: time::Instant) {
     for _ in 0..2 {
-        let from_a = a.since(now, directory::Mark::default(), Passing::All);
+        let from_a = a.records_after(now, directory::Cursor::default(), ChangeFilter::All);
         for record in from_a {
             b.merge(now, record);
         }
-        let from_b = b.since(now, directory::Mark::default(), Passing::All);
+        let from_b = b.records_after(now, directory::Cursor::default(), ChangeFilter::All);
         for record in from_b {
             a.merge(now, record);
         }
@@ -175,14 +178,14 @@
 fn a_peer_gets_what_changed_since_its_mark_and_all_after_a_restart() {
     let mut directory = Directory::new(1);
     directory.announce(T0, support::engine("e1", &["m0"]));
-    let mark = directory.mark();
+    let mark = directory.cursor();
     directory.announce(at(1), support::engine("e2", &["m0"]));
     let ids = |mark| -> Vec<String> {
-        let records = directory.since(at(2), mark, Passing::All);
+        let records = directory.records_after(at(2), mark, ChangeFilter::All);
         records.into_iter().map(|it| it.instance.id.name).collect()
     };
     assert_eq!(ids(mark), ["e2"]);
-    let of_another_start = directory::Mark {
+    let of_another_start = directory::Cursor {
         start: 7,
         change: 99,
     };
@@ -193,20 +196,24 @@
 fn an_instance_that_was_silent_for_long_is_not_offered() {
     let mut directory = Directory::new(1);
     directory.announce(T0, support::engine("e1", &["m0"]));
-    let silence = directory::SILENCE;
+    let silence = directory::SILENCE_TIMEOUT;
     assert!(
         directory
             .expire(T0 + time::Millis(silence.0 - 1))
             .is_empty()
     );
     assert_eq!(directory.expire(T0 + silence), ["e1".into()]);
-    let records = directory.since(T0 + silence, directory::Mark::default(), Passing::All);
+    let records = directory.records_after(
+        T0 + silence,
+        directory::Cursor::default(),
+        ChangeFilter::All,
+    );
     assert_eq!(records[0].instance.state, State::Silent);
-    let forgotten = T0 + silence + directory::GONE_KEPT;
+    let forgotten = T0 + silence + directory::ENDED_RETENTION;
     assert!(directory.expire(forgotten).is_empty());
     assert!(
         directory
-            .since(forgotten, directory::Mark::default(), Passing::All)
+            .records_after(forgotten, directory::Cursor::default(), ChangeFilter::All)
             .is_empty()
     );
 }
@@ -221,8 +228,8 @@
     let mut new = support::engine("f1", &[]);
     new.address = old.address;
     directory.announce(at(2_500), new);
-    assert!(directory.get("e1").is_none());
-    assert!(directory.get("f1").is_some());
+    assert!(directory.current_instance("e1").is_none());
+    assert!(directory.current_instance("f1").is_some());
 }
 
 /// An announcement of an engine that died long ago arrives late, at a control process that never knew
@@ -237,16 +244,16 @@
     dead.address = alive.address;
     dead.sequence = 90;
     directory.announce(at(1_000), dead);
-    assert!(directory.get("e1").is_some());
+    assert!(directory.current_instance("e1").is_some());
     for beat in 1..=6 {
         alive.sequence += 1;
         directory.announce(at(1_000 + beat * 1_200), alive.clone());
     }
     assert!(
-        directory.get("f1").is_none(),
+        directory.current_instance("f1").is_none(),
         "the dead one said nothing more"
     );
-    assert!(directory.get("e1").is_some());
+    assert!(directory.current_instance("e1").is_some());
 }
 
 /// An engine is cut off from control for a while and serves on. Its silence takes it out, and its next
@@ -256,23 +263,26 @@
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
-    assert_eq!(directory.expire(T0 + directory::SILENCE), ["e1".into()]);
+    assert_eq!(
+        directory.expire(T0 + directory::SILENCE_TIMEOUT),
+        ["e1".into()]
+    );
     let mut other = Directory::new(2);
-    for record in directory.since(
-        T0 + directory::SILENCE,
-        directory::Mark::default(),
-        Passing::All,
+    for record in directory.records_after(
+        T0 + directory::SILENCE_TIMEOUT,
+        directory::Cursor::default(),
+        ChangeFilter::All,
     ) {
         other.merge(T0, record);
     }
-    assert!(other.get("e1").is_none());
+    assert!(other.current_instance("e1").is_none());
     engine.sequence += 1;
-    let back = T0 + directory::SILENCE + time::Millis(500);
-    assert_eq!(directory.announce(back, engine), Offer::Changed);
-    for record in directory.since(back, directory::Mark::default(), Passing::All) {
+    let back = T0 + directory::SILENCE_TIMEOUT + time::Millis(500);
+    assert_eq!(directory.announce(back, engine), MergeOutcome::Changed);
+    for record in directory.records_after(back, directory::Cursor::default(), ChangeFilter::All) {
         other.merge(back, record);
     }
-    assert!(directory.get("e1").is_some() && other.get("e1").is_some());
+    assert!(directory.current_instance("e1").is_some() && other.current_instance("e1").is_some());
 }
 
 /// 195 entry processes watch a control process, and engines announce themselves 65 times a second with nothing
@@ -283,21 +293,30 @@
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
-    let mark = directory.mark();
+    let mark = directory.cursor();
     for beat in 1..=5 {
         engine.sequence += 1;
         directory.announce(at(beat * 1_200), engine.clone());
     }
-    assert!(!directory.has_news(mark));
-    assert!(directory.since(at(6_000), mark, Passing::News).is_empty());
-    let alive = directory.since(at(6_000), mark, Passing::All);
+    assert!(!directory.has_updates(mark));
+    assert!(
+        directory
+            .records_after(at(6_000), mark, ChangeFilter::Updates)
+            .is_empty()
+    );
+    let alive = directory.records_after(at(6_000), mark, ChangeFilter::All);
     assert!(alive[0].age < time::Millis(2_500), "{:?}", alive[0].age);
     engine.sequence += 1;
     engine.state = State::Leaving;
     directory.announce(at(7_000), engine);
-    assert!(directory.has_news(mark));
-    assert_eq!(directory.since(at(7_000), mark, Passing::News).len(), 1);
-    assert!(directory.has_news(directory::Mark::default()));
+    assert!(directory.has_updates(mark));
+    assert_eq!(
+        directory
+            .records_after(at(7_000), mark, ChangeFilter::Updates)
+            .len(),
+        1
+    );
+    assert!(directory.has_updates(directory::Cursor::default()));
 }
 
 /// An entry process tells by one number whether a control process knows something else than it does. The number
@@ -311,7 +330,7 @@
     a.announce(T0, support::engine("e1", &["m0"]));
     a.announce(T0, of_two.clone());
     for record in a
-        .since(at(5), directory::Mark::default(), Passing::All)
+        .records_after(at(5), directory::Cursor::default(), ChangeFilter::All)
         .into_iter()
         .rev()
     {
@@ -327,11 +346,11 @@
     });
     assert_ne!(a.digest(), b.digest());
     for id in ["e1", "e2"] {
-        a.gone(at(70), &id.into());
-        b.gone(at(70), &id.into());
+        a.mark_gone(at(70), &id.into());
+        b.mark_gone(at(70), &id.into());
     }
     assert_eq!((a.digest(), b.digest()), (empty, empty));
-    let far = at(70) + directory::GONE_KEPT;
+    let far = at(70) + directory::ENDED_RETENTION;
     a.expire(far);
     assert_eq!(a.digest(), empty);
 }
@@ -340,13 +359,15 @@
 struct Pair {
     hears: Directory,
     is_told: Directory,
-    mark: directory::Mark,
+    mark: directory::Cursor,
 }
 
 impl Pair {
     /// Tells what is new, and returns how many records and how many short words that took.
     fn tell(&mut self, now: time::Instant) -> (usize, usize) {
-        let portion = self.hears.portion(self.mark, Passing::All, usize::MAX);
+        let portion = self
+            .hears
+            .changes_after(self.mark, ChangeFilter::All, usize::MAX);
         let mut told = (0, 0);
         for change in &portion.changes {
             if let Some(alive) = self.hears.alive(now, &change.id, self.mark) {
@@ -357,7 +378,7 @@
                 told.0 += 1;
             }
         }
-        self.mark = portion.mark;
+        self.mark = portion.cursor;
         told
     }
 }
@@ -369,7 +390,7 @@
     let mut pair = Pair {
         hears: Directory::new(1),
         is_told: Directory::new(2),
-        mark: directory::Mark::default(),
+        mark: directory::Cursor::default(),
     };
     let mut now = time::Instant(100_000);
     let mut engine = support::engine("e1", &["m0"]);
@@ -377,24 +398,24 @@
     assert_eq!(pair.tell(now), (1, 0));
     // For longer than an engine may be silent.
     for _ in 0..12 {
-        now = now + directory::REFRESH;
+        now = now + directory::REFRESH_INTERVAL;
         engine.sequence += 1;
         pair.hears.announce(now, engine.clone());
         assert_eq!(pair.tell(now), (0, 1));
         assert!(pair.is_told.expire(now).is_empty());
     }
     // What is new is told whole, and so is everything to one that knows nothing.
-    now = now + directory::REFRESH;
+    now = now + directory::REFRESH_INTERVAL;
     engine.sequence += 1;
     engine.models = vec![support::resident("m1", &["a1"])];
     pair.hears.announce(now, engine.clone());
     assert_eq!(pair.tell(now), (1, 0));
     assert_eq!(pair.is_told.digest(), pair.hears.digest());
-    pair.mark = directory::Mark::default();
+    pair.mark = directory::Cursor::default();
     assert_eq!(pair.tell(now), (1, 0));
 
     // An engine that was taken for gone is back by its next sign of life.
-    now = now + directory::SILENCE;
+    now = now + directory::SILENCE_TIMEOUT;
     assert_eq!(pair.is_told.expire(now).len(), 1);
     engine.sequence += 1;
     pair.hears.announce(now, engine);
@@ -412,18 +433,18 @@
     let mut engine = support::engine("e1", &["m0"]);
     engine.sequence = 7;
     hears.announce(now, engine.clone());
-    let mark = hears.mark();
+    let mark = hears.cursor();
     let late = hears.alive(now, &engine.id, mark).expect("it is alive");
     engine.sequence = 9;
     is_told.announce(now, engine.clone());
     is_told.confirm(now, late);
-    assert_eq!(is_told.start(&engine.id).map(|it| it.sequence), Some(9));
-    is_told.leave(now, &engine.id);
+    assert_eq!(is_told.instance(&engine.id).map(|it| it.sequence), Some(9));
+    is_told.deregister(now, &engine.id);
     is_told.confirm(now, late);
     assert_eq!(is_told.present(now).count(), 0);
     // One that is leaving is always told whole.
-    hears.leaves(now, &engine.id);
-    assert_eq!(hears.alive(now, &engine.id, hears.mark()), None);
+    hears.mark_leaving(now, &engine.id);
+    assert_eq!(hears.alive(now, &engine.id, hears.cursor()), None);
 }
 
 /// The short keys of two versions that run side by side have to agree.
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -3,7 +3,7 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    directory::Mark,
+    directory::Cursor,
     links::{Answer, LINKS, Links},
     messages::{ControlVm, Wants},
 };
@@ -156,7 +156,7 @@
     for number in 0..LINKS {
         links.answered(T0, number, &answer(false, false));
     }
-    let mark = |change| Mark { start: 9, change };
+    let mark = |change| Cursor { start: 9, change };
     let near = |links: &mut Links, ms, change| {
         let peers = [(held[1], mark(change)), (held[2], mark(change))];
         let told = Answer {
@@ -189,7 +189,7 @@
     assert_eq!(links.wants(at(4_300), 1), Wants::Digest);
     // Another start of the other one counts anew.
     let restarted = Answer {
-        news: Some(Mark {
+        news: Some(Cursor {
             start: 10,
             change: 5,
         }),
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Choice, Chooser, Ended, Missing},
     dialect,
-    directory::{self, Directory, Instance, InstanceId, Offer, Passing, State},
+    directory::{self, ChangeFilter, Directory, Instance, InstanceId, MergeOutcome, State},
     messages, neighbours,
     planner::{Action, Planner, Policy},
 };
@@ -29,7 +29,7 @@
 }
 
 fn born(directory: &Directory) -> Option<u64> {
-    directory.get("e1").and_then(|it| it.id.born)
+    directory.current_instance("e1").and_then(|it| it.id.born)
 }
 
 /// What a directory hears: the start at `born` says its word number `sequence` after `ms`.
@@ -132,7 +132,7 @@
             directory.announce(at(it.ms), start(it.born, it.sequence, &["m0"]));
         }
         assert_eq!(born(&directory), Some(case.lives), "{}", case.name);
-        let known = directory.since(at(0), directory::Mark::default(), Passing::All);
+        let known = directory.records_after(at(0), directory::Cursor::default(), ChangeFilter::All);
         let there = known.iter().filter(|it| it.instance.is_present()).count();
         assert_eq!(there, 1, "{}", case.name);
     }
@@ -148,8 +148,8 @@
         a.announce(T0, start(100, 900, &["m0"]));
         b.announce(T0, start(100, 900, &["m0"]));
         a.announce(at(10), start(2_000, 1, &[]));
-        let of_a = a.since(at(20), directory::Mark::default(), Passing::All);
-        let of_b = b.since(at(20), directory::Mark::default(), Passing::All);
+        let of_a = a.records_after(at(20), directory::Cursor::default(), ChangeFilter::All);
+        let of_b = b.records_after(at(20), directory::Cursor::default(), ChangeFilter::All);
         let mut fresh = Directory::new(3);
         let (first, second) = if new_first {
             (of_a, of_b)
@@ -162,7 +162,12 @@
         }
         for directory in [&a, &b, &fresh] {
             assert_eq!(born(directory), Some(2_000), "new first: {new_first}");
-            assert!(!directory.get("e1").expect("it is there").holds("m0", None));
+            assert!(
+                !directory
+                    .current_instance("e1")
+                    .expect("it is there")
+                    .holds("m0", None)
+            );
         }
     }
 }
@@ -179,7 +184,7 @@
         let mut directory = Directory::new(1);
         directory.announce(T0, start(100, 900, &["m0"]));
         directory.announce(at(10), start(2_000, 1, &[]));
-        directory.leave(at(20), &id);
+        directory.deregister(at(20), &id);
         assert_eq!(born(&directory), Some(2_000), "{name}");
     }
 }
@@ -192,16 +197,22 @@
     let mut known = Directory::new(1);
     known.announce(T0, start(100, 900, &["m0"]));
     let mut fresh = Directory::new(2);
-    fresh.leave(at(10), &"e1".into());
-    for record in fresh.since(at(20), directory::Mark::default(), Passing::All) {
+    fresh.deregister(at(10), &"e1".into());
+    for record in fresh.records_after(at(20), directory::Cursor::default(), ChangeFilter::All) {
         known.merge(at(20), record);
     }
-    assert!(known.get("e1").is_none());
+    assert!(known.current_instance("e1").is_none());
     for (n, ms) in [(901, 1_000), (902, 2_200), (903, 3_400), (904, 4_600)] {
-        assert_eq!(known.announce(at(ms), start(100, n, &["m0"])), Offer::Stale);
+        assert_eq!(
+            known.announce(at(ms), start(100, n, &["m0"])),
+            MergeOutcome::Stale
+        );
     }
-    assert!(known.get("e1").is_none());
-    assert_eq!(known.announce(at(5_000), start(9_000, 1, &[])), Offer::New);
+    assert!(known.current_instance("e1").is_none());
+    assert_eq!(
+        known.announce(at(5_000), start(9_000, 1, &[])),
+        MergeOutcome::New
+    );
 }
 
 /// Words without a time of birth come from older software, or from a writer that goes wrong. They do not
@@ -217,7 +228,12 @@
         directory.announce(at(n * 1_200 + 1), start(100, 900 + n, &["m0"]));
     }
     assert_eq!(born(&directory), Some(100));
-    assert!(directory.get("e1").expect("it is there").holds("m0", None));
+    assert!(
+        directory
+            .current_instance("e1")
+            .expect("it is there")
+            .holds("m0", None)
+    );
 }
 
 /// Somebody announces endless starts of one endpoint, and endless endpoints. Neither may take the memory of
@@ -230,7 +246,7 @@
         directory.announce(T0, start(born, 1, &[]));
     }
     let mut refused = 0;
-    for n in 0..=directory::MOST_KEPT {
+    for n in 0..=directory::MAX_INSTANCES {
         let record = directory::Record {
             instance: support::engine(&format!("x{n}"), &[]),
             amended: 0,
@@ -238,15 +254,15 @@
             age: time::Millis(0),
         };
         let offer = directory.merge(T0, record);
-        refused += usize::from(offer == Offer::Full);
+        refused += usize::from(offer == MergeOutcome::Full);
     }
     assert!(refused > 0);
-    let all = directory.since(T0, directory::Mark::default(), Passing::All);
-    assert!(all.len() <= directory::MOST_KEPT);
+    let all = directory.records_after(T0, directory::Cursor::default(), ChangeFilter::All);
+    assert!(all.len() <= directory::MAX_INSTANCES);
     assert_eq!(born(&directory), Some(1_000_000));
     assert_eq!(
         directory.announce(at(1_200), start(1_000_000, 901, &["m0"])),
-        Offer::Confirmed
+        MergeOutcome::Confirmed
     );
 }
 
@@ -451,7 +467,11 @@
         for ((ms, _), (to, instance)) in words {
             all[to].announce(at(ms), instance);
             for from in 0..3 {
-                let records = all[from].since(at(ms), directory::Mark::default(), Passing::All);
+                let records = all[from].records_after(
+                    at(ms),
+                    directory::Cursor::default(),
+                    ChangeFilter::All,
+                );
                 for to in (0..3).filter(|to| *to != from) {
                     for record in records.clone() {
                         all[to].merge(at(ms), record);
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -41,7 +41,7 @@
     /// Entry processes that another control process hears.
     entries_elsewhere: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// Up to where the directories of the other control processes are known here.
-    peers: collections::BTreeMap<net::Ipv4Addr, directory::Mark>,
+    peers: collections::BTreeMap<net::Ipv4Addr, directory::Cursor>,
     /// Where the other control processes are, as they said.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// What callers asked for and the leader was not told yet.
@@ -130,13 +130,17 @@
     }
 
     /// Takes the word of an endpoint.
-    pub fn announce(&self, now: time::Instant, instance: directory::Instance) -> directory::Offer {
+    pub fn announce(
+        &self,
+        now: time::Instant,
+        instance: directory::Instance,
+    ) -> directory::MergeOutcome {
         self.change_directory(|it| it.announce(now, instance))
     }
 
     /// Takes an endpoint's word that it goes.
     pub fn leave(&self, now: time::Instant, id: &directory::InstanceId) {
-        self.change_directory(|it| it.leave(now, id));
+        self.change_directory(|it| it.deregister(now, id));
     }
 
     /// Takes what entry processes were told in answers: that these endpoints leave.
@@ -146,7 +150,7 @@
         }
         self.change_directory(|it| {
             for id in ids {
-                if it.leaves(now, id) {
+                if it.mark_leaving(now, id) {
                     ::log::info!(endpoint:% = id; "control: endpoint leaves, by its answers");
                 }
             }
@@ -173,7 +177,7 @@
     }
 
     /// Takes another control process's word of which endpoints live.
-    pub fn confirm(&self, now: time::Instant, alive: &[directory::Alive]) {
+    pub fn confirm(&self, now: time::Instant, alive: &[directory::LivenessRefresh]) {
         if alive.is_empty() {
             return;
         }
@@ -203,7 +207,9 @@
             inner.entries.retain(|_, entry| recent(&entry.at));
             inner.entries_elsewhere.retain(|_, at| recent(at));
             let directory = &inner.directory;
-            inner.packed.retain(|id, _| directory.start(id).is_some());
+            inner
+                .packed
+                .retain(|id, _| directory.instance(id).is_some());
         });
         self.change_directory(|it| it.expire(now))
     }
@@ -297,8 +303,8 @@
     pub fn news(&self, now: time::Instant, req: &messages::WatchReq) -> News {
         let mut inner = locks::lock(&self.inner);
         let passing = match req.wants {
-            messages::Wants::All => Some(directory::Passing::All),
-            messages::Wants::News => Some(directory::Passing::News),
+            messages::Wants::All => Some(directory::ChangeFilter::All),
+            messages::Wants::News => Some(directory::ChangeFilter::Updates),
             messages::Wants::Digest => None,
         };
         let (most, most_bytes) = match req.watcher {
@@ -306,7 +312,7 @@
             // Few, and each needs every sign of life in time: by half of them endpoints seem silent.
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
-        let portion = passing.map(|it| inner.directory.portion(req.mark, it, most));
+        let portion = passing.map(|it| inner.directory.changes_after(req.mark, it, most));
         let told = portion.map_or_else(
             // Without the records nothing more is known than before.
             || Told::nothing(req.mark),
@@ -318,8 +324,8 @@
             alive: told.alive,
             has_more: told.has_more,
             digest: inner.directory.digest(),
-            digest_mark: inner.directory.mark(),
-            news_mark: inner.directory.news_mark(),
+            digest_mark: inner.directory.cursor(),
+            news_mark: inner.directory.update_cursor(),
             config: inner.versions.newest(),
             crashes_mark: inner.quarantine.mark(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
@@ -329,13 +335,13 @@
     }
 
     /// The directory of another control process is known up to `mark`.
-    pub fn know_peer(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
+    pub fn know_peer(&self, ip: net::Ipv4Addr, mark: directory::Cursor) {
         self.change(|inner| inner.peers.insert(ip, mark));
     }
 
     /// Up to where the directories of the other control processes are known.
     #[must_use]
-    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Mark)> {
+    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Cursor)> {
         let inner = locks::lock(&self.inner);
         inner.peers.iter().map(|(ip, mark)| (*ip, *mark)).collect()
     }
@@ -423,9 +429,9 @@
     /// Signs of life are no news: each would cost an answer to each watcher, mostly with nothing to use.
     fn change_directory<T>(&self, change: impl FnOnce(&mut directory::Directory) -> T) -> T {
         let (made, is_news) = self.change(|inner| {
-            let before = inner.directory.mark();
+            let before = inner.directory.cursor();
             let made = change(&mut inner.directory);
-            (made, inner.directory.has_news(before))
+            (made, inner.directory.has_updates(before))
         });
         if is_news {
             self.announce_news(watchers::Urgency::Collect);
@@ -452,10 +458,10 @@
         &mut self,
         now: time::Instant,
         req: &messages::WatchReq,
-        portion: directory::Portion,
+        portion: directory::ChangeBatch,
         most_bytes: usize,
     ) -> Told {
-        let mut told = Told::nothing(portion.mark);
+        let mut told = Told::nothing(portion.cursor);
         told.has_more = !portion.is_last;
         let mut bytes = 0;
         let mut last = None;
@@ -534,7 +540,7 @@
 
     /// Whether there is something for a watcher.
     fn is_newer(&self, req: &messages::WatchReq) -> bool {
-        let has_news = req.wants != messages::Wants::Digest && self.directory.has_news(req.mark);
+        let has_news = req.wants != messages::Wants::Digest && self.directory.has_updates(req.mark);
         let crashes_known = req.crashes_known;
         let has_crashes =
             crashes_known.is_some_and(|it| self.quarantine.has_news(it, telling(req)));
@@ -554,14 +560,14 @@
 #[derive(Debug)]
 struct Told {
     /// Up to where it knows the directory then.
-    mark: directory::Mark,
+    mark: directory::Cursor,
     records: Vec<messages::Packed>,
-    alive: Vec<directory::Alive>,
+    alive: Vec<directory::LivenessRefresh>,
     has_more: bool,
 }
 
 impl Told {
-    fn nothing(mark: directory::Mark) -> Self {
+    fn nothing(mark: directory::Cursor) -> Self {
         Self {
             mark,
             records: Vec::new(),
@@ -575,19 +581,19 @@
 #[derive(Debug)]
 pub struct News {
     /// Up to where the directory is known with it.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// What changed in the directory, as far as it goes into one answer.
     pub records: Vec<messages::Packed>,
     /// Of which instances nothing changed but that they were heard.
-    pub alive: Vec<directory::Alive>,
+    pub alive: Vec<directory::LivenessRefresh>,
     /// Whether there is more.
     pub has_more: bool,
     /// The digest of the directory.
     pub digest: u64,
     /// Up to where the directory has that digest.
-    pub digest_mark: directory::Mark,
+    pub digest_mark: directory::Cursor,
     /// Its last change that was news.
-    pub news_mark: directory::Mark,
+    pub news_mark: directory::Cursor,
     /// The number of the configuration that is held.
     pub config: u64,
     /// Up to where crashes are known with it.
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -133,16 +133,16 @@
         let (address, state, sequence) = (instance.address, instance.state, instance.sequence);
         let offer = self.shared.hub.announce(self.shared.clock.now(), instance);
         match offer {
-            directory::Offer::New | directory::Offer::Changed => {
+            directory::MergeOutcome::New | directory::MergeOutcome::Changed => {
                 ::log::info!(endpoint:% = id, service, address:% = address, state:? = state, sequence;
                     "control: endpoint changed");
             }
-            directory::Offer::Stale => {
+            directory::MergeOutcome::Stale => {
                 ::log::info!(endpoint:% = id, sequence; "control: late announcement ignored");
             }
-            directory::Offer::Confirmed => {}
-            directory::Offer::Full => {
-                ::log::warn!(endpoint:% = id, kept = directory::MOST_KEPT;
+            directory::MergeOutcome::Confirmed => {}
+            directory::MergeOutcome::Full => {
+                ::log::warn!(endpoint:% = id, kept = directory::MAX_INSTANCES;
                     "control: too many endpoints, one is not taken in");
                 return Outcome::Later("as many endpoints are known as are kept");
             }
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -66,7 +66,7 @@
     entries: Vec<net::Ipv4Addr>,
     entries_number: u64,
     /// Read before what is told of the directory, which then has at least as much.
-    peers: Vec<(net::Ipv4Addr, directory::Mark)>,
+    peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
 }
 
 impl Common {
@@ -225,7 +225,7 @@
     };
     let address = address.to_string();
     let limit = std_time::Duration::from(PATIENCE) + CALL_MARGIN;
-    let mut mark = directory::Mark::default();
+    let mut mark = directory::Cursor::default();
     let mut crashes_known = quarantine::Mark::default();
     let mut heard = std_time::Instant::now();
     while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < LOST {
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -268,7 +268,7 @@
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
         core.chooser.forget(id);
-        if core.directory.gone(now, id) {
+        if core.directory.mark_gone(now, id) {
             ::log::info!(endpoint:% = id; "gateway: another start answers at the endpoint's address");
         }
     }
@@ -277,10 +277,10 @@
     pub fn leaves(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
-        if !core.directory.leaves(now, id) {
+        if !core.directory.mark_leaving(now, id) {
             return;
         }
-        if let Some(instance) = core.directory.start(id).cloned() {
+        if let Some(instance) = core.directory.instance(id).cloned() {
             core.chooser.know(&instance);
         }
         core.leaving.push((id.clone(), now));
@@ -302,15 +302,17 @@
     fn take_record(&self, core: &mut Core, now: time::Instant, record: directory::Record) -> bool {
         let (id, age) = (record.instance.id.clone(), record.age);
         match core.directory.merge(now, record) {
-            directory::Offer::Confirmed | directory::Offer::Stale | directory::Offer::Full => false,
-            offer @ (directory::Offer::New | directory::Offer::Changed) => {
-                let Some(instance) = core.directory.start(&id).cloned() else {
+            directory::MergeOutcome::Confirmed
+            | directory::MergeOutcome::Stale
+            | directory::MergeOutcome::Full => false,
+            offer @ (directory::MergeOutcome::New | directory::MergeOutcome::Changed) => {
+                let Some(instance) = core.directory.instance(&id).cloned() else {
                     return false;
                 };
                 core.chooser.know(&instance);
                 // Connections that were kept are to a start that has ended: where its VM lost power, what is
                 // sent on them is lost without a word.
-                if instance.has_ended() || offer == directory::Offer::New {
+                if instance.has_ended() || offer == directory::MergeOutcome::New {
                     self.pool.forget(instance.address);
                 }
                 self.log_change(now, &instance, offer, age);
@@ -324,7 +326,7 @@
         &self,
         now: time::Instant,
         instance: &directory::Instance,
-        offer: directory::Offer,
+        offer: directory::MergeOutcome,
         age: time::Millis,
     ) {
         let state = instance.state;
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct Known {
     /// Up to where the directory of the control process is known here.
-    mark: directory::Mark,
+    mark: directory::Cursor,
     /// What each knows of the crashes that the other remembers.
     crashes: quarantine::Link,
 }
@@ -191,7 +191,7 @@
     watching: &Watching,
     from: net::Ipv4Addr,
     resp: messages::WatchResp,
-) -> Vec<(net::Ipv4Addr, directory::Mark)> {
+) -> Vec<(net::Ipv4Addr, directory::Cursor)> {
     match resp.config {
         // A control process of an earlier version, from which nothing can be fetched.
         Some(document) => fetch::take_document(shared, document),
--- a/tests/watchers.rs
+++ b/tests/watchers.rs
@@ -14,7 +14,7 @@
         wants: messages::Wants::News,
         config: 0,
         config_told: None,
-        mark: directory::Mark {
+        mark: directory::Cursor {
             start: 1,
             change: mark,
         },
--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -34,7 +34,7 @@
         wants: messages::Wants::Digest,
         config: 0,
         config_told: None,
-        mark: directory::Mark::default(),
+        mark: directory::Cursor::default(),
         entries_known: 0,
         patience: KEPT,
         entries: Vec::new(),
@@ -293,7 +293,7 @@
     while hub.news(NOW, &req).mark != req.mark {
         req.mark = hub.news(NOW, &req).mark;
     }
-    let later = NOW + directory::REFRESH;
+    let later = NOW + directory::REFRESH_INTERVAL;
     for number in 0..MANY {
         let alive = directory::Instance {
             sequence: 2,
