--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -8,7 +8,7 @@
 //! * each model keeps a copy somewhere: a rare one that has to be fetched costs its callers a load;
 //! * what is left of the memory goes to the models with the most work for each copy;
 //! * a copy moves only where the work of a model is more than its copies can bear
-//!   ([`Policy::high`]) and another can give one up ([`Policy::low`]); between the two nothing moves;
+//!   ([`Policy::add_replica_above`]) and another can give one up ([`Policy::drop_replica_below`]); between the two nothing moves;
 //! * an engine that has a copy of the weights in its own memory or on its own disk goes first.
 //!
 //! # What an engine may hold
@@ -49,17 +49,17 @@
     /// The part of an engine's reading that a copy of a model may need before another is loaded. At three
     /// tenths nearly every model of a busy pool is short of copies all day, and copies change places
     /// without end.
-    pub high: f64,
+    pub add_replica_above: f64,
     /// The part that the copies of a model may need after one of them is given up.
-    pub low: f64,
+    pub drop_replica_below: f64,
     /// The part of the work of the model before it, in the order of their work, for which a busy model
     /// is given copies. Demand moves on down that order within seconds, and a load takes longer.
-    pub anticipated: f64,
+    pub anticipated_share: f64,
     /// Loads from the store under way at once, beyond which each takes longer.
-    pub loads_at_once: usize,
+    pub max_store_loads: usize,
     /// Engines that are asked for their reports at once. A new leader knows no engine's count of orders, and
     /// asks first where an order is due.
-    pub questions_at_once: usize,
+    pub max_report_requests: usize,
 }
 
 impl Default for Policy {
@@ -67,11 +67,11 @@
         Self {
             lease: time::Millis(3_000),
             store_window: time::Millis(5_000),
-            high: 0.8,
-            low: 0.65,
-            anticipated: 0.7,
-            loads_at_once: 6,
-            questions_at_once: 24,
+            add_replica_above: 0.8,
+            drop_replica_below: 0.65,
+            anticipated_share: 0.7,
+            max_store_loads: 6,
+            max_report_requests: 24,
         }
     }
 }
@@ -91,9 +91,9 @@
 /// What the planner wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an order; the answer goes to [`Planner::answered`].
+    /// Give an order; the answer goes to [`Planner::handle_order_response`].
     Order(dialect::Order),
-    /// Ask an engine for its report; it goes to [`Planner::reported`].
+    /// Ask an engine for its report; it goes to [`Planner::handle_report`].
     AskReport {
         /// The start of the engine that is meant.
         instance: directory::InstanceId,
@@ -122,9 +122,9 @@
     /// Of these, the ones that could take an order about weights now.
     pub free_for_orders: usize,
     /// Models that need another copy, the one that needs it most first.
-    pub short: Vec<String>,
+    pub short_of_replicas: Vec<String>,
     /// The models with the most work.
-    pub busiest: Vec<Busy>,
+    pub busiest: Vec<ModelLoad>,
     /// Whether the weight store may begin a load now.
     pub store_is_free: bool,
     /// Engines that all its requests keep busy, as a number of engines.
@@ -135,7 +135,7 @@
 
 /// A model as a leader sees it, for its log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Busy {
+pub struct ModelLoad {
     /// Its name.
     pub model: String,
     /// Engines that hold it and are not told to drop it.
@@ -188,7 +188,7 @@
     }
 
     /// This process leads from now on, with a fence above that of every leader before.
-    pub fn leads(&mut self, now: time::Instant, fence: u64) {
+    pub fn start_leading(&mut self, now: time::Instant, fence: u64) {
         let leadership = leadership::Leadership::elected(now, self.policy.lease);
         self.fence = fence;
         self.leadership = Some(leadership);
@@ -200,7 +200,7 @@
     }
 
     /// This process leads no longer.
-    pub fn follows(&mut self) {
+    pub fn stop_leading(&mut self) {
         self.leadership = None;
         self.adapter_requests.clear();
     }
@@ -212,12 +212,12 @@
     }
 
     /// Takes what callers asked an entry process for.
-    pub fn demand(&mut self, now: time::Instant, demand: &[messages::Demand]) {
+    pub fn add_demand(&mut self, now: time::Instant, demand: &[messages::Demand]) {
         self.demand.add(now, demand);
     }
 
     /// Takes an entry's word that a request waits for an adapter.
-    pub fn want(&mut self, now: time::Instant, req: messages::WantReq) {
+    pub fn request_adapter(&mut self, now: time::Instant, req: messages::WantReq) {
         self.demand
             .record_adapter_use(now, &req.service, &req.model, &req.adapter);
         let known = self.adapter_requests.iter().any(|it| it.req == req);
@@ -228,12 +228,12 @@
     }
 
     /// Takes the engines that are there and were started anew lately.
-    pub fn know_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
+    pub fn set_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
         self.restarts.set_restarted(restarted);
     }
 
     /// Takes the answer to an order; none where none came in time.
-    pub fn answered(
+    pub fn handle_order_response(
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
@@ -255,7 +255,7 @@
     }
 
     /// Takes an engine's report; none where none came.
-    pub fn reported(
+    pub fn handle_report(
         &mut self,
         now: time::Instant,
         instance: &directory::InstanceId,
@@ -272,7 +272,7 @@
     ///
     /// Of one that takes no more than so many requests from all VMs together, orders and questions count like
     /// requests, and no entry process counts them: one a second leaves the rest to callers.
-    pub fn heed(
+    pub fn apply_notice(
         &mut self,
         now: time::Instant,
         instance: &directory::InstanceId,
@@ -306,7 +306,7 @@
                 continue;
             };
             let pool = pool_of(service, offer, instances);
-            actions.extend(self.ask_reports(now, &pool));
+            actions.extend(self.request_reports(now, &pool));
             actions.extend(self.resend(now, &pool));
             actions.extend(self.serve_adapter_requests(now, &pool));
             actions.extend(self.place(now, &pool));
@@ -342,7 +342,7 @@
             service: pool.service.to_owned(),
             engines: pool.instances.len(),
             free_for_orders: pool.instances.iter().filter(is_free).count(),
-            short: short.into_iter().map(|it| it.name.clone()).collect(),
+            short_of_replicas: short.into_iter().map(|it| it.name.clone()).collect(),
             busiest: state.busiest(SUMMARY_MODELS),
             store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
             work: work.sum(),
@@ -385,11 +385,11 @@
     }
 
     /// Asks engines whose count of orders is not known, those first from which something is waited for.
-    fn ask_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    fn request_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let under_way = self.engines.values().filter(|it| it.awaits_report(now));
         let room = self
             .policy
-            .questions_at_once
+            .max_report_requests
             .saturating_sub(under_way.count());
         let wanted = self.adapter_requests.iter().map(|it| &it.req);
         let wanted: collections::BTreeSet<&str> = wanted
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -5,7 +5,7 @@
 
 use sageshed_types::time;
 
-use super::{Busy, FILL_COST, Planner, Pool, engine};
+use super::{FILL_COST, ModelLoad, Planner, Pool, engine};
 use crate::{config, dialect, directory};
 
 /// Work in busy engines below which no further work is anticipated for a model.
@@ -92,7 +92,7 @@
                 state.loading += 1;
             }
         }
-        anticipate(planner.policy.anticipated, &mut models);
+        anticipate(planner.policy.anticipated_share, &mut models);
         let instances = pool.instances.iter();
         Self {
             planner,
@@ -115,14 +115,14 @@
     }
 
     /// The `count` models with the most work.
-    pub(super) fn busiest(&self, count: usize) -> Vec<Busy> {
-        let models = self.models.iter().map(|(model, it)| Busy {
+    pub(super) fn busiest(&self, count: usize) -> Vec<ModelLoad> {
+        let models = self.models.iter().map(|(model, it)| ModelLoad {
             model: (*model).to_owned(),
             replicas: it.replicas,
             loading: it.loading,
             work: it.work,
         });
-        let mut models: Vec<Busy> = models.collect();
+        let mut models: Vec<ModelLoad> = models.collect();
         models.sort_by(|a, b| b.work.total_cmp(&a.work).then(a.model.cmp(&b.model)));
         models.truncate(count);
         models
@@ -138,7 +138,7 @@
             } else {
                 it.work_per_replica(it.replicas + it.loading)
             };
-            if need > self.planner.policy.high {
+            if need > self.planner.policy.add_replica_above {
                 short.push((need, model));
             }
         }
@@ -150,7 +150,7 @@
     pub(super) fn has_spare_replica(&self, model: &str) -> bool {
         let it = self.of(model);
         let less = (it.replicas + it.loading).saturating_sub(1);
-        less > 0 && it.work_per_replica(less) <= self.planner.policy.low
+        less > 0 && it.work_per_replica(less) <= self.planner.policy.drop_replica_below
     }
 
     /// The need of a model without a replica, whose requests can't be served at all. While there are none it ranks
@@ -159,7 +159,7 @@
         if it.work > 0.0 {
             NO_REPLICA_NEED + it.work
         } else {
-            self.planner.policy.high * IDLE_NEED_FACTOR
+            self.planner.policy.add_replica_above * IDLE_NEED_FACTOR
         }
     }
 
@@ -186,7 +186,7 @@
         let own = usize::from(self.planner.is_reserved_for_store(instance));
         let reserved = self.store_reservations - own;
         let per_s = self.pool.offer.loads_per_s;
-        self.store_loads + reserved < self.planner.policy.loads_at_once
+        self.store_loads + reserved < self.planner.policy.max_store_loads
             && self.planner.store.allows(self.now, per_s, reserved)
     }
 
@@ -247,8 +247,8 @@
             };
             let after = it.work_per_replica(it.replicas.saturating_sub(1)) + last;
             let is_better = best.as_ref().is_none_or(|(_, least)| after < *least);
-            let can_spare =
-                after <= self.planner.policy.low || after <= needed * VICTIM_MAX_LOAD_SHARE;
+            let can_spare = after <= self.planner.policy.drop_replica_below
+                || after <= needed * VICTIM_MAX_LOAD_SHARE;
             if (can_spare || is_last) && is_better {
                 best = Some((resident.model.clone(), after));
             }
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -42,7 +42,7 @@
     fn new(engines: &[(&str, &[&str])]) -> Self {
         let mut planner = Planner::new(Policy::default(), "10.0.0.1");
         let now = time::Instant(100_000);
-        planner.leads(now, 4);
+        planner.start_leading(now, 4);
         let engines = engines.iter().map(|(id, models)| {
             let engine = Engine {
                 instance: support::engine(id, models),
@@ -94,12 +94,12 @@
             match action {
                 Action::AskReport { instance, .. } => {
                     let report = self.engines.get(&instance.name).map(Engine::report);
-                    self.planner.reported(self.now, &instance, report);
+                    self.planner.handle_report(self.now, &instance, report);
                 }
                 Action::Order(order) => {
                     self.orders.push((self.now, order.clone()));
                     let answer = self.obey(&order);
-                    let more = self.planner.answered(self.now, &order, answer);
+                    let more = self.planner.handle_order_response(self.now, &order, answer);
                     self.carry_out(more);
                 }
                 Action::Amend { instance, task } => {
@@ -158,7 +158,7 @@
             waiting: 0,
             adapters: Vec::new(),
         };
-        self.planner.demand(self.now, &[demand]);
+        self.planner.add_demand(self.now, &[demand]);
     }
 
     fn want(&mut self, adapter: &str) {
@@ -168,7 +168,7 @@
             adapter: adapter.to_owned(),
             engine: None,
         };
-        self.planner.want(self.now, want);
+        self.planner.request_adapter(self.now, want);
     }
 
     fn tasks(&self) -> Vec<String> {
@@ -599,7 +599,7 @@
             adapter: format!("a{}", round % 4),
             engine: Some(id.clone()),
         };
-        world.planner.want(world.now, want);
+        world.planner.request_adapter(world.now, want);
         let before = world.orders.len();
         world.run(100);
         if world.orders.len() > before {
@@ -607,7 +607,7 @@
                 limit: Some(1.0),
                 ..dialect::Notice::default()
             };
-            world.planner.heed(world.now, &id, notice);
+            world.planner.apply_notice(world.now, &id, notice);
         }
     }
     let seconds = world.now.since(begun).0 / 1_000;
@@ -627,7 +627,7 @@
         retry_after: Some(time::Millis(3_000)),
         ..dialect::Notice::default()
     };
-    world.planner.heed(world.now, &id, notice);
+    world.planner.apply_notice(world.now, &id, notice);
     let (rests_until, before) = (world.now + time::Millis(3_000), world.orders.len());
     let want = messages::WantReq {
         service: "engines".to_owned(),
@@ -637,7 +637,7 @@
     };
     while world.orders.len() == before && world.now < rests_until + time::Millis(1_000) {
         // Requests that wait say so again and again.
-        world.planner.want(world.now, want.clone());
+        world.planner.request_adapter(world.now, want.clone());
         world.run(200);
     }
     let first = world.orders.get(before).map(|(at, _)| *at);
@@ -650,7 +650,7 @@
 fn a_new_leader_asks_first_where_a_request_waits() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
     let now = time::Instant(100_000);
-    planner.leads(now, 4);
+    planner.start_leading(now, 4);
     let names: Vec<String> = (0..2_000).map(|it| format!("e{it:04}")).collect();
     let engines: Vec<_> = names
         .iter()
@@ -662,7 +662,7 @@
     let engines: Vec<_> = engines.iter().collect();
     let config = support::config();
     let now = now + time::Millis(10_000);
-    planner.want(
+    planner.request_adapter(
         now,
         messages::WantReq {
             service: support::ENGINES.to_owned(),
@@ -673,7 +673,7 @@
     );
     let asked = asked_by(&planner.tick(now, &config, &engines));
     assert_eq!(asked.first().map(String::as_str), Some("e1999"));
-    assert_eq!(asked.len(), Policy::default().questions_at_once);
+    assert_eq!(asked.len(), Policy::default().max_report_requests);
 
     // Nobody else is asked until answers come.
     assert!(asked_by(&planner.tick(now + STEP, &config, &engines)).is_empty());
@@ -681,7 +681,7 @@
         models: vec![support::resident("m3", &[])],
         ..Report::default()
     };
-    planner.reported(now + STEP, &"e1999".into(), Some(report));
+    planner.handle_report(now + STEP, &"e1999".into(), Some(report));
     let actions = planner.tick(now + STEP, &config, &engines);
     let loads_adapter = |it: &Action| matches!(it, Action::Order(order) if matches!(&order.task, Task::LoadAdapter(..)));
     assert!(actions.iter().any(loads_adapter), "{actions:?}");
@@ -693,7 +693,7 @@
 fn an_engine_that_gives_no_report_is_asked_ever_more_rarely() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
     let mut now = time::Instant(100_000);
-    planner.leads(now, 4);
+    planner.start_leading(now, 4);
     let engine = support::engine("e1", &["m0"]);
     let config = support::config();
     now = now + Policy::default().lease;
@@ -703,7 +703,7 @@
         for action in planner.tick(now, &config, &[&engine]) {
             if let Action::AskReport { instance, .. } = action {
                 asked += 1;
-                planner.reported(now, &instance, None);
+                planner.handle_report(now, &instance, None);
             }
         }
     }
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -316,7 +316,7 @@
 impl Leader {
     fn new() -> Self {
         let mut planner = Planner::new(Policy::default(), "10.0.0.1");
-        planner.leads(T0, 4);
+        planner.start_leading(T0, 4);
         Self { planner, now: T0 }
     }
 
@@ -341,7 +341,7 @@
                 waiting: 1,
                 adapters: Vec::new(),
             };
-            self.planner.demand(self.now, &[demand]);
+            self.planner.add_demand(self.now, &[demand]);
             for action in self.planner.tick(self.now, &support::config(), &[engine]) {
                 match action {
                     Action::Order(order) => orders.push((self.now, order)),
@@ -351,7 +351,8 @@
                             accepted,
                             ..dialect::Report::default()
                         };
-                        self.planner.reported(self.now, &instance, Some(report));
+                        self.planner
+                            .handle_report(self.now, &instance, Some(report));
                     }
                     Action::Amend { .. } => {}
                 }
@@ -369,7 +370,7 @@
     let mut leader = Leader::new();
     let orders = leader.run(4_000, &start(100, 900, &["m0"]), 0);
     let (given, order) = orders.last().cloned().expect("m3 is to be loaded");
-    leader.planner.answered(given, &order, None);
+    leader.planner.handle_order_response(given, &order, None);
     let crashed = leader.now;
     let orders = leader.run(20_000, &start(2_000, 1, &[]), 0);
     let (first, _) = orders.first().expect("it is loaded in the end");
@@ -385,7 +386,7 @@
 fn a_new_leader_gives_a_restarted_engine_no_order_while_those_before_may_be_carried_out() {
     let mut leader = Leader::new();
     let engine = start(2_000, 1, &[]);
-    leader.planner.know_restarted(vec![engine.id.clone()]);
+    leader.planner.set_restarted(vec![engine.id.clone()]);
     let orders = leader.run(20_000, &engine, 0);
     let (first, _) = orders.first().expect("it is loaded in the end");
     assert!(first.since(T0) >= time::Millis(12_000), "{first:?}");
@@ -402,7 +403,7 @@
 #[test]
 fn the_report_of_another_start_is_not_taken() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
-    planner.leads(T0, 4);
+    planner.start_leading(T0, 4);
     let engine = start(100, 900, &["m0"]);
     let report = dialect::Report {
         born: Some(2_000),
@@ -420,13 +421,13 @@
             waiting: 1,
             adapters: Vec::new(),
         };
-        planner.demand(now, &[waiting]);
+        planner.add_demand(now, &[waiting]);
         let actions = planner.tick(now, &support::config(), &[&engine]);
         orders += actions
             .iter()
             .filter(|it| matches!(it, Action::Order(_)))
             .count();
-        planner.reported(now, &engine.id, Some(report.clone()));
+        planner.handle_report(now, &engine.id, Some(report.clone()));
     }
     assert_eq!(orders, 0);
 }
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -116,21 +116,21 @@
         let now = self.shared.clock.now();
         for input in inputs {
             match input {
-                Input::Demand(demand) => self.planner.demand(now, &demand),
-                Input::Want(req) => self.planner.want(now, req),
+                Input::Demand(demand) => self.planner.add_demand(now, &demand),
+                Input::Want(req) => self.planner.request_adapter(now, req),
                 Input::Reported(instance, report) => {
-                    self.planner.reported(now, &instance, report);
+                    self.planner.handle_report(now, &instance, report);
                 }
                 Input::Said(instance, notice) => {
                     ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.retry_after,
                         leaves = notice.is_leaving; "control: endpoint asks for something in an answer");
-                    self.planner.heed(now, &instance, notice);
+                    self.planner.apply_notice(now, &instance, notice);
                 }
                 Input::Answered(order, answer) => {
                     ::log::info!(endpoint:% = order.instance, task:% = order.task,
                         accepted_before = order.accepted_before, answer:? = answer;
                         "control: order answered");
-                    let actions = self.planner.answered(now, &order, answer);
+                    let actions = self.planner.handle_order_response(now, &order, answer);
                     self.carry_out(actions);
                 }
             }
@@ -151,13 +151,13 @@
         };
         let present = self.shared.hub.present();
         let present: Vec<&directory::Instance> = present.iter().map(|it| &**it).collect();
-        self.planner.know_restarted(self.shared.hub.restarted());
+        self.planner.set_restarted(self.shared.hub.restarted());
         let actions = self.planner.tick(now, config, &present);
         if self.told.elapsed() >= SUMMARY {
             self.told = std_time::Instant::now();
             for it in self.planner.summary(now, config, &present) {
                 ::log::info!(service = it.service.as_str(), engines = it.engines,
-                    free_for_orders = it.free_for_orders, short:? = it.short,
+                    free_for_orders = it.free_for_orders, short:? = it.short_of_replicas,
                     busiest:% = busiest(&it.busiest),
                     store_is_free = it.store_is_free, work:% = format_args!("{:.1}", it.work),
                     wants = it.wants; "control: placement");
@@ -170,12 +170,12 @@
     fn follow_leadership(&mut self) -> bool {
         let term = locks::read(&self.shared.view).status.term.0;
         if !self.shared.leads() {
-            self.planner.follows();
+            self.planner.stop_leading();
             return false;
         }
         if !self.planner.is_leading() || self.term != term {
             self.term = term;
-            self.planner.leads(self.shared.clock.now(), term);
+            self.planner.start_leading(self.shared.clock.now(), term);
             ::log::info!(term; "control: plans placement");
         }
         true
@@ -217,9 +217,9 @@
 }
 
 /// The busiest models in a few words: copies and those on their way, and the engines kept busy.
-fn busiest(models: &[planner::Busy]) -> String {
+fn busiest(models: &[planner::ModelLoad]) -> String {
     let models = models.iter().map(|it| {
-        let planner::Busy {
+        let planner::ModelLoad {
             model,
             replicas,
             loading,
