--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -147,13 +147,13 @@
 
     /// What link `number` is to bring of the endpoints.
     #[must_use]
-    pub fn wants(&self, now: time::Instant, number: usize) -> messages::Wants {
+    pub fn wants(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
         let differs = self.each[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= LAG);
         if lags || self.source().is_none_or(|source| source == number) {
-            messages::Wants::News
+            messages::DirectoryDetail::News
         } else {
-            messages::Wants::Digest
+            messages::DirectoryDetail::Digest
         }
     }
 
--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -20,10 +20,10 @@
     pub const WATCH: &str = "/v1/fleet/watch";
     /// [`super::ConfigReq`] to [`super::ConfigResp`].
     pub const CONFIG: &str = "/v1/fleet/config";
-    /// [`super::WantReq`] to [`super::WantResp`], of an entry process. Any control process passes it on to the leader.
-    pub const WANT: &str = "/v1/fleet/want";
+    /// [`super::AdapterReq`] to [`super::AdapterResp`], of an entry process. Any control process passes it on to the leader.
+    pub const ADAPTER: &str = "/v1/fleet/want";
     /// The same, of a control process.
-    pub const WANT_OF_LEADER: &str = "/v1/fleet/want-of-leader";
+    pub const LEADER_ADAPTER: &str = "/v1/fleet/want-of-leader";
 }
 
 /// Who watches.
@@ -39,7 +39,7 @@
 /// What of the directory a watcher wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wants {
+pub enum DirectoryDetail {
     /// What is new, and which instances live, though they say nothing new.
     All,
     /// What is new.
@@ -59,7 +59,7 @@
 
 /// A record as it travels: one that can't be read is passed over, and those beside it are not lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed(#[serde(with = "serde_bytes")] pub Vec<u8>);
+pub struct EncodedRecord(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
 /// Asks what is new.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
     /// Its availability zone.
     pub availability_zone: String,
     /// What of the directory it wants.
-    pub wants: Wants,
+    pub wants: DirectoryDetail,
     /// The version of the configuration in force there; zero for none.
     pub config: u64,
     /// The newest version that it was told of, and fetches if it does not hold it. None from a process that takes
@@ -114,7 +114,8 @@
     /// Requests that came.
     pub requests: u32,
     /// Microseconds that an engine needs to read their prompts, less what it keeps of them.
-    pub reading_us: u64,
+    #[serde(rename = "reading_us")]
+    pub prefill_us: u64,
     /// Tokens that they may generate.
     pub output_tokens: u64,
     /// Requests that wait now, since no engine can take them.
@@ -155,7 +156,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
     /// What changed in it since the mark of the question, as [`directory::Record`].
-    pub records: Vec<Packed>,
+    pub records: Vec<EncodedRecord>,
     /// Instances of which nothing changed but that they were heard since, for one that wants all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub alive: Vec<directory::LivenessRefresh>,
@@ -193,7 +194,7 @@
 
 /// Asks the leader to load an adapter for a request that waits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct WantReq {
+pub struct AdapterReq {
     /// The service.
     pub service: String,
     /// The model.
@@ -204,10 +205,10 @@
     pub engine: Option<directory::InstanceId>,
 }
 
-/// What became of a [`WantReq`].
+/// What became of a [`AdapterReq`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WantResp {
+pub enum AdapterResp {
     /// The leader sees to it; the directory will show the outcome.
     Taken,
     /// This process does not lead.
--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -11,7 +11,7 @@
 /// A request for an adapter that is not served yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingAdapterRequest {
-    pub(super) req: messages::WantReq,
+    pub(super) req: messages::AdapterReq,
     /// When it arrived.
     pub(super) at: time::Instant,
 }
@@ -59,7 +59,7 @@
         &mut self,
         now: time::Instant,
         pool: &Pool<'_>,
-        req: &messages::WantReq,
+        req: &messages::AdapterReq,
     ) -> Progress {
         let holders: Vec<&directory::Instance> = pool
             .instances
--- a/crates/sageshed-fleet/src/planner/demand.rs
+++ b/crates/sageshed-fleet/src/planner/demand.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Count {
     requests: u32,
-    reading_us: u64,
+    prefill_us: u64,
 }
 
 /// The recent demand for one model.
@@ -47,7 +47,7 @@
         }
         if let Some((_, count)) = self.buckets.back_mut() {
             count.requests += more.requests;
-            count.reading_us += more.reading_us;
+            count.prefill_us += more.prefill_us;
         }
         let oldest = bucket.saturating_sub(WINDOW_MS / BUCKET_MS);
         while self.buckets.front().is_some_and(|(it, _)| *it < oldest) {
@@ -61,14 +61,14 @@
         let recent = self.buckets.iter().filter(|(it, _)| *it >= from);
         recent.fold(Count::default(), |sum, (_, it)| Count {
             requests: sum.requests + it.requests,
-            reading_us: sum.reading_us + it.reading_us,
+            prefill_us: sum.prefill_us + it.prefill_us,
         })
     }
 
     /// Number of engines that its requests keep busy.
     fn work(&self, bucket: u64) -> f64 {
         let rate =
-            |count: Count, span_ms: u64| count.reading_us as f64 / (span_ms as f64 * MICROS_PER_MS);
+            |count: Count, span_ms: u64| count.prefill_us as f64 / (span_ms as f64 * MICROS_PER_MS);
         let recent = self.within(bucket, RISE_WINDOW_MS);
         let requests = f64::from(recent.requests);
         let weight = requests / (requests + HALF_WEIGHT_REQUESTS);
@@ -92,7 +92,7 @@
             let model = self.models.entry(key).or_default();
             let count = Count {
                 requests: it.requests,
-                reading_us: it.reading_us,
+                prefill_us: it.prefill_us,
             };
             model.add(now.0 / BUCKET_MS, count);
             for adapter in &it.adapters {
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -217,7 +217,7 @@
     }
 
     /// Takes an entry's word that a request waits for an adapter.
-    pub fn request_adapter(&mut self, now: time::Instant, req: messages::WantReq) {
+    pub fn request_adapter(&mut self, now: time::Instant, req: messages::AdapterReq) {
         self.demand
             .record_adapter_use(now, &req.service, &req.model, &req.adapter);
         let known = self.adapter_requests.iter().any(|it| it.req == req);
--- a/crates/sageshed-fleet/src/tally.rs
+++ b/crates/sageshed-fleet/src/tally.rs
@@ -34,7 +34,7 @@
             return;
         };
         demand.requests = demand.requests.saturating_add(1);
-        demand.reading_us = demand.reading_us.saturating_add(asked.reading_us);
+        demand.prefill_us = demand.prefill_us.saturating_add(asked.prefill_us);
         demand.output_tokens = demand.output_tokens.saturating_add(asked.output_tokens);
         add_adapters(demand, asked.adapter);
     }
@@ -53,7 +53,7 @@
                 continue;
             };
             demand.requests = demand.requests.saturating_add(it.requests);
-            demand.reading_us = demand.reading_us.saturating_add(it.reading_us);
+            demand.prefill_us = demand.prefill_us.saturating_add(it.prefill_us);
             demand.output_tokens = demand.output_tokens.saturating_add(it.output_tokens);
             demand.waiting = demand.waiting.saturating_add(it.waiting);
             add_adapters(demand, it.adapters.iter().map(String::as_str));
@@ -87,7 +87,7 @@
             service: service.to_owned(),
             model: model.to_owned(),
             requests: 0,
-            reading_us: 0,
+            prefill_us: 0,
             output_tokens: 0,
             waiting: 0,
             adapters: Vec::new(),
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Asked<'a> {
     /// Microseconds that an engine needs to read its prompt, less what it keeps of it.
-    pub reading_us: u64,
+    pub prefill_us: u64,
     /// Tokens that it may generate.
     pub output_tokens: u64,
     /// The adapter of the model, if one is asked for.
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -5,7 +5,7 @@
 use sageshed_fleet::{
     directory::Cursor,
     links::{Answer, LINKS, Links},
-    messages::{ControlVm, Wants},
+    messages::{ControlVm, DirectoryDetail},
 };
 use sageshed_types::time;
 
@@ -50,7 +50,7 @@
     picks.map(|it| it.expect("some are known")).collect()
 }
 
-fn wants(links: &Links, now: time::Instant) -> Vec<Wants> {
+fn wants(links: &Links, now: time::Instant) -> Vec<DirectoryDetail> {
     (0..LINKS).map(|number| links.wants(now, number)).collect()
 }
 
@@ -83,16 +83,16 @@
 #[test]
 fn one_link_brings_endpoints_once_one_has_answered() {
     let (mut links, _) = linked("z4");
-    assert_eq!(wants(&links, T0), [Wants::News; LINKS]);
+    assert_eq!(wants(&links, T0), [DirectoryDetail::News; LINKS]);
     links.answered(at(5), 2, &answer(false, false));
     assert_eq!(
         wants(&links, at(5)),
-        [Wants::Digest, Wants::Digest, Wants::News]
+        [DirectoryDetail::Digest, DirectoryDetail::Digest, DirectoryDetail::News]
     );
     links.answered(at(9), 0, &answer(false, false));
     assert_eq!(
         wants(&links, at(9)),
-        [Wants::News, Wants::Digest, Wants::Digest]
+        [DirectoryDetail::News, DirectoryDetail::Digest, DirectoryDetail::Digest]
     );
 }
 
@@ -108,7 +108,7 @@
     links.avoid(at(100), 0, held[0]);
     assert_eq!(
         wants(&links, at(100)),
-        [Wants::Digest, Wants::News, Wants::Digest]
+        [DirectoryDetail::Digest, DirectoryDetail::News, DirectoryDetail::Digest]
     );
     for ms in [130, 2_500, 7_000] {
         let next = links.pick(at(ms), 0, 3).expect("others are known");
@@ -127,12 +127,12 @@
         links.answered(T0, number, &answer(false, false));
     }
     links.answered(at(100), 1, &answer(true, false));
-    assert_eq!(links.wants(at(150), 1), Wants::Digest);
+    assert_eq!(links.wants(at(150), 1), DirectoryDetail::Digest);
     links.answered(at(300), 1, &answer(true, false));
-    assert_eq!(links.wants(at(300), 1), Wants::News);
-    assert_eq!(links.wants(at(300), 2), Wants::Digest);
+    assert_eq!(links.wants(at(300), 1), DirectoryDetail::News);
+    assert_eq!(links.wants(at(300), 2), DirectoryDetail::Digest);
     links.answered(at(400), 1, &answer(false, false));
-    assert_eq!(links.wants(at(400), 1), Wants::Digest);
+    assert_eq!(links.wants(at(400), 1), DirectoryDetail::Digest);
 }
 
 /// All control processes are lost at once, and come back one by one: links try again, and soon.
@@ -176,17 +176,17 @@
     for step in 0..100 {
         let ms = 20 + step * 30;
         other(&mut links, ms, 101 + step);
-        assert_eq!(links.wants(at(ms), 1), Wants::Digest, "after {ms} ms");
+        assert_eq!(links.wants(at(ms), 1), DirectoryDetail::Digest, "after {ms} ms");
         // A hundred milliseconds behind.
         near(&mut links, ms + 10, 101 + step.saturating_sub(3));
     }
     // From here on the near one is told nothing more.
     other(&mut links, 4_000, 300);
     near(&mut links, 4_050, 200);
-    assert_eq!(links.wants(at(4_100), 1), Wants::Digest);
-    assert_eq!(links.wants(at(4_200), 1), Wants::News);
+    assert_eq!(links.wants(at(4_100), 1), DirectoryDetail::Digest);
+    assert_eq!(links.wants(at(4_200), 1), DirectoryDetail::News);
     near(&mut links, 4_300, 300);
-    assert_eq!(links.wants(at(4_300), 1), Wants::Digest);
+    assert_eq!(links.wants(at(4_300), 1), DirectoryDetail::Digest);
     // Another start of the other one counts anew.
     let restarted = Answer {
         news: Some(Cursor {
@@ -197,5 +197,5 @@
     };
     links.answered(at(5_000), 1, &restarted);
     near(&mut links, 5_100, 300);
-    assert_eq!(links.wants(at(5_200), 1), Wants::News);
+    assert_eq!(links.wants(at(5_200), 1), DirectoryDetail::News);
 }
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -153,7 +153,7 @@
             service: support::ENGINES.to_owned(),
             model: model.to_owned(),
             requests: 1,
-            reading_us: tokens * 1_000_000 / ENGINE_TOKENS_PER_S,
+            prefill_us: tokens * 1_000_000 / ENGINE_TOKENS_PER_S,
             output_tokens: 0,
             waiting: 0,
             adapters: Vec::new(),
@@ -162,7 +162,7 @@
     }
 
     fn want(&mut self, adapter: &str) {
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m0".to_owned(),
             adapter: adapter.to_owned(),
@@ -593,7 +593,7 @@
     let id = world.engines["e1"].instance.id.clone();
     let begun = world.now;
     for round in 0..40 {
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: "engines".to_owned(),
             model: "m1".to_owned(),
             adapter: format!("a{}", round % 4),
@@ -629,7 +629,7 @@
     };
     world.planner.apply_notice(world.now, &id, notice);
     let (rests_until, before) = (world.now + time::Millis(3_000), world.orders.len());
-    let want = messages::WantReq {
+    let want = messages::AdapterReq {
         service: "engines".to_owned(),
         model: "m1".to_owned(),
         adapter: "a1".to_owned(),
@@ -664,7 +664,7 @@
     let now = now + time::Millis(10_000);
     planner.request_adapter(
         now,
-        messages::WantReq {
+        messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m3".to_owned(),
             adapter: "a1".to_owned(),
--- a/crates/sageshed-fleet/tests/tally.rs
+++ b/crates/sageshed-fleet/tests/tally.rs
@@ -9,7 +9,7 @@
 const T0: time::Instant = time::Instant(50_000);
 
 const ASKED: Asked<'_> = Asked {
-    reading_us: 90_000,
+    prefill_us: 90_000,
     output_tokens: 40,
     adapter: Some("a1"),
 };
@@ -29,7 +29,7 @@
     let mut told = relay.take();
     told.sort_by(|a, b| a.model.cmp(&b.model));
     assert_eq!(told.len(), 2);
-    assert_eq!((told[0].requests, told[0].reading_us), (4, 360_000));
+    assert_eq!((told[0].requests, told[0].prefill_us), (4, 360_000));
     assert_eq!(told[0].adapters, ["a1"]);
     assert_eq!((told[1].requests, told[1].waiting), (0, 2));
 }
@@ -60,7 +60,7 @@
         service: "s".to_owned(),
         model: "m1".to_owned(),
         requests: u32::MAX,
-        reading_us: u64::MAX,
+        prefill_us: u64::MAX,
         output_tokens: u64::MAX,
         waiting: u32::MAX,
         adapters: (0..5_000).map(|n| format!("a{n}")).collect(),
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -89,7 +89,7 @@
     /// The change that it tells of.
     number: u64,
     at: time::Instant,
-    record: messages::Packed,
+    record: messages::EncodedRecord,
 }
 
 /// Lines a second on words that could not be read.
@@ -303,9 +303,9 @@
     pub fn news(&self, now: time::Instant, req: &messages::WatchReq) -> News {
         let mut inner = locks::lock(&self.inner);
         let passing = match req.wants {
-            messages::Wants::All => Some(directory::ChangeFilter::All),
-            messages::Wants::News => Some(directory::ChangeFilter::Updates),
-            messages::Wants::Digest => None,
+            messages::DirectoryDetail::All => Some(directory::ChangeFilter::All),
+            messages::DirectoryDetail::News => Some(directory::ChangeFilter::Updates),
+            messages::DirectoryDetail::Digest => None,
         };
         let (most, most_bytes) = match req.watcher {
             messages::Watcher::Entry => (MOST_RECORDS, MOST_RECORD_BYTES),
@@ -413,7 +413,7 @@
     }
 
     /// Hands a want to the planning thread.
-    pub fn want(&self, want: messages::WantReq) {
+    pub fn want(&self, want: messages::AdapterReq) {
         self.plan(planning::Input::Want(want));
     }
 
@@ -493,7 +493,7 @@
         &mut self,
         now: time::Instant,
         change: &directory::Change,
-    ) -> Option<messages::Packed> {
+    ) -> Option<messages::EncodedRecord> {
         let known = self.packed.get(&change.id);
         let is_fresh = |it: &&Packed| it.number == change.number && now.since(it.at) < PACKED_KEPT;
         if let Some(packed) = known.filter(is_fresh) {
@@ -540,7 +540,8 @@
 
     /// Whether there is something for a watcher.
     fn is_newer(&self, req: &messages::WatchReq) -> bool {
-        let has_news = req.wants != messages::Wants::Digest && self.directory.has_updates(req.mark);
+        let has_news =
+            req.wants != messages::DirectoryDetail::Digest && self.directory.has_updates(req.mark);
         let crashes_known = req.crashes_known;
         let has_crashes =
             crashes_known.is_some_and(|it| self.quarantine.has_news(it, telling(req)));
@@ -561,7 +562,7 @@
 struct Told {
     /// Up to where it knows the directory then.
     mark: directory::Cursor,
-    records: Vec<messages::Packed>,
+    records: Vec<messages::EncodedRecord>,
     alive: Vec<directory::LivenessRefresh>,
     has_more: bool,
 }
@@ -583,7 +584,7 @@
     /// Up to where the directory is known with it.
     pub mark: directory::Cursor,
     /// What changed in the directory, as far as it goes into one answer.
-    pub records: Vec<messages::Packed>,
+    pub records: Vec<messages::EncodedRecord>,
     /// Of which instances nothing changed but that they were heard.
     pub alive: Vec<directory::LivenessRefresh>,
     /// Whether there is more.
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -42,7 +42,7 @@
     /// What callers asked an entry process for.
     Demand(Vec<messages::Demand>),
     /// A request waits for an adapter.
-    Want(messages::WantReq),
+    Want(messages::AdapterReq),
     /// What became of an order.
     Answered(Box<dialect::Order>, Option<dialect::OrderResponse>),
     /// An engine's report, if it gave one.
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -84,7 +84,7 @@
     fn answer(&self, shared: &shared::Shared, req: &messages::WatchReq) -> messages::WatchResp {
         let news = shared.hub.news(shared.clock.now(), req);
         // Only whoever takes endpoints takes the list of entry processes too.
-        let takes_entries = req.wants == messages::Wants::News;
+        let takes_entries = req.wants == messages::DirectoryDetail::News;
         let entries_number = if takes_entries {
             self.entries_number
         } else {
@@ -239,7 +239,7 @@
             watcher: messages::Watcher::Control,
             ip: shared.node.vm.into(),
             availability_zone: shared.settings.vm.availability_zone.clone(),
-            wants: messages::Wants::All,
+            wants: messages::DirectoryDetail::All,
             // The log brings the configuration.
             config: u64::MAX,
             config_told: None,
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -55,8 +55,8 @@
             paths::SETTLE => with(body, |settle| self.settle(settle)),
             paths::HELLO => with(body, |hello| self.hello(&hello)),
             fleet::paths::CONFIG => with(body, |req| watch::chunk(&self.shared, &req)),
-            fleet::paths::WANT => with(body, |req| self.want(&req)),
-            fleet::paths::WANT_OF_LEADER => with(body, |req| self.plan_want(req)),
+            fleet::paths::ADAPTER => with(body, |req| self.want(&req)),
+            fleet::paths::LEADER_ADAPTER => with(body, |req| self.plan_want(req)),
             _ => Answer::NotFound,
         }
     }
@@ -230,9 +230,9 @@
 
     /// Takes the want of an adapter, or passes it on to the leader. Entry processes tell whichever control process is
     /// near, so that the leader's connections do not grow with their number.
-    fn want(&self, want: &fleet::WantReq) -> fleet::WantResp {
+    fn want(&self, want: &fleet::AdapterReq) -> fleet::AdapterResp {
         let answer = self.plan_want(want.clone());
-        let fleet::WantResp::NotLeader {
+        let fleet::AdapterResp::NotLeader {
             leader: Some(leader),
         } = answer
         else {
@@ -243,7 +243,7 @@
         };
         let passed_on = self.client.call(
             &address.to_string(),
-            fleet::paths::WANT_OF_LEADER,
+            fleet::paths::LEADER_ADAPTER,
             want,
             PASS_ON_LIMIT,
         );
@@ -255,14 +255,14 @@
     }
 
     /// Hands the want of an adapter to the planner, if this process leads.
-    fn plan_want(&self, want: fleet::WantReq) -> fleet::WantResp {
+    fn plan_want(&self, want: fleet::AdapterReq) -> fleet::AdapterResp {
         if !self.shared.leads() {
             let leader = self.shared.leader();
             let leader = leader.and_then(|it| it.parse().ok());
-            return fleet::WantResp::NotLeader { leader };
+            return fleet::AdapterResp::NotLeader { leader };
         }
         self.shared.hub.want(want);
-        fleet::WantResp::Taken
+        fleet::AdapterResp::Taken
     }
 
     fn hello(&self, hello: &messages::Hello) -> messages::Hello {
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -345,7 +345,7 @@
         else {
             return;
         };
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: self.service.to_owned(),
             model,
             adapter,
@@ -360,10 +360,10 @@
         let leader = self.shared.leader().filter(|it| Some(*it) != near);
         for control in near.into_iter().chain(leader) {
             match self.want_of(control, &want) {
-                Ok(messages::WantResp::Taken) => {
+                Ok(messages::AdapterResp::Taken) => {
                     return ::log::debug!(request = self.id(), adapter; "gateway: adapter wanted");
                 }
-                Ok(messages::WantResp::NotLeader { leader }) => self.shared.set_leader(leader),
+                Ok(messages::AdapterResp::NotLeader { leader }) => self.shared.set_leader(leader),
                 Err(e) => {
                     ::log::info!(request = self.id(), adapter, error:% = e; "gateway: adapter wanted in vain");
                 }
@@ -374,11 +374,11 @@
     fn want_of(
         &self,
         control: net::Ipv4Addr,
-        want: &messages::WantReq,
-    ) -> Result<messages::WantResp, sageshed_vms::CallError> {
+        want: &messages::AdapterReq,
+    ) -> Result<messages::AdapterResp, sageshed_vms::CallError> {
         let port = self.shared.settings.discovery.vms_port;
         let address = net::SocketAddrV4::new(control, port).to_string();
         let client = &self.shared.client;
-        client.call(&address, messages::paths::WANT, want, LOOK * 3)
+        client.call(&address, messages::paths::ADAPTER, want, LOOK * 3)
     }
 }
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -85,7 +85,7 @@
     entries_number: u64,
     /// What callers asked for and was not told yet.
     pub tally: tally::Tally,
-    wanted: collections::HashMap<messages::WantReq, time::Instant>,
+    wanted: collections::HashMap<messages::AdapterReq, time::Instant>,
     /// Counts changes that a waiting request may wait for.
     changes: u64,
 }
@@ -213,7 +213,7 @@
     }
 
     /// Takes records of endpoints, and wakes the requests that wait for one.
-    pub fn take_records(&self, packed: &[messages::Packed]) {
+    pub fn take_records(&self, packed: &[messages::EncodedRecord]) {
         if packed.is_empty() {
             return;
         }
@@ -391,9 +391,9 @@
         passing: &dialect::RequestMetadata,
         kept: Option<u64>,
     ) {
-        let reading_us = self.chooser.reading_us(service, wanted, passing, kept);
+        let prefill_us = self.chooser.reading_us(service, wanted, passing, kept);
         let asked = tally::Asked {
-            reading_us,
+            prefill_us,
             output_tokens: passing.output_tokens,
             adapter: wanted.adapter.as_deref(),
         };
@@ -401,7 +401,7 @@
     }
 
     /// Whether a want has to be said now: requests that wait for the same adapter say it once.
-    pub fn says_want(&mut self, now: time::Instant, want: &messages::WantReq) -> bool {
+    pub fn says_want(&mut self, now: time::Instant, want: &messages::AdapterReq) -> bool {
         self.wanted.retain(|_, at| now.since(*at) < WANT_AGAIN);
         if self.wanted.contains_key(want) {
             return false;
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -134,7 +134,7 @@
     shared: &state::Shared<D>,
     to: net::Ipv4Addr,
     known: &Known,
-    wants: messages::Wants,
+    wants: messages::DirectoryDetail,
     is_source: bool,
 ) -> Result<messages::WatchResp, sageshed_vms::CallError> {
     let discovery = &shared.settings.discovery;
--- a/src/sageshed/records.rs
+++ b/src/sageshed/records.rs
@@ -7,9 +7,9 @@
 
 /// Packs a record.
 #[must_use]
-pub fn pack(record: &directory::Record) -> Option<messages::Packed> {
+pub fn pack(record: &directory::Record) -> Option<messages::EncodedRecord> {
     match sageshed_vms::encode(record) {
-        Ok(bytes) => Some(messages::Packed(bytes)),
+        Ok(bytes) => Some(messages::EncodedRecord(bytes)),
         Err(e) => {
             ::log::error!(endpoint:% = record.instance.id, error:% = e;
                 "watch: record not passed on");
@@ -22,7 +22,7 @@
 /// process that goes wrong, and what is believed of its endpoint stays.
 #[must_use]
 pub fn unpack(
-    packed: &[messages::Packed],
+    packed: &[messages::EncodedRecord],
     misread: &sampler::Sampler,
     now: time::Instant,
 ) -> Vec<directory::Record> {
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -48,13 +48,13 @@
     let mut packed: Vec<_> = sound.iter().map(packed).collect();
     let count = spoilt.len();
     for (at, bytes) in spoilt.into_iter().enumerate() {
-        packed.insert(at % 3, messages::Packed(bytes));
+        packed.insert(at % 3, messages::EncodedRecord(bytes));
     }
     let read = records::unpack(&packed, &misread, time::Instant(5_000));
     assert_eq!(read, sound);
     assert_eq!(misread.total(), count as u64);
 }
 
-fn packed(record: &sageshed_fleet::directory::Record) -> messages::Packed {
+fn packed(record: &sageshed_fleet::directory::Record) -> messages::EncodedRecord {
     records::pack(record).expect("it can be encoded")
 }
--- a/tests/watchers.rs
+++ b/tests/watchers.rs
@@ -11,7 +11,7 @@
         watcher: messages::Watcher::Entry,
         ip: net::Ipv4Addr::LOCALHOST,
         availability_zone: "z1".to_owned(),
-        wants: messages::Wants::News,
+        wants: messages::DirectoryDetail::News,
         config: 0,
         config_told: None,
         mark: directory::Cursor {
--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -31,7 +31,7 @@
         watcher,
         ip: net::Ipv4Addr::LOCALHOST,
         availability_zone: "z1".to_owned(),
-        wants: messages::Wants::Digest,
+        wants: messages::DirectoryDetail::Digest,
         config: 0,
         config_told: None,
         mark: directory::Cursor::default(),
@@ -214,7 +214,7 @@
         messages::Watcher::Entry,
         hub.with_quarantine(|it| it.mark()),
     );
-    req.wants = messages::Wants::News;
+    req.wants = messages::DirectoryDetail::News;
     let mut known = directory::Directory::new(2);
     let misread = sageshed::sampler::Sampler::new(1);
     let mut answers = 0;
@@ -260,7 +260,7 @@
     }
     let known = hub.with_quarantine(|it| it.mark());
     let mut req = watch(messages::Watcher::Entry, known);
-    req.wants = messages::Wants::News;
+    req.wants = messages::DirectoryDetail::News;
     let mut told = 0;
     loop {
         let news = hub.news(NOW, &req);
@@ -288,7 +288,7 @@
         messages::Watcher::Control,
         hub.with_quarantine(|it| it.mark()),
     );
-    req.wants = messages::Wants::All;
+    req.wants = messages::DirectoryDetail::All;
     req.patience = types_time::Millis(1);
     while hub.news(NOW, &req).mark != req.mark {
         req.mark = hub.news(NOW, &req).mark;
