--- a/crates/sageshed-fleet/src/tally.rs
+++ b/crates/sageshed-fleet/src/demand_counter.rs
@@ -10,38 +10,38 @@
 use crate::messages;
 
 /// Models that are counted between two tellings. More than the largest fleet has; names come from callers.
-const MOST_MODELS: usize = 2_048;
+const MAX_MODELS: usize = 2_048;
 
 /// How long what nobody could be told is kept. A leader reckons demand over four seconds; with all that
 /// came in an outage told at its end, it would see a rise that is none, and load for it.
-const KEPT: time::Millis = time::Millis(1_500);
+const MAX_UNSENT_AGE: time::Millis = time::Millis(1_500);
 
 /// Adapters of one model that are named in one telling.
-const MOST_ADAPTERS: usize = 64;
+const MAX_ADAPTERS: usize = 64;
 
 /// Demand that was not told yet.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct DemandCounter {
     models: collections::HashMap<(String, String), messages::Demand>,
     /// Since when nobody could be told.
-    untold_since: Option<time::Instant>,
+    unsent_since: Option<time::Instant>,
 }
 
-impl Tally {
+impl DemandCounter {
     /// Counts a request for a model, and perhaps an adapter of it.
-    pub fn ask(&mut self, service: &str, model: &str, asked: &Asked<'_>) {
-        let Some(demand) = self.of(service, model) else {
+    pub fn add_request(&mut self, service: &str, model: &str, request: &RequestDemand<'_>) {
+        let Some(demand) = self.demand_of(service, model) else {
             return;
         };
         demand.requests = demand.requests.saturating_add(1);
-        demand.prefill_us = demand.prefill_us.saturating_add(asked.prefill_us);
-        demand.output_tokens = demand.output_tokens.saturating_add(asked.output_tokens);
-        add_adapters(demand, asked.adapter);
+        demand.prefill_us = demand.prefill_us.saturating_add(request.prefill_us);
+        demand.output_tokens = demand.output_tokens.saturating_add(request.output_tokens);
+        add_adapters(demand, request.adapter);
     }
 
     /// Counts a request that waits for a model.
-    pub fn wait(&mut self, service: &str, model: &str) {
-        if let Some(demand) = self.of(service, model) {
+    pub fn add_waiting(&mut self, service: &str, model: &str) {
+        if let Some(demand) = self.demand_of(service, model) {
             demand.waiting = demand.waiting.saturating_add(1);
         }
     }
@@ -49,7 +49,7 @@
     /// Adds what another process has counted.
     pub fn add(&mut self, counted: Vec<messages::Demand>) {
         for it in counted {
-            let Some(demand) = self.of(&it.service, &it.model) else {
+            let Some(demand) = self.demand_of(&it.service, &it.model) else {
                 continue;
             };
             demand.requests = demand.requests.saturating_add(it.requests);
@@ -60,27 +60,27 @@
         }
     }
 
-    /// Takes out what was counted, to tell it. Then follows [`Self::told`] or [`Self::put_back`].
+    /// Takes out what was counted, to tell it. Then follows [`Self::mark_sent`] or [`Self::restore`].
     pub fn take(&mut self) -> Vec<messages::Demand> {
         self.models.drain().map(|(_, demand)| demand).collect()
     }
 
     /// What was taken out was told.
-    pub fn told(&mut self) {
-        self.untold_since = None;
+    pub fn mark_sent(&mut self) {
+        self.unsent_since = None;
     }
 
-    /// What was taken out could not be told. It is kept for [`KEPT`].
-    pub fn put_back(&mut self, now: time::Instant, counted: Vec<messages::Demand>) {
-        let since = *self.untold_since.get_or_insert(now);
-        if now.since(since) <= KEPT {
+    /// What was taken out could not be told. It is kept for [`MAX_UNSENT_AGE`].
+    pub fn restore(&mut self, now: time::Instant, counted: Vec<messages::Demand>) {
+        let since = *self.unsent_since.get_or_insert(now);
+        if now.since(since) <= MAX_UNSENT_AGE {
             self.add(counted);
         }
     }
 
-    fn of(&mut self, service: &str, model: &str) -> Option<&mut messages::Demand> {
+    fn demand_of(&mut self, service: &str, model: &str) -> Option<&mut messages::Demand> {
         let key = (service.to_owned(), model.to_owned());
-        if self.models.len() >= MOST_MODELS && !self.models.contains_key(&key) {
+        if self.models.len() >= MAX_MODELS && !self.models.contains_key(&key) {
             return None;
         }
         let demand = self.models.entry(key).or_insert_with(|| messages::Demand {
@@ -98,7 +98,7 @@
 
 /// What one request asks for.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct RequestDemand<'a> {
     /// Microseconds that an engine needs to read its prompt, less what it keeps of it.
     pub prefill_us: u64,
     /// Tokens that it may generate.
@@ -110,7 +110,7 @@
 fn add_adapters<'a>(demand: &mut messages::Demand, names: impl IntoIterator<Item = &'a str>) {
     for name in names {
         let is_known = demand.adapters.iter().any(|it| it == name);
-        if !is_known && demand.adapters.len() < MOST_ADAPTERS {
+        if !is_known && demand.adapters.len() < MAX_ADAPTERS {
             demand.adapters.push(name.to_owned());
         }
     }
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -87,12 +87,20 @@
     links.answered(at(5), 2, &answer(false, false));
     assert_eq!(
         wants(&links, at(5)),
-        [DirectoryDetail::Digest, DirectoryDetail::Digest, DirectoryDetail::News]
+        [
+            DirectoryDetail::Digest,
+            DirectoryDetail::Digest,
+            DirectoryDetail::News
+        ]
     );
     links.answered(at(9), 0, &answer(false, false));
     assert_eq!(
         wants(&links, at(9)),
-        [DirectoryDetail::News, DirectoryDetail::Digest, DirectoryDetail::Digest]
+        [
+            DirectoryDetail::News,
+            DirectoryDetail::Digest,
+            DirectoryDetail::Digest
+        ]
     );
 }
 
@@ -108,7 +116,11 @@
     links.avoid(at(100), 0, held[0]);
     assert_eq!(
         wants(&links, at(100)),
-        [DirectoryDetail::Digest, DirectoryDetail::News, DirectoryDetail::Digest]
+        [
+            DirectoryDetail::Digest,
+            DirectoryDetail::News,
+            DirectoryDetail::Digest
+        ]
     );
     for ms in [130, 2_500, 7_000] {
         let next = links.pick(at(ms), 0, 3).expect("others are known");
@@ -176,7 +188,11 @@
     for step in 0..100 {
         let ms = 20 + step * 30;
         other(&mut links, ms, 101 + step);
-        assert_eq!(links.wants(at(ms), 1), DirectoryDetail::Digest, "after {ms} ms");
+        assert_eq!(
+            links.wants(at(ms), 1),
+            DirectoryDetail::Digest,
+            "after {ms} ms"
+        );
         // A hundred milliseconds behind.
         near(&mut links, ms + 10, 101 + step.saturating_sub(3));
     }
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -6,7 +6,7 @@
     time as std_time,
 };
 
-use sageshed_fleet::{directory, messages, quarantine, tally, versions};
+use sageshed_fleet::{demand_counter, directory, messages, quarantine, versions};
 use sageshed_types::time;
 
 use super::{planning, watchers};
@@ -45,7 +45,7 @@
     /// Where the other control processes are, as they said.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// What callers asked for and the leader was not told yet.
-    tally: tally::Tally,
+    tally: demand_counter::DemandCounter,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
@@ -114,7 +114,7 @@
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
                 control_zones: collections::BTreeMap::new(),
-                tally: tally::Tally::default(),
+                tally: demand_counter::DemandCounter::default(),
                 quarantine: quarantine::Quarantine::new(start),
                 is_stopping: false,
             }),
@@ -372,7 +372,7 @@
     }
 
     /// What callers asked for and the leader was not told yet.
-    pub fn with_tally<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
+    pub fn with_tally<T>(&self, tell: impl FnOnce(&mut demand_counter::DemandCounter) -> T) -> T {
         self.change(|inner| tell(&mut inner.tally))
     }
 
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -8,7 +8,7 @@
     thread, time as std_time,
 };
 
-use sageshed_fleet::{changes, directory, messages, quarantine, tally, transfer};
+use sageshed_fleet::{changes, demand_counter, directory, messages, quarantine, transfer};
 use sageshed_types::{document, time};
 
 use crate::{control::shared, locks, records};
@@ -231,7 +231,7 @@
     while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < LOST {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
         let demand = if is_leader {
-            shared.hub.with_tally(tally::Tally::take)
+            shared.hub.with_tally(demand_counter::DemandCounter::take)
         } else {
             Vec::new()
         };
@@ -260,7 +260,9 @@
                 heard = std_time::Instant::now();
                 mark = resp.mark;
                 if is_leader {
-                    shared.hub.with_tally(tally::Tally::told);
+                    shared
+                        .hub
+                        .with_tally(demand_counter::DemandCounter::mark_sent);
                 }
                 shared.hear_of(resp.control.iter().map(|it| it.ip));
                 let records =
@@ -276,7 +278,7 @@
             Err(e) => {
                 ::log::debug!(error:% = e; "control: another control process is not watched");
                 let now = shared.clock.now();
-                shared.hub.with_tally(|it| it.put_back(now, req.demand));
+                shared.hub.with_tally(|it| it.restore(now, req.demand));
                 thread::sleep(RETRY);
             }
         }
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -333,7 +333,7 @@
     fn tell_waiting(&self) {
         if let Some(wanted) = self.wanted {
             self.shared
-                .with_core(|core| core.tally.wait(self.service, &wanted.model));
+                .with_core(|core| core.tally.add_waiting(self.service, &wanted.model));
         }
     }
 
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -7,8 +7,8 @@
 };
 
 use sageshed_fleet::{
-    allowance, backlog, budget, chooser, dialect, directory, messages, neighbours as words,
-    quarantine, tally,
+    allowance, backlog, budget, chooser, demand_counter, dialect, directory, messages,
+    neighbours as words, quarantine,
 };
 use sageshed_types::{document, time};
 use sageshed_upstream::pool;
@@ -84,7 +84,7 @@
     /// The number of that list.
     entries_number: u64,
     /// What callers asked for and was not told yet.
-    pub tally: tally::Tally,
+    pub tally: demand_counter::DemandCounter,
     wanted: collections::HashMap<messages::AdapterReq, time::Instant>,
     /// Counts changes that a waiting request may wait for.
     changes: u64,
@@ -144,7 +144,7 @@
             leaving: Vec::new(),
             entries: vec![settings.discovery.ip],
             entries_number: 0,
-            tally: tally::Tally::default(),
+            tally: demand_counter::DemandCounter::default(),
             wanted: collections::HashMap::new(),
             changes: 0,
         };
@@ -392,12 +392,12 @@
         kept: Option<u64>,
     ) {
         let prefill_us = self.chooser.reading_us(service, wanted, passing, kept);
-        let asked = tally::Asked {
+        let request = demand_counter::RequestDemand {
             prefill_us,
             output_tokens: passing.output_tokens,
             adapter: wanted.adapter.as_deref(),
         };
-        self.tally.ask(service, &wanted.model, &asked);
+        self.tally.add_request(service, &wanted.model, &request);
     }
 
     /// Whether a want has to be said now: requests that wait for the same adapter say it once.
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -175,11 +175,11 @@
         .client
         .call(&address, messages::paths::WATCH, &req, limit);
     match &answer {
-        Ok(_) if is_source => shared.with_core(|core| core.tally.told()),
+        Ok(_) if is_source => shared.with_core(|core| core.tally.mark_sent()),
         Ok(_) => {}
         Err(_) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.tally.put_back(now, req.demand));
+            shared.with_core(|core| core.tally.restore(now, req.demand));
         }
     }
     answer
