--- a/crates/sageshed-fleet/src/lib.rs
+++ b/crates/sageshed-fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! |---|---|
 //! | [`config`] | whether a configuration is valid |
 //! | [`routes`] | which route a request takes |
-//! | [`changes`] | what an entry process is sent of a configuration that is newer than its own |
+//! | [`config_history`] | what an entry process is sent of a configuration that is newer than its own |
 //! | [`compression`] | how a configuration is compressed for one who holds another |
 //! | [`directory`] | what is believed of each endpoint, and what changed since a peer last asked |
 //! | [`chooser`] | which endpoint a request goes to, whether it waits, or is turned away |
@@ -29,10 +29,10 @@
 pub mod allowance;
 pub mod backlog;
 pub mod budget;
-pub mod changes;
 pub mod chooser;
 pub mod compression;
 pub mod config;
+pub mod config_history;
 pub mod demand_counter;
 pub mod dialect;
 pub mod directory;
--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -178,7 +178,7 @@
     /// The version whose text is held; zero for none.
     pub text_held: u64,
     /// The transfer that is under way.
-    pub transfer: Option<transfer::Id>,
+    pub transfer: Option<transfer::TransferId>,
     /// Bytes of it that have come.
     pub offset: u64,
     /// Bytes of the chunk at the most.
--- a/crates/sageshed-fleet/src/transfer.rs
+++ b/crates/sageshed-fleet/src/transfer.rs
@@ -37,7 +37,7 @@
 
 /// Tells one transfer from others. Equal for equal bytes, whoever sends them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Id {
+pub struct TransferId {
     /// The version whose text the receiver holds; zero for none.
     pub from: u64,
     /// The version that is transferred.
@@ -48,7 +48,7 @@
     pub check: u64,
 }
 
-impl Id {
+impl TransferId {
     /// Of the transfer of `bytes`.
     #[must_use]
     pub fn new(from: u64, version: u64, bytes: &[u8]) -> Self {
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Of which transfer.
-    pub id: Id,
+    pub id: TransferId,
     /// Bytes that come before these.
     pub offset: u64,
     /// The bytes.
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Payload {
     /// Of which transfer.
-    pub id: Id,
+    pub id: TransferId,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
@@ -91,14 +91,14 @@
 
 #[derive(Debug)]
 struct Kept {
-    id: Id,
+    id: TransferId,
     bytes: sync::Arc<[u8]>,
     asked: time::Instant,
 }
 
 impl Sender {
     /// Keeps a payload.
-    pub fn keep(&mut self, now: time::Instant, id: Id, bytes: Vec<u8>) {
+    pub fn keep(&mut self, now: time::Instant, id: TransferId, bytes: Vec<u8>) {
         self.kept.retain(|it| now.since(it.asked) < KEPT_FOR);
         if self.kept.len() >= KEPT {
             self.kept.remove(0);
@@ -113,13 +113,19 @@
 
     /// The transfer from one version to another, if its payload is kept.
     #[must_use]
-    pub fn find(&self, from: u64, version: u64) -> Option<Id> {
+    pub fn find(&self, from: u64, version: u64) -> Option<TransferId> {
         let mut ids = self.kept.iter().map(|it| it.id);
         ids.find(|it| it.from == from && it.version == version)
     }
 
     /// At most `most` bytes of a transfer from `offset` on. None where its payload is not kept, or ends before.
-    pub fn chunk(&mut self, now: time::Instant, id: Id, offset: u64, most: usize) -> Option<Chunk> {
+    pub fn chunk(
+        &mut self,
+        now: time::Instant,
+        id: TransferId,
+        offset: u64,
+        most: usize,
+    ) -> Option<Chunk> {
         let at = self.kept.iter().position(|it| it.id == id)?;
         self.kept[at..].rotate_left(1);
         let kept = self.kept.last_mut()?;
@@ -137,13 +143,13 @@
 
 /// What a receiver is to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Ask for a chunk.
     Ask {
         /// Whom.
         to: net::Ipv4Addr,
         /// The transfer that is under way.
-        transfer: Option<Id>,
+        transfer: Option<TransferId>,
         /// Bytes of it that have come.
         offset: u64,
         /// Bytes of the chunk at the most.
@@ -155,7 +161,7 @@
 
 /// What became of a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum ChunkOutcome {
     /// There is more to fetch.
     More,
     /// It was the last one.
@@ -181,7 +187,7 @@
 pub struct Receiver {
     /// The newest version that each control process has told of, but for those that did not send it.
     told: collections::BTreeMap<net::Ipv4Addr, u64>,
-    versions: versions::Versions,
+    versions: versions::VersionHistory,
     partial: Option<Payload>,
     most: usize,
 }
@@ -190,7 +196,7 @@
     fn default() -> Self {
         Self {
             told: collections::BTreeMap::new(),
-            versions: versions::Versions::default(),
+            versions: versions::VersionHistory::default(),
             partial: None,
             most: CHUNK_BYTES,
         }
@@ -199,7 +205,7 @@
 
 impl Receiver {
     /// A control process tells that it holds `version`. Returns whether that is the newest so far.
-    pub fn told(&mut self, now: time::Instant, by: net::Ipv4Addr, version: u64) -> bool {
+    pub fn note_version(&mut self, now: time::Instant, by: net::Ipv4Addr, version: u64) -> bool {
         let is_news = version > self.newest();
         self.versions.note(now, version);
         if version > 0 {
@@ -221,7 +227,7 @@
     }
 
     /// Whom to ask for what, where version `held` is there already and `near` is the best reached.
-    pub fn next(&mut self, held: u64, near: Option<net::Ipv4Addr>) -> Next {
+    pub fn next(&mut self, held: u64, near: Option<net::Ipv4Addr>) -> NextStep {
         if self
             .partial
             .as_ref()
@@ -232,10 +238,10 @@
         let newer = self.told.iter().filter(|(_, version)| **version > held);
         let best = newer.max_by_key(|(ip, version)| (**version, Some(**ip) == near));
         let Some((to, _)) = best else {
-            return Next::Wait;
+            return NextStep::Wait;
         };
         let partial = self.partial.as_ref();
-        Next::Ask {
+        NextStep::Ask {
             to: *to,
             transfer: partial.map(|it| it.id),
             offset: partial.map_or(0, |it| it.bytes.len() as u64),
@@ -246,7 +252,7 @@
     /// A control process has answered with a chunk after so long.
     ///
     /// Another transfer than the one under way begins anew: its sender no longer has what was being fetched.
-    pub fn take(&mut self, chunk: &Chunk, took: time::Millis) -> Result<Taken, ChunkError> {
+    pub fn take(&mut self, chunk: &Chunk, took: time::Millis) -> Result<ChunkOutcome, ChunkError> {
         self.most = if took > SLOW {
             (self.most / 2).max(SLOW_LINK_CHUNK_BYTES.min(self.most))
         } else if took.0 < SLOW.0 / 2 {
@@ -270,12 +276,12 @@
         partial.bytes.extend_from_slice(&chunk.bytes);
         if (partial.bytes.len() as u64) < chunk.id.length {
             self.partial = Some(partial);
-            return Ok(Taken::More);
+            return Ok(ChunkOutcome::More);
         }
         if check(&partial.bytes) != chunk.id.check {
             return Err(ChunkError::Spoiled);
         }
-        Ok(Taken::Whole(partial))
+        Ok(ChunkOutcome::Whole(partial))
     }
 
     /// A control process has nothing newer, though it told so: it was started anew.
@@ -285,7 +291,7 @@
 
     /// A control process did not answer in time, or not as it should: it is asked no more until it tells of a version
     /// again. What has come stays, and smaller chunks are asked for.
-    pub fn lost(&mut self, ip: net::Ipv4Addr) {
+    pub fn mark_failed(&mut self, ip: net::Ipv4Addr) {
         self.told.remove(&ip);
         self.most = (self.most / 2).max(SMALLEST_CHUNK_BYTES);
     }
--- a/crates/sageshed-fleet/src/versions.rs
+++ b/crates/sageshed-fleet/src/versions.rs
@@ -4,17 +4,17 @@
 
 use sageshed_types::time;
 
-/// Versions that are remembered. One that holds an older version than all of them is taken to be behind since the
+/// VersionHistory that are remembered. One that holds an older version than all of them is taken to be behind since the
 /// oldest of them.
 const KEPT: usize = 256;
 
 /// When each of the latest versions became known.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct VersionHistory {
     known: collections::VecDeque<(u64, time::Instant)>,
 }
 
-impl Versions {
+impl VersionHistory {
     /// Notes that a version exists. An older one than the newest changes nothing.
     pub fn note(&mut self, now: time::Instant, version: u64) {
         if version <= self.newest() {
--- a/crates/sageshed-fleet/tests/changes.rs
+++ b/crates/sageshed-fleet/tests/config_history.rs
@@ -1,8 +1,8 @@
 //! What an entry process is sent of a configuration that is newer than its own.
 
 use sageshed_fleet::{
-    changes::{Answer, History},
     compression,
+    config_history::{ConfigHistory, FetchReply},
     messages::ConfigReq,
     transfer::Chunk,
 };
@@ -32,7 +32,7 @@
     }
 }
 
-fn ask(history: &mut History, text_held: u64) -> Option<Chunk> {
+fn ask(history: &mut ConfigHistory, text_held: u64) -> Option<Chunk> {
     let req = ConfigReq {
         text_held,
         transfer: None,
@@ -43,21 +43,21 @@
 }
 
 /// The answer, once its payload is made.
-fn answer(history: &mut History, req: &ConfigReq) -> Option<Chunk> {
-    if let Answer::Compress(job) = history.answer(NOW, req) {
+fn answer(history: &mut ConfigHistory, req: &ConfigReq) -> Option<Chunk> {
+    if let FetchReply::Compress(job) = history.answer(NOW, req) {
         let bytes = job.run().expect("it can be compressed");
         history.keep_payload(NOW, &job, bytes);
     }
     match history.answer(NOW, req) {
-        Answer::Chunk(chunk) => Some(chunk),
-        Answer::Nothing => None,
-        Answer::Compress(_) => panic!("it was made"),
+        FetchReply::Chunk(chunk) => Some(chunk),
+        FetchReply::Nothing => None,
+        FetchReply::Compress(_) => panic!("it was made"),
     }
 }
 
 #[test]
 fn whoever_holds_a_recent_text_is_sent_the_change() {
-    let mut history = History::default();
+    let mut history = ConfigHistory::default();
     assert_eq!(ask(&mut history, 0), None, "there is none");
     history.keep(&document(5, 1_000));
     let whole = ask(&mut history, 0).expect("the first one");
@@ -88,7 +88,7 @@
 /// Guards against a storm of changes after which entry processes need the whole configuration.
 #[test]
 fn a_change_of_one_of_the_last_versions_is_enough() {
-    let mut history = History::default();
+    let mut history = ConfigHistory::default();
     for version in 1..=40 {
         history.keep(&document(version, 1_000));
     }
@@ -102,7 +102,7 @@
 #[test]
 fn old_configurations_are_forgotten_by_their_size() {
     let large = 500_000;
-    let mut history = History::default();
+    let mut history = ConfigHistory::default();
     for version in 1..=4 {
         history.keep(&document(version, large));
     }
@@ -113,7 +113,7 @@
 /// Guards against a transfer that begins anew when another control process goes on with it.
 #[test]
 fn another_control_process_goes_on_with_a_transfer() {
-    let (mut first, mut second) = (History::default(), History::default());
+    let (mut first, mut second) = (ConfigHistory::default(), ConfigHistory::default());
     first.keep(&document(5, 1_000));
     second.keep(&document(5, 1_000));
     let whole = ask(&mut first, 0).expect("the first one");
--- a/crates/sageshed-fleet/tests/versions.rs
+++ b/crates/sageshed-fleet/tests/versions.rs
@@ -1,6 +1,6 @@
 //! How far a held configuration is behind the newest.
 
-use sageshed_fleet::versions::Versions;
+use sageshed_fleet::versions::VersionHistory;
 use sageshed_types::time::{Instant, Millis};
 
 /// What is held at which time, and for how long it has been out of date.
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_process_is_behind_since_the_first_version_that_it_lacks() {
-    let mut versions = Versions::default();
+    let mut versions = VersionHistory::default();
     assert_eq!(versions.behind(Instant(0), 0), None, "nothing is known");
     versions.note(Instant(1_000), 5);
     versions.note(Instant(2_000), 9);
@@ -55,7 +55,7 @@
 /// A storm of changes must not take memory without bound.
 #[test]
 fn old_versions_are_forgotten() {
-    let mut versions = Versions::default();
+    let mut versions = VersionHistory::default();
     for version in 1..=10_000 {
         versions.note(Instant(version), version);
     }
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -35,7 +35,7 @@
     /// Records of the directory as they travel.
     packed: collections::HashMap<directory::InstanceId, Packed>,
     /// Configurations that were held here.
-    versions: versions::Versions,
+    versions: versions::VersionHistory,
     /// Entry processes that this process hears itself.
     entries: collections::BTreeMap<net::Ipv4Addr, Entry>,
     /// Entry processes that another control process hears.
@@ -109,7 +109,7 @@
                 watchers: watchers::Watchers::default(),
                 directory: directory::Directory::new(start),
                 packed: collections::HashMap::new(),
-                versions: versions::Versions::default(),
+                versions: versions::VersionHistory::default(),
                 entries: collections::BTreeMap::new(),
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -8,7 +8,7 @@
     thread, time as std_time,
 };
 
-use sageshed_fleet::{changes, demand_counter, directory, messages, quarantine, transfer};
+use sageshed_fleet::{config_history, demand_counter, directory, messages, quarantine, transfer};
 use sageshed_types::{document, time};
 
 use crate::{control::shared, locks, records};
@@ -129,9 +129,9 @@
 #[must_use]
 pub fn chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> messages::ConfigResp {
     let chunk = match look_up(shared, req) {
-        changes::Answer::Chunk(chunk) => Some(chunk),
-        changes::Answer::Nothing => None,
-        changes::Answer::Compress(_) => {
+        config_history::FetchReply::Chunk(chunk) => Some(chunk),
+        config_history::FetchReply::Nothing => None,
+        config_history::FetchReply::Compress(_) => {
             // One at a time: many ask for the same at once, and the driver of the log must not wait for it.
             let _one = locks::lock(&shared.compressing);
             compress(shared, req)
@@ -140,13 +140,13 @@
     messages::ConfigResp { chunk }
 }
 
-fn look_up(shared: &shared::Shared, req: &messages::ConfigReq) -> changes::Answer {
+fn look_up(shared: &shared::Shared, req: &messages::ConfigReq) -> config_history::FetchReply {
     locks::lock(&shared.config_history).answer(shared.clock.now(), req)
 }
 
 /// Makes the payload, unless another thread has made it meanwhile, and takes the chunk of it.
 fn compress(shared: &shared::Shared, req: &messages::ConfigReq) -> Option<transfer::Chunk> {
-    if let changes::Answer::Compress(job) = look_up(shared, req) {
+    if let config_history::FetchReply::Compress(job) = look_up(shared, req) {
         match job.run() {
             Ok(bytes) => {
                 let mut history = locks::lock(&shared.config_history);
@@ -156,8 +156,8 @@
         }
     }
     match look_up(shared, req) {
-        changes::Answer::Chunk(chunk) => Some(chunk),
-        changes::Answer::Nothing | changes::Answer::Compress(_) => None,
+        config_history::FetchReply::Chunk(chunk) => Some(chunk),
+        config_history::FetchReply::Nothing | config_history::FetchReply::Compress(_) => None,
     }
 }
 
--- a/src/sageshed/control/shared.rs
+++ b/src/sageshed/control/shared.rs
@@ -5,7 +5,7 @@
     sync::{self, atomic},
 };
 
-use sageshed_fleet::changes;
+use sageshed_fleet::config_history;
 use sageshed_quorum::{log, repair, status};
 use sageshed_state::control;
 use sageshed_types::{endpoints, messages, rules, time};
@@ -48,7 +48,7 @@
     /// What a fleet's endpoints and entry processes say.
     pub hub: hub::Hub,
     /// The last configurations, for entry processes that fetch them.
-    pub config_history: sync::Mutex<changes::History>,
+    pub config_history: sync::Mutex<config_history::ConfigHistory>,
     /// Held while one is compressed.
     pub compressing: sync::Mutex<()>,
     /// What the placing thread shows operators.
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -48,7 +48,10 @@
 impl Fetching {
     /// A control process tells that it holds `version`.
     pub fn told(&self, now: time::Instant, by: net::Ipv4Addr, version: u64) {
-        if locks::lock(&self.inner).incoming.told(now, by, version) {
+        if locks::lock(&self.inner)
+            .incoming
+            .note_version(now, by, version)
+        {
             self.changed.notify_all();
         }
     }
@@ -86,8 +89,8 @@
             inner.incoming.next(held, near)
         };
         match next {
-            transfer::Next::Wait => wait(fetching, held),
-            transfer::Next::Ask {
+            transfer::NextStep::Wait => wait(fetching, held),
+            transfer::NextStep::Ask {
                 to,
                 transfer,
                 offset,
@@ -128,7 +131,7 @@
         Ok(resp) => resp.chunk,
         Err(e) => {
             ::log::warn!(control:% = to, offset = req.offset, error:% = e; "gateway: chunk of a configuration not fetched");
-            locks::lock(&fetching.inner).incoming.lost(to);
+            locks::lock(&fetching.inner).incoming.mark_failed(to);
             return thread::sleep(RETRY);
         }
     };
@@ -138,18 +141,18 @@
     let took = shared.clock.now().since(begun);
     let taken = locks::lock(&fetching.inner).incoming.take(&chunk, took);
     match taken {
-        Ok(transfer::Taken::More) => {}
-        Ok(transfer::Taken::Whole(payload)) => take_payload(shared, &payload),
+        Ok(transfer::ChunkOutcome::More) => {}
+        Ok(transfer::ChunkOutcome::Whole(payload)) => take_payload(shared, &payload),
         Err(e) => {
             ::log::warn!(control:% = to, error:% = e; "gateway: configuration is fetched anew");
-            locks::lock(&fetching.inner).incoming.lost(to);
+            locks::lock(&fetching.inner).incoming.mark_failed(to);
             thread::sleep(RETRY);
         }
     }
 }
 
 fn take_payload<D: dialect::Dialect>(shared: &state::Shared<D>, payload: &transfer::Payload) {
-    let transfer::Id { from, version, .. } = payload.id;
+    let transfer::TransferId { from, version, .. } = payload.id;
     let bytes = payload.bytes.len();
     let text = {
         let held = locks::lock(&shared.document);
