--- a/crates/sageshed-fleet/src/config.rs
+++ b/crates/sageshed-fleet/src/config.rs
@@ -59,24 +59,24 @@
     /// The tokens of a request, read and written.
     Tokens {
         /// The count of a request that names none.
-        undeclared: u64,
+        default_tokens: u64,
     },
 }
 
 /// What may be done again with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Repeat {
+pub enum RequestKind {
     /// Any number of times.
     Idempotent,
-    /// Never, once an endpoint may have seen it.
-    Never,
+    /// NonIdempotent, once an endpoint may have seen it.
+    NonIdempotent,
     /// A stream of events; it may go on elsewhere behind the last event that came.
     ResumableStream,
     /// A stream of events that can't go on elsewhere.
     Stream,
 }
 
-impl Repeat {
+impl RequestKind {
     /// Whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
@@ -85,7 +85,7 @@
 
     /// Whether a request whose fate is unknown may be sent to a second endpoint.
     #[must_use]
-    pub fn may_run_again(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
@@ -100,14 +100,14 @@
     /// What its path begins with; begins and ends with a slash.
     pub prefix: String,
     /// What may be done again.
-    pub repeat: Repeat,
+    pub kind: RequestKind,
     /// The longest time until the final answer.
     pub timeout: time::Millis,
     /// The time to the answer, or to the first event, that is still in time.
-    pub objective: time::Millis,
+    pub latency_target: time::Millis,
     /// The longest pause between two events of its streams that is still in time; none where it streams
     /// nothing.
-    pub pause: Option<time::Millis>,
+    pub max_event_gap: Option<time::Millis>,
     /// Its rank among the kinds of requests; zero is the most urgent.
     pub priority: u8,
     /// Where it goes, with the weight of each.
@@ -115,7 +115,7 @@
     /// Endpoints that one request may be sent to at the most.
     pub attempts: u32,
     /// Whether it takes requests that show no key.
-    pub is_open: bool,
+    pub is_public: bool,
 }
 
 /// One of the services that a route leads to.
@@ -144,7 +144,7 @@
     /// Requests that run at once on one engine.
     pub slots: u32,
     /// Tokens that fit into the memory of one engine.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
     /// Megabytes of weights and adapters that one engine holds.
     pub weights_mb: f64,
     /// Adapters that one engine holds.
@@ -187,7 +187,7 @@
 
 /// Why a configuration is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-pub enum Invalid {
+pub enum ConfigError {
     /// A route leads nowhere.
     #[display("route {route} names the service {service}, which the configuration does not have")]
     UnknownService {
@@ -198,7 +198,7 @@
     },
     /// Two routes take the same requests.
     #[display("routes {first} and {second} have the same host and path prefix")]
-    SameRoute {
+    DuplicateRoute {
         /// The one that comes first.
         first: String,
         /// The other.
@@ -206,7 +206,7 @@
     },
     /// A route that no request could take.
     #[display("the weights of route {route} add up to zero")]
-    NoWeight {
+    ZeroWeight {
         /// The route.
         route: String,
     },
@@ -220,7 +220,7 @@
     },
     /// A route whose requests are over before they begin.
     #[display("the timeout of route {route} is zero")]
-    NoTime {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
@@ -232,7 +232,7 @@
     /// # Errors
     ///
     /// The first thing that is wrong.
-    pub fn check(&self) -> Result<(), Invalid> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         let services: collections::HashSet<&str> =
             self.services.iter().map(|it| it.name.as_str()).collect();
         let mut taken = collections::HashMap::new();
@@ -240,7 +240,7 @@
             check_route(route, &services)?;
             let key = (route.host.as_str(), route.prefix.as_str());
             if let Some(first) = taken.insert(key, &route.name) {
-                return Err(Invalid::SameRoute {
+                return Err(ConfigError::DuplicateRoute {
                     first: first.clone(),
                     second: route.name.clone(),
                 });
@@ -256,35 +256,35 @@
     }
 }
 
-fn check_route(route: &Route, services: &collections::HashSet<&str>) -> Result<(), Invalid> {
+fn check_route(route: &Route, services: &collections::HashSet<&str>) -> Result<(), ConfigError> {
     let unknown = route
         .targets
         .iter()
         .find(|target| !services.contains(target.service.as_str()));
     if let Some(target) = unknown {
-        return Err(Invalid::UnknownService {
+        return Err(ConfigError::UnknownService {
             route: route.name.clone(),
             service: target.service.clone(),
         });
     }
     if route.targets.iter().all(|target| target.weight == 0) {
         let route = route.name.clone();
-        return Err(Invalid::NoWeight { route });
+        return Err(ConfigError::ZeroWeight { route });
     }
     if route.timeout == time::Millis(0) {
         let route = route.name.clone();
-        return Err(Invalid::NoTime { route });
+        return Err(ConfigError::ZeroTimeout { route });
     }
     Ok(())
 }
 
-fn check_keys(workspaces: &Workspaces) -> Result<(), Invalid> {
+fn check_keys(workspaces: &Workspaces) -> Result<(), ConfigError> {
     let name = |at: usize| workspaces.all[at].name.clone();
     let mut holders = collections::HashMap::new();
     for (key, at) in &workspaces.keys {
         let first = *holders.entry(key).or_insert(*at);
         if first != *at {
-            return Err(Invalid::SharedKey {
+            return Err(ConfigError::SharedKey {
                 first: name(first),
                 second: name(*at),
             });
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -19,17 +19,17 @@
         name: name.to_owned(),
         host: "a.example".to_owned(),
         prefix: format!("/{name}/"),
-        repeat: config::Repeat::Idempotent,
+        kind: config::RequestKind::Idempotent,
         timeout: time::Millis(5_000),
-        objective: time::Millis(1_000),
-        pause: Some(time::Millis(400)),
+        latency_target: time::Millis(1_000),
+        max_event_gap: Some(time::Millis(400)),
         priority: 0,
         targets: vec![config::Target {
             service: ENGINES.to_owned(),
             weight: 1,
         }],
         attempts: 2,
-        is_open: false,
+        is_public: false,
     }
 }
 
@@ -70,7 +70,7 @@
                 max_connections: 100,
                 engines: Some(config::EnginePool {
                     slots: 64,
-                    memory_tokens: 100_000,
+                    kv_cache_tokens: 100_000,
                     weights_mb: 220_000.0,
                     adapter_slots: 2,
                     loads_per_s: 1.0,
--- a/crates/sageshed-fleet/tests/workspaces.rs
+++ b/crates/sageshed-fleet/tests/workspaces.rs
@@ -201,7 +201,7 @@
         });
         let expected = match case.shared {
             None => Ok(()),
-            Some((first, second)) => Err(config::Invalid::SharedKey {
+            Some((first, second)) => Err(config::ConfigError::SharedKey {
                 first: first.to_owned(),
                 second: second.to_owned(),
             }),
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -77,16 +77,16 @@
 
     /// Whether the request could go to another endpoint now, while it runs at one.
     fn may_move(&self) -> bool {
-        let may_run_again = self.route.repeat.may_run_again();
+        let may_run_again = self.route.kind.is_retryable();
         may_run_again && self.runs + 1 < self.route.attempts && self.has_repeat()
     }
 
     /// How long an endpoint may be silent before an idempotent request goes elsewhere.
     fn silence(&self) -> Option<std_time::Duration> {
-        if self.route.repeat != config::Repeat::Idempotent {
+        if self.route.kind != config::RequestKind::Idempotent {
             return None;
         }
-        let objective = std_time::Duration::from(self.route.objective);
+        let objective = std_time::Duration::from(self.route.latency_target);
         let factor = u32::try_from(SILENT_OBJECTIVES).unwrap_or(1);
         Some((objective * factor).max(SHORTEST_SILENCE))
     }
@@ -127,7 +127,7 @@
             headers: list,
             body: &self.req.body,
         };
-        let max_age = if self.route.repeat.may_run_again() {
+        let max_age = if self.route.kind.is_retryable() {
             KEPT
         } else {
             YOUNG
@@ -209,7 +209,7 @@
             return self.unusable(pick, outlet, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
-        let may_go_elsewhere = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+        let may_go_elsewhere = self.route.kind.is_retryable() && self.runs < self.route.attempts;
         if !is_success && (claims_not_run || !is_vouched) {
             let detail = format!("the endpoint answered with status {}", head.status);
             return self.unusable(pick, outlet, detail);
@@ -395,7 +395,7 @@
         };
         self.ended(pick, began, how);
         self.tried.push(pick.key);
-        let goes_on = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+        let goes_on = self.route.kind.is_retryable() && self.runs < self.route.attempts;
         // Without the id of an event nothing says where the stream would go on.
         let can_resume = !outlet.is_begun() || outlet.last_id().is_some();
         if goes_on && can_resume && !is_over {
--- a/src/sageshed/gateway/pass/identity.rs
+++ b/src/sageshed/gateway/pass/identity.rs
@@ -16,7 +16,7 @@
     route: &config::Route,
     credential: secret::Credential,
 ) -> Result<Option<workspaces::Known>, refusal::Refusal> {
-    let known = workspaces::identify(routing.workspaces.as_ref(), credential, route.is_open);
+    let known = workspaces::identify(routing.workspaces.as_ref(), credential, route.is_public);
     known.map_err(|stranger| {
         let detail = stranger.to_string();
         refusal::Refusal::not_run(verdict::Reason::Unauthorized, detail)
--- a/src/sageshed/gateway/pass/quota.rs
+++ b/src/sageshed/gateway/pass/quota.rs
@@ -83,7 +83,7 @@
         let declared = prompt.saturating_add(output);
         match unit {
             config::Unit::Requests => 1.0,
-            config::Unit::Tokens { undeclared } if declared == 0 => undeclared as f64,
+            config::Unit::Tokens { default_tokens } if declared == 0 => default_tokens as f64,
             config::Unit::Tokens { .. } => declared as f64,
         }
     }
--- a/src/sageshed/gateway/pass/story.rs
+++ b/src/sageshed/gateway/pass/story.rs
@@ -49,8 +49,8 @@
         let queued = story.tries.first().map_or(took, |it| it.started);
         let span = self.until.saturating_duration_since(self.req.received);
         let not_repeatable = matches!(
-            self.route.repeat,
-            config::Repeat::Never | config::Repeat::Stream
+            self.route.kind,
+            config::RequestKind::NonIdempotent | config::RequestKind::Stream
         );
         let account = account::Account {
             request_id: self.id().to_owned(),
--- a/src/sageshed/gateway/pass/stream.rs
+++ b/src/sageshed/gateway/pass/stream.rs
@@ -89,7 +89,7 @@
         can_resume: bool,
     ) -> Result<exchange::Piece, failure::Failure> {
         loop {
-            let goes_on = self.route.repeat.may_run_again() && self.runs < self.route.attempts;
+            let goes_on = self.route.kind.is_retryable() && self.runs < self.route.attempts;
             let may_leave = goes_on && can_resume;
             let until = if may_leave {
                 self.until.min(std_time::Instant::now() + STREAM_SILENCE)
@@ -128,7 +128,7 @@
 
     /// Lets the chooser learn from the pauses of a stream that came whole.
     fn tell_pause(&self, pick: &chooser::Pick) {
-        let Some(limit) = self.route.pause else {
+        let Some(limit) = self.route.max_event_gap else {
             return;
         };
         let now = self.shared.clock.now();
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -296,7 +296,7 @@
 
     /// How long to wait for what is missing.
     fn patience(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
-        let objective = self.route.objective.0;
+        let objective = self.route.latency_target.0;
         match missing {
             chooser::Missing::Model => (load + LOAD_SLACK).into(),
             chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
@@ -320,13 +320,13 @@
 
     /// What is left until the answer would be late.
     fn on_time(&self) -> time::Millis {
-        let objective = std_time::Duration::from(self.route.objective);
+        let objective = std_time::Duration::from(self.route.latency_target);
         objective.saturating_sub(self.req.received.elapsed()).into()
     }
 
     /// How long a request waits for an engine that reads little, before it makes do with any.
     fn calm_patience(&self) -> std_time::Duration {
-        std_time::Duration::from_millis(self.route.objective.0 * CALM_PATIENCE / 100)
+        std_time::Duration::from_millis(self.route.latency_target.0 * CALM_PATIENCE / 100)
     }
 
     /// Lets the leader know of a request that waits for its model.
