--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -9,7 +9,7 @@
 
 use crate::{event, request};
 
-use super::{Cause, Decider, Out, admit};
+use super::{Actions, Decider, RefusalCause, admit};
 
 /// The status with which an endpoint says that it is full for now, which is no failure.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -35,12 +35,12 @@
         }
     }
 
-    pub(super) fn caller_gone(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn caller_gone(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
         let state = request.state;
-        self.forget(now, req);
+        self.end_request(now, req);
         if let request::State::Sent(sent) = state {
             let endpoint = sent.endpoint;
             out.push(event::Action::Cancel { req, endpoint });
@@ -68,8 +68,8 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        outcome: event::TryOutcome,
-        out: &mut Out,
+        outcome: event::AttemptOutcome,
+        out: &mut Actions,
     ) {
         let Some(request) = self.requests.get(&req) else {
             return;
@@ -78,15 +78,15 @@
             return;
         };
         match outcome {
-            event::TryOutcome::Done { tokens } => {
+            event::AttemptOutcome::Done { tokens } => {
                 self.learn(now, req, sent, tokens);
-                self.forget(now, req);
+                self.end_request(now, req);
             }
-            event::TryOutcome::Refused { status } => {
+            event::AttemptOutcome::Refused { status } => {
                 self.judge_status(now, sent, status);
-                self.forget(now, req);
+                self.end_request(now, req);
             }
-            event::TryOutcome::Failed { verdict, fault } => {
+            event::AttemptOutcome::Failed { verdict, fault } => {
                 self.failed(now, req, sent, verdict, fault, out);
             }
         }
@@ -98,7 +98,7 @@
     /// the requests of the others.
     fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
-            self.blame(now, sent, event::Fault::Status(status));
+            self.record_failure(now, sent, event::Fault::Status(status));
         } else {
             let endpoint = self.router.fleet.get_mut(sent.endpoint);
             endpoint.health.succeeded(now, sent.at);
@@ -110,9 +110,10 @@
             return;
         };
         let took = now.since(sent.at).0 as f64;
-        let span = (took - sent.wait).max(took * LEAST_SERVICE);
+        let span = (took - sent.wait).max(took * MIN_SERVICE_SHARE);
         let endpoint = sent.endpoint;
-        self.router.learn(&request.ask(), endpoint, span, tokens);
+        self.router
+            .learn(&request.requirements(), endpoint, span, tokens);
         let health = &mut self.router.fleet.get_mut(endpoint).health;
         health.succeeded(now, sent.at);
     }
@@ -124,18 +125,18 @@
         sent: request::Sent,
         verdict: verdict::Verdict,
         fault: event::Fault,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
-        self.give_back(now, sent);
+        self.release_slot(now, sent);
         if !self.was_only_late(sent, fault) {
-            self.blame(now, sent, fault);
+            self.record_failure(now, sent, fault);
         }
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
         request.state = request::State::Deciding;
         request.failed_on.push(sent.endpoint);
-        request.verdict = request.verdict.and(at_least(fault, verdict));
+        request.verdict = request.verdict.and(safe_verdict(fault, verdict));
         match self.next(now, req) {
             Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
             Next::Again(_) => self.enqueue(now, req, out),
@@ -150,12 +151,12 @@
     /// eject endpoints in good order at the very moment at which all of them are needed.
     fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
-        is_silence(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
+        is_timeout(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
     /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
     /// one.
-    fn blame(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
+    fn record_failure(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
         let router = &mut self.router;
         let endpoint = router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation != sent.incarnation {
@@ -179,7 +180,7 @@
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
             return Next::GiveUp("it may not be repeated");
         }
-        if request.begun && request.facts.streaming {
+        if request.begun && request.info.streaming {
             return Next::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
@@ -205,15 +206,15 @@
         sent: request::Sent,
         fault: event::Fault,
         why: &str,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
         let repeatable = !request.not_repeatable || request.verdict == verdict::Verdict::NotRun;
         let endpoint = self.names.endpoints.name(sent.endpoint);
-        let overdue = is_silence(fault) && request.left(now).0 == 0;
-        let cause = Cause {
+        let overdue = is_timeout(fault) && request.left(now).0 == 0;
+        let cause = RefusalCause {
             reason: if overdue {
                 verdict::Reason::DeadlinePassed
             } else {
@@ -231,17 +232,17 @@
 }
 
 /// Whether a fault is that nothing came in time.
-fn is_silence(fault: event::Fault) -> bool {
+fn is_timeout(fault: event::Fault) -> bool {
     matches!(fault, event::Fault::NoFirstByte | event::Fault::Stalled)
 }
 
 /// The least share of the time of a try that is taken to be service, whatever wait was predicted.
-const LEAST_SERVICE: f64 = 0.25;
+const MIN_SERVICE_SHARE: f64 = 0.25;
 
 /// The verdict of a failed try. Once a connection stood, bytes may have gone out, and only the
 /// endpoint's own answer can say that it did not run: `NotRun` with any other fault is a mistake of
 /// the reader of that connection, and believing it would run a request twice.
-fn at_least(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
+fn safe_verdict(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
     match fault {
         event::Fault::ConnectRefused
         | event::Fault::ConnectTimeout
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -173,7 +173,7 @@
             return Vec::new();
         };
         let key = self.intern(&report.identity.endpoint);
-        if !self.engines[key.index()].is_news(report) {
+        if !self.engines[key.index()].is_newer(report) {
             return Vec::new();
         }
         let sighting = engine::Sighting {
@@ -279,7 +279,7 @@
     }
 
     /// The engine that has `order` in the table.
-    pub fn holder_of(&mut self, order: endpoints::OrderId) -> Option<&mut Engine> {
+    pub fn engine_with_order(&mut self, order: endpoints::OrderId) -> Option<&mut Engine> {
         self.engines
             .iter_mut()
             .find(|e| e.orders.iter().any(|open| open.order.order == order))
--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -7,7 +7,7 @@
 impl<D: dialect::Dialect> state::Shared<D> {
     /// Takes crashes that this process saw or control tells of. Requests that wait here and are held now are
     /// answered.
-    pub fn take_crashes(&self, crashes: &[quarantine::Crash]) {
+    pub fn merge_crashes(&self, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
         }
@@ -20,7 +20,7 @@
             ::log::info!(content:% = content; "gateway: request is held no more, it was answered");
         }
         if !taken.held.is_empty() {
-            self.place_freed();
+            self.wake_waiting();
         }
     }
 }
--- a/src/sageshed/gateway/pass/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -3,7 +3,7 @@
 use sageshed_fleet::{config, dialect, workspaces};
 use sageshed_types::{refusal, secret, verdict};
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::gateway::routing;
 
 /// Who sends a request on `route`, by the configuration of `routing`.
@@ -23,13 +23,13 @@
     })
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Asks again who sends the request, if another configuration is in force than when it came. Returns its
     /// refusal where its key was taken away meanwhile.
     ///
     /// A request may wait for seconds. Sent by what held when it came, it would run for a workspace that has
     /// lost the key, or under the name of the one that held the key before.
-    pub(super) fn refuse_withdrawn(&mut self) -> Option<refusal::Refusal> {
+    pub(super) fn refuse_revoked_key(&mut self) -> Option<refusal::Refusal> {
         let routing = self.shared.routing()?;
         if routing.config.version == self.identified_by {
             return None;
@@ -41,10 +41,10 @@
                 self.workspace = workspace;
                 None
             }
-            Err(refusal) if self.runs == 0 => Some(refusal),
+            Err(refusal) if self.possible_runs == 0 => Some(refusal),
             Err(refusal) => {
-                let detail = format!("{}; {}", self.last, refusal.detail);
-                Some(self.give_up(verdict::Reason::EndpointFailed, detail))
+                let detail = format!("{}; {}", self.last_failure, refusal.detail);
+                Some(self.final_refusal(verdict::Reason::EndpointFailed, detail))
             }
         }
     }
