--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -7,7 +7,7 @@
     time as std_time,
 };
 
-use sageshed_fleet::{directory, messages, quarantine, tally, versions};
+use sageshed_fleet::{demand_counter, directory, messages, quarantine, versions};
 use sageshed_types::time;
 
 use super::{planning, watchers};
@@ -36,17 +36,17 @@
     /// Encoded records of the directory.
     packed: collections::HashMap<directory::InstanceId, EncodedRecord>,
     /// The versions of the configuration that this process has held.
-    versions: versions::Versions,
+    versions: versions::VersionHistory,
     /// The entry processes that watch this process.
     entries: collections::BTreeMap<net::Ipv4Addr, Entry>,
     /// The entry processes that watch other control processes, and when those reported them.
     entries_elsewhere: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// Up to which change the directories of the other control processes are known here.
-    peers: collections::BTreeMap<net::Ipv4Addr, directory::Mark>,
+    peers: collections::BTreeMap<net::Ipv4Addr, directory::Cursor>,
     /// The availability zones that the other control processes have reported.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// The demand of callers that was not reported to the leader yet.
-    tally: tally::Tally,
+    tally: demand_counter::DemandCounter,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
@@ -92,7 +92,7 @@
     /// The number of the change that it contains.
     number: u64,
     at: time::Instant,
-    record: messages::Packed,
+    record: messages::EncodedRecord,
 }
 
 /// The messages that could not be decoded and are logged per second.
@@ -113,12 +113,12 @@
                 watchers: watchers::Watchers::default(),
                 directory: directory::Directory::new(start),
                 packed: collections::HashMap::new(),
-                versions: versions::Versions::default(),
+                versions: versions::VersionHistory::default(),
                 entries: collections::BTreeMap::new(),
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
                 control_zones: collections::BTreeMap::new(),
-                tally: tally::Tally::default(),
+                tally: demand_counter::DemandCounter::default(),
                 quarantine: quarantine::Quarantine::new(start),
                 is_stopping: false,
             }),
@@ -134,13 +134,17 @@
     }
 
     /// Merges the announcement of an endpoint.
-    pub fn announce(&self, now: time::Instant, instance: directory::Instance) -> directory::Offer {
+    pub fn announce(
+        &self,
+        now: time::Instant,
+        instance: directory::Instance,
+    ) -> directory::MergeOutcome {
         self.change_directory(|it| it.announce(now, instance))
     }
 
     /// Records that an endpoint has announced its end.
     pub fn leave(&self, now: time::Instant, id: &directory::InstanceId) {
-        self.change_directory(|it| it.leave(now, id));
+        self.change_directory(|it| it.deregister(now, id));
     }
 
     /// Marks endpoints as leaving that have reported so in their responses to other processes.
@@ -150,7 +154,7 @@
         }
         self.change_directory(|it| {
             for id in ids {
-                if it.leaves(now, id) {
+                if it.mark_leaving(now, id) {
                     ::log::info!(endpoint:% = id; "control: endpoint is leaving, by its responses");
                 }
             }
@@ -177,7 +181,7 @@
     }
 
     /// Applies signs of life that another control process has received from endpoints.
-    pub fn confirm(&self, now: time::Instant, alive: &[directory::Alive]) {
+    pub fn confirm(&self, now: time::Instant, alive: &[directory::LivenessRefresh]) {
         if alive.is_empty() {
             return;
         }
@@ -207,7 +211,9 @@
             inner.entries.retain(|_, entry| recent(&entry.at));
             inner.entries_elsewhere.retain(|_, at| recent(at));
             let directory = &inner.directory;
-            inner.packed.retain(|id, _| directory.start(id).is_some());
+            inner
+                .packed
+                .retain(|id, _| directory.instance(id).is_some());
         });
         self.change_directory(|it| it.expire(now))
     }
@@ -301,9 +307,9 @@
     pub fn updates(&self, now: time::Instant, req: &messages::WatchReq) -> Updates {
         let mut inner = locks::lock(&self.inner);
         let passing = match req.wants {
-            messages::Wants::All => Some(directory::Passing::All),
-            messages::Wants::News => Some(directory::Passing::News),
-            messages::Wants::Digest => None,
+            messages::DirectoryDetail::All => Some(directory::ChangeFilter::All),
+            messages::DirectoryDetail::News => Some(directory::ChangeFilter::Updates),
+            messages::DirectoryDetail::Digest => None,
         };
         let (most, most_bytes) = match req.watcher {
             messages::Watcher::Entry => (MAX_RECORDS, MAX_RECORD_BYTES),
@@ -311,7 +317,7 @@
             // endpoints would seem silent.
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
-        let portion = passing.map(|it| inner.directory.portion(req.mark, it, most));
+        let portion = passing.map(|it| inner.directory.changes_after(req.mark, it, most));
         let told = portion.map_or_else(
             // Without records the position of the watcher does not advance.
             || DirectoryUpdate::nothing(req.mark),
@@ -323,8 +329,8 @@
             alive: told.alive,
             has_more: told.has_more,
             digest: inner.directory.digest(),
-            digest_mark: inner.directory.mark(),
-            news_mark: inner.directory.news_mark(),
+            digest_mark: inner.directory.cursor(),
+            news_mark: inner.directory.update_cursor(),
             config: inner.versions.newest(),
             crashes_mark: inner.quarantine.mark(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
@@ -334,13 +340,13 @@
     }
 
     /// Records that the directory of another control process is known up to `mark`.
-    pub fn set_peer_cursor(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
+    pub fn set_peer_cursor(&self, ip: net::Ipv4Addr, mark: directory::Cursor) {
         self.change(|inner| inner.peers.insert(ip, mark));
     }
 
     /// Up to which change the directories of the other control processes are known.
     #[must_use]
-    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Mark)> {
+    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Cursor)> {
         let inner = locks::lock(&self.inner);
         inner.peers.iter().map(|(ip, mark)| (*ip, *mark)).collect()
     }
@@ -371,7 +377,7 @@
     }
 
     /// Runs `tell` on the demand that was not reported to the leader yet.
-    pub fn with_demand<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
+    pub fn with_demand<T>(&self, tell: impl FnOnce(&mut demand_counter::DemandCounter) -> T) -> T {
         self.change(|inner| tell(&mut inner.tally))
     }
 
@@ -412,7 +418,7 @@
     }
 
     /// Hands the request for an adapter to the planning thread.
-    pub fn request_adapter(&self, want: messages::WantReq) {
+    pub fn request_adapter(&self, want: messages::AdapterReq) {
         self.plan(planning::Input::Want(want));
     }
 
@@ -428,9 +434,9 @@
     /// Signs of life do not: each would cost a response to each watcher, mostly without useful content.
     fn change_directory<T>(&self, change: impl FnOnce(&mut directory::Directory) -> T) -> T {
         let (made, is_news) = self.change(|inner| {
-            let before = inner.directory.mark();
+            let before = inner.directory.cursor();
             let made = change(&mut inner.directory);
-            (made, inner.directory.has_news(before))
+            (made, inner.directory.has_updates(before))
         });
         if is_news {
             self.notify_watchers(watchers::Urgency::Batched);
@@ -457,10 +463,10 @@
         &mut self,
         now: time::Instant,
         req: &messages::WatchReq,
-        portion: directory::Portion,
+        portion: directory::ChangeBatch,
         most_bytes: usize,
     ) -> DirectoryUpdate {
-        let mut told = DirectoryUpdate::nothing(portion.mark);
+        let mut told = DirectoryUpdate::nothing(portion.cursor);
         told.has_more = !portion.is_last;
         let mut bytes = 0;
         let mut last = None;
@@ -492,7 +498,7 @@
         &mut self,
         now: time::Instant,
         change: &directory::Change,
-    ) -> Option<messages::Packed> {
+    ) -> Option<messages::EncodedRecord> {
         let known = self.packed.get(&change.id);
         let is_fresh =
             |it: &&EncodedRecord| it.number == change.number && now.since(it.at) < ENCODED_LIFETIME;
@@ -540,7 +546,8 @@
 
     /// Whether there is something to answer a watcher with.
     fn has_updates_for(&self, req: &messages::WatchReq) -> bool {
-        let has_news = req.wants != messages::Wants::Digest && self.directory.has_news(req.mark);
+        let has_news =
+            req.wants != messages::DirectoryDetail::Digest && self.directory.has_updates(req.mark);
         let crashes_known = req.crashes_known;
         let has_crashes =
             crashes_known.is_some_and(|it| self.quarantine.has_news(it, sync_scope(req)));
@@ -560,14 +567,14 @@
 #[derive(Debug)]
 struct DirectoryUpdate {
     /// Up to which change it knows the directory with them.
-    mark: directory::Mark,
-    records: Vec<messages::Packed>,
-    alive: Vec<directory::Alive>,
+    mark: directory::Cursor,
+    records: Vec<messages::EncodedRecord>,
+    alive: Vec<directory::LivenessRefresh>,
     has_more: bool,
 }
 
 impl DirectoryUpdate {
-    fn nothing(mark: directory::Mark) -> Self {
+    fn nothing(mark: directory::Cursor) -> Self {
         Self {
             mark,
             records: Vec::new(),
@@ -581,19 +588,19 @@
 #[derive(Debug)]
 pub struct Updates {
     /// Up to which change the watcher knows the directory with them.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// The changed records of the directory that fit into one response.
-    pub records: Vec<messages::Packed>,
+    pub records: Vec<messages::EncodedRecord>,
     /// The instances of which only a sign of life is new.
-    pub alive: Vec<directory::Alive>,
+    pub alive: Vec<directory::LivenessRefresh>,
     /// Whether more changes are to be fetched.
     pub has_more: bool,
     /// The digest of the directory.
     pub digest: u64,
     /// The last change that the digest includes.
-    pub digest_mark: directory::Mark,
+    pub digest_mark: directory::Cursor,
     /// The last change of the directory other than a sign of life.
-    pub news_mark: directory::Mark,
+    pub news_mark: directory::Cursor,
     /// The version of the configuration that this process holds.
     pub config: u64,
     /// Up to which change the watcher knows the crashes with them.
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -42,9 +42,9 @@
     /// The demand that an entry process has reported.
     Demand(Vec<messages::Demand>),
     /// A request waits for an adapter.
-    Want(messages::WantReq),
+    Want(messages::AdapterReq),
     /// An order, and the engine's answer if one arrived.
-    Answered(Box<dialect::Order>, Option<dialect::OrderAnswer>),
+    Answered(Box<dialect::Order>, Option<dialect::OrderResponse>),
     /// The report of an engine; none if the query failed.
     Reported(directory::InstanceId, Option<dialect::Report>),
     /// A backpressure notice that an engine has added to a response.
@@ -113,21 +113,21 @@
         let now = self.shared.clock.now();
         for input in inputs {
             match input {
-                Input::Demand(demand) => self.planner.demand(now, &demand),
-                Input::Want(req) => self.planner.want(now, req),
+                Input::Demand(demand) => self.planner.add_demand(now, &demand),
+                Input::Want(req) => self.planner.request_adapter(now, req),
                 Input::Reported(instance, report) => {
-                    self.planner.reported(now, &instance, report);
+                    self.planner.handle_report(now, &instance, report);
                 }
                 Input::Notice(instance, notice) => {
-                    ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.rest,
-                        leaves = notice.leaves; "control: engine reports a backpressure notice");
-                    self.planner.heed(now, &instance, notice);
+                    ::log::info!(endpoint:% = instance, limit:? = notice.limit, rest:? = notice.retry_after,
+                        leaves = notice.is_leaving; "control: engine reports a backpressure notice");
+                    self.planner.apply_notice(now, &instance, notice);
                 }
                 Input::Answered(order, answer) => {
                     ::log::info!(endpoint:% = order.instance, task:% = order.task,
                         accepted_before = order.accepted_before, answer:? = answer;
                         "control: order answered");
-                    let actions = self.planner.answered(now, &order, answer);
+                    let actions = self.planner.handle_order_response(now, &order, answer);
                     self.carry_out(actions);
                 }
             }
@@ -148,13 +148,13 @@
         };
         let present = self.shared.hub.present();
         let present: Vec<&directory::Instance> = present.iter().map(|it| &**it).collect();
-        self.planner.know_restarted(self.shared.hub.restarted());
+        self.planner.set_restarted(self.shared.hub.restarted());
         let actions = self.planner.tick(now, config, &present);
         if self.last_summary.elapsed() >= SUMMARY_INTERVAL {
             self.last_summary = std_time::Instant::now();
             for it in self.planner.summary(now, config, &present) {
                 ::log::info!(service = it.service.as_str(), engines = it.engines,
-                    free_for_orders = it.free_for_orders, short:? = it.short,
+                    free_for_orders = it.free_for_orders, short:? = it.short_of_replicas,
                     busiest:% = describe_busiest(&it.busiest),
                     store_is_free = it.store_is_free, work:% = format_args!("{:.1}", it.work),
                     wants = it.wants; "control: placement");
@@ -167,12 +167,12 @@
     fn follow_leadership(&mut self) -> bool {
         let term = locks::read(&self.shared.view).status.term.0;
         if !self.shared.leads() {
-            self.planner.follows();
+            self.planner.stop_leading();
             return false;
         }
         if !self.planner.is_leading() || self.term != term {
             self.term = term;
-            self.planner.leads(self.shared.clock.now(), term);
+            self.planner.start_leading(self.shared.clock.now(), term);
             ::log::info!(term; "control: planning placement as leader");
         }
         true
@@ -220,15 +220,15 @@
 }
 
 /// Describes the busiest models for the log: loaded and loading replicas, and the number of engines kept busy.
-fn describe_busiest(models: &[planner::Busy]) -> String {
+fn describe_busiest(models: &[planner::ModelLoad]) -> String {
     let models = models.iter().map(|it| {
-        let planner::Busy {
+        let planner::ModelLoad {
             model,
-            copies,
+            replicas,
             loading,
             work,
         } = it;
-        format!("{model} {copies}+{loading} {work:.1}")
+        format!("{model} {replicas}+{loading} {work:.1}")
     });
     models.collect::<Vec<_>>().join(", ")
 }
@@ -293,13 +293,13 @@
         match exchange_with(pool, order.address, &dialect.order(&order)) {
             Ok((head, _)) => {
                 heed(shared, dialect, &order.instance, &head);
-                Some(dialect.order_answer(head.status))
+                Some(dialect.order_response(head.status))
             }
-            Err(e) if !e.is_sent => Some(dialect::OrderAnswer::Refused(0)),
+            Err(e) if !e.is_sent => Some(dialect::OrderResponse::Refused(0)),
             Err(_) => None,
         }
     } else {
-        Some(dialect::OrderAnswer::Refused(0))
+        Some(dialect::OrderResponse::Refused(0))
     };
     Input::Answered(Box::new(order), answer)
 }
@@ -312,7 +312,7 @@
     query: ReportQuery,
 ) -> Input {
     let ReportQuery { instance, address } = query;
-    let answer = exchange_with(pool, address, &dialect.ask_report(&instance));
+    let answer = exchange_with(pool, address, &dialect.report_request(&instance));
     let report = match answer {
         Ok((head, body)) => {
             heed(shared, dialect, &instance, &head);
@@ -352,12 +352,12 @@
     instance: &directory::InstanceId,
     head: &exchange::Head,
 ) {
-    let answered = dialect.answered(head.status, |it| head.get(it));
+    let answered = dialect.response_metadata(head.status, |it| head.get(it));
     let notice = answered.notice;
     if !answered.is_of(instance) || notice == dialect::Notice::default() {
         return;
     }
-    if notice.leaves {
+    if notice.is_leaving {
         shared
             .hub
             .mark_leaving(shared.clock.now(), std::slice::from_ref(instance));
@@ -368,7 +368,7 @@
 fn exchange_with(
     pool: &pool::Pool,
     address: net::SocketAddrV4,
-    call: &dialect::OutCall,
+    call: &dialect::OutboundRequest,
 ) -> Result<(exchange::Head, Vec<u8>), failure::Failure> {
     let host = address.to_string();
     let mut headers = vec![("Host", host.as_bytes())];
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -49,14 +49,14 @@
 
 impl<D: dialect::Dialect> handler::Handler for FleetHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
-        let call = self.dialect.control_call(&req.method, &req.path);
+        let call = self.dialect.control_request(&req.method, &req.path);
         let outcome = match call {
-            Some(dialect::ControlCall::Announce { endpoint }) => {
+            Some(dialect::ControlRequest::Announce { endpoint }) => {
                 self.announce(&endpoint, &req.body)
             }
-            Some(dialect::ControlCall::Leave { endpoint }) => self.leave(&endpoint, &req.body),
-            Some(dialect::ControlCall::Replace) => self.replace(&req.body),
-            Some(dialect::ControlCall::Read) => self.read(),
+            Some(dialect::ControlRequest::Leave { endpoint }) => self.leave(&endpoint, &req.body),
+            Some(dialect::ControlRequest::Replace) => self.replace(&req.body),
+            Some(dialect::ControlRequest::Read) => self.read(),
             None => {
                 let detail = format!("no call {} {} is taken here", req.method, req.path);
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotFound, detail);
@@ -118,7 +118,7 @@
 
     fn announce(&self, endpoint: &str, body: &[u8]) -> Outcome {
         let read = if body.len() > MAX_ANNOUNCEMENT_BYTES {
-            Err(dialect::Malformed {
+            Err(dialect::DecodeError {
                 what: "an announcement",
                 problem: format!("{} bytes are too many", body.len()),
             })
@@ -133,16 +133,16 @@
         let (address, state, sequence) = (instance.address, instance.state, instance.sequence);
         let offer = self.shared.hub.announce(self.shared.clock.now(), instance);
         match offer {
-            directory::Offer::New | directory::Offer::Changed => {
+            directory::MergeOutcome::New | directory::MergeOutcome::Changed => {
                 ::log::info!(endpoint:% = id, service, address:% = address, state:? = state, sequence;
                     "control: endpoint changed");
             }
-            directory::Offer::Stale => {
+            directory::MergeOutcome::Stale => {
                 ::log::info!(endpoint:% = id, sequence; "control: late announcement ignored");
             }
-            directory::Offer::Confirmed => {}
-            directory::Offer::Full => {
-                ::log::warn!(endpoint:% = id, kept = directory::MOST_KEPT;
+            directory::MergeOutcome::Confirmed => {}
+            directory::MergeOutcome::Full => {
+                ::log::warn!(endpoint:% = id, kept = directory::MAX_INSTANCES;
                     "control: too many endpoints, refused another one");
                 return Outcome::Unavailable("as many endpoints are known as are kept");
             }
@@ -162,7 +162,7 @@
 
     /// Refuses a malformed announcement, which identifies no endpoint and changes no record. A faulty client may send
     /// them without end, so only a sample is logged.
-    fn refuse_malformed(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
+    fn refuse_malformed(&self, endpoint: &str, e: &dialect::DecodeError) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
                 ::log::warn!(endpoint, error:% = e; "control: malformed announcement refused");
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -8,7 +8,7 @@
     thread, time as std_time,
 };
 
-use sageshed_fleet::{changes, directory, messages, quarantine, tally, transfer};
+use sageshed_fleet::{config_history, demand_counter, directory, messages, quarantine, transfer};
 use sageshed_types::{document, time};
 
 use crate::{control::shared, locks, records};
@@ -72,7 +72,7 @@
     entries: Vec<net::Ipv4Addr>,
     entries_number: u64,
     /// Read before the changes of the directory, which then include at least these positions.
-    peers: Vec<(net::Ipv4Addr, directory::Mark)>,
+    peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
 }
 
 impl RoundData {
@@ -90,7 +90,7 @@
     fn answer(&self, shared: &shared::Shared, req: &messages::WatchReq) -> messages::WatchResp {
         let news = shared.hub.updates(shared.clock.now(), req);
         // Only the link that receives endpoint records receives the list of entry processes too.
-        let takes_entries = req.wants == messages::Wants::News;
+        let takes_entries = req.wants == messages::DirectoryDetail::News;
         let entries_number = if takes_entries {
             self.entries_number
         } else {
@@ -135,9 +135,9 @@
 #[must_use]
 pub fn chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> messages::ConfigResp {
     let chunk = match lookup_chunk(shared, req) {
-        changes::Answer::Chunk(chunk) => Some(chunk),
-        changes::Answer::Nothing => None,
-        changes::Answer::Compress(_) => {
+        config_history::FetchReply::Chunk(chunk) => Some(chunk),
+        config_history::FetchReply::Nothing => None,
+        config_history::FetchReply::Compress(_) => {
             // One thread at a time: many processes request the same payload at once, and the driver of the log must
             // not wait for the compression.
             let _one = locks::lock(&shared.compressing);
@@ -147,13 +147,13 @@
     messages::ConfigResp { chunk }
 }
 
-fn lookup_chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> changes::Answer {
+fn lookup_chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> config_history::FetchReply {
     locks::lock(&shared.config_history).answer(shared.clock.now(), req)
 }
 
 /// Compresses the payload unless another thread has done so meanwhile, and returns the requested chunk.
 fn compress(shared: &shared::Shared, req: &messages::ConfigReq) -> Option<transfer::Chunk> {
-    if let changes::Answer::Compress(job) = lookup_chunk(shared, req) {
+    if let config_history::FetchReply::Compress(job) = lookup_chunk(shared, req) {
         match job.run() {
             Ok(bytes) => {
                 let mut history = locks::lock(&shared.config_history);
@@ -163,8 +163,8 @@
         }
     }
     match lookup_chunk(shared, req) {
-        changes::Answer::Chunk(chunk) => Some(chunk),
-        changes::Answer::Nothing | changes::Answer::Compress(_) => None,
+        config_history::FetchReply::Chunk(chunk) => Some(chunk),
+        config_history::FetchReply::Nothing | config_history::FetchReply::Compress(_) => None,
     }
 }
 
@@ -233,13 +233,13 @@
     };
     let address = address.to_string();
     let limit = std_time::Duration::from(WATCH_TIMEOUT) + CALL_MARGIN;
-    let mut mark = directory::Mark::default();
+    let mut mark = directory::Cursor::default();
     let mut crashes_known = quarantine::Mark::default();
     let mut heard = std_time::Instant::now();
     while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < PEER_LOST_AFTER {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
         let demand = if is_leader {
-            shared.hub.with_demand(tally::Tally::take)
+            shared.hub.with_demand(demand_counter::DemandCounter::take)
         } else {
             Vec::new()
         };
@@ -247,7 +247,7 @@
             watcher: messages::Watcher::Control,
             ip: shared.node.vm.into(),
             availability_zone: shared.settings.vm.availability_zone.clone(),
-            wants: messages::Wants::All,
+            wants: messages::DirectoryDetail::All,
             // Control processes receive the configuration by the replicated log.
             config: u64::MAX,
             config_told: None,
@@ -272,7 +272,9 @@
                 heard = std_time::Instant::now();
                 mark = resp.mark;
                 if is_leader {
-                    shared.hub.with_demand(tally::Tally::told);
+                    shared
+                        .hub
+                        .with_demand(demand_counter::DemandCounter::mark_sent);
                 }
                 shared.hear_of(resp.control.iter().map(|it| it.ip));
                 let records =
@@ -288,7 +290,7 @@
             Err(e) => {
                 ::log::debug!(error:% = e; "control: cannot watch another control process");
                 let now = shared.clock.now();
-                shared.hub.with_demand(|it| it.put_back(now, req.demand));
+                shared.hub.with_demand(|it| it.restore(now, req.demand));
                 thread::sleep(RETRY_INTERVAL);
             }
         }
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -48,7 +48,10 @@
 impl ConfigFetcher {
     /// Records that the control process `by` holds `version`, and wakes the fetch thread if that is news.
     pub fn announce(&self, now: time::Instant, by: net::Ipv4Addr, version: u64) {
-        if locks::lock(&self.inner).incoming.told(now, by, version) {
+        if locks::lock(&self.inner)
+            .incoming
+            .note_version(now, by, version)
+        {
             self.changed.notify_all();
         }
     }
@@ -86,8 +89,8 @@
             inner.incoming.next(held, near)
         };
         match next {
-            transfer::Next::Wait => wait_for_newer(fetching, held),
-            transfer::Next::Ask {
+            transfer::NextStep::Wait => wait_for_newer(fetching, held),
+            transfer::NextStep::Ask {
                 to,
                 transfer,
                 offset,
@@ -132,7 +135,7 @@
         Err(e) => {
             ::log::warn!(control:% = to, offset = req.offset, error:% = e;
                 "gateway: cannot fetch a chunk of the configuration");
-            locks::lock(&fetching.inner).incoming.lost(to);
+            locks::lock(&fetching.inner).incoming.mark_failed(to);
             return thread::sleep(RETRY_INTERVAL);
         }
     };
@@ -142,18 +145,18 @@
     let took = shared.clock.now().since(begun);
     let taken = locks::lock(&fetching.inner).incoming.take(&chunk, took);
     match taken {
-        Ok(transfer::Taken::More) => {}
-        Ok(transfer::Taken::Whole(payload)) => apply_payload(shared, &payload),
+        Ok(transfer::ChunkOutcome::More) => {}
+        Ok(transfer::ChunkOutcome::Whole(payload)) => apply_payload(shared, &payload),
         Err(e) => {
             ::log::warn!(control:% = to, error:% = e; "gateway: unusable chunk, restarting the fetch of the configuration");
-            locks::lock(&fetching.inner).incoming.lost(to);
+            locks::lock(&fetching.inner).incoming.mark_failed(to);
             thread::sleep(RETRY_INTERVAL);
         }
     }
 }
 
 fn apply_payload<D: dialect::Dialect>(shared: &state::Shared<D>, payload: &transfer::Payload) {
-    let transfer::Id { from, version, .. } = payload.id;
+    let transfer::TransferId { from, version, .. } = payload.id;
     let bytes = payload.bytes.len();
     let text = {
         let held = locks::lock(&shared.document);
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -77,16 +77,16 @@
 
     /// Whether the request may be sent to a second endpoint now, while it may be running at the first.
     fn may_switch_endpoint(&self) -> bool {
-        let may_run_again = self.route.repeat.may_run_again();
+        let may_run_again = self.route.kind.is_retryable();
         may_run_again && self.possible_runs + 1 < self.route.attempts && self.can_retry()
     }
 
     /// How long an endpoint may be silent before the request is sent to another one; none if it is not idempotent.
     fn silence_limit(&self) -> Option<std_time::Duration> {
-        if self.route.repeat != config::Repeat::Idempotent {
+        if self.route.kind != config::RequestKind::Idempotent {
             return None;
         }
-        let objective = std_time::Duration::from(self.route.objective);
+        let objective = std_time::Duration::from(self.route.latency_target);
         let factor = u32::try_from(SILENCE_PER_OBJECTIVE).unwrap_or(1);
         Some((objective * factor).max(MIN_SILENCE))
     }
@@ -94,17 +94,17 @@
     fn exchange<S: Fn() -> bool>(
         &self,
         pick: &chooser::Pick,
-        resume_behind: Option<&str>,
+        resume_after: Option<&str>,
         patience: &exchange::Patience<'_, S>,
     ) -> Result<exchange::Exchange, failure::Failure> {
-        let onward = dialect::Onward {
+        let onward = dialect::UpstreamMetadata {
             instance: &pick.instance,
             time_left: self.time_left(),
             urgency: Some(self.priority().min(9)),
-            resume_behind,
+            resume_after,
             workspace: self.workspace.as_ref().map(|it| it.name.as_str()),
         };
-        let set = self.shared.dialect.onward(&onward);
+        let set = self.shared.dialect.upstream_headers(&onward);
         let mut list: Vec<(&str, &[u8])> = Vec::with_capacity(self.req.headers.len() + set.len());
         for header in &self.req.headers {
             let is_set = set
@@ -127,7 +127,7 @@
             headers: list,
             body: &self.req.body,
         };
-        let max_age = if self.route.repeat.may_run_again() {
+        let max_age = if self.route.kind.is_retryable() {
             MAX_IDLE_REPEATABLE
         } else {
             MAX_IDLE_NOT_REPEATABLE
@@ -142,7 +142,7 @@
         let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
         !of_connection
             && !self.req.is_connection_option(name)
-            && !self.shared.dialect.stays_here(name)
+            && !self.shared.dialect.strips_header(name)
     }
 
     /// Discards responses to earlier requests on the same connection.
@@ -154,7 +154,10 @@
     ) -> Result<exchange::Exchange, failure::Failure> {
         loop {
             let head = &exchange.head;
-            let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
+            let answered = self
+                .shared
+                .dialect
+                .response_metadata(head.status, |it| head.get(it));
             self.apply_notice(pick, &answered);
             if !self.is_for_another_request(&answered) {
                 return Ok(exchange);
@@ -164,7 +167,7 @@
         }
     }
 
-    fn is_for_another_request(&self, answered: &dialect::Answered<'_>) -> bool {
+    fn is_for_another_request(&self, answered: &dialect::ResponseMetadata<'_>) -> bool {
         let id = answered.id;
         id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
     }
@@ -180,14 +183,17 @@
     ) -> AttemptResult<'c> {
         let stop = &|| watch.caller_gone();
         let head = exchange.head.clone();
-        let answered = self.shared.dialect.answered(head.status, |it| head.get(it));
+        let answered = self
+            .shared
+            .dialect
+            .response_metadata(head.status, |it| head.get(it));
         let patience = exchange::Patience {
             until: self.deadline,
             stop,
         };
         let is_rejected = matches!(
-            answered.word,
-            dialect::Word::NotRun | dialect::Word::Misdirected
+            answered.execution,
+            dialect::ExecutionStatus::NotRun | dialect::ExecutionStatus::Misdirected
         );
         if is_rejected {
             if exchange.read_whole(MAX_RESPONSE_BYTES, &patience).is_ok() {
@@ -197,14 +203,14 @@
         }
         self.possible_runs += 1;
         let is_success = (200..300).contains(&head.status);
-        let is_vouched = answered.word == dialect::Word::Vouched;
+        let is_vouched = answered.execution == dialect::ExecutionStatus::Verified;
         if is_success && !is_vouched {
             let detail = "a success that the endpoint does not vouch for";
             return self.handle_unusable_response(pick, sink, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
         let may_go_elsewhere =
-            self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
+            self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         if !is_success && (claims_not_run || !is_vouched) {
             let detail = format!("the endpoint answered with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
@@ -292,7 +298,7 @@
         &mut self,
         pick: &chooser::Pick,
         sink: ResponseSink<'c>,
-        answered: &dialect::Answered<'_>,
+        answered: &dialect::ResponseMetadata<'_>,
         status: u16,
     ) -> AttemptResult<'c> {
         ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
@@ -305,10 +311,10 @@
             .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
         self.restore_charge();
         let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
-        if answered.word == dialect::Word::Misdirected && is_replaced {
+        if answered.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
             self.end_attempt(pick, false, chooser::Ended::GivenUp);
             self.shared.mark_replaced(&pick.instance);
-        } else if answered.word == dialect::Word::Misdirected {
+        } else if answered.execution == dialect::ExecutionStatus::Misdirected {
             self.end_attempt(pick, false, chooser::Ended::Misdirected);
         } else {
             self.end_attempt(pick, false, chooser::Ended::Refused);
@@ -394,7 +400,7 @@
         };
         self.end_attempt(pick, began, how);
         self.tried_endpoints.push(pick.key);
-        let goes_on = self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
+        let goes_on = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         // Without the id of an event, no other endpoint can tell where to resume the stream.
         let can_resume = !sink.has_started() || sink.last_id().is_some();
         if goes_on && can_resume && !is_over {
--- a/src/sageshed/gateway/proxy/attempt_log.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -49,8 +49,8 @@
         let queued = log.tries.first().map_or(took, |it| it.started);
         let span = self.deadline.saturating_duration_since(self.req.received);
         let not_repeatable = matches!(
-            self.route.repeat,
-            config::Repeat::Never | config::Repeat::Stream
+            self.route.kind,
+            config::RequestKind::NonIdempotent | config::RequestKind::Stream
         );
         let account = account::Account {
             request_id: self.id().to_owned(),
@@ -75,7 +75,7 @@
     }
 }
 
-fn target_name(wanted: &dialect::Wanted) -> String {
+fn target_name(wanted: &dialect::ModelRef) -> String {
     match &wanted.adapter {
         Some(adapter) => format!("{}/{adapter}", wanted.model),
         None => wanted.model.clone(),
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -11,14 +11,18 @@
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Applies the notice in a response of the endpoint of `pick`.
-    pub(super) fn apply_notice(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
+    pub(super) fn apply_notice(
+        &self,
+        pick: &chooser::Pick,
+        answered: &dialect::ResponseMetadata<'_>,
+    ) {
         if !answered.is_of(&pick.instance) {
             return;
         }
-        if answered.notice.leaves {
+        if answered.notice.is_leaving {
             self.shared.mark_leaving(&pick.instance);
         }
-        if let Some(span) = answered.notice.rest {
+        if let Some(span) = answered.notice.retry_after {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
                 "gateway: endpoint asks for a back-off");
         }
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -119,8 +119,8 @@
         ::log::info!(request = self.id(), route = self.route.name.as_str(),
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
             model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
-            waited_for = self.waited_for_value(), objective_ms = self.route.objective.0,
-            pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
+            waited_for = self.waited_for_value(), objective_ms = self.route.latency_target.0,
+            pause_limit_ms = self.route.max_event_gap.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
             first_ms = time::Millis::from(self.timings.first_event).0,
             pause_ms = time::Millis::from(self.timings.longest_pause).0,
             took_ms = time::Millis::from(took).0; "gateway: request answered");
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -46,7 +46,10 @@
 impl<D: dialect::Dialect> handler::Handler for RequestHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let watch = reply.watch();
-        let passing = self.shared.dialect.passing(|name| req.header(name));
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
         let deadline = passing.as_ref().ok().and_then(|it| it.deadline);
         let routing = self
             .shared
@@ -129,7 +132,10 @@
         reply: reply::Reply<'_>,
         refusal: &refusal::Refusal,
     ) -> reply::Sent {
-        let passing = self.shared.dialect.passing(|name| req.header(name));
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
         let id = passing.ok().and_then(|it| it.id).unwrap_or_default();
         ::log::info!(request = id.as_str(), status = refusal.status, reason:% = refusal.reason,
             detail = refusal.detail.as_str(); "gateway: request refused before it was routed");
@@ -163,7 +169,7 @@
 struct ProxiedRequest<'a, D> {
     shared: &'a state::Shared<D>,
     req: &'a request::Request,
-    passing: &'a dialect::Passing,
+    passing: &'a dialect::RequestMetadata,
     /// Identifies the content of the request, which stays the same when its caller retries it.
     content: quarantine::Fingerprint,
     route: &'a config::Route,
@@ -174,7 +180,7 @@
     /// Whether that configuration has workspaces, so that API keys are meant for this system.
     asks_for_keys: bool,
     service: &'a str,
-    wanted: Option<&'a dialect::Wanted>,
+    wanted: Option<&'a dialect::ModelRef>,
     /// The configured model that it asks for.
     model: Option<&'a config::Model>,
     /// When its response must be complete.
@@ -248,7 +254,7 @@
     fn new(
         shared: &'a state::Shared<D>,
         req: &'a request::Request,
-        passing: &'a dialect::Passing,
+        passing: &'a dialect::RequestMetadata,
         routing: &'a routing::Routing,
         route: &'a config::Route,
         service: &'a str,
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -90,7 +90,7 @@
     ) -> Result<exchange::Piece, failure::Failure> {
         loop {
             let goes_on =
-                self.route.repeat.may_run_again() && self.possible_runs < self.route.attempts;
+                self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
             let may_leave = goes_on && can_resume;
             let until = if may_leave {
                 self.deadline.min(std_time::Instant::now() + MAX_EVENT_GAP)
@@ -129,7 +129,7 @@
 
     /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
     fn record_pauses(&self, pick: &chooser::Pick) {
-        let Some(limit) = self.route.pause else {
+        let Some(limit) = self.route.max_event_gap else {
             return;
         };
         let now = self.shared.clock.now();
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -304,7 +304,7 @@
 
     /// How long the request may wait for what is missing.
     fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
-        let objective = self.route.objective.0;
+        let objective = self.route.latency_target.0;
         match missing {
             chooser::Missing::Model => (load + LOAD_MARGIN).into(),
             chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
@@ -328,20 +328,22 @@
 
     /// The time left until the response would miss the latency target.
     fn on_time(&self) -> time::Millis {
-        let objective = std_time::Duration::from(self.route.objective);
+        let objective = std_time::Duration::from(self.route.latency_target);
         objective.saturating_sub(self.req.received.elapsed()).into()
     }
 
     /// How long a request waits for an engine with little pending prefill before it accepts any engine.
     fn idle_engine_wait(&self) -> std_time::Duration {
-        std_time::Duration::from_millis(self.route.objective.0 * IDLE_ENGINE_WAIT_PERCENT / 100)
+        std_time::Duration::from_millis(
+            self.route.latency_target.0 * IDLE_ENGINE_WAIT_PERCENT / 100,
+        )
     }
 
     /// Counts the request as waiting for its model, in the demand reported to the leader.
     fn report_waiting(&self) {
         if let Some(wanted) = self.wanted {
             self.shared
-                .with_core(|core| core.tally.wait(self.service, &wanted.model));
+                .with_core(|core| core.tally.add_waiting(self.service, &wanted.model));
         }
     }
 
@@ -353,7 +355,7 @@
         else {
             return;
         };
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: self.service.to_owned(),
             model,
             adapter,
@@ -372,10 +374,10 @@
         let leader = self.shared.leader().filter(|it| Some(*it) != preferred);
         for control in preferred.into_iter().chain(leader) {
             match self.send_adapter_request(control, &want) {
-                Ok(messages::WantResp::Taken) => {
+                Ok(messages::AdapterResp::Taken) => {
                     return ::log::debug!(request = self.id(), adapter; "gateway: requested the adapter");
                 }
-                Ok(messages::WantResp::NotLeader { leader }) => self.shared.set_leader(leader),
+                Ok(messages::AdapterResp::NotLeader { leader }) => self.shared.set_leader(leader),
                 Err(e) => {
                     ::log::info!(request = self.id(), adapter, error:% = e; "gateway: request for the adapter failed");
                 }
@@ -386,14 +388,14 @@
     fn send_adapter_request(
         &self,
         control: net::Ipv4Addr,
-        want: &messages::WantReq,
-    ) -> Result<messages::WantResp, sageshed_vms::CallError> {
+        want: &messages::AdapterReq,
+    ) -> Result<messages::AdapterResp, sageshed_vms::CallError> {
         let port = self.shared.settings.discovery.vms_port;
         let address = net::SocketAddrV4::new(control, port).to_string();
         let client = &self.shared.client;
         client.call(
             &address,
-            messages::paths::WANT,
+            messages::paths::ADAPTER,
             want,
             CALLER_CHECK_INTERVAL * 3,
         )
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -7,8 +7,8 @@
 };
 
 use sageshed_fleet::{
-    allowance, backlog, budget, chooser, dialect, directory, messages, neighbours as words,
-    quarantine, tally,
+    allowance, backlog, budget, chooser, demand_counter, dialect, directory, messages,
+    neighbours as words, quarantine,
 };
 use sageshed_types::{document, time};
 use sageshed_upstream::pool;
@@ -84,9 +84,9 @@
     /// The hash that identifies that list.
     entries_number: u64,
     /// The demand of callers that was not reported to the leader yet.
-    pub tally: tally::Tally,
+    pub tally: demand_counter::DemandCounter,
     /// The adapters requested from control lately, and when.
-    wanted: collections::HashMap<messages::WantReq, time::Instant>,
+    wanted: collections::HashMap<messages::AdapterReq, time::Instant>,
     /// Counts the changes that may let a waiting request proceed.
     changes: u64,
 }
@@ -146,7 +146,7 @@
             leaving: Vec::new(),
             entries: vec![settings.discovery.ip],
             entries_number: 0,
-            tally: tally::Tally::default(),
+            tally: demand_counter::DemandCounter::default(),
             wanted: collections::HashMap::new(),
             changes: 0,
         };
@@ -216,7 +216,7 @@
     }
 
     /// Merges endpoint records, and wakes waiting requests if something changed.
-    pub fn merge_records(&self, packed: &[messages::Packed]) {
+    pub fn merge_records(&self, packed: &[messages::EncodedRecord]) {
         if packed.is_empty() {
             return;
         }
@@ -271,7 +271,7 @@
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
         core.chooser.forget(id);
-        if core.directory.gone(now, id) {
+        if core.directory.mark_gone(now, id) {
             ::log::info!(endpoint:% = id; "gateway: another instance answers at the endpoint's address");
         }
     }
@@ -280,10 +280,10 @@
     pub fn mark_leaving(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
-        if !core.directory.leaves(now, id) {
+        if !core.directory.mark_leaving(now, id) {
             return;
         }
-        if let Some(instance) = core.directory.start(id).cloned() {
+        if let Some(instance) = core.directory.instance(id).cloned() {
             core.chooser.know(&instance);
         }
         core.leaving.push((id.clone(), now));
@@ -306,15 +306,17 @@
     fn merge_record(&self, core: &mut Core, now: time::Instant, record: directory::Record) -> bool {
         let (id, age) = (record.instance.id.clone(), record.age);
         match core.directory.merge(now, record) {
-            directory::Offer::Confirmed | directory::Offer::Stale | directory::Offer::Full => false,
-            offer @ (directory::Offer::New | directory::Offer::Changed) => {
-                let Some(instance) = core.directory.start(&id).cloned() else {
+            directory::MergeOutcome::Confirmed
+            | directory::MergeOutcome::Stale
+            | directory::MergeOutcome::Full => false,
+            offer @ (directory::MergeOutcome::New | directory::MergeOutcome::Changed) => {
+                let Some(instance) = core.directory.instance(&id).cloned() else {
                     return false;
                 };
                 core.chooser.know(&instance);
                 // Pooled connections lead to an instance that has ended. If its VM lost power, requests sent on
                 // them would be lost without an error.
-                if instance.has_ended() || offer == directory::Offer::New {
+                if instance.has_ended() || offer == directory::MergeOutcome::New {
                     self.pool.forget(instance.address);
                 }
                 self.log_endpoint_change(now, &instance, offer, age);
@@ -329,7 +331,7 @@
         &self,
         now: time::Instant,
         instance: &directory::Instance,
-        offer: directory::Offer,
+        offer: directory::MergeOutcome,
         age: time::Millis,
     ) {
         let state = instance.state;
@@ -391,21 +393,25 @@
     pub fn count_demand(
         &mut self,
         service: &str,
-        wanted: &dialect::Wanted,
-        passing: &dialect::Passing,
+        wanted: &dialect::ModelRef,
+        passing: &dialect::RequestMetadata,
         kept: Option<u64>,
     ) {
-        let reading_us = self.chooser.reading_us(service, wanted, passing, kept);
-        let asked = tally::Asked {
-            reading_us,
+        let prefill_us = self.chooser.reading_us(service, wanted, passing, kept);
+        let request = demand_counter::RequestDemand {
+            prefill_us,
             output_tokens: passing.output_tokens,
             adapter: wanted.adapter.as_deref(),
         };
-        self.tally.ask(service, &wanted.model, &asked);
+        self.tally.add_request(service, &wanted.model, &request);
     }
 
     /// Whether control has to be asked for an adapter now: requests that wait for the same one ask once.
-    pub fn should_request_adapter(&mut self, now: time::Instant, want: &messages::WantReq) -> bool {
+    pub fn should_request_adapter(
+        &mut self,
+        now: time::Instant,
+        want: &messages::AdapterReq,
+    ) -> bool {
         self.wanted
             .retain(|_, at| now.since(*at) < ADAPTER_REQUEST_RESEND_INTERVAL);
         if self.wanted.contains_key(want) {
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct PeerState {
     /// Up to which change the directory of the control process is known here.
-    mark: directory::Mark,
+    mark: directory::Cursor,
     /// Up to which change each knows the crashes that the other has recorded.
     crashes: quarantine::Link,
 }
@@ -135,7 +135,7 @@
     shared: &state::Shared<D>,
     to: net::Ipv4Addr,
     known: &PeerState,
-    wants: messages::Wants,
+    wants: messages::DirectoryDetail,
     is_source: bool,
 ) -> Result<messages::WatchResp, sageshed_vms::CallError> {
     let discovery = &shared.settings.discovery;
@@ -176,11 +176,11 @@
         .client
         .call(&address, messages::paths::WATCH, &req, limit);
     match &answer {
-        Ok(_) if is_source => shared.with_core(|core| core.tally.told()),
+        Ok(_) if is_source => shared.with_core(|core| core.tally.mark_sent()),
         Ok(_) => {}
         Err(_) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.tally.put_back(now, req.demand));
+            shared.with_core(|core| core.tally.restore(now, req.demand));
         }
     }
     answer
@@ -192,7 +192,7 @@
     watching: &WatchState,
     from: net::Ipv4Addr,
     resp: messages::WatchResp,
-) -> Vec<(net::Ipv4Addr, directory::Mark)> {
+) -> Vec<(net::Ipv4Addr, directory::Cursor)> {
     match resp.config {
         // The control process runs an earlier version and does not serve chunks.
         Some(document) => fetch::apply_document(shared, document),
