--- a/tests/fleet/explaining.rs
+++ b/tests/fleet/explaining.rs
@@ -52,7 +52,7 @@
             "/once/x",
             None,
             503,
-            &["has not run it", "status=\"503\"", "verdict=\"not_run\""],
+            &["without running it", "status=\"503\"", "verdict=\"not_run\""],
         ),
         case(
             "failed",
--- a/tests/fleet/slow_link.rs
+++ b/tests/fleet/slow_link.rs
@@ -124,7 +124,7 @@
 /// Bytes of each configuration that came as a change, by the log of an entry process.
 fn change_sizes(log: &str) -> Vec<usize> {
     let lines = log.lines();
-    let came = lines.filter(|it| it.contains("configuration came as a change"));
+    let came = lines.filter(|it| it.contains("received a configuration as a delta"));
     let bytes = came.map(|line| {
         let (_, rest) = line.split_once("\"bytes\":\"").expect("its size");
         let digits = rest.split('"').next().unwrap_or_default();
