--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -3,8 +3,8 @@
 //! For each [`Event::Arrived`] the same step says one of [`Action::Send`], [`Action::Claim`],
 //! [`Action::Queue`] and [`Action::Refuse`] for that request; what it queues it may send in the same
 //! step. Every step may also return actions for other requests. [`Action::Refuse`] is always the
-//! last word on a request. After it, after a try that ended with [`TryOutcome::Done`] or
-//! [`TryOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
+//! last word on a request. After it, after a try that ended with [`AttemptOutcome::Done`] or
+//! [`AttemptOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
 //! forgotten, and later events about it change nothing.
 
 pub use sageshed_types::attempt_error::AttemptError;
@@ -25,7 +25,7 @@
 
 /// What is known of a request when it has arrived whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Facts {
+pub struct RequestInfo {
     /// Which request.
     pub id: ReqId,
     /// Who asks.
@@ -56,21 +56,21 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A request arrived whole.
-    Arrived(Facts),
+    Arrived(RequestInfo),
     /// The claim of a request that may not be repeated is granted: it may be sent.
-    Claimed(ReqId),
+    ClaimGranted(ReqId),
     /// The claim was not granted and the daemon has answered; the request is forgotten.
     ClaimDenied(ReqId),
     /// A try ended.
-    Ended {
+    AttemptEnded {
         /// Of which request.
         req: ReqId,
         /// How.
-        outcome: TryOutcome,
+        outcome: AttemptOutcome,
     },
     /// The endpoint has turned a try away and wants no request from this process for a while. Comes before the try's
-    /// [`Self::Ended`].
-    AskedToRest {
+    /// [`Self::AttemptEnded`].
+    BackoffRequested {
         /// Of which request.
         req: ReqId,
         /// For how long.
@@ -106,7 +106,7 @@
 
 /// How one try ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryOutcome {
+pub enum AttemptOutcome {
     /// The whole answer came.
     Done {
         /// Tokens of the answer; 0 from a plain service.
@@ -148,7 +148,7 @@
         /// How long to wait for the first byte of the answer, in milliseconds.
         first_byte_limit: time::Millis,
     },
-    /// Ask the control group for a claim, then feed [`Event::Claimed`] or [`Event::ClaimDenied`].
+    /// Ask the control group for a claim, then feed [`Event::ClaimGranted`] or [`Event::ClaimDenied`].
     Claim {
         /// Which request.
         req: ReqId,
@@ -166,7 +166,7 @@
         refusal: refusal::Refusal,
     },
     /// Stop the try that is under way and tell the endpoint, if it takes that. No
-    /// [`Event::Ended`] is expected for it.
+    /// [`Event::AttemptEnded`] is expected for it.
     Cancel {
         /// Which request.
         req: ReqId,
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -8,7 +8,7 @@
 //! * each model keeps a copy somewhere: a rare one that has to be fetched costs its callers a load;
 //! * what is left of the memory goes to the models with the most work for each copy;
 //! * a copy moves only where the work of a model is more than its copies can bear
-//!   ([`Policy::high`]) and another can give one up ([`Policy::low`]); between the two nothing moves;
+//!   ([`Policy::add_replica_above`]) and another can give one up ([`Policy::drop_replica_below`]); between the two nothing moves;
 //! * an engine that has a copy of the weights in its own memory or on its own disk goes first.
 //!
 //! # What an engine may hold
@@ -21,16 +21,16 @@
 //! # One leader
 //!
 //! Engines that check no fence would obey two leaders. A leader that was cut off stops to order when
-//! its quorum is gone; a new one begins only a lease after it was elected ([`tenure`]), and counts the
+//! its quorum is gone; a new one begins only a lease after it was elected ([`leadership`]), and counts the
 //! store's budget as just spent by the one before.
 
+mod adapters;
 mod demand;
 mod engine;
-mod moves;
+pub mod leadership;
+mod reservations;
 mod restarts;
 mod store;
-pub mod tenure;
-mod wants;
 mod weights;
 
 use std::{collections, net};
@@ -49,17 +49,17 @@
     /// The part of an engine's reading that a copy of a model may need before another is loaded. At three
     /// tenths nearly every model of a busy pool is short of copies all day, and copies change places
     /// without end.
-    pub high: f64,
+    pub add_replica_above: f64,
     /// The part that the copies of a model may need after one of them is given up.
-    pub low: f64,
+    pub drop_replica_below: f64,
     /// The part of the work of the model before it, in the order of their work, for which a busy model
     /// is given copies. Demand moves on down that order within seconds, and a load takes longer.
-    pub anticipated: f64,
+    pub anticipated_share: f64,
     /// Loads from the store under way at once, beyond which each takes longer.
-    pub loads_at_once: usize,
+    pub max_store_loads: usize,
     /// Engines that are asked for their reports at once. A new leader knows no engine's count of orders, and
     /// asks first where an order is due.
-    pub questions_at_once: usize,
+    pub max_report_requests: usize,
 }
 
 impl Default for Policy {
@@ -67,40 +67,40 @@
         Self {
             lease: time::Millis(3_000),
             store_window: time::Millis(5_000),
-            high: 0.8,
-            low: 0.65,
-            anticipated: 0.7,
-            loads_at_once: 6,
-            questions_at_once: 24,
+            add_replica_above: 0.8,
+            drop_replica_below: 0.65,
+            anticipated_share: 0.7,
+            max_store_loads: 6,
+            max_report_requests: 24,
         }
     }
 }
 
 /// What a full engine weighs against an empty one, in engines kept busy: less than anything else.
-const EMPTIER: f64 = 0.01;
+const FILL_COST: f64 = 0.01;
 
 /// Models that a summary names.
 const SUMMARY_MODELS: usize = 4;
 
 /// Wants that are kept while no engine can take them.
-const WANTS_KEPT: usize = 256;
+const MAX_ADAPTER_REQUESTS: usize = 256;
 
 /// How long a want is kept: whoever waits asks again.
-const WANT_LIFE: time::Millis = time::Millis(1_500);
+const ADAPTER_REQUEST_TTL: time::Millis = time::Millis(1_500);
 
 /// What the planner wants done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an order; the answer goes to [`Planner::answered`].
+    /// Give an order; the answer goes to [`Planner::handle_order_response`].
     Order(dialect::Order),
-    /// Ask an engine for its report; it goes to [`Planner::reported`].
+    /// Ask an engine for its report; it goes to [`Planner::handle_report`].
     AskReport {
         /// The start of the engine that is meant.
         instance: directory::InstanceId,
         /// Where it is.
         address: net::SocketAddrV4,
     },
-    /// Tell the directory what an engine holds or drops by an order.
+    /// Tell the directory what an engine holds or unloads by an order.
     Amend {
         /// The engine.
         instance: directory::InstanceId,
@@ -110,7 +110,7 @@
 }
 
 /// Between two calls to an engine that has named a limit.
-const SPARED_FOR: time::Millis = time::Millis(1_000);
+const LIMITED_CALL_INTERVAL: time::Millis = time::Millis(1_000);
 
 /// What a leader sees of one service, for its log.
 #[derive(Debug, Clone, PartialEq)]
@@ -122,9 +122,9 @@
     /// Of these, the ones that could take an order about weights now.
     pub free_for_orders: usize,
     /// Models that need another copy, the one that needs it most first.
-    pub short: Vec<String>,
+    pub short_of_replicas: Vec<String>,
     /// The models with the most work.
-    pub busiest: Vec<Busy>,
+    pub busiest: Vec<ModelLoad>,
     /// Whether the weight store may begin a load now.
     pub store_is_free: bool,
     /// Engines that all its requests keep busy, as a number of engines.
@@ -135,11 +135,11 @@
 
 /// A model as a leader sees it, for its log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Busy {
+pub struct ModelLoad {
     /// Its name.
     pub model: String,
     /// Engines that hold it and are not told to drop it.
-    pub copies: usize,
+    pub replicas: usize,
     /// Engines that load it.
     pub loading: usize,
     /// Engines that its requests keep busy, as a number of engines.
@@ -153,12 +153,12 @@
     holder: String,
     fence: u64,
     /// While this process leads.
-    tenure: Option<tenure::Tenure>,
+    leadership: Option<leadership::Leadership>,
     engines: collections::BTreeMap<directory::InstanceId, engine::Engine>,
-    demand: demand::Demands,
-    store: store::Store,
-    moves: moves::Moves,
-    wants: Vec<wants::Want>,
+    demand: demand::DemandHistory,
+    store: store::StoreBudget,
+    reservations: reservations::Reservations,
+    adapter_requests: Vec<adapters::PendingAdapterRequest>,
     restarts: restarts::Restarts,
 }
 
@@ -177,84 +177,85 @@
             policy,
             holder: holder.to_owned(),
             fence: 0,
-            tenure: None,
+            leadership: None,
             engines: collections::BTreeMap::new(),
-            demand: demand::Demands::default(),
-            store: store::Store::new(policy.store_window),
-            moves: moves::Moves::new(),
-            wants: Vec::new(),
+            demand: demand::DemandHistory::default(),
+            store: store::StoreBudget::new(policy.store_window),
+            reservations: reservations::Reservations::new(),
+            adapter_requests: Vec::new(),
             restarts: restarts::Restarts::default(),
         }
     }
 
     /// This process leads from now on, with a fence above that of every leader before.
-    pub fn leads(&mut self, now: time::Instant, fence: u64) {
-        let tenure = tenure::Tenure::elected(now, self.policy.lease);
+    pub fn start_leading(&mut self, now: time::Instant, fence: u64) {
+        let leadership = leadership::Leadership::elected(now, self.policy.lease);
         self.fence = fence;
-        self.tenure = Some(tenure);
+        self.leadership = Some(leadership);
         self.engines.clear();
-        self.moves.clear();
-        self.restarts.leads(tenure.from());
+        self.reservations.clear();
+        self.restarts.start_leading(leadership.orders_from());
         // The leader before may have begun loads up to the moment from which this one may order.
-        self.store.assume_spent(tenure.from());
+        self.store.assume_all_spent(leadership.orders_from());
     }
 
     /// This process leads no longer.
-    pub fn follows(&mut self) {
-        self.tenure = None;
-        self.wants.clear();
+    pub fn stop_leading(&mut self) {
+        self.leadership = None;
+        self.adapter_requests.clear();
     }
 
     /// Whether it leads.
     #[must_use]
     pub fn is_leading(&self) -> bool {
-        self.tenure.is_some()
+        self.leadership.is_some()
     }
 
     /// Takes what callers asked an entry process for.
-    pub fn demand(&mut self, now: time::Instant, demand: &[messages::Demand]) {
+    pub fn add_demand(&mut self, now: time::Instant, demand: &[messages::Demand]) {
         self.demand.add(now, demand);
     }
 
     /// Takes an entry's word that a request waits for an adapter.
-    pub fn want(&mut self, now: time::Instant, req: messages::WantReq) {
+    pub fn request_adapter(&mut self, now: time::Instant, req: messages::AdapterReq) {
         self.demand
-            .used(now, &req.service, &req.model, &req.adapter);
-        let known = self.wants.iter().any(|it| it.req == req);
-        if !known && self.wants.len() < WANTS_KEPT {
-            self.wants.push(wants::Want { req, at: now });
+            .record_adapter_use(now, &req.service, &req.model, &req.adapter);
+        let known = self.adapter_requests.iter().any(|it| it.req == req);
+        if !known && self.adapter_requests.len() < MAX_ADAPTER_REQUESTS {
+            self.adapter_requests
+                .push(adapters::PendingAdapterRequest { req, at: now });
         }
     }
 
     /// Takes the engines that are there and were started anew lately.
-    pub fn know_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
-        self.restarts.know(restarted);
+    pub fn set_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
+        self.restarts.set_restarted(restarted);
     }
 
     /// Takes the answer to an order; none where none came in time.
-    pub fn answered(
+    pub fn handle_order_response(
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
-        answer: Option<dialect::OrderAnswer>,
+        answer: Option<dialect::OrderResponse>,
     ) -> Vec<Action> {
         let Some(engine) = self.engines.get_mut(&order.instance) else {
             return Vec::new();
         };
-        let is_taken = engine.answered(now, order, answer);
-        let drops = matches!(
+        let is_taken = engine.apply_order_response(now, order, answer);
+        let unloads = matches!(
             order.task,
             dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..)
         );
         // What is loaded shows once it had the time to arrive.
-        if is_taken && drops {
+        if is_taken && unloads {
             return vec![amend(&order.instance, &order.task)];
         }
         Vec::new()
     }
 
     /// Takes an engine's report; none where none came.
-    pub fn reported(
+    pub fn handle_report(
         &mut self,
         now: time::Instant,
         instance: &directory::InstanceId,
@@ -263,7 +264,7 @@
         // A report of another start under the same name says nothing of this one.
         let is_own = |it: &dialect::Report| it.born.is_none() || it.born == instance.born;
         if let Some(engine) = self.engines.get_mut(instance) {
-            engine.reported(now, report.filter(is_own));
+            engine.apply_report(now, report.filter(is_own));
         }
     }
 
@@ -271,7 +272,7 @@
     ///
     /// Of one that takes no more than so many requests from all VMs together, orders and questions count like
     /// requests, and no entry process counts them: one a second leaves the rest to callers.
-    pub fn heed(
+    pub fn apply_notice(
         &mut self,
         now: time::Instant,
         instance: &directory::InstanceId,
@@ -281,10 +282,10 @@
             return;
         };
         if notice.limit.is_some() {
-            engine.spare(now, SPARED_FOR);
+            engine.pause_calls(now, LIMITED_CALL_INTERVAL);
         }
-        if let Some(span) = notice.rest {
-            engine.spare(now, span);
+        if let Some(span) = notice.retry_after {
+            engine.pause_calls(now, span);
         }
     }
 
@@ -295,19 +296,19 @@
         config: &config::FleetConfig,
         instances: &[&directory::Instance],
     ) -> Vec<Action> {
-        if !self.tenure.is_some_and(|it| it.has_begun(now)) {
+        if !self.leadership.is_some_and(|it| it.may_order(now)) {
             return Vec::new();
         }
-        self.see(now, instances);
+        self.update_engines(now, instances);
         let mut actions = self.correct(now, instances);
         for service in &config.services {
             let Some(offer) = &service.engines else {
                 continue;
             };
             let pool = pool_of(service, offer, instances);
-            actions.extend(self.ask_reports(now, &pool));
-            actions.extend(self.give_again(now, &pool));
-            actions.extend(self.serve_wants(now, &pool));
+            actions.extend(self.request_reports(now, &pool));
+            actions.extend(self.resend(now, &pool));
+            actions.extend(self.serve_adapter_requests(now, &pool));
             actions.extend(self.place(now, &pool));
         }
         actions
@@ -329,41 +330,42 @@
     }
 
     fn summary_of(&self, now: time::Instant, pool: &Pool<'_>) -> Summary {
-        let takes = |it: &&&directory::Instance| {
+        let is_free = |it: &&&directory::Instance| {
             let engine = self.engines.get(&it.id);
-            engine.is_some_and(|it| it.takes_weights(now))
+            engine.is_some_and(|it| it.accepts_weight_orders(now))
         };
-        let survey = weights::Survey::new(self, now, pool);
-        let short = survey.short_of_copies();
+        let state = weights::PoolState::new(self, now, pool);
+        let short = state.short_of_replicas();
         let models = pool.offer.models.iter();
         let work = models.map(|it| self.demand.work(now, pool.service, &it.name));
         Summary {
             service: pool.service.to_owned(),
             engines: pool.instances.len(),
-            free_for_orders: pool.instances.iter().filter(takes).count(),
-            short: short.into_iter().map(|it| it.name.clone()).collect(),
-            busiest: survey.busiest(SUMMARY_MODELS),
+            free_for_orders: pool.instances.iter().filter(is_free).count(),
+            short_of_replicas: short.into_iter().map(|it| it.name.clone()).collect(),
+            busiest: state.busiest(SUMMARY_MODELS),
             store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
             work: work.sum(),
-            wants: self.wants.len(),
+            wants: self.adapter_requests.len(),
         }
     }
 
     /// Keeps an account of each engine that is there, and of no other.
-    fn see(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
+    fn update_engines(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
         let present: collections::HashSet<&directory::InstanceId> =
             instances.iter().map(|it| &it.id).collect();
         let is_there = |id: &directory::InstanceId| present.contains(id);
-        self.restarts.note_ended(now, &self.engines, is_there);
+        self.restarts.record_ended(now, &self.engines, is_there);
         self.engines.retain(|id, _| is_there(id));
         for instance in instances {
             let engine = self.engines.entry(instance.id.clone()).or_insert_with(|| {
                 let until = self.restarts.unsettled_until(&instance.id);
-                engine::Engine::following(until)
+                engine::Engine::after_restart(until)
             });
-            engine.see(now, instance);
+            engine.apply_announcement(now, instance);
         }
-        self.wants.retain(|it| now.since(it.at) < WANT_LIFE);
+        self.adapter_requests
+            .retain(|it| now.since(it.at) < ADAPTER_REQUEST_TTL);
     }
 
     /// Corrects what engines announce by the orders that they have taken: shows adapters once they had
@@ -374,8 +376,8 @@
             let Some(engine) = self.engines.get(&instance.id) else {
                 continue;
             };
-            let tasks = engine.unshown(now, instance);
-            let hidden = engine.dropped_but_shown(instance);
+            let tasks = engine.unannounced_adapters(now, instance);
+            let hidden = engine.unloading_but_announced(instance);
             let tasks = tasks.iter().chain(&hidden);
             actions.extend(tasks.map(|task| amend(&instance.id, task)));
         }
@@ -383,20 +385,20 @@
     }
 
     /// Asks engines whose count of orders is not known, those first from which something is waited for.
-    fn ask_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
-        let under_way = self.engines.values().filter(|it| it.is_asked(now));
+    fn request_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+        let under_way = self.engines.values().filter(|it| it.awaits_report(now));
         let room = self
             .policy
-            .questions_at_once
+            .max_report_requests
             .saturating_sub(under_way.count());
-        let wanted = self.wants.iter().map(|it| &it.req);
+        let wanted = self.adapter_requests.iter().map(|it| &it.req);
         let wanted: collections::BTreeSet<&str> = wanted
             .filter(|it| it.service == pool.service)
             .map(|it| it.model.as_str())
             .collect();
         let is_urgent = |instance: &directory::Instance, engine: &engine::Engine| {
             let mut models = instance.models.iter();
-            engine.is_at_work() || models.any(|it| wanted.contains(it.model.as_str()))
+            engine.has_pending_orders() || models.any(|it| wanted.contains(it.model.as_str()))
         };
         let mut urgent = Vec::new();
         let mut others = Vec::new();
@@ -416,7 +418,7 @@
         let mut actions = Vec::new();
         for instance in urgent.into_iter().chain(others).take(room) {
             if let Some(engine) = self.engines.get_mut(&instance.id) {
-                engine.asked(now);
+                engine.report_requested(now);
             }
             actions.push(Action::AskReport {
                 instance: instance.id.clone(),
@@ -427,11 +429,11 @@
     }
 
     /// Gives orders again that were lost on their way.
-    fn give_again(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    fn resend(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in &pool.instances {
             let engine = self.engines.get_mut(&instance.id);
-            if let Some((task, accepted_before)) = engine.and_then(|it| it.give_again(now)) {
+            if let Some((task, accepted_before)) = engine.and_then(|it| it.resend(now)) {
                 actions.push(Action::Order(dialect::Order {
                     instance: instance.id.clone(),
                     address: instance.address,
@@ -447,18 +449,18 @@
 
     /// Has weights loaded and unloaded.
     fn place(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
-        let orders = self.go_on_with_moves(now, pool);
+        let orders = self.continue_reservations(now, pool);
         let mut actions: Vec<Action> = orders.into_iter().map(Action::Order).collect();
-        for model in weights::Survey::new(self, now, pool).short_of_copies() {
+        for model in weights::PoolState::new(self, now, pool).short_of_replicas() {
             // The order before may have changed what the next one finds.
-            let survey = weights::Survey::new(self, now, pool);
-            let Some((id, task)) = survey.next_step(model) else {
+            let state = weights::PoolState::new(self, now, pool);
+            let Some((id, task)) = state.next_step(model) else {
                 continue;
             };
             let makes_room = matches!(task, dialect::Task::Unload(_));
             let order = self.order(now, pool, &id, task);
             if order.is_some() && makes_room {
-                self.begin_move(now, id, &model.name);
+                self.reserve(now, id, &model.name);
             }
             actions.extend(order.map(Action::Order));
         }
@@ -483,7 +485,7 @@
             .map_or(time::Millis(0), |it| it.store_load);
         let from_store = matches!(task, dialect::Task::Load(_))
             && engine::source(instance, task.model()) == engine::Source::Store;
-        let accepted_before = engine.begin(now, &task, from_store, load_time)?;
+        let accepted_before = engine.begin_order(now, &task, from_store, load_time)?;
         if from_store {
             self.store.spend(now);
         }
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -6,7 +6,7 @@
 
 use sageshed_fleet::{
     config, dialect,
-    dialect::{Order, OrderAnswer, Report, Task},
+    dialect::{Order, OrderResponse, Report, Task},
     directory, messages,
     planner::{Action, Planner, Policy},
 };
@@ -42,7 +42,7 @@
     fn new(engines: &[(&str, &[&str])]) -> Self {
         let mut planner = Planner::new(Policy::default(), "10.0.0.1");
         let now = time::Instant(100_000);
-        planner.leads(now, 4);
+        planner.start_leading(now, 4);
         let engines = engines.iter().map(|(id, models)| {
             let engine = Engine {
                 instance: support::engine(id, models),
@@ -94,12 +94,12 @@
             match action {
                 Action::AskReport { instance, .. } => {
                     let report = self.engines.get(&instance.name).map(Engine::report);
-                    self.planner.reported(self.now, &instance, report);
+                    self.planner.handle_report(self.now, &instance, report);
                 }
                 Action::Order(order) => {
                     self.orders.push((self.now, order.clone()));
                     let answer = self.obey(&order);
-                    let more = self.planner.answered(self.now, &order, answer);
+                    let more = self.planner.handle_order_response(self.now, &order, answer);
                     self.carry_out(more);
                 }
                 Action::Amend { instance, task } => {
@@ -113,7 +113,7 @@
         }
     }
 
-    fn obey(&mut self, order: &Order) -> Option<OrderAnswer> {
+    fn obey(&mut self, order: &Order) -> Option<OrderResponse> {
         let now = self.now;
         if self.lost > 0 {
             self.lost -= 1;
@@ -126,7 +126,7 @@
         if order.accepted_before != engine.accepted
             || engine.loading.is_some() && order.task.is_weights()
         {
-            return Some(OrderAnswer::Conflict);
+            return Some(OrderResponse::Conflict);
         }
         engine.accepted += 1;
         match &order.task {
@@ -143,8 +143,8 @@
         }
         engine.check();
         self.answers.then_some(match order.task {
-            Task::UnloadAdapter(..) => OrderAnswer::Done,
-            _ => OrderAnswer::Accepted,
+            Task::UnloadAdapter(..) => OrderResponse::Done,
+            _ => OrderResponse::Accepted,
         })
     }
 
@@ -153,22 +153,22 @@
             service: support::ENGINES.to_owned(),
             model: model.to_owned(),
             requests: 1,
-            reading_us: tokens * 1_000_000 / ENGINE_TOKENS_PER_S,
+            prefill_us: tokens * 1_000_000 / ENGINE_TOKENS_PER_S,
             output_tokens: 0,
             waiting: 0,
             adapters: Vec::new(),
         };
-        self.planner.demand(self.now, &[demand]);
+        self.planner.add_demand(self.now, &[demand]);
     }
 
     fn want(&mut self, adapter: &str) {
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m0".to_owned(),
             adapter: adapter.to_owned(),
             engine: None,
         };
-        self.planner.want(self.now, want);
+        self.planner.request_adapter(self.now, want);
     }
 
     fn tasks(&self) -> Vec<String> {
@@ -593,13 +593,13 @@
     let id = world.engines["e1"].instance.id.clone();
     let begun = world.now;
     for round in 0..40 {
-        let want = messages::WantReq {
+        let want = messages::AdapterReq {
             service: "engines".to_owned(),
             model: "m1".to_owned(),
             adapter: format!("a{}", round % 4),
             engine: Some(id.clone()),
         };
-        world.planner.want(world.now, want);
+        world.planner.request_adapter(world.now, want);
         let before = world.orders.len();
         world.run(100);
         if world.orders.len() > before {
@@ -607,7 +607,7 @@
                 limit: Some(1.0),
                 ..dialect::Notice::default()
             };
-            world.planner.heed(world.now, &id, notice);
+            world.planner.apply_notice(world.now, &id, notice);
         }
     }
     let seconds = world.now.since(begun).0 / 1_000;
@@ -624,12 +624,12 @@
     world.run(5_000);
     let id = world.engines["e1"].instance.id.clone();
     let notice = dialect::Notice {
-        rest: Some(time::Millis(3_000)),
+        retry_after: Some(time::Millis(3_000)),
         ..dialect::Notice::default()
     };
-    world.planner.heed(world.now, &id, notice);
+    world.planner.apply_notice(world.now, &id, notice);
     let (rests_until, before) = (world.now + time::Millis(3_000), world.orders.len());
-    let want = messages::WantReq {
+    let want = messages::AdapterReq {
         service: "engines".to_owned(),
         model: "m1".to_owned(),
         adapter: "a1".to_owned(),
@@ -637,7 +637,7 @@
     };
     while world.orders.len() == before && world.now < rests_until + time::Millis(1_000) {
         // Requests that wait say so again and again.
-        world.planner.want(world.now, want.clone());
+        world.planner.request_adapter(world.now, want.clone());
         world.run(200);
     }
     let first = world.orders.get(before).map(|(at, _)| *at);
@@ -650,7 +650,7 @@
 fn a_new_leader_asks_first_where_a_request_waits() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
     let now = time::Instant(100_000);
-    planner.leads(now, 4);
+    planner.start_leading(now, 4);
     let names: Vec<String> = (0..2_000).map(|it| format!("e{it:04}")).collect();
     let engines: Vec<_> = names
         .iter()
@@ -662,9 +662,9 @@
     let engines: Vec<_> = engines.iter().collect();
     let config = support::config();
     let now = now + time::Millis(10_000);
-    planner.want(
+    planner.request_adapter(
         now,
-        messages::WantReq {
+        messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m3".to_owned(),
             adapter: "a1".to_owned(),
@@ -673,7 +673,7 @@
     );
     let asked = asked_by(&planner.tick(now, &config, &engines));
     assert_eq!(asked.first().map(String::as_str), Some("e1999"));
-    assert_eq!(asked.len(), Policy::default().questions_at_once);
+    assert_eq!(asked.len(), Policy::default().max_report_requests);
 
     // Nobody else is asked until answers come.
     assert!(asked_by(&planner.tick(now + STEP, &config, &engines)).is_empty());
@@ -681,7 +681,7 @@
         models: vec![support::resident("m3", &[])],
         ..Report::default()
     };
-    planner.reported(now + STEP, &"e1999".into(), Some(report));
+    planner.handle_report(now + STEP, &"e1999".into(), Some(report));
     let actions = planner.tick(now + STEP, &config, &engines);
     let loads_adapter = |it: &Action| matches!(it, Action::Order(order) if matches!(&order.task, Task::LoadAdapter(..)));
     assert!(actions.iter().any(loads_adapter), "{actions:?}");
@@ -693,7 +693,7 @@
 fn an_engine_that_gives_no_report_is_asked_ever_more_rarely() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
     let mut now = time::Instant(100_000);
-    planner.leads(now, 4);
+    planner.start_leading(now, 4);
     let engine = support::engine("e1", &["m0"]);
     let config = support::config();
     now = now + Policy::default().lease;
@@ -703,7 +703,7 @@
         for action in planner.tick(now, &config, &[&engine]) {
             if let Action::AskReport { instance, .. } = action {
                 asked += 1;
-                planner.reported(now, &instance, None);
+                planner.handle_report(now, &instance, None);
             }
         }
     }
--- a/examples/measure_slopes/main.rs
+++ b/examples/measure_slopes/main.rs
@@ -264,7 +264,7 @@
 fn one_request(decider: &mut decider::Decider, now: Instant, n: u64, models: usize) -> bool {
     let req = event::ReqId(n);
     let model = u32::try_from(n % models as u64).unwrap_or(0);
-    let facts = event::Facts {
+    let facts = event::RequestInfo {
         id: req,
         caller: arena::CallerKey(u32::try_from(n % 20).unwrap_or(0)),
         class: None,
@@ -278,8 +278,8 @@
         prefix: 0,
     };
     let actions = decider.step(now, event::Event::Arrived(facts));
-    let outcome = event::TryOutcome::Done { tokens: 100 };
-    decider.step(now, event::Event::Ended { req, outcome });
+    let outcome = event::AttemptOutcome::Done { tokens: 100 };
+    decider.step(now, event::Event::AttemptEnded { req, outcome });
     matches!(actions.first(), Some(event::Action::Send { .. }))
 }
 
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -158,7 +158,7 @@
         }
         let task = self.ledger.task(&order.task);
         let engine = self.ledger.engine_mut(&order.endpoint);
-        let ours = engine.unpropose(task);
+        let ours = engine.remove_proposal(task);
         let engine = engine.clone();
         let allowed = ours && self.allows(&engine, task);
         let removed = self.ledger.add(NOW, order.clone(), !ours);
@@ -174,7 +174,7 @@
             return todo;
         }
         let engine = self.ledger.engine_mut(&order.endpoint);
-        if engine.withdraw(order.order) {
+        if engine.cancel_unsent(order.order) {
             todo.push(Todo::Settle(vec![order.order]));
         }
         todo
@@ -183,7 +183,7 @@
     /// The removal of these from the table is committed.
     pub fn removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
-            if let Some(engine) = self.ledger.holder_of(*id) {
+            if let Some(engine) = self.ledger.engine_with_order(*id) {
                 engine.remove(*id);
             }
         }
@@ -191,7 +191,7 @@
     }
 
     fn count_send(&mut self, id: endpoints::OrderId) {
-        if let Some(engine) = self.ledger.holder_of(id) {
+        if let Some(engine) = self.ledger.engine_with_order(id) {
             let mut orders = engine.orders.iter_mut();
             if let Some(open) = orders.find(|open| open.order.order == id) {
                 open.sends += 1;
@@ -222,9 +222,9 @@
 
     /// Whether `report` says anything new.
     #[must_use]
-    pub fn is_news(&self, report: &endpoints::Report) -> bool {
+    pub fn is_newer(&self, report: &endpoints::Report) -> bool {
         let known = self.ledger.endpoint(&report.identity.endpoint);
-        known.is_none_or(|key| self.ledger.engine(key).is_news(report))
+        known.is_none_or(|key| self.ledger.engine(key).is_newer(report))
     }
 
     /// Takes in a report. Returns orders to remove from the table.
@@ -245,7 +245,7 @@
         let engines = self.ledger.engines().iter();
         let orders = engines.flat_map(|engine| engine.orders.iter());
         let unseen = orders.filter(|open| {
-            let unsent = open.seen || open.withdrawn;
+            let unsent = open.seen || open.cancelled;
             self.term.is_some() && !unsent
         });
         unseen.map(|open| open.order.clone()).collect()
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -1,4 +1,4 @@
-//! The port for the operator and for endpoints.
+//! The HTTP port for the operator's configuration and the endpoints' announcements.
 
 use std::{net, sync};
 
@@ -15,48 +15,48 @@
     locks, sampler,
 };
 
-/// When to come back while there is no leader or the group can't commit.
-const COME_BACK: time::Millis = time::Millis(300);
+/// The retry delay while there is no leader or the group can't commit.
+const RETRY_AFTER: time::Millis = time::Millis(300);
 
-/// The largest announcement that is read, in bytes. An engine that holds three of 500 models and copies of
-/// all of them announces some 15 KB; each is passed on to all entry processes.
-const ANNOUNCEMENT_BYTES: usize = 64 * 1024;
+/// The largest announcement that is accepted. An engine that holds three of 500 models and has the weights of all of
+/// them cached announces about 15 KB; each announcement is sent to all entry processes.
+const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
-/// Takes the calls of the operator and of endpoints.
+/// Handles the calls of the operator and of endpoints.
 #[derive(Debug)]
-pub struct Port<D> {
-    /// What this process publishes.
+pub struct FleetHandler<D> {
+    /// The shared state of this process.
     pub shared: sync::Arc<shared::Shared>,
-    /// To the driver of the log.
+    /// The queue to the driver of the replicated log.
     pub inputs: inputs::Inputs,
-    /// The protocol.
+    /// The protocol of the operator and of endpoints.
     pub dialect: D,
-    /// This port, the same on every control VM.
+    /// The number of this port, which is the same on every control VM.
     pub port: u16,
 }
 
-/// What to answer.
+/// The result of a call.
 enum Outcome {
-    /// Done.
+    /// The call succeeded, with this body.
     Ok(String),
-    /// The leader answers this.
-    Elsewhere(net::Ipv4Addr),
-    /// It can't be done now; it was not done, or may have been where that does no harm.
-    Later(&'static str),
-    /// It can't be done.
+    /// Only the leader serves the call, at this address.
+    Redirect(net::Ipv4Addr),
+    /// The call can't be served now. It had no effect, or may have had one if repeating it is harmless.
+    Unavailable(&'static str),
+    /// The call is invalid.
     Invalid(String),
 }
 
-impl<D: dialect::Dialect> handler::Handler for Port<D> {
+impl<D: dialect::Dialect> handler::Handler for FleetHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
-        let call = self.dialect.control_call(&req.method, &req.path);
+        let call = self.dialect.control_request(&req.method, &req.path);
         let outcome = match call {
-            Some(dialect::ControlCall::Announce { endpoint }) => {
+            Some(dialect::ControlRequest::Announce { endpoint }) => {
                 self.announce(&endpoint, &req.body)
             }
-            Some(dialect::ControlCall::Leave { endpoint }) => self.leave(&endpoint, &req.body),
-            Some(dialect::ControlCall::Replace) => self.replace(&req.body),
-            Some(dialect::ControlCall::Read) => self.read(),
+            Some(dialect::ControlRequest::Leave { endpoint }) => self.leave(&endpoint, &req.body),
+            Some(dialect::ControlRequest::Replace) => self.replace(&req.body),
+            Some(dialect::ControlRequest::Read) => self.read(),
             None => {
                 let detail = format!("no call {} {} is taken here", req.method, req.path);
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotFound, detail);
@@ -75,7 +75,7 @@
     }
 }
 
-impl<D: dialect::Dialect> Port<D> {
+impl<D: dialect::Dialect> FleetHandler<D> {
     fn answer(
         &self,
         req: &request::Request,
@@ -88,7 +88,7 @@
                 content_type: "application/json",
                 body: body.into_bytes(),
             }),
-            Outcome::Elsewhere(leader) => {
+            Outcome::Redirect(leader) => {
                 let location = format!("http://{leader}:{}{}", self.port, req.path);
                 let head = reply::Head {
                     request_id: "",
@@ -98,9 +98,9 @@
                 };
                 reply.whole(&head, b"")
             }
-            Outcome::Later(why) => {
+            Outcome::Unavailable(why) => {
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotConfirmed, why)
-                    .with_retry_after(COME_BACK);
+                    .with_retry_after(RETRY_AFTER);
                 reply.refusal("", &refusal)
             }
             Outcome::Invalid(why) => {
@@ -117,8 +117,8 @@
     }
 
     fn announce(&self, endpoint: &str, body: &[u8]) -> Outcome {
-        let read = if body.len() > ANNOUNCEMENT_BYTES {
-            Err(dialect::Malformed {
+        let read = if body.len() > MAX_ANNOUNCEMENT_BYTES {
+            Err(dialect::DecodeError {
                 what: "an announcement",
                 problem: format!("{} bytes are too many", body.len()),
             })
@@ -127,24 +127,24 @@
         };
         let instance = match read {
             Ok(instance) => instance,
-            Err(e) => return self.refuse_word(endpoint, &e),
+            Err(e) => return self.refuse_malformed(endpoint, &e),
         };
         let (id, service) = (instance.id.clone(), instance.service.clone());
         let (address, state, sequence) = (instance.address, instance.state, instance.sequence);
         let offer = self.shared.hub.announce(self.shared.clock.now(), instance);
         match offer {
-            directory::Offer::New | directory::Offer::Changed => {
+            directory::MergeOutcome::New | directory::MergeOutcome::Changed => {
                 ::log::info!(endpoint:% = id, service, address:% = address, state:? = state, sequence;
                     "control: endpoint changed");
             }
-            directory::Offer::Stale => {
+            directory::MergeOutcome::Stale => {
                 ::log::info!(endpoint:% = id, sequence; "control: late announcement ignored");
             }
-            directory::Offer::Confirmed => {}
-            directory::Offer::Full => {
-                ::log::warn!(endpoint:% = id, kept = directory::MOST_KEPT;
-                    "control: too many endpoints, one is not taken in");
-                return Outcome::Later("as many endpoints are known as are kept");
+            directory::MergeOutcome::Confirmed => {}
+            directory::MergeOutcome::Full => {
+                ::log::warn!(endpoint:% = id, kept = directory::MAX_INSTANCES;
+                    "control: too many endpoints, refused another one");
+                return Outcome::Unavailable("as many endpoints are known as are kept");
             }
         }
         Outcome::Ok("{}".to_owned())
@@ -153,32 +153,32 @@
     fn leave(&self, endpoint: &str, body: &[u8]) -> Outcome {
         let id = match self.dialect.leaving(endpoint, body) {
             Ok(id) => id,
-            Err(e) => return self.refuse_word(endpoint, &e),
+            Err(e) => return self.refuse_malformed(endpoint, &e),
         };
         self.shared.hub.leave(self.shared.clock.now(), &id);
-        ::log::info!(endpoint:% = id; "control: endpoint leaves");
+        ::log::info!(endpoint:% = id; "control: endpoint announces its end");
         Outcome::Ok("{}".to_owned())
     }
 
-    /// What can't be read names no endpoint, and what is believed stays. A writer that goes wrong may
-    /// send such words without end, so few of them are logged.
-    fn refuse_word(&self, endpoint: &str, e: &dialect::Malformed) -> Outcome {
+    /// Refuses a malformed announcement, which identifies no endpoint and changes no record. A faulty client may send
+    /// them without end, so only a sample is logged.
+    fn refuse_malformed(&self, endpoint: &str, e: &dialect::DecodeError) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
-                ::log::warn!(endpoint, error:% = e; "control: word of an endpoint not understood");
+                ::log::warn!(endpoint, error:% = e; "control: malformed announcement refused");
             }
             sampler::Line::WriteAfter(left_out) => {
-                ::log::warn!(endpoint, error:% = e, left_out; "control: word of an endpoint not understood");
+                ::log::warn!(endpoint, error:% = e, left_out; "control: malformed announcement refused");
             }
             sampler::Line::LeaveOut => {}
         }
         Outcome::Invalid(e.to_string())
     }
 
-    /// Has a configuration committed.
+    /// Commits a configuration to the replicated log.
     ///
-    /// It is acknowledged only by a group that is large enough: with three voters two would do so, and
-    /// both may be gone right after with their disks ([`sageshed_quorum::repair`]).
+    /// It is acknowledged only if the group is large enough: of three voters two would acknowledge it, and
+    /// both might then lose their disks ([`sageshed_quorum::repair`]).
     fn replace(&self, body: &[u8]) -> Outcome {
         let config = match self.dialect.config(body) {
             Ok(config) => config,
@@ -190,11 +190,13 @@
         let Ok(text) = String::from_utf8(body.to_vec()) else {
             return refuse_config("it is not UTF-8".to_owned());
         };
-        if let Some(elsewhere) = self.elsewhere() {
-            return elsewhere;
+        if let Some(outcome) = self.redirect_unless_leader() {
+            return outcome;
         }
         if !self.is_large_enough() {
-            return Outcome::Later("too few control processes have joined to keep a change safe");
+            return Outcome::Unavailable(
+                "too few control processes have joined to keep a change safe",
+            );
         }
         let version = config.version;
         let document = document::Document { version, text };
@@ -204,54 +206,54 @@
                 Outcome::Ok("{}".to_owned())
             }
             Fate::Applied(None) | Fate::Unknown => {
-                ::log::warn!(version; "control: configuration may be in force or not");
-                Outcome::Later("it is not known whether the change was accepted")
+                ::log::warn!(version; "control: unknown whether the configuration was committed");
+                Outcome::Unavailable("it is not known whether the change was accepted")
             }
             Fate::NotDone(why) => {
-                ::log::warn!(version, why:? = why; "control: configuration not accepted");
-                Outcome::Later("the change can't be committed now")
+                ::log::warn!(version, why:? = why; "control: configuration not committed");
+                Outcome::Unavailable("the change can't be committed now")
             }
         }
     }
 
     fn is_large_enough(&self) -> bool {
-        // A configuration was accepted only once the group had all its voters.
+        // The first configuration is acknowledged only when the group has all its voters.
         let was_complete = locks::read(&self.shared.state).fleet().version > 0;
         let view = locks::read(&self.shared.view);
         let policy = self.shared.repair_policy();
         policy.may_acknowledge(&view.status.membership, was_complete)
     }
 
-    /// The configuration, once a majority has confirmed that this process still leads.
+    /// Reads the configuration once a majority has confirmed that this process still leads.
     fn read(&self) -> Outcome {
-        if let Some(elsewhere) = self.elsewhere() {
-            return elsewhere;
+        if let Some(outcome) = self.redirect_unless_leader() {
+            return outcome;
         }
         match self.inputs.read() {
             Fate::Applied(_) => {
                 let state = locks::read(&self.shared.state);
                 let fleet = state.fleet();
                 if fleet.version == 0 {
-                    return Outcome::Later("there is no configuration yet");
+                    return Outcome::Unavailable("there is no configuration yet");
                 }
                 Outcome::Ok(fleet.text.clone())
             }
             Fate::NotDone(_) | Fate::Unknown => {
-                Outcome::Later("it can't be confirmed which configuration is the newest")
+                Outcome::Unavailable("it can't be confirmed which configuration is the newest")
             }
         }
     }
 
-    /// Where to send a call that only the leader answers, if this process is not it.
-    fn elsewhere(&self) -> Option<Outcome> {
+    /// Redirects a call that only the leader serves, unless this process leads.
+    fn redirect_unless_leader(&self) -> Option<Outcome> {
         if self.shared.leads() {
             return None;
         }
         let own = self.shared.process.vm.as_str();
         let leader = self.shared.leader().filter(|leader| leader != own);
         match leader.and_then(|it| it.parse().ok()) {
-            Some(ip) => Some(Outcome::Elsewhere(ip)),
-            None => Some(Outcome::Later("no control process leads")),
+            Some(ip) => Some(Outcome::Redirect(ip)),
+            None => Some(Outcome::Unavailable("no control process leads")),
         }
     }
 }
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -14,27 +14,27 @@
 use crate::{locks, sampler};
 
 /// The largest datagram that is read, in bytes. A question with a prompt of eight parts has some 300.
-const LARGEST: usize = 1_200;
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// Parts of a prompt that a question names. What comes behind counts as not kept.
-const MOST_PARTS: usize = 8;
+const MAX_PROMPT_PARTS: usize = 8;
 
 /// How long an answer is waited for: several times the way there and back between availability zones, and
 /// short beside the time in which an answer is to begin.
-const ANSWER_LIMIT: time::Duration = time::Duration::from_millis(25);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
 /// How long a home that did not answer is passed over.
-const LOST: time::Duration = time::Duration::from_secs(1);
+const UNRESPONSIVE_PERIOD: time::Duration = time::Duration::from_secs(1);
 
 /// How often the thread that listens looks whether the process stops.
-const LOOK: time::Duration = time::Duration::from_millis(500);
+const STOP_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Who waits for which answer.
 type Asked<T> = sync::Mutex<collections::HashMap<u64, mpsc::SyncSender<T>>>;
 
 /// The socket for datagrams.
 #[derive(Debug)]
-pub struct Neighbours {
+pub struct EntryPeers {
     socket: net::UdpSocket,
     port: u16,
     /// Questions that wait for their answers, by their ids.
@@ -46,11 +46,11 @@
     lost: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
 }
 
-impl Neighbours {
+impl EntryPeers {
     /// Opens the socket at `ip`, on the port that the system's processes use among themselves.
     pub fn open(ip: net::Ipv4Addr, port: u16) -> io::Result<Self> {
         let socket = net::UdpSocket::bind((ip, port))?;
-        socket.set_read_timeout(Some(LOOK))?;
+        socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
         Ok(Self {
             socket,
             port,
@@ -119,14 +119,14 @@
         let (tx, rx) = mpsc::sync_channel(1);
         locks::lock(asked).insert(id, tx);
         self.send(question, &[home]);
-        let answer = rx.recv_timeout(ANSWER_LIMIT).ok();
+        let answer = rx.recv_timeout(REPLY_TIMEOUT).ok();
         locks::lock(asked).remove(&id);
         answer
     }
 
     fn first_there(&self, homes: &[net::Ipv4Addr]) -> Option<net::Ipv4Addr> {
         let mut lost = locks::lock(&self.lost);
-        lost.retain(|_, since| since.elapsed() < LOST);
+        lost.retain(|_, since| since.elapsed() < UNRESPONSIVE_PERIOD);
         homes.iter().copied().find(|it| !lost.contains_key(it))
     }
 
@@ -139,7 +139,7 @@
     }
 
     fn listen<D: dialect::Dialect>(&self, shared: &state::Shared<D>) {
-        let mut buf = [0; LARGEST];
+        let mut buf = [0; MAX_DATAGRAM_BYTES];
         while !shared.is_stopping() {
             match self.socket.recv_from(&mut buf) {
                 Ok((len, net::SocketAddr::V4(from))) => take(shared, from, &buf[..len]),
@@ -147,7 +147,7 @@
                 Err(e) if is_timeout(&e) => {}
                 Err(e) => {
                     ::log::warn!(error:% = e; "gateway: no datagram could be read");
-                    thread::sleep(LOOK);
+                    thread::sleep(STOP_CHECK_INTERVAL);
                 }
             }
         }
@@ -159,26 +159,26 @@
         Ok(words::Datagram::Word(word)) => shared.hear(*from.ip(), &word),
         Ok(words::Datagram::Ask(ask)) => advise(shared, *from.ip(), ask),
         Ok(words::Datagram::Advice(advice)) => {
-            if let Some(neighbours) = &shared.neighbours {
-                Neighbours::answered(&neighbours.asked, advice.id, advice.place);
+            if let Some(peers) = &shared.entry_peers {
+                EntryPeers::answered(&peers.asked, advice.id, advice.place);
             }
         }
         Ok(words::Datagram::Drawn(id, answer)) => {
-            if let Some(neighbours) = &shared.neighbours {
-                Neighbours::answered(&neighbours.drawn, id, answer);
+            if let Some(peers) = &shared.entry_peers {
+                EntryPeers::answered(&peers.drawn, id, answer);
             }
         }
         Ok(words::Datagram::Draw(draw)) => {
             let answer = allowances::draw(shared, *from.ip(), &draw);
-            if let Some(neighbours) = shared.neighbours.as_ref().filter(|_| draw.amount > 0.0) {
-                neighbours.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
+            if let Some(peers) = shared.entry_peers.as_ref().filter(|_| draw.amount > 0.0) {
+                peers.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
             }
         }
         Ok(words::Datagram::Pull(pull)) => {
             let now = shared.clock.now();
             let given = shared.with_core(|core| core.allowances.give(now, &pull));
-            if let Some(neighbours) = &shared.neighbours {
-                neighbours.send(&words::Datagram::Given(given), &[*from.ip()]);
+            if let Some(peers) = &shared.entry_peers {
+                peers.send(&words::Datagram::Given(given), &[*from.ip()]);
             }
         }
         Ok(words::Datagram::Given(given)) => {
@@ -199,7 +199,7 @@
 fn advise<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::Ipv4Addr, ask: words::Ask) {
     let now = shared.clock.now();
     let (id, request) = (ask.id, ask.request);
-    let wanted = dialect::Wanted {
+    let wanted = dialect::ModelRef {
         model: ask.model,
         adapter: ask.adapter,
     };
@@ -230,8 +230,8 @@
         core.chooser.advise(now, from, request, &ask)
     });
     let advice = words::Advice { id, place };
-    if let Some(neighbours) = &shared.neighbours {
-        neighbours.send(&words::Datagram::Advice(advice), &[from]);
+    if let Some(peers) = &shared.entry_peers {
+        peers.send(&words::Datagram::Advice(advice), &[from]);
     }
 }
 
@@ -241,7 +241,7 @@
     request: u64,
     ask: &chooser::Ask<'_>,
 ) -> Option<words::Place> {
-    let neighbours = shared.neighbours.as_ref()?;
+    let peers = shared.entry_peers.as_ref()?;
     let wanted = ask.wanted?;
     let now = shared.clock.now();
     let (homes, tried) = shared.with_core(|core| {
@@ -256,7 +256,7 @@
     if homes.is_empty() {
         return None;
     }
-    let parts = ask.parts.iter().take(MOST_PARTS);
+    let parts = ask.parts.iter().take(MAX_PROMPT_PARTS);
     let question = words::Ask {
         id: 0,
         request,
@@ -271,7 +271,7 @@
         on_time: ask.on_time,
         may_be_late: ask.may_be_late,
     };
-    neighbours.ask(&homes, question)
+    peers.ask(&homes, question)
 }
 
 fn is_timeout(e: &io::Error) -> bool {
@@ -281,14 +281,14 @@
     )
 }
 
-/// Starts the thread that hears the neighbours.
+/// Starts the thread that hears the peers.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let listening = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("neighbours".to_owned())
         .spawn(move || {
-            if let Some(neighbours) = &listening.neighbours {
-                neighbours.listen(&listening);
+            if let Some(peers) = &listening.entry_peers {
+                peers.listen(&listening);
             }
         });
     if let Err(e) = spawned {
@@ -355,7 +355,7 @@
     pick: &chooser::Pick,
     complete: impl FnOnce(&mut words::Unread, bool) -> bool,
 ) {
-    let Some(neighbours) = shared.neighbours.as_ref().filter(|_| pick.reading > 0) else {
+    let Some(peers) = shared.entry_peers.as_ref().filter(|_| pick.reading > 0) else {
         return;
     };
     let (word, has_homes) = shared.with_core(|core| {
@@ -365,6 +365,6 @@
     if let Some((mut word, group)) = word
         && complete(&mut word, has_homes)
     {
-        neighbours.tell(word, &group);
+        peers.tell(word, &group);
     }
 }
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -1,4 +1,4 @@
-//! How a request ends: answered, refused, or left by its caller, and what the log says of it.
+//! Ends a request: answered, refused or abandoned by its caller. Logs, counts and traces the result.
 
 use std::time as std_time;
 
@@ -6,21 +6,22 @@
 use sageshed_http::reply;
 use sageshed_types::{refusal, request_trace, time, verdict};
 
-use super::{BACK_SOON, Life};
+use super::{DEFAULT_RETRY_AFTER, ProxiedRequest};
 use crate::{
-    gateway::{answer::Outlet, metrics, refuse},
+    gateway::{metrics, refuse, response::ResponseSink},
     sampler,
 };
 
-impl<D: dialect::Dialect> Life<'_, D> {
-    /// The final answer for a request whose time is over.
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
+    /// The refusal of a request whose deadline has passed.
     pub(super) fn out_of_time(&self) -> refusal::Refusal {
-        self.give_up(
+        self.final_refusal(
             verdict::Reason::DeadlinePassed,
             "its time is over".to_owned(),
         )
     }
 
+    /// The refusal of a request that has waited for `missing` for too long; `load` is the load time of its model.
     pub(super) fn not_served(
         &self,
         missing: chooser::Missing,
@@ -35,18 +36,22 @@
                 "all endpoints that could take it have asked for nothing more for now"
             }
         };
-        let refusal = self.give_up(verdict::Reason::NoRoute, detail.to_owned());
+        let refusal = self.final_refusal(verdict::Reason::NoRoute, detail.to_owned());
         match refusal.retry_after {
-            // There will be room when the load is done, and not before.
+            // No engine can take the request before the load is done.
             Some(soon) => refusal.with_retry_after(soon.max(load)),
             None => refusal,
         }
     }
 
-    /// What a request is told that is given up. The status says truly whether it may have run.
-    pub(super) fn give_up(&self, reason: verdict::Reason, detail: String) -> refusal::Refusal {
-        if self.runs == 0 {
-            return refuse::not_run(reason, detail, BACK_SOON);
+    /// The refusal of a request that is not retried any more. Its status states whether the request may have run.
+    pub(super) fn final_refusal(
+        &self,
+        reason: verdict::Reason,
+        detail: String,
+    ) -> refusal::Refusal {
+        if self.possible_runs == 0 {
+            return refuse::not_run(reason, detail, DEFAULT_RETRY_AFTER);
         }
         let verdict = verdict::Verdict::MayHaveRun;
         let reason = match reason {
@@ -56,49 +61,52 @@
         refusal::Refusal::new(reason, verdict, detail)
     }
 
-    pub(super) fn refused(
+    /// Ends the request with a refusal.
+    pub(super) fn refuse(
         &mut self,
-        outlet: Outlet<'_>,
+        sink: ResponseSink<'_>,
         refusal: &refusal::Refusal,
     ) -> reply::Sent {
-        self.give_charge_back();
+        self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
             workspace = self.workspace_name(), config = self.shared.version(), model = self.model_name(), status = refusal.status,
             reason:% = refusal.reason, detail = refusal.detail.as_str(), verdict:% = refusal.verdict,
-            waited_for = self.waited_for_word(), arrivals = self.arrivals,
-            repeat = if self.lacks_repeat { "none left" } else { "" }, left_ms = self.left_ms().0; "gateway: request refused");
-        self.note(metrics::End::Refused, refusal.status);
+            waited_for = self.waited_for_value(), arrivals = self.deliveries,
+            repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0; "gateway: request refused");
+        self.record_end(metrics::End::Refused, refusal.status);
         self.keep_account(request_trace::RequestOutcome::Refused(refusal.clone()));
-        outlet.refuse("", refusal)
+        sink.refuse("", refusal)
     }
 
-    pub(super) fn left(&mut self, outlet: Outlet<'_>) -> reply::Sent {
-        self.give_charge_back();
+    /// Ends the request after its caller has disconnected.
+    pub(super) fn finish_caller_gone(&mut self, sink: ResponseSink<'_>) -> reply::Sent {
+        self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
-            workspace = self.workspace_name(), model = self.model_name(), waited_for = self.waited_for_word(),
-            arrivals = self.arrivals, left_ms = self.left_ms().0,
+            workspace = self.workspace_name(), model = self.model_name(), waited_for = self.waited_for_value(),
+            arrivals = self.deliveries, left_ms = self.time_left().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
-        self.note(metrics::End::CallerGone, 0);
+        self.record_end(metrics::End::CallerGone, 0);
         self.keep_account(request_trace::RequestOutcome::CallerGone);
         let detail = "the caller closed its connection";
-        let refusal = self.give_up(verdict::Reason::DeadlinePassed, detail.to_owned());
-        outlet.refuse("", &refusal)
+        let refusal = self.final_refusal(verdict::Reason::DeadlinePassed, detail.to_owned());
+        sink.refuse("", &refusal)
     }
 
-    /// Notes a request that is answered, with what its endpoint was chosen by.
-    pub(super) fn answered(
+    /// Ends a request whose response was passed on, and logs it with the inputs of the choice of its endpoint.
+    pub(super) fn finish_answered(
         &mut self,
         pick: &chooser::Pick,
         status: u16,
         bytes: u64,
         sent_at: std_time::Instant,
     ) {
-        let took = self.note(metrics::End::Answered, status);
+        let took = self.record_end(metrics::End::Answered, status);
         if (200..300).contains(&status) {
-            self.clear_of_ends();
+            self.clear_crash_suspicion();
         }
-        let outcome = self.paces.outcome();
-        self.story.came_to(verdict::Verdict::Ran, &outcome);
+        let outcome = self.timings.describe();
+        self.attempt_log
+            .record_outcome(verdict::Verdict::Ran, &outcome);
         self.keep_account(request_trace::RequestOutcome::Answered { status, bytes });
         let line = self.shared.sampler.line(self.shared.clock.now());
         if let sampler::Line::WriteAfter(left_out) = line {
@@ -111,15 +119,15 @@
         ::log::info!(request = self.id(), route = self.route.name.as_str(),
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
             model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
-            waited_for = self.waited_for_word(), objective_ms = self.route.objective.0,
-            pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.runs, sent_ms = time::Millis::from(sent).0,
-            first_ms = time::Millis::from(self.paces.first).0,
-            pause_ms = time::Millis::from(self.paces.longest).0,
+            waited_for = self.waited_for_value(), objective_ms = self.route.latency_target.0,
+            pause_limit_ms = self.route.max_event_gap.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
+            first_ms = time::Millis::from(self.timings.first_event).0,
+            pause_ms = time::Millis::from(self.timings.longest_pause).0,
             took_ms = time::Millis::from(took).0; "gateway: request answered");
     }
 
-    /// What it waited for here, in a word for the log; none where it went on at once.
-    fn waited_for_word(&self) -> &'static str {
+    /// The log value for what the request waited for in this process; empty if it did not wait.
+    fn waited_for_value(&self) -> &'static str {
         match self.waited_for {
             None => "",
             Some(chooser::Missing::Endpoint) => "endpoint",
@@ -134,13 +142,15 @@
         self.wanted.map_or("", |it| it.model.as_str())
     }
 
-    /// Counts a request that has ended. Returns how long it took.
-    fn note(&self, end: metrics::End, status: u16) -> std_time::Duration {
+    /// Counts the end of the request in the metrics. Returns how long the request took.
+    fn record_end(&self, end: metrics::End, status: u16) -> std_time::Duration {
         let took = self.req.received.elapsed();
         self.shared
             .metrics
             .ended(self.service, self.priority(), end, status, took);
-        self.shared.metrics.of_workspace(self.workspace_name(), end);
+        self.shared
+            .metrics
+            .workspace_ended(self.workspace_name(), end);
         took
     }
 }
--- /dev/null
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -0,0 +1,403 @@
+//! Chooses the endpoint of the next attempt, and waits until one can take the request.
+//!
+//! A request waits only while what it waits for (a free slot, a model, an adapter or an endpoint) can
+//! become available before its deadline; otherwise it is refused at once.
+
+use std::{net, sync::atomic, time as std_time};
+
+use sageshed_fleet::{backlog, chooser, dialect, directory, messages};
+use sageshed_http::reply;
+use sageshed_types::{refusal, time, verdict};
+
+use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, coordinator};
+use crate::gateway::state::CALLER_CHECK_INTERVAL;
+
+/// The time that a late request must have left to let others go first. Callers abandon a stream that
+/// has delivered nothing for two seconds or more.
+const MIN_TIME_LEFT_IF_LATE: time::Millis = time::Millis(2_000);
+
+/// The time that a request must have left after the prefill of those queued before it, to keep waiting.
+pub(super) const PREFILL_RESERVE: time::Millis = time::Millis(800);
+
+/// Added to the load time of a model: memory has to be freed first, and other loads may be in progress.
+const LOAD_MARGIN: time::Millis = time::Millis(3_000);
+
+/// The share of its latency target that a request waits for an engine with little pending prefill, in percent.
+const IDLE_ENGINE_WAIT_PERCENT: u64 = 35;
+
+/// How many times one request asks the leader for its adapter.
+const MAX_ADAPTER_REQUESTS: u32 = 3;
+
+/// How long a request waits for its adapter before it asks again. An adapter is loaded in about 30 ms.
+const ADAPTER_REQUEST_WAIT: std_time::Duration = std_time::Duration::from_millis(80);
+
+/// The share of its latency target that a request waits for a free slot, in percent.
+const SLOT_WAIT_PERCENT: u64 = 60;
+
+/// Whether a request may be sent to the chosen endpoint.
+enum Permission {
+    /// It may; quota, retry and rate limit are charged.
+    Granted,
+    /// It may not be sent to this endpoint for now.
+    OtherEndpoint,
+    /// It may not be sent to any endpoint.
+    Refused(refusal::Refusal),
+}
+
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
+    /// Chooses the next endpoint, and waits for one while it can still respond in time.
+    pub(super) fn next(&mut self, watch: &reply::Watch) -> NextStep {
+        let mut ticket = None;
+        let step = self.next_with(watch, &mut ticket);
+        if let Some(ticket) = ticket {
+            let model = self.model_name();
+            let others_wait = self
+                .shared
+                .with_core(|core| core.backlog.leave(model, ticket));
+            if others_wait {
+                self.shared.wake_waiting();
+            }
+        }
+        step
+    }
+
+    fn next_with(&mut self, watch: &reply::Watch, ticket: &mut Option<u64>) -> NextStep {
+        let arrived = std_time::Instant::now();
+        let mut reported_waiting = false;
+        let mut queried_at = None;
+        let mut adapter_requests = 0;
+        // The engine for which the adapter was requested first. The next choice among equal engines might
+        // be another one, and the adapter would be loaded on both.
+        let mut adapter_engine: Option<directory::InstanceId> = None;
+        loop {
+            if watch.caller_gone() {
+                return NextStep::CallerGone;
+            }
+            let left = self.time_left();
+            if let Some(refusal) = self.refuse_ended_wait(left) {
+                return NextStep::Refuse(refusal);
+            }
+            let now = self.shared.clock.now();
+            let ask = chooser::Ask {
+                service: self.service,
+                wanted: self.wanted,
+                parts: &self.passing.parts,
+                prompt_tokens: self.passing.prompt_tokens,
+                tried: &self.tried_endpoints,
+                left,
+                patience: time::Millis::from(
+                    self.idle_engine_wait().saturating_sub(arrived.elapsed()),
+                ),
+                on_time: self.on_time(),
+                may_be_late: left > MIN_TIME_LEFT_IF_LATE,
+                may_fetch: adapter_requests < MAX_ADAPTER_REQUESTS,
+            };
+            let queued_here = self.queued_request(now);
+            let place = self.query_coordinator(&ask, &mut queried_at);
+            self.count_demand(place);
+            let (choice, seen) = self.shared.with_core(|core| {
+                let is_preceded = queued_here.as_ref().is_some_and(|it| {
+                    let model = self.model_name();
+                    core.backlog.is_preceded(now, model, it, *ticket)
+                });
+                let choice = if is_preceded {
+                    chooser::Choice::Wait(chooser::Missing::Place)
+                } else {
+                    coordinator::decide(core, now, &ask, place)
+                };
+                (choice, core.changes())
+            });
+            let missing = match choice {
+                chooser::Choice::Send(pick) => match self.permission_to_send(&pick) {
+                    Permission::Granted => return NextStep::Send(pick),
+                    Permission::Refused(refusal) => return NextStep::Refuse(refusal),
+                    Permission::OtherEndpoint => {
+                        // Ask the coordinator for another engine at once instead of waiting.
+                        queried_at = None;
+                        continue;
+                    }
+                },
+                chooser::Choice::TooLate { estimate } => {
+                    let detail = format!(
+                        "the answer would begin in {} ms, and {} ms are left",
+                        estimate.0, left.0
+                    );
+                    return NextStep::Refuse(
+                        self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail),
+                    );
+                }
+                chooser::Choice::Fetch { instance } => {
+                    adapter_requests += 1;
+                    self.request_adapter(now, adapter_engine.get_or_insert(instance).clone());
+                    let _changes = self
+                        .shared
+                        .wait(seen, ADAPTER_REQUEST_WAIT.min(left.into()));
+                    continue;
+                }
+                chooser::Choice::Wait(missing) => missing,
+            };
+            self.waited_for = Some(missing);
+            let waited = arrived.elapsed();
+            if missing.is_of_model() && !reported_waiting {
+                reported_waiting = true;
+                self.report_waiting();
+            }
+            if self.shared.settings.routing.turn_away {
+                let queued = queued_here.filter(|_| missing == chooser::Missing::Place);
+                let refusal = self
+                    .refuse_closed_endpoints(missing, left)
+                    .or_else(|| self.refuse_by_coordinator(place, left))
+                    .or_else(|| self.refuse_by_local_queue(now, queued?, left, ticket));
+                if let Some(refusal) = refusal {
+                    return NextStep::Refuse(refusal);
+                }
+            }
+            let load = self.load_time(missing);
+            if waited >= self.wait_limit(missing, load) || left <= load {
+                return NextStep::Refuse(self.not_served(missing, load));
+            }
+            let limit = CALLER_CHECK_INTERVAL.min(left.into());
+            let waiting = &self.shared.waiting;
+            waiting.fetch_add(1, atomic::Ordering::Relaxed);
+            let _changes = self.shared.wait(seen, limit);
+            waiting.fetch_sub(1, atomic::Ordering::Relaxed);
+            if missing == chooser::Missing::Adapter {
+                // The leader may have failed before it acted on the request for the adapter.
+                adapter_requests = 0;
+            }
+        }
+    }
+
+    /// Refuses a request that may not be sent any more, whatever it waits for.
+    fn refuse_ended_wait(&mut self, left: time::Millis) -> Option<refusal::Refusal> {
+        if left == time::Millis(0) {
+            return Some(self.out_of_time());
+        }
+        if self.shared.ending.load(atomic::Ordering::Relaxed) {
+            let detail = "this entry process ends before the request could be answered";
+            return Some(self.final_refusal(verdict::Reason::Draining, detail.to_owned()));
+        }
+        self.refuse_quarantined()
+            .or_else(|| self.refuse_revoked_key())
+    }
+
+    /// Whether the request may be sent to `pick` now, by the limits that all entry processes enforce together.
+    fn permission_to_send(&mut self, pick: &chooser::Pick) -> Permission {
+        let permission = self.acquire_permission(pick);
+        if !matches!(permission, Permission::Granted) {
+            self.end_attempt(pick, false, chooser::Ended::GivenUp);
+        }
+        permission
+    }
+
+    /// Charges quota, retry budget and the endpoint's rate limit for the next attempt.
+    ///
+    /// A retry is charged once an endpoint has received the request.
+    fn acquire_permission(&mut self, pick: &chooser::Pick) -> Permission {
+        if let Some(refusal) = self.charge_quota() {
+            return Permission::Refused(refusal);
+        }
+        if self.deliveries > 0 && !self.acquire_retry() {
+            self.is_retry_budget_spent = true;
+            let detail = format!("{}, and no repeat is left in the budget", self.last_failure);
+            return Permission::Refused(
+                self.final_refusal(verdict::Reason::EndpointFailed, detail),
+            );
+        }
+        // Checked last, since a unit charged for this endpoint is lost if the request goes to another one.
+        if !self.is_within_limit(pick) {
+            return Permission::OtherEndpoint;
+        }
+        self.has_retry_token = false;
+        Permission::Granted
+    }
+
+    /// Refuses a request if all endpoints stay closed beyond its deadline and its model can't be loaded
+    /// elsewhere before that.
+    fn refuse_closed_endpoints(
+        &self,
+        missing: chooser::Missing,
+        left: time::Millis,
+    ) -> Option<refusal::Refusal> {
+        let chooser::Missing::Allowance(opens) = missing else {
+            return None;
+        };
+        let load = self
+            .model
+            .is_some()
+            .then(|| self.load_time(chooser::Missing::Model));
+        let reading = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
+        if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
+            return None;
+        }
+        Some(self.not_served(missing, opens))
+    }
+
+    /// Takes a retry from the budget, unless the request holds one. Returns whether it holds one now.
+    pub(super) fn acquire_retry(&mut self) -> bool {
+        if !self.has_retry_token {
+            let now = self.shared.clock.now();
+            self.has_retry_token = self.shared.with_core(|core| {
+                let entries = core.entries.len();
+                core.budget.spend(now, self.service, entries)
+            });
+        }
+        self.has_retry_token
+    }
+
+    /// Whether the request holds a retry or could take one from the budget.
+    pub(super) fn can_retry(&self) -> bool {
+        let now = self.shared.clock.now();
+        let is_left = || {
+            self.shared.with_core(|core| {
+                let entries = core.entries.len();
+                core.budget.has_one(now, self.service, entries)
+            })
+        };
+        self.has_retry_token || is_left()
+    }
+
+    /// Refuses a request that can't start before its deadline because of those queued here before it.
+    fn refuse_by_local_queue(
+        &self,
+        now: time::Instant,
+        waiter: backlog::Waiter,
+        left: time::Millis,
+        ticket: &mut Option<u64>,
+    ) -> Option<refusal::Refusal> {
+        let expected = self.unmeetable_wait(now, waiter, left, ticket)?;
+        let detail = format!(
+            "those before it take {} ms, and {} ms are left",
+            expected.0, left.0
+        );
+        let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
+        // No engine is free before the prefill of the queued requests is done.
+        Some(refusal.with_retry_after(expected.max(DEFAULT_RETRY_AFTER)))
+    }
+
+    /// The expected wait behind the requests queued here, if it exceeds the time left.
+    fn unmeetable_wait(
+        &self,
+        now: time::Instant,
+        waiter: backlog::Waiter,
+        left: time::Millis,
+        ticket: &mut Option<u64>,
+    ) -> Option<time::Millis> {
+        let model = self.model_name();
+        let expected = self.shared.with_core(|core| {
+            let ticket = ticket.get_or_insert_with(|| core.backlog.enter(now, model, waiter));
+            core.backlog.expected(now, model, *ticket)
+        })?;
+        (expected + PREFILL_RESERVE > left).then_some(expected)
+    }
+
+    /// The queue entry of this request; none if it needs no model.
+    fn queued_request(&self, now: time::Instant) -> Option<backlog::Waiter> {
+        let wanted = self.wanted?;
+        Some(backlog::Waiter {
+            tokens: self.passing.prompt_tokens,
+            priority: self.priority(),
+            on_time_until: now + self.on_time(),
+            adapter: wanted.adapter.clone(),
+        })
+    }
+
+    /// How long the request may wait for what is missing.
+    fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
+        let objective = self.route.latency_target.0;
+        match missing {
+            chooser::Missing::Model => (load + LOAD_MARGIN).into(),
+            chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
+            // Engines finish their prefill steadily, so the request may wait until its deadline.
+            chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
+            chooser::Missing::Place | chooser::Missing::Endpoint => {
+                std_time::Duration::from_millis(objective * SLOT_WAIT_PERCENT / 100)
+            }
+        }
+    }
+
+    /// The load time of the missing model; zero if no model is missing.
+    fn load_time(&self, missing: chooser::Missing) -> time::Millis {
+        match (missing, self.model) {
+            (chooser::Missing::Model, Some(model)) => self
+                .shared
+                .with_core(|core| core.chooser.load_time(self.service, model)),
+            _ => time::Millis(0),
+        }
+    }
+
+    /// The time left until the response would miss the latency target.
+    fn on_time(&self) -> time::Millis {
+        let objective = std_time::Duration::from(self.route.latency_target);
+        objective.saturating_sub(self.req.received.elapsed()).into()
+    }
+
+    /// How long a request waits for an engine with little pending prefill before it accepts any engine.
+    fn idle_engine_wait(&self) -> std_time::Duration {
+        std_time::Duration::from_millis(
+            self.route.latency_target.0 * IDLE_ENGINE_WAIT_PERCENT / 100,
+        )
+    }
+
+    /// Counts the request as waiting for its model, in the demand reported to the leader.
+    fn report_waiting(&self) {
+        if let Some(wanted) = self.wanted {
+            self.shared
+                .with_core(|core| core.tally.add_waiting(self.service, &wanted.model));
+        }
+    }
+
+    /// Asks the leader to have the adapter of this request loaded on `engine`.
+    fn request_adapter(&self, now: time::Instant, engine: directory::InstanceId) {
+        let Some((model, adapter)) = self
+            .wanted
+            .and_then(|it| Some((it.model.clone(), it.adapter.clone()?)))
+        else {
+            return;
+        };
+        let want = messages::AdapterReq {
+            service: self.service.to_owned(),
+            model,
+            adapter,
+            engine: Some(engine),
+        };
+        let adapter = want.adapter.as_str();
+        if !self
+            .shared
+            .with_core(|core| core.should_request_adapter(now, &want))
+        {
+            return;
+        }
+        // The preferred control process forwards it to the leader. The leader is asked directly if that one
+        // can't be reached or knows no leader.
+        let preferred = self.shared.fetching.preferred();
+        let leader = self.shared.leader().filter(|it| Some(*it) != preferred);
+        for control in preferred.into_iter().chain(leader) {
+            match self.send_adapter_request(control, &want) {
+                Ok(messages::AdapterResp::Taken) => {
+                    return ::log::debug!(request = self.id(), adapter; "gateway: requested the adapter");
+                }
+                Ok(messages::AdapterResp::NotLeader { leader }) => self.shared.set_leader(leader),
+                Err(e) => {
+                    ::log::info!(request = self.id(), adapter, error:% = e; "gateway: request for the adapter failed");
+                }
+            }
+        }
+    }
+
+    fn send_adapter_request(
+        &self,
+        control: net::Ipv4Addr,
+        want: &messages::AdapterReq,
+    ) -> Result<messages::AdapterResp, sageshed_vms::CallError> {
+        let port = self.shared.settings.discovery.vms_port;
+        let address = net::SocketAddrV4::new(control, port).to_string();
+        let client = &self.shared.client;
+        client.call(
+            &address,
+            messages::paths::ADAPTER,
+            want,
+            CALLER_CHECK_INTERVAL * 3,
+        )
+    }
+}
--- a/src/sageshed/gateway/ready.rs
+++ b/src/sageshed/gateway/ready.rs
@@ -1,4 +1,4 @@
-//! The port on which the balancer asks whether this process takes callers.
+//! The port for the health checks of the load balancer.
 
 use std::sync;
 
@@ -8,13 +8,13 @@
 
 use super::state;
 
-/// Answers every question with 200 or 503.
+/// Responds with 200 while this process takes callers, and with 503 otherwise.
 #[derive(Debug)]
-pub(super) struct Port<D> {
+pub(super) struct ReadinessHandler<D> {
     pub(super) shared: sync::Arc<state::Shared<D>>,
 }
 
-impl<D: dialect::Dialect> handler::Handler for Port<D> {
+impl<D: dialect::Dialect> handler::Handler for ReadinessHandler<D> {
     fn handle(&self, _req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let (status, text) = if self.shared.is_ready() {
             (200, "ready\n")
@@ -35,7 +35,7 @@
     }
 
     fn refuse_early(&self, refusal: refusal::Refusal) -> handler::Stamped {
-        ::log::debug!(reason:% = refusal.reason; "gateway: question of the balancer refused");
+        ::log::debug!(reason:% = refusal.reason; "gateway: health check refused");
         handler::Stamped {
             request_id: String::new(),
             refusal,
