--- a/crates/sageshed-disk/src/folder.rs
+++ b/crates/sageshed-disk/src/folder.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum Opened<F = files::Disk> {
     /// A generation that is whole.
-    Ready(Box<Folder<F>>, log::Restored),
+    Ready(Box<Folder<F>>, log::PersistedState),
     /// Nothing. Either the VM has never been started, or its disk was emptied: the folder can't
     /// tell, so only an operator may make it a first voter.
     Fresh(vacant::Vacant<F>),
@@ -284,7 +284,7 @@
         snapshot: covered,
         failed: false,
     };
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         hard_state: log.hard_state,
         snapshot,
         entries: log.entries,
--- a/crates/sageshed-disk/tests/faults.rs
+++ b/crates/sageshed-disk/tests/faults.rs
@@ -13,7 +13,7 @@
 const FAILED: Fault = Fault::Before(io::ErrorKind::Other);
 
 /// The states that a crash in the middle of `write` may leave: each prefix of its parts.
-fn prefixes(before: &log::Restored, write: &log::Write) -> Vec<log::Restored> {
+fn prefixes(before: &log::PersistedState, write: &log::Write) -> Vec<log::PersistedState> {
     let mut part = log::Write::default();
     let mut states = vec![before.clone()];
     part.hard_state = write.hard_state;
--- a/crates/sageshed-disk/tests/folder.rs
+++ b/crates/sageshed-disk/tests/folder.rs
@@ -11,7 +11,7 @@
 const LONG: usize = 1 << 20;
 
 /// Three writes in one segment, with the offsets at which their frames end.
-fn three_writes(scratch: &Scratch) -> (Vec<usize>, Vec<log::Restored>) {
+fn three_writes(scratch: &Scratch) -> (Vec<usize>, Vec<log::PersistedState>) {
     let (mut folder, restored) = open(scratch, LONG, Faulty::default());
     let len = || fs::read(scratch.last_segment()).expect("a segment").len();
     let mut ends = vec![len()];
@@ -306,7 +306,7 @@
             panic!("{opened:?}");
         };
         assert_eq!(folder.node().generation, case.generation);
-        assert_eq!(restored, log::Restored::default());
+        assert_eq!(restored, log::PersistedState::default());
         assert!(
             scratch
                 .path()
--- a/crates/sageshed-disk/tests/support/mod.rs
+++ b/crates/sageshed-disk/tests/support/mod.rs
@@ -166,7 +166,7 @@
     scratch: &Scratch,
     segment_bytes: usize,
     files: F,
-) -> (Box<folder::Folder<F>>, log::Restored) {
+) -> (Box<folder::Folder<F>>, log::PersistedState) {
     let opened = folder::Folder::open_with(scratch.path(), VM, options(segment_bytes), files);
     let opened = match opened.expect("the folder opens") {
         folder::Opened::Fresh(vacant) => vacant.start_generation(first()).expect("it starts"),
@@ -180,7 +180,7 @@
 }
 
 /// What the folder holds, or what is damaged.
-pub fn reopen(scratch: &Scratch) -> Result<log::Restored, damage::Damage> {
+pub fn reopen(scratch: &Scratch) -> Result<log::PersistedState, damage::Damage> {
     let opened =
         folder::Folder::open_with(scratch.path(), VM, options(usize::MAX), Faulty::default());
     match opened.expect("the folder opens") {
@@ -228,7 +228,7 @@
 }
 
 /// The restored content after one more write, by the definition of [`log::Write`].
-pub fn after(restored: &log::Restored, write: &log::Write) -> log::Restored {
+pub fn after(restored: &log::PersistedState, write: &log::Write) -> log::PersistedState {
     let mut next = restored.clone();
     next.hard_state = write.hard_state.unwrap_or(next.hard_state);
     if let Some(from) = write.truncate_from {
--- a/crates/sageshed-quorum/src/entries.rs
+++ b/crates/sageshed-quorum/src/entries.rs
@@ -14,8 +14,8 @@
 
 impl Entries {
     /// Panics where an entry is missing: a log with a hole is a lost disk and not to be used.
-    pub(crate) fn new(restored: log::Restored) -> (Self, Option<log::Snapshot>) {
-        let log::Restored {
+    pub(crate) fn new(restored: log::PersistedState) -> (Self, Option<log::Snapshot>) {
+        let log::PersistedState {
             snapshot,
             entries,
             membership,
--- a/crates/sageshed-quorum/src/log.rs
+++ b/crates/sageshed-quorum/src/log.rs
@@ -231,7 +231,7 @@
 
 /// What a node finds on its disk when it starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Restored {
+pub struct PersistedState {
     /// The term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -75,7 +75,7 @@
     /// If the restored entries have a hole. Such a log must be treated as a lost disk: what is
     /// missing may have been acknowledged.
     #[must_use]
-    pub fn new(mut cfg: config::Config, restored: log::Restored, seed: u64) -> Self {
+    pub fn new(mut cfg: config::Config, restored: log::PersistedState, seed: u64) -> Self {
         let hard = restored.hard_state;
         let (log, snapshot) = entries::Entries::new(restored);
         if !cfg.guards.generation && !log.membership().contains(cfg.id) {
--- a/crates/sageshed-quorum/tests/testsuite/messages.rs
+++ b/crates/sageshed-quorum/tests/testsuite/messages.rs
@@ -92,9 +92,9 @@
 #[test]
 fn replaced_entry_is_not_written_in_the_same_step() {
     let membership = log::Membership::of_voters([id(1, 1), id(2, 1), id(3, 1)]);
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         membership,
-        ..log::Restored::default()
+        ..log::PersistedState::default()
     };
     let mut node = node::Node::new(config::Config::new(id(1, 1)), restored, 1);
     let append = |from, term| {
--- a/crates/sageshed-quorum/tests/testsuite/same_start.rs
+++ b/crates/sageshed-quorum/tests/testsuite/same_start.rs
@@ -15,9 +15,9 @@
     let membership = log::Membership::of_voters(ids.iter().copied());
     let mut drawn = Vec::new();
     for id in ids {
-        let restored = log::Restored {
+        let restored = log::PersistedState {
             membership: membership.clone(),
-            ..log::Restored::default()
+            ..log::PersistedState::default()
         };
         let mut node = node::Node::new(config::Config::new(id), restored, SEED);
         drop(node.step(time::Instant(0), event::Event::Tick));
--- a/crates/sageshed-quorum/tests/testsuite/scenarios.rs
+++ b/crates/sageshed-quorum/tests/testsuite/scenarios.rs
@@ -250,9 +250,9 @@
     let mut cfg = config::Config::new(id(1, 1));
     cfg.max_batch_bytes = 1000;
     let membership = log::Membership::of_voters([id(1, 1)]);
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         membership,
-        ..log::Restored::default()
+        ..log::PersistedState::default()
     };
     let mut node = node::Node::new(cfg, restored, 1);
     node.step(time::Instant(0), event::Event::ElectionTimeout);
@@ -335,9 +335,9 @@
         data: log::EntryData::Noop,
     };
     let entries = vec![entry(1), entry(3)];
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         entries,
-        ..log::Restored::default()
+        ..log::PersistedState::default()
     };
     let _ = node::Node::new(config::Config::new(id(1, 1)), restored, 1);
 }
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -24,7 +24,7 @@
 pub struct Vm {
     pub id: log::NodeId,
     pub node: Option<node::Node>,
-    pub disk: log::Restored,
+    pub disk: log::PersistedState,
     pub applied: (log::Index, u64),
 }
 
@@ -69,7 +69,7 @@
             reads: collections::BTreeMap::new(),
         };
         for vm in 1..=voters {
-            let disk = log::Restored {
+            let disk = log::PersistedState {
                 membership: sim.first.clone(),
                 ..Default::default()
             };
@@ -113,7 +113,7 @@
 
     /// A VM that is no member, with an empty disk.
     pub fn join(&mut self, vm: u32) {
-        let disk = log::Restored::default();
+        let disk = log::PersistedState::default();
         self.vms.insert(
             vm,
             Vm {
@@ -147,7 +147,7 @@
     pub fn lose_disk(&mut self, vm: u32) {
         let host = self.vms.get_mut(&vm).unwrap();
         host.id.generation += 1;
-        host.disk = log::Restored::default();
+        host.disk = log::PersistedState::default();
         if !self.guards.generation {
             host.disk.membership = self.first.clone();
         }
@@ -387,7 +387,7 @@
     if holds { Ok(()) } else { Err(broken()) }
 }
 
-fn persist(disk: &mut log::Restored, write: log::Write) {
+fn persist(disk: &mut log::PersistedState, write: log::Write) {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.index < from);
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -194,9 +194,9 @@
     fn new() -> Self {
         let membership = log::Membership::of_voters((1..=NODES).map(node_id));
         let node = |vm| {
-            let restored = log::Restored {
+            let restored = log::PersistedState {
                 membership: membership.clone(),
-                ..log::Restored::default()
+                ..log::PersistedState::default()
             };
             let cfg = config::Config::new(node_id(vm));
             (node_id(vm), node::Node::new(cfg, restored, u64::from(vm)))
--- a/spec/src/log/world.rs
+++ b/spec/src/log/world.rs
@@ -79,7 +79,7 @@
     /// Its process.
     pub node: sync::Arc<node::Node>,
     /// What is synced. Between two steps it holds all that the node does but its commit index.
-    pub disk: sync::Arc<log::Restored>,
+    pub disk: sync::Arc<log::PersistedState>,
 }
 
 /// What was once promised, and whether it was kept.
@@ -192,9 +192,9 @@
             } else {
                 log::Membership::default()
             };
-            let disk = log::Restored {
+            let disk = log::PersistedState {
                 membership,
-                ..log::Restored::default()
+                ..log::PersistedState::default()
             };
             Vm {
                 node: sync::Arc::new(start(id, disk.clone(), &settings)),
@@ -260,7 +260,7 @@
     pub fn restart(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
         let vm = &mut self.vms[place(vm)];
-        let disk = log::Restored::clone(&vm.disk);
+        let disk = log::PersistedState::clone(&vm.disk);
         vm.node = sync::Arc::new(start(vm.node.id(), disk, &settings));
         self.prune();
     }
@@ -272,7 +272,7 @@
         let vm = &mut self.vms[place(vm)];
         let mut id = vm.node.id();
         id.generation += 1;
-        let mut disk = log::Restored::default();
+        let mut disk = log::PersistedState::default();
         if !settings.guards.generation {
             disk.membership = settings.voters.clone();
         }
@@ -385,7 +385,7 @@
     vm as usize - 1
 }
 
-fn start(id: log::NodeId, disk: log::Restored, settings: &Settings) -> node::Node {
+fn start(id: log::NodeId, disk: log::PersistedState, settings: &Settings) -> node::Node {
     let mut cfg = config::Config::new(id);
     cfg.guards = settings.guards;
     if settings.one_entry {
--- a/src/sageshed/control/run.rs
+++ b/src/sageshed/control/run.rs
@@ -137,7 +137,7 @@
 /// What was found in the data folder.
 enum Found {
     /// A generation, with what it holds.
-    Member(Box<folder::Folder>, log::Restored),
+    Member(Box<folder::Folder>, log::PersistedState),
     /// Nothing yet. The node is what this disk would be.
     Vacant(vacant::Vacant, log::NodeId),
 }
@@ -347,7 +347,7 @@
     fn driver(
         &self,
         folder: Box<folder::Folder>,
-        restored: log::Restored,
+        restored: log::PersistedState,
     ) -> Result<driver::Driver, StartError> {
         let base = restored
             .snapshot
--- a/tests/control_driver.rs
+++ b/tests/control_driver.rs
@@ -225,7 +225,7 @@
     voters: &[log::NodeId],
     write: &log::Write,
     full: Filling,
-) -> (Box<folder::Folder<Filling>>, log::Restored) {
+) -> (Box<folder::Folder<Filling>>, log::PersistedState) {
     let data = dir.join("data");
     let options = folder::Options::default();
     let opened = folder::Folder::open_with(&data, OWN.vm, options, full.clone()).unwrap();
