--- a/crates/sageshed-disk/src/folder.rs
+++ b/crates/sageshed-disk/src/folder.rs
@@ -78,7 +78,7 @@
     /// With one sync however much it holds, but where it brings a snapshot. On
     /// [`error::Error::Full`] a prefix of it, in the order of its fields, is on disk; the same
     /// write, and no other, may be tried again. After any other error the folder takes no writes.
-    pub fn write(&mut self, write: &log::Write) -> Result<(), error::Error> {
+    pub fn write(&mut self, write: &log::LogWrite) -> Result<(), error::Error> {
         self.check_usable()?;
         self.check_follows(write)?;
         let written = self.write_parts(write);
@@ -121,7 +121,7 @@
 
     /// Refuses entries that leave a hole, before anything is written: a log with a hole reads as a
     /// lost disk.
-    fn check_follows(&self, write: &log::Write) -> Result<(), error::Error> {
+    fn check_follows(&self, write: &log::LogWrite) -> Result<(), error::Error> {
         let mut last = self.segments.last();
         if let Some(from) = write.truncate_from {
             last = last.min(from.previous());
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    fn write_parts(&mut self, write: &log::Write) -> Result<(), error::Error> {
+    fn write_parts(&mut self, write: &log::LogWrite) -> Result<(), error::Error> {
         self.roll_if_long()?;
         let mut batch = record::Batch::new();
         batch.extend(write.hard_state.map(record::Record::HardState));
--- a/crates/sageshed-disk/tests/faults.rs
+++ b/crates/sageshed-disk/tests/faults.rs
@@ -13,8 +13,8 @@
 const FAILED: Fault = Fault::Before(io::ErrorKind::Other);
 
 /// The states that a crash in the middle of `write` may leave: each prefix of its parts.
-fn prefixes(before: &log::PersistedState, write: &log::Write) -> Vec<log::PersistedState> {
-    let mut part = log::Write::default();
+fn prefixes(before: &log::PersistedState, write: &log::LogWrite) -> Vec<log::PersistedState> {
+    let mut part = log::LogWrite::default();
     let mut states = vec![before.clone()];
     part.hard_state = write.hard_state;
     states.push(after(before, &part));
@@ -178,7 +178,7 @@
         calls: Vec<&'static str>,
     }
     let received = |folder: &mut folder::Folder<Faulty>| {
-        let write = log::Write {
+        let write = log::LogWrite {
             truncate_from: Some(log::Index(1)),
             snapshot: Some(snapshot(8, 2)),
             ..entries(9, 10, 2)
@@ -189,7 +189,7 @@
         Case {
             label: "nothing",
             segment_bytes: LONG,
-            act: |f| f.write(&log::Write::default()).expect("written"),
+            act: |f| f.write(&log::LogWrite::default()).expect("written"),
             calls: vec![],
         },
         Case {
@@ -312,9 +312,9 @@
     let scratch = Scratch::new();
     let faulty = Faulty::default();
     let (mut folder, before) = open(&scratch, LONG, faulty.clone());
-    let write = log::Write {
+    let write = log::LogWrite {
         snapshot: Some(snapshot(8, 2)),
-        ..log::Write::default()
+        ..log::LogWrite::default()
     };
     faulty.fail(&[(4, FAILED)]);
     folder.write(&write).expect_err("it fails");
--- a/crates/sageshed-disk/tests/folder.rs
+++ b/crates/sageshed-disk/tests/folder.rs
@@ -220,7 +220,7 @@
 fn a_log_that_begins_after_a_missing_snapshot_is_a_lost_disk() {
     let scratch = Scratch::new();
     let (mut folder, _) = open(&scratch, LONG, Faulty::default());
-    let write = log::Write {
+    let write = log::LogWrite {
         snapshot: Some(snapshot(8, 2)),
         ..entries(9, 10, 2)
     };
--- a/crates/sageshed-disk/tests/support/mod.rs
+++ b/crates/sageshed-disk/tests/support/mod.rs
@@ -198,10 +198,10 @@
     }
 }
 
-pub fn entries(from: u64, to: u64, term: u64) -> log::Write {
-    log::Write {
+pub fn entries(from: u64, to: u64, term: u64) -> log::LogWrite {
+    log::LogWrite {
         entries: (from..=to).map(|index| entry(index, term)).collect(),
-        ..log::Write::default()
+        ..log::LogWrite::default()
     }
 }
 
@@ -214,8 +214,8 @@
     }
 }
 
-pub fn vote(term: u64) -> log::Write {
-    log::Write {
+pub fn vote(term: u64) -> log::LogWrite {
+    log::LogWrite {
         hard_state: Some(log::HardState {
             term: log::Term(term),
             voted_for: Some(log::NodeId {
@@ -223,12 +223,12 @@
                 generation: 9,
             }),
         }),
-        ..log::Write::default()
+        ..log::LogWrite::default()
     }
 }
 
-/// The restored content after one more write, by the definition of [`log::Write`].
-pub fn after(restored: &log::PersistedState, write: &log::Write) -> log::PersistedState {
+/// The restored content after one more write, by the definition of [`log::LogWrite`].
+pub fn after(restored: &log::PersistedState, write: &log::LogWrite) -> log::PersistedState {
     let mut next = restored.clone();
     next.hard_state = write.hard_state.unwrap_or(next.hard_state);
     if let Some(from) = write.truncate_from {
@@ -243,24 +243,24 @@
 }
 
 /// Writes of each kind, in an order that a node may ask for.
-pub fn history() -> Vec<log::Write> {
-    let replace = log::Write {
+pub fn history() -> Vec<log::LogWrite> {
+    let replace = log::LogWrite {
         truncate_from: Some(log::Index(3)),
         ..entries(3, 4, 2)
     };
-    let beyond = log::Write {
+    let beyond = log::LogWrite {
         snapshot: Some(snapshot(9, 3)),
         ..entries(10, 11, 3)
     };
-    let contradicting = log::Write {
+    let contradicting = log::LogWrite {
         truncate_from: Some(log::Index(11)),
         snapshot: Some(snapshot(10, 4)),
         hard_state: vote(4).hard_state,
         entries: vec![entry(11, 4)],
     };
-    let within = log::Write {
+    let within = log::LogWrite {
         snapshot: Some(snapshot(12, 4)),
-        ..log::Write::default()
+        ..log::LogWrite::default()
     };
     vec![
         vote(1),
--- a/crates/sageshed-quorum/src/event.rs
+++ b/crates/sageshed-quorum/src/event.rs
@@ -80,7 +80,7 @@
 pub enum Action {
     /// Write and sync. Nothing later in the list may be done before that has succeeded: messages
     /// promise what is written, and a crash must not take it back. If it fails, stop the process.
-    Persist(log::Write),
+    Persist(log::LogWrite),
     /// Send a message. It may be lost, late, doubled or out of order.
     Send {
         /// To whom.
--- a/crates/sageshed-quorum/src/log.rs
+++ b/crates/sageshed-quorum/src/log.rs
@@ -202,7 +202,7 @@
 /// The parts take effect in the order of the fields. A crash in between may leave any prefix of
 /// that order: nothing was promised yet to anybody.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Write {
+pub struct LogWrite {
     /// The new term and vote, if they changed.
     pub hard_state: Option<HardState>,
     /// Entries at and after this index go. There may be none. Before the snapshot, since entries
@@ -215,7 +215,7 @@
     pub entries: Vec<Entry>,
 }
 
-impl Write {
+impl LogWrite {
     /// Whether there is nothing to write.
     #[must_use]
     pub fn is_empty(&self) -> bool {
--- a/crates/sageshed-quorum/src/output.rs
+++ b/crates/sageshed-quorum/src/output.rs
@@ -10,7 +10,7 @@
 /// is always safe, and makes one sync serve all events that came in together.
 #[derive(Debug, Default)]
 pub(crate) struct Output {
-    write: log::Write,
+    write: log::LogWrite,
     actions: Vec<event::Action>,
 }
 
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -387,7 +387,7 @@
     if holds { Ok(()) } else { Err(broken()) }
 }
 
-fn persist(disk: &mut log::PersistedState, write: log::Write) {
+fn persist(disk: &mut log::PersistedState, write: log::LogWrite) {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.index < from);
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -285,9 +285,9 @@
             term: log::Term(1),
             data: log::EntryData::Command(payload.clone()),
         };
-        let write = log::Write {
+        let write = log::LogWrite {
             entries: (1..=batch).map(entry).collect(),
-            ..log::Write::default()
+            ..log::LogWrite::default()
         };
         folder.write(&write)?;
         writes += 1;
--- a/spec/src/log/world.rs
+++ b/spec/src/log/world.rs
@@ -313,7 +313,7 @@
         self.prune();
     }
 
-    fn persist(&mut self, vm: u32, write: log::Write) {
+    fn persist(&mut self, vm: u32, write: log::LogWrite) {
         let disk = sync::Arc::make_mut(&mut self.vms[place(vm)].disk);
         if let Some(hard_state) = write.hard_state {
             disk.hard_state = hard_state;
--- a/src/sageshed/control/driver/mod.rs
+++ b/src/sageshed/control/driver/mod.rs
@@ -202,7 +202,7 @@
     }
 
     /// Writes and syncs, and publishes what the log holds now.
-    fn persist(&mut self, write: &log::Write) -> Result<(), End> {
+    fn persist(&mut self, write: &log::LogWrite) -> Result<(), End> {
         loop {
             match self.folder.write(write) {
                 Ok(()) => break,
--- a/tests/control_driver.rs
+++ b/tests/control_driver.rs
@@ -74,7 +74,7 @@
     /// Starts one that has `voters` and finds `write` on its disk.
     fn start(
         voters: &[log::NodeId],
-        write: &log::Write,
+        write: &log::LogWrite,
         prepare: impl FnOnce(&shared::Shared, &mut config::Config),
     ) -> Self {
         static COUNT: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
@@ -120,7 +120,7 @@
 
     /// Starts one that is alone in its group, and waits until it leads.
     fn alone(prepare: impl FnOnce(&shared::Shared, &mut config::Config)) -> Self {
-        let running = Self::start(&[OWN], &log::Write::default(), prepare);
+        let running = Self::start(&[OWN], &log::LogWrite::default(), prepare);
         running.until_started();
         running
     }
@@ -223,7 +223,7 @@
 fn open(
     dir: &path::Path,
     voters: &[log::NodeId],
-    write: &log::Write,
+    write: &log::LogWrite,
     full: Filling,
 ) -> (Box<folder::Folder<Filling>>, log::PersistedState) {
     let data = dir.join("data");
@@ -342,7 +342,7 @@
         term: log::Term(1),
         data: log::EntryData::Command(data),
     };
-    let write = log::Write {
+    let write = log::LogWrite {
         hard_state: Some(log::HardState {
             term: log::Term(1),
             voted_for: None,
@@ -351,7 +351,7 @@
             entry(1, vec![0xc1]),
             entry(2, drain("vm1", "after").to_bytes().unwrap()),
         ],
-        ..log::Write::default()
+        ..log::LogWrite::default()
     };
     let mut running = Running::start(&[OWN], &write, |_, _| {});
     let end = running.end();
@@ -367,7 +367,7 @@
 /// that command is committed nothing is placed; it must be proposed again.
 #[test]
 fn a_leader_that_is_refused_its_first_command_proposes_it_again() {
-    let running = Running::start(&[OWN, OTHER], &log::Write::default(), |_, cfg| {
+    let running = Running::start(&[OWN, OTHER], &log::LogWrite::default(), |_, cfg| {
         cfg.max_uncommitted = 1;
         // No answer to a heartbeat is given until late.
         cfg.election_timeout = types_time::Millis(2_000);
@@ -425,14 +425,14 @@
         operator: "op".to_owned(),
     });
     state.apply(1, change);
-    let write = log::Write {
+    let write = log::LogWrite {
         snapshot: Some(log::Snapshot {
             index: log::Index(1),
             term: log::Term(1),
             membership: log::Membership::of_voters([OWN]),
             data: state.to_bytes().unwrap(),
         }),
-        ..log::Write::default()
+        ..log::LogWrite::default()
     };
     let running = Running::start(&[OWN], &write, |shared, _| {
         heard(shared, "vm1", 1, 1);
