--- a/crates/sageshed-quorum/src/event.rs
+++ b/crates/sageshed-quorum/src/event.rs
@@ -45,7 +45,7 @@
         ticket: u64,
     },
     /// The driver has made and synced a snapshot of what was applied. Its head comes from
-    /// [`Node::snapshot_of`](crate::node::Node::snapshot_of). A driver that hands it over only
+    /// [`Node::build_snapshot`](crate::node::Node::build_snapshot). A driver that hands it over only
     /// once some more entries are applied spares peers that are slightly behind the snapshot. If a
     /// received snapshot came in the meantime ([`Action::Restore`]), the later one stays on disk:
     /// the log starts where it ends.
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -154,7 +154,7 @@
     /// The snapshot of the state machine after the committed entry at `index`, with `data` as its
     /// encoding. None if that entry isn't committed or is already covered by a snapshot.
     #[must_use]
-    pub fn snapshot_of(&self, index: log::Index, data: Vec<u8>) -> Option<log::Snapshot> {
+    pub fn build_snapshot(&self, index: log::Index, data: Vec<u8>) -> Option<log::Snapshot> {
         let state = &self.state;
         if index <= state.log.base().index || index > state.commit {
             return None;
--- a/crates/sageshed-quorum/tests/testsuite/random.rs
+++ b/crates/sageshed-quorum/tests/testsuite/random.rs
@@ -77,7 +77,7 @@
     let Some(node) = &host.node else {
         return Ok(());
     };
-    let Some(snapshot) = node.snapshot_of(index, state.to_le_bytes().to_vec()) else {
+    let Some(snapshot) = node.build_snapshot(index, state.to_le_bytes().to_vec()) else {
         return Ok(());
     };
     host.disk.snapshot = Some(snapshot.clone());
--- a/src/sageshed/control/driver/snapshots.rs
+++ b/src/sageshed/control/driver/snapshots.rs
@@ -33,7 +33,7 @@
                 return Ok(());
             }
         };
-        let Some(snapshot) = self.node.snapshot_of(self.work.applied, data) else {
+        let Some(snapshot) = self.node.build_snapshot(self.work.applied, data) else {
             return Ok(());
         };
         match self.folder.save_snapshot(&snapshot) {
