--- a/crates/sageshed-quorum/src/config.rs
+++ b/crates/sageshed-quorum/src/config.rs
@@ -25,7 +25,7 @@
     /// The most entries that a leader holds uncommitted; further proposals are refused.
     pub max_uncommitted: u64,
     /// How many entries a learner may lack and still be promoted.
-    pub promotion_lag: u64,
+    pub max_promotion_lag: u64,
     /// Heartbeats without an answer to an append after which it is sent again.
     pub append_retry_heartbeats: u32,
     /// Bytes under way to a peer for which one more heartbeat is waited, of an append or a snapshot.
@@ -36,7 +36,7 @@
     /// Whether a node that starts again asks its last leader whether its promise still binds it, in
     /// place of waiting for an election timeout. Off where a leader grants leases to others, as they
     /// may outlive its process.
-    pub checks_restart: bool,
+    pub restart_check_enabled: bool,
     /// See [`Guards`]. Products leave the default.
     pub guards: Guards,
 }
@@ -53,11 +53,11 @@
             max_batch_bytes: 256 * 1024,
             max_in_flight: 4,
             max_uncommitted: 10_000,
-            promotion_lag: 64,
+            max_promotion_lag: 64,
             append_retry_heartbeats: 2,
             bytes_per_heartbeat: 32 * 1024,
             snapshot_retry_heartbeats: 20,
-            checks_restart: false,
+            restart_check_enabled: false,
             guards: Guards::default(),
         }
     }
--- a/crates/sageshed-quorum/src/requests.rs
+++ b/crates/sageshed-quorum/src/requests.rs
@@ -105,7 +105,7 @@
             .unwrap_or_default();
         let lag = self.state.log.last().index.0 - matched.0;
         // A learner that has answered nothing is not caught up, however short the log is.
-        let caught_up = matched.0 > 0 && lag <= self.cfg.promotion_lag;
+        let caught_up = matched.0 > 0 && lag <= self.cfg.max_promotion_lag;
         if self.cfg.guards.caught_up && !caught_up {
             return Err(event::Reason::NotCaughtUp);
         }
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -18,7 +18,7 @@
 //! `Config::start_delay`, by which time its answers have arrived; the others leave it that start.
 //!
 //! This holds only while nothing that a leader has granted outlives its process, see
-//! [`checks_restart`](crate::config::Config::checks_restart).
+//! [`restart_check_enabled`](crate::config::Config::restart_check_enabled).
 
 use std::collections;
 
@@ -42,7 +42,7 @@
 impl node::Node {
     /// Finds out from what the disk holds whether a leader may count on this node.
     pub(crate) fn recall_start(&mut self) {
-        if !self.cfg.checks_restart {
+        if !self.cfg.restart_check_enabled {
             return;
         }
         let Some(leader) = self.state.hard.voted_for else {
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -96,7 +96,7 @@
         cfg.heartbeat_interval = time::Millis(40);
         cfg.drift_margin = time::Millis(0);
         cfg.max_batch_bytes = 200;
-        cfg.checks_restart = true;
+        cfg.restart_check_enabled = true;
         cfg.guards = self.guards;
         let state = |s: &log::Snapshot| {
             (
--- a/src/sageshed/control/run.rs
+++ b/src/sageshed/control/run.rs
@@ -379,7 +379,7 @@
         cfg.election_timeout = group.election_timeout_ms;
         cfg.heartbeat_interval = group.heartbeat_ms;
         // In front of a fleet a leader grants no lease to entry processes.
-        cfg.checks_restart = self.shared.settings.common.discovery.is_some();
+        cfg.restart_check_enabled = self.shared.settings.common.discovery.is_some();
         cfg
     }
 
