--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -42,7 +42,7 @@
 
 /// What a leader knows.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen<'a> {
+pub struct GroupView<'a> {
     /// Now.
     pub now: time::Instant,
     /// When it began to lead.
@@ -76,22 +76,22 @@
 
     /// The next change of membership, if one is due.
     #[must_use]
-    pub fn next(&self, seen: Seen<'_>) -> Option<event::Change> {
-        let mut joiners = seen.joiners.iter();
-        joiners.find_map(|joiner| self.step_for(seen, *joiner))
+    pub fn next(&self, view: GroupView<'_>) -> Option<event::Change> {
+        let mut joiners = view.joiners.iter();
+        joiners.find_map(|joiner| self.step_for(view, *joiner))
     }
 
     /// What `joiner` needs next.
-    fn step_for(&self, seen: Seen<'_>, joiner: log::NodeId) -> Option<event::Change> {
-        let members = &seen.status.membership;
+    fn step_for(&self, view: GroupView<'_>, joiner: log::NodeId) -> Option<event::Change> {
+        let members = &view.status.membership;
         if members.voters.contains(&joiner) || is_outdated(members, joiner) {
             return None;
         }
         if !members.learners.contains(&joiner) {
             return Some(event::Change::AddLearner(joiner));
         }
-        let matched = seen.status.matched.get(&joiner).copied();
-        let last = seen.status.last.0;
+        let matched = view.status.matched.get(&joiner).copied();
+        let last = view.status.last.0;
         let lacks = last.saturating_sub(matched.unwrap_or_default().0);
         if lacks > self.lag {
             return None;
@@ -103,7 +103,7 @@
         if members.voters.len() < self.wanted {
             return Some(event::Change::Promote(joiner));
         }
-        let silent = self.silent(seen, members.voters.iter().copied())?;
+        let silent = self.silent(view, members.voters.iter().copied())?;
         Some(event::Change::Remove(silent))
     }
 
@@ -111,13 +111,13 @@
     #[must_use]
     pub fn silent(
         &self,
-        seen: Seen<'_>,
+        view: GroupView<'_>,
         mut members: impl Iterator<Item = log::NodeId>,
     ) -> Option<log::NodeId> {
         members.find(|id| {
-            let answered = seen.status.answered.get(id).copied().unwrap_or_default();
-            let last = answered.max(seen.led_since);
-            *id != seen.status.id && seen.now.since(last) >= self.silence
+            let answered = view.status.answered.get(id).copied().unwrap_or_default();
+            let last = answered.max(view.led_since);
+            *id != view.status.id && view.now.since(last) >= self.silence
         })
     }
 }
--- a/crates/sageshed-quorum/tests/testsuite/repair.rs
+++ b/crates/sageshed-quorum/tests/testsuite/repair.rs
@@ -5,7 +5,7 @@
 use sageshed_quorum::{
     event::Change,
     log,
-    repair::{Policy, Seen},
+    repair::{GroupView, Policy},
     status,
 };
 use sageshed_types::time;
@@ -126,13 +126,13 @@
     ];
     for case in cases.iter().chain([&calm]) {
         let status = status_of(case);
-        let seen = Seen {
+        let view = GroupView {
             now: NOW,
             led_since: time::Instant(0),
             status: &status,
             joiners: &ids(case.joiners),
         };
-        assert_eq!(POLICY.next(seen), case.expected, "{}", case.name);
+        assert_eq!(POLICY.next(view), case.expected, "{}", case.name);
     }
 }
 
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -159,7 +159,7 @@
         let heard = ids.iter().filter(|id| Some(id.vm) != silent);
         status.answered = heard.map(|id| (*id, NOW)).collect();
         let joiners = ids.into_iter().collect();
-        let seen = repair::Seen {
+        let seen = repair::GroupView {
             now: NOW,
             led_since: time::Instant(0),
             status: &status,
--- a/src/sageshed/control/driver/leading.rs
+++ b/src/sageshed/control/driver/leading.rs
@@ -92,7 +92,7 @@
         }
         let status = self.node.status();
         let joiners = self.work.joiners.keys().copied().collect();
-        let seen = repair::Seen {
+        let view = repair::GroupView {
             now,
             led_since: self.work.led_since,
             status: &status,
@@ -100,8 +100,8 @@
         };
         let policy = self.shared.repair_policy();
         let change = policy
-            .next(seen)
-            .or_else(|| self.lost_learner(policy, seen))?;
+            .next(view)
+            .or_else(|| self.lost_learner(policy, view))?;
         // Refused by the log while the change before is not committed.
         self.work.repair_due = now + REPAIR_RETRY_MS;
         let ticket = self.work.ticket(Ticket::Membership(change));
@@ -112,11 +112,11 @@
     fn lost_learner(
         &self,
         policy: repair::Policy,
-        seen: repair::Seen<'_>,
+        view: repair::GroupView<'_>,
     ) -> Option<event::Change> {
         self.shared.settings.common.discovery.as_ref()?;
-        let learners = seen.status.membership.learners.iter().copied();
-        let lost = learners.filter(|it| !seen.joiners.contains(it));
-        policy.silent(seen, lost).map(event::Change::Remove)
+        let learners = view.status.membership.learners.iter().copied();
+        let lost = learners.filter(|it| !view.joiners.contains(it));
+        policy.silent(view, lost).map(event::Change::Remove)
     }
 }
