--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -30,14 +30,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
     /// How many voters the group grows to.
-    pub wanted: usize,
+    pub target_voters: usize,
     /// Losses of voters with their disks that the group bears at once.
-    pub tolerates: usize,
+    pub max_disk_losses: usize,
     /// Entries that a learner may lack when its repair goes on.
-    pub lag: u64,
+    pub max_lag: u64,
     /// A voter that answers nothing for this long is taken for lost once another is there to take its
     /// place.
-    pub silence: time::Millis,
+    pub silence_timeout: time::Millis,
 }
 
 /// What a leader knows.
@@ -57,12 +57,16 @@
     /// The policy of a group that bears the loss of `tolerates` disks and has as few voters as that
     /// takes.
     #[must_use]
-    pub const fn bearing(tolerates: usize, lag: u64, silence: time::Millis) -> Self {
+    pub const fn tolerating(
+        max_disk_losses: usize,
+        max_lag: u64,
+        silence_timeout: time::Millis,
+    ) -> Self {
         Self {
-            wanted: voters_bearing(tolerates),
-            tolerates,
-            lag,
-            silence,
+            target_voters: voters_tolerating(max_disk_losses),
+            max_disk_losses,
+            max_lag,
+            silence_timeout,
         }
     }
 
@@ -70,8 +74,8 @@
     /// group has had all its voters at some time.
     #[must_use]
     pub fn may_acknowledge(&self, voters: &log::Membership, was_complete: bool) -> bool {
-        let grown = was_complete || voters.voters.len() >= voters_bearing(self.tolerates);
-        grown && voters.majority() > self.tolerates
+        let grown = was_complete || voters.voters.len() >= voters_tolerating(self.max_disk_losses);
+        grown && voters.majority() > self.max_disk_losses
     }
 
     /// The next change of membership, if one is due.
@@ -93,21 +97,21 @@
         let matched = view.status.matched.get(&joiner).copied();
         let last = view.status.last.0;
         let lacks = last.saturating_sub(matched.unwrap_or_default().0);
-        if lacks > self.lag {
+        if lacks > self.max_lag {
             return None;
         }
         let mut same_vm = members.members().filter(|id| id.vm == joiner.vm);
         if let Some(old) = same_vm.find(|id| *id != joiner) {
             return Some(event::Change::Remove(old));
         }
-        if members.voters.len() < self.wanted {
+        if members.voters.len() < self.target_voters {
             return Some(event::Change::Promote(joiner));
         }
         let silent = self.silent(view, members.voters.iter().copied())?;
         Some(event::Change::Remove(silent))
     }
 
-    /// One of `members` that has answered nothing for [`Self::silence`].
+    /// One of `members` that has answered nothing for [`Self::silence_timeout`].
     #[must_use]
     pub fn silent(
         &self,
@@ -117,13 +121,13 @@
         members.find(|id| {
             let answered = view.status.answered.get(id).copied().unwrap_or_default();
             let last = answered.max(view.led_since);
-            *id != view.status.id && view.now.since(last) >= self.silence
+            *id != view.status.id && view.now.since(last) >= self.silence_timeout
         })
     }
 }
 
 /// The fewest voters of which a majority is left once `losses` are gone.
-const fn voters_bearing(losses: usize) -> usize {
+const fn voters_tolerating(losses: usize) -> usize {
     2 * losses + 1
 }
 
--- a/crates/sageshed-quorum/tests/testsuite/repair.rs
+++ b/crates/sageshed-quorum/tests/testsuite/repair.rs
@@ -12,7 +12,7 @@
 
 use crate::sim::id;
 
-const POLICY: Policy = Policy::bearing(1, 50, time::Millis(1_500));
+const POLICY: Policy = Policy::tolerating(1, 50, time::Millis(1_500));
 const NOW: time::Instant = time::Instant(10_000);
 
 struct Case {
@@ -162,7 +162,7 @@
         size(2, 5, true, true),
     ];
     for it in sizes {
-        let policy = Policy::bearing(it.tolerates, 0, time::Millis(0));
+        let policy = Policy::tolerating(it.tolerates, 0, time::Millis(0));
         let members = log::Membership::of_voters((1..=it.voters).map(|vm| id(vm, 1)));
         let what = format!("{} voters, {} losses", it.voters, it.tolerates);
         assert_eq!(
@@ -183,8 +183,8 @@
 #[test]
 fn a_group_without_a_size_acknowledges_alone() {
     let policy = Policy {
-        wanted: usize::MAX,
-        ..Policy::bearing(0, 0, time::Millis(0))
+        target_voters: usize::MAX,
+        ..Policy::tolerating(0, 0, time::Millis(0))
     };
     let members = log::Membership::of_voters([id(1, 1)]);
     assert!(policy.may_acknowledge(&members, false));
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -149,7 +149,7 @@
 impl Repair {
     fn policy(&self) -> repair::Policy {
         let lag = if self.guards.lag { 0 } else { u64::MAX };
-        repair::Policy::bearing(TOLERATED, lag, SILENCE)
+        repair::Policy::tolerating(TOLERATED, lag, SILENCE)
     }
 
     /// The change that the leader on `vm` asks for when it takes `silent` for silent.
--- a/src/sageshed/control/shared.rs
+++ b/src/sageshed/control/shared.rs
@@ -242,10 +242,10 @@
     #[must_use]
     pub fn repair_policy(&self) -> repair::Policy {
         match &self.settings.common.discovery {
-            Some(it) => repair::Policy::bearing(it.tolerates, REPAIR_LAG, SILENT),
+            Some(it) => repair::Policy::tolerating(it.tolerates, REPAIR_LAG, SILENT),
             None => repair::Policy {
-                wanted: usize::MAX,
-                ..repair::Policy::bearing(0, REPAIR_LAG, SILENT)
+                target_voters: usize::MAX,
+                ..repair::Policy::tolerating(0, REPAIR_LAG, SILENT)
             },
         }
     }
