--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -80,7 +80,7 @@
 
     /// The next change of membership, if one is due.
     #[must_use]
-    pub fn next(&self, view: GroupView<'_>) -> Option<event::Change> {
+    pub fn next_change(&self, view: GroupView<'_>) -> Option<event::Change> {
         let mut joiners = view.joiners.iter();
         joiners.find_map(|joiner| self.step_for(view, *joiner))
     }
@@ -107,13 +107,13 @@
         if members.voters.len() < self.target_voters {
             return Some(event::Change::Promote(joiner));
         }
-        let silent = self.silent(view, members.voters.iter().copied())?;
+        let silent = self.find_silent(view, members.voters.iter().copied())?;
         Some(event::Change::Remove(silent))
     }
 
     /// One of `members` that has answered nothing for [`Self::silence_timeout`].
     #[must_use]
-    pub fn silent(
+    pub fn find_silent(
         &self,
         view: GroupView<'_>,
         mut members: impl Iterator<Item = log::NodeId>,
--- a/crates/sageshed-quorum/tests/testsuite/repair.rs
+++ b/crates/sageshed-quorum/tests/testsuite/repair.rs
@@ -132,7 +132,7 @@
             status: &status,
             joiners: &ids(case.joiners),
         };
-        assert_eq!(POLICY.next(view), case.expected, "{}", case.name);
+        assert_eq!(POLICY.next_change(view), case.expected, "{}", case.name);
     }
 }
 
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -165,7 +165,7 @@
             status: &status,
             joiners: &joiners,
         };
-        let change = self.policy().next(seen)?;
+        let change = self.policy().next_change(seen)?;
         Some(self.in_order(change, &status, &joiners))
     }
 
--- a/src/sageshed/control/driver/leading.rs
+++ b/src/sageshed/control/driver/leading.rs
@@ -100,7 +100,7 @@
         };
         let policy = self.shared.repair_policy();
         let change = policy
-            .next(view)
+            .next_change(view)
             .or_else(|| self.lost_learner(policy, view))?;
         // Refused by the log while the change before is not committed.
         self.work.repair_due = now + REPAIR_RETRY_MS;
@@ -117,6 +117,6 @@
         self.shared.settings.common.discovery.as_ref()?;
         let learners = view.status.membership.learners.iter().copied();
         let lost = learners.filter(|it| !view.joiners.contains(it));
-        policy.silent(view, lost).map(event::Change::Remove)
+        policy.find_silent(view, lost).map(event::Change::Remove)
     }
 }
