--- a/crates/sageshed-quorum/src/event.rs
+++ b/crates/sageshed-quorum/src/event.rs
@@ -27,14 +27,14 @@
     /// Append a command. Answered by [`Action::Proposed`] or [`Action::Rejected`].
     Propose {
         /// Named in the answer.
-        ticket: u64,
+        correlation_id: u64,
         /// The command.
         payload: Vec<u8>,
     },
     /// Change the membership. Answered as [`Event::Propose`] is.
     ChangeMembership {
         /// Named in the answer.
-        ticket: u64,
+        correlation_id: u64,
         /// The change.
         change: Change,
     },
@@ -42,7 +42,7 @@
     /// committed before this event. Answered by [`Action::ReadReady`] or [`Action::Rejected`].
     ReadIndex {
         /// Named in the answer.
-        ticket: u64,
+        correlation_id: u64,
     },
     /// The driver has made and synced a snapshot of what was applied. Its head comes from
     /// [`Node::build_snapshot`](crate::node::Node::build_snapshot). A driver that hands it over only
@@ -105,7 +105,7 @@
     /// A proposal is in the leader's log, not yet committed. See [`Action::Apply`].
     Proposed {
         /// Of the proposal.
-        ticket: u64,
+        correlation_id: u64,
         /// Where it is in the log.
         index: log::Index,
         /// The leader's term.
@@ -114,7 +114,7 @@
     /// A proposal, change or read was refused and had no effect.
     Rejected {
         /// Of the refused event.
-        ticket: u64,
+        correlation_id: u64,
         /// Who leads as far as is known.
         leader: Option<log::NodeId>,
         /// Why.
@@ -123,7 +123,7 @@
     /// A read may be served by a state machine that has applied `index`.
     ReadReady {
         /// Of the read.
-        ticket: u64,
+        correlation_id: u64,
         /// What must have been applied.
         index: log::Index,
     },
--- a/crates/sageshed-quorum/src/heartbeat.rs
+++ b/crates/sageshed-quorum/src/heartbeat.rs
@@ -73,19 +73,22 @@
     ///
     /// The commit index is only known to be up to date once an entry of this leader's own term is
     /// committed, and the leader only to be the latest once a majority answers a later heartbeat.
-    pub(crate) fn read_index(&mut self, ticket: u64, out: &mut output::Output) {
+    pub(crate) fn read_index(&mut self, correlation_id: u64, out: &mut output::Output) {
         let index = self.state.commit;
         let state::Role::Leader(leader) = &mut self.state.role else {
-            return self.reject(ticket, event::Reason::NotLeader, out);
+            return self.reject(correlation_id, event::Reason::NotLeader, out);
         };
         if index < leader.term_start {
-            return self.reject(ticket, event::Reason::NotReady, out);
+            return self.reject(correlation_id, event::Reason::NotReady, out);
         }
         if !self.cfg.guards.read_round {
-            return out.push(event::Action::ReadReady { ticket, index });
+            return out.push(event::Action::ReadReady {
+                correlation_id,
+                index,
+            });
         }
         leader.reads.push_back(state::Read {
-            ticket,
+            correlation_id,
             index,
             round: None,
         });
@@ -125,8 +128,11 @@
             if !read.round.is_some_and(confirmed) {
                 return;
             }
-            let (ticket, index) = (read.ticket, read.index);
-            out.push(event::Action::ReadReady { ticket, index });
+            let (correlation_id, index) = (read.correlation_id, read.index);
+            out.push(event::Action::ReadReady {
+                correlation_id,
+                index,
+            });
             leader.reads.pop_front();
         }
     }
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -193,9 +193,15 @@
             event::Event::HeartbeatDue => self.heartbeat_due(out),
             event::Event::QuorumLost => self.lose_quorum(out),
             event::Event::Message { from, message } => self.receive(from, message, out),
-            event::Event::Propose { ticket, payload } => self.propose(ticket, payload, out),
-            event::Event::ChangeMembership { ticket, change } => self.change(ticket, change, out),
-            event::Event::ReadIndex { ticket } => self.read_index(ticket, out),
+            event::Event::Propose {
+                correlation_id,
+                payload,
+            } => self.propose(correlation_id, payload, out),
+            event::Event::ChangeMembership {
+                correlation_id,
+                change,
+            } => self.change(correlation_id, change, out),
+            event::Event::ReadIndex { correlation_id } => self.read_index(correlation_id, out),
             event::Event::Compact { snapshot } => self.compact(snapshot, out),
         }
     }
@@ -370,7 +376,7 @@
             term: self.state.hard.term,
         });
         for read in leader.reads {
-            self.reject(read.ticket, event::Reason::NotLeader, out);
+            self.reject(read.correlation_id, event::Reason::NotLeader, out);
         }
         self.restart_election_timer();
     }
--- a/crates/sageshed-quorum/src/requests.rs
+++ b/crates/sageshed-quorum/src/requests.rs
@@ -3,38 +3,58 @@
 use crate::{event, log, node, output, state};
 
 impl node::Node {
-    pub(crate) fn propose(&mut self, ticket: u64, payload: Vec<u8>, out: &mut output::Output) {
+    pub(crate) fn propose(
+        &mut self,
+        correlation_id: u64,
+        payload: Vec<u8>,
+        out: &mut output::Output,
+    ) {
         if !self.is_leader() {
-            return self.reject(ticket, event::Reason::NotLeader, out);
+            return self.reject(correlation_id, event::Reason::NotLeader, out);
         }
         let uncommitted = self.state.log.last().index.0 - self.state.commit.0;
         if uncommitted >= self.cfg.max_uncommitted {
-            return self.reject(ticket, event::Reason::Overloaded, out);
+            return self.reject(correlation_id, event::Reason::Overloaded, out);
         }
-        self.append_request(ticket, log::EntryData::Command(payload), out);
+        self.append_request(correlation_id, log::EntryData::Command(payload), out);
     }
 
-    pub(crate) fn change(&mut self, ticket: u64, change: event::Change, out: &mut output::Output) {
+    pub(crate) fn change(
+        &mut self,
+        correlation_id: u64,
+        change: event::Change,
+        out: &mut output::Output,
+    ) {
         match self.membership_after(change) {
             Ok(membership) => {
-                self.append_request(ticket, log::EntryData::Membership(membership), out);
+                self.append_request(correlation_id, log::EntryData::Membership(membership), out);
             }
-            Err(reason) => self.reject(ticket, reason, out),
+            Err(reason) => self.reject(correlation_id, reason, out),
         }
     }
 
-    pub(crate) fn reject(&self, ticket: u64, reason: event::Reason, out: &mut output::Output) {
+    pub(crate) fn reject(
+        &self,
+        correlation_id: u64,
+        reason: event::Reason,
+        out: &mut output::Output,
+    ) {
         out.push(event::Action::Rejected {
-            ticket,
+            correlation_id,
             leader: self.state.leader,
             reason,
         });
     }
 
-    fn append_request(&mut self, ticket: u64, data: log::EntryData, out: &mut output::Output) {
+    fn append_request(
+        &mut self,
+        correlation_id: u64,
+        data: log::EntryData,
+        out: &mut output::Output,
+    ) {
         let index = self.append(data, out);
         out.push(event::Action::Proposed {
-            ticket,
+            correlation_id,
             index,
             term: self.state.hard.term,
         });
--- a/crates/sageshed-quorum/src/state.rs
+++ b/crates/sageshed-quorum/src/state.rs
@@ -104,7 +104,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Read {
-    pub(crate) ticket: u64,
+    pub(crate) correlation_id: u64,
     pub(crate) index: log::Index,
     /// The round that has to be answered; none before the step in which it came is over.
     pub(crate) round: Option<u64>,
--- a/crates/sageshed-quorum/tests/testsuite/guards.rs
+++ b/crates/sageshed-quorum/tests/testsuite/guards.rs
@@ -315,6 +315,6 @@
     sim.elect(2)?;
     sim.propose(2, b"rule")?;
     sim.deliver()?;
-    sim.step(1, event::Event::ReadIndex { ticket: 1 })?;
+    sim.step(1, event::Event::ReadIndex { correlation_id: 1 })?;
     sim.deliver()
 }
--- a/crates/sageshed-quorum/tests/testsuite/random.rs
+++ b/crates/sageshed-quorum/tests/testsuite/random.rs
@@ -21,29 +21,32 @@
     let mut sim = Sim::new(seed, voters, guards);
     sim.fault_every = 25;
     let mut repair = None;
-    for ticket in 0..steps {
-        step(&mut sim, ticket, &mut repair)?;
+    for correlation_id in 0..steps {
+        step(&mut sim, correlation_id, &mut repair)?;
         let pause = 10 * (1 + sim.rng.below(6));
         sim.run(pause)?;
     }
     settle(&mut sim, &mut repair)
 }
 
-fn step(sim: &mut Sim, ticket: u64, repair: &mut Option<Repair>) -> Broken {
+fn step(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> Broken {
     let vm = sim.any_vm();
     let known = sim.leader().filter(|_| sim.rng.below(2) == 0);
     let asked = known.unwrap_or(vm);
     let crash_after = (sim.rng.below(60) == 0).then(|| sim.rng.below(4));
     match sim.rng.below(40) {
         0..14 => {
-            let payload = ticket.to_le_bytes().to_vec();
+            let payload = correlation_id.to_le_bytes().to_vec();
             sim.step_until(
                 asked,
-                event::Event::Propose { ticket, payload },
+                event::Event::Propose {
+                    correlation_id,
+                    payload,
+                },
                 crash_after,
             )
         }
-        14..18 => sim.step(asked, event::Event::ReadIndex { ticket }),
+        14..18 => sim.step(asked, event::Event::ReadIndex { correlation_id }),
         18..21 => compact(sim, vm),
         21 => sim.step_until(vm, event::Event::Tick, Some(0)),
         22..26 if sim.vms[&vm].node.is_none() => {
@@ -66,7 +69,7 @@
             });
             Ok(())
         }
-        30..38 => go_on(sim, ticket, repair),
+        30..38 => go_on(sim, correlation_id, repair),
         _ => Ok(()),
     }
 }
@@ -85,7 +88,7 @@
 }
 
 /// The next change of a repair, asked of whoever thinks it leads.
-fn go_on(sim: &mut Sim, ticket: u64, repair: &mut Option<Repair>) -> Broken {
+fn go_on(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> Broken {
     let Some(Repair { vm, promote_first }) = *repair else {
         return Ok(());
     };
@@ -120,7 +123,13 @@
     } else {
         event::Change::Remove(old)
     };
-    sim.step(leader, event::Event::ChangeMembership { ticket, change })
+    sim.step(
+        leader,
+        event::Event::ChangeMembership {
+            correlation_id,
+            change,
+        },
+    )
 }
 
 /// A good network and all VMs up: the repair ends, and all members apply the same log.
@@ -128,9 +137,9 @@
     sim.fault_every = 0;
     sim.cut.clear();
     sim.start_all();
-    for ticket in 0..40 {
+    for correlation_id in 0..40 {
         sim.run(200)?;
-        go_on(sim, 1_000_000 + ticket, repair)?;
+        go_on(sim, 1_000_000 + correlation_id, repair)?;
     }
     if repair.is_some() {
         return Err("the repair does not end".to_owned());
@@ -141,7 +150,7 @@
     sim.step(
         leader,
         event::Event::Propose {
-            ticket: u64::MAX,
+            correlation_id: u64::MAX,
             payload: vec![1],
         },
     )?;
--- a/crates/sageshed-quorum/tests/testsuite/scenarios.rs
+++ b/crates/sageshed-quorum/tests/testsuite/scenarios.rs
@@ -256,8 +256,8 @@
     };
     let mut node = node::Node::new(cfg, restored, 1);
     node.step(time::Instant(0), event::Event::ElectionTimeout);
-    let propose = |ticket| event::Event::Propose {
-        ticket,
+    let propose = |correlation_id| event::Event::Propose {
+        correlation_id,
         payload: vec![0; 400],
     };
     let actions = node.step_all(time::Instant(0), (0..10).map(propose));
@@ -269,7 +269,10 @@
     let change = event::Change::AddLearner(id(2, 1));
     node.step(
         time::Instant(0),
-        event::Event::ChangeMembership { ticket: 0, change },
+        event::Event::ChangeMembership {
+            correlation_id: 0,
+            change,
+        },
     );
     let body = message::Body::Rejected {
         prev: log::Index(11),
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -172,8 +172,8 @@
 
     /// Hands one event to a VM; it crashes after `crash_after` actions, if given.
     pub fn step_until(&mut self, vm: u32, event: event::Event, crash_after: Option<u64>) -> Broken {
-        if let event::Event::ReadIndex { ticket } = event {
-            self.reads.insert(ticket, self.last_committed());
+        if let event::Event::ReadIndex { correlation_id } = event {
+            self.reads.insert(correlation_id, self.last_committed());
         }
         let Some(node) = self.vms.get_mut(&vm).and_then(|host| host.node.as_mut()) else {
             return Ok(());
@@ -218,14 +218,20 @@
         self.step(
             vm,
             event::Event::Propose {
-                ticket: 0,
+                correlation_id: 0,
                 payload: payload.to_vec(),
             },
         )
     }
 
     pub fn change(&mut self, vm: u32, change: event::Change) -> Broken {
-        self.step(vm, event::Event::ChangeMembership { ticket: 0, change })
+        self.step(
+            vm,
+            event::Event::ChangeMembership {
+                correlation_id: 0,
+                change,
+            },
+        )
     }
 
     /// Delivers all that is due, and what comes of it.
@@ -281,8 +287,11 @@
                 self.vms.get_mut(&vm).unwrap().applied = (snapshot.index, state);
             }
             event::Action::BecameLeader { term } => self.check_leader(vm, term)?,
-            event::Action::ReadReady { ticket, index } => {
-                let least = self.reads[&ticket];
+            event::Action::ReadReady {
+                correlation_id,
+                index,
+            } => {
+                let least = self.reads[&correlation_id];
                 check(index >= least, || format!("stale read: {index} of {least}"))?;
                 self.answers.push(action);
             }
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -245,7 +245,7 @@
     let begun = cpu()?;
     for first in (0..PROPOSALS).step_by(usize::try_from(batch)?) {
         let proposal = |ticket| event::Event::Propose {
-            ticket,
+            correlation_id: ticket,
             payload: payload.clone(),
         };
         group.step(leader, (first..first + batch).map(proposal).collect())?;
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -190,7 +190,7 @@
             command > 0
         };
         let propose = event::Event::Propose {
-            ticket: 0,
+            correlation_id: 0,
             payload: vec![command],
         };
         self.push(all, Step::Propose(vm, command), spend, |world| {
@@ -202,7 +202,7 @@
                 true
             };
             let event = event::Event::ChangeMembership {
-                ticket: 0,
+                correlation_id: 0,
                 change: *change,
             };
             let last = self.world.status(vm).last;
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -337,13 +337,19 @@
 
     fn propose(&mut self, vm: u32, command: u8, among: &[u32]) {
         let payload = vec![command];
-        let propose = event::Event::Propose { ticket: 0, payload };
+        let propose = event::Event::Propose {
+            correlation_id: 0,
+            payload,
+        };
         self.world.step(vm, propose);
         self.settle(among);
     }
 
     fn change(&mut self, vm: u32, change: event::Change, among: &[u32]) {
-        let change = event::Event::ChangeMembership { ticket: 0, change };
+        let change = event::Event::ChangeMembership {
+            correlation_id: 0,
+            change,
+        };
         self.world.step(vm, change);
         self.settle(among);
     }
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -159,13 +159,13 @@
         let heard = ids.iter().filter(|id| Some(id.vm) != silent);
         status.answered = heard.map(|id| (*id, NOW)).collect();
         let joiners = ids.into_iter().collect();
-        let seen = repair::GroupView {
+        let view = repair::GroupView {
             now: NOW,
             led_since: time::Instant(0),
             status: &status,
             joiners: &joiners,
         };
-        let change = self.policy().next_change(seen)?;
+        let change = self.policy().next_change(view)?;
         Some(self.in_order(change, &status, &joiners))
     }
 
@@ -213,7 +213,10 @@
             if silent.is_some() != needs_silence {
                 continue;
             }
-            let ask = event::Event::ChangeMembership { ticket: 0, change };
+            let ask = event::Event::ChangeMembership {
+                correlation_id: 0,
+                change,
+            };
             let step = Step::Change(vm, change, silent);
             let last = state.world.status(vm).last;
             let next = next.after(|world| world.step(vm, ask));
@@ -223,7 +226,7 @@
         }
         if state.proposals > 0 && self.may_acknowledge(state, vm) {
             let propose = event::Event::Propose {
-                ticket: 0,
+                correlation_id: 0,
                 payload: vec![state.proposals],
             };
             let mut next = state.clone();
--- a/src/sageshed/control/driver/leading.rs
+++ b/src/sageshed/control/driver/leading.rs
@@ -105,7 +105,10 @@
         // Refused by the log while the change before is not committed.
         self.work.repair_due = now + REPAIR_RETRY_MS;
         let ticket = self.work.ticket(Ticket::Membership(change));
-        Some(event::Event::ChangeMembership { ticket, change })
+        Some(event::Event::ChangeMembership {
+            correlation_id: ticket,
+            change,
+        })
     }
 
     /// A learner that is gone for good: messages to it would be made and dropped for ever.
--- a/src/sageshed/control/driver/mod.rs
+++ b/src/sageshed/control/driver/mod.rs
@@ -142,7 +142,9 @@
             Input::Submit { command, reply } => self.propose(&command, reply),
             Input::Read { reply } => {
                 let ticket = self.work.ticket(Ticket::Read(reply));
-                Some(event::Event::ReadIndex { ticket })
+                Some(event::Event::ReadIndex {
+                    correlation_id: ticket,
+                })
             }
             Input::Joiner(id) => {
                 self.work.joiners.insert(id, self.shared.clock.now());
@@ -159,7 +161,10 @@
         match command.to_bytes() {
             Ok(payload) => {
                 let ticket = self.work.ticket(ticket);
-                Some(event::Event::Propose { ticket, payload })
+                Some(event::Event::Propose {
+                    correlation_id: ticket,
+                    payload,
+                })
             }
             Err(e) => {
                 ::log::error!(error:% = e; "control: command not proposed");
@@ -186,12 +191,19 @@
             event::Action::Restore(snapshot) => self.restore(&snapshot)?,
             event::Action::Compacted { index } => self.folder.compact(index)?,
             event::Action::Proposed {
-                ticket,
+                correlation_id: ticket,
                 index,
                 term,
             } => self.proposed(ticket, index, term),
-            event::Action::Rejected { ticket, reason, .. } => self.rejected(ticket, reason),
-            event::Action::ReadReady { ticket, index } => self.read_ready(ticket, index),
+            event::Action::Rejected {
+                correlation_id: ticket,
+                reason,
+                ..
+            } => self.rejected(ticket, reason),
+            event::Action::ReadReady {
+                correlation_id: ticket,
+                index,
+            } => self.read_ready(ticket, index),
             event::Action::BecameLeader { term } => self.became_leader(term),
             event::Action::SteppedDown { term } => {
                 ::log::warn!(term:% = term; "control: leads no longer");
