--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -11,11 +11,11 @@
 
 /// The outcome of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Updated {
+pub enum UpdateOutcome {
     /// The copy was advanced to this revision.
-    To(rules::Revision),
+    Applied(rules::Revision),
     /// The update contains nothing newer. The copy is unchanged.
-    NothingNewer,
+    UpToDate,
     /// The delta begins after the copy's next revision. The copy is unchanged, and the delta must be
     /// requested again from the copy's revision.
     Gap {
@@ -26,7 +26,7 @@
     },
     /// A change cannot be applied to the copy. The copy is unchanged, and a snapshot must be requested
     /// by asking from revision 0.
-    Misfit {
+    Inapplicable {
         /// The revision of that change.
         revision: rules::Revision,
         /// Why it cannot be applied.
@@ -35,23 +35,23 @@
 }
 
 /// Applies `update` to the copy `set`.
-pub fn apply_update(set: &mut rules::RuleSet, update: messages::ConfigUpdate) -> Updated {
+pub fn apply_update(set: &mut rules::RuleSet, update: messages::ConfigUpdate) -> UpdateOutcome {
     match update {
         messages::ConfigUpdate::Snapshot(whole) => replace(set, whole),
         messages::ConfigUpdate::Delta(changes) => advance(set, &changes),
     }
 }
 
-fn replace(set: &mut rules::RuleSet, whole: rules::RuleSet) -> Updated {
+fn replace(set: &mut rules::RuleSet, whole: rules::RuleSet) -> UpdateOutcome {
     if whole.revision <= set.revision {
-        return Updated::NothingNewer;
+        return UpdateOutcome::UpToDate;
     }
     *set = whole;
-    Updated::To(set.revision)
+    UpdateOutcome::Applied(set.revision)
 }
 
 /// Applies the changes to a clone, so that a failure halfway leaves the copy unchanged.
-fn advance(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> Updated {
+fn advance(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> UpdateOutcome {
     let newer = changes
         .iter()
         .filter(|accepted| accepted.revision > set.revision);
@@ -60,10 +60,10 @@
         let needed = rules::Revision(next.revision.0 + 1);
         let came = accepted.revision;
         if came != needed {
-            return Updated::Gap { needed, came };
+            return UpdateOutcome::Gap { needed, came };
         }
         if let Err(problem) = edit::apply(&mut next.rules, &accepted.change.edit) {
-            return Updated::Misfit {
+            return UpdateOutcome::Inapplicable {
                 revision: came,
                 problem,
             };
--- a/crates/sageshed-state/tests/rules.rs
+++ b/crates/sageshed-state/tests/rules.rs
@@ -235,7 +235,7 @@
     struct Case {
         label: &'static str,
         update: messages::ConfigUpdate,
-        updated: update::Updated,
+        updated: update::UpdateOutcome,
     }
     let changes = |from: usize, to: usize| {
         let log = long(9);
@@ -243,21 +243,21 @@
         messages::ConfigUpdate::Delta(all[from..to].to_vec())
     };
     let whole = |at| messages::ConfigUpdate::Snapshot(long(at).current().clone());
-    let gap = update::Updated::Gap {
+    let gap = update::UpdateOutcome::Gap {
         needed: rules::Revision(6),
         came: rules::Revision(7),
     };
-    let to = |revision| update::Updated::To(rules::Revision(revision));
+    let to = |revision| update::UpdateOutcome::Applied(rules::Revision(revision));
     let cases = [
         Case {
             label: "older whole",
             update: whole(4),
-            updated: update::Updated::NothingNewer,
+            updated: update::UpdateOutcome::UpToDate,
         },
         Case {
             label: "same whole",
             update: whole(5),
-            updated: update::Updated::NothingNewer,
+            updated: update::UpdateOutcome::UpToDate,
         },
         Case {
             label: "later whole",
@@ -267,7 +267,7 @@
         Case {
             label: "older delta",
             update: changes(0, 4),
-            updated: update::Updated::NothingNewer,
+            updated: update::UpdateOutcome::UpToDate,
         },
         Case {
             label: "overlap",
@@ -285,7 +285,7 @@
         let updated = update::apply_update(&mut copy, case.update);
         assert_eq!(updated, case.updated, "{}", case.label);
         let expected = match updated {
-            update::Updated::To(revision) => long(revision.0),
+            update::UpdateOutcome::Applied(revision) => long(revision.0),
             _ => long(5),
         };
         assert_eq!(copy, *expected.current(), "{}", case.label);
@@ -301,7 +301,7 @@
     };
     let updated = update::apply_update(&mut copy, messages::ConfigUpdate::Delta(vec![misfit]));
     assert!(
-        matches!(updated, update::Updated::Misfit { .. }),
+        matches!(updated, update::UpdateOutcome::Inapplicable { .. }),
         "{updated:?}"
     );
     assert_eq!(copy, *long(5).current());
--- a/src/sageshed/entry/shared.rs
+++ b/src/sageshed/entry/shared.rs
@@ -201,18 +201,18 @@
     pub fn take_config(&self, update: messages::ConfigUpdate) {
         let mut config = locks::lock(&self.config);
         match update::apply_update(&mut config.rules, update) {
-            update::Updated::To(revision) => {
+            update::UpdateOutcome::Applied(revision) => {
                 config.since = self.clock.now();
                 config.wants_whole = false;
                 let rules = config.rules.clone();
                 locks::lock(&self.decider).install_rules(rules);
                 log::info!(revision:% = revision; "entry: rules in force");
             }
-            update::Updated::NothingNewer => {}
-            update::Updated::Gap { needed, came } => {
+            update::UpdateOutcome::UpToDate => {}
+            update::UpdateOutcome::Gap { needed, came } => {
                 log::debug!(needed:% = needed, came:% = came; "entry: rules came with a gap");
             }
-            update::Updated::Misfit { revision, problem } => {
+            update::UpdateOutcome::Inapplicable { revision, problem } => {
                 log::error!(revision:% = revision, problem:? = problem;
                     "entry: change does not fit, the whole is asked for");
                 config.wants_whole = true;
