--- a/crates/sageshed-state/src/edit.rs
+++ b/crates/sageshed-state/src/edit.rs
@@ -16,12 +16,12 @@
 
 /// Why an edit cannot be applied, and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-pub enum Problem {
+pub enum EditError {
     /// The id is empty, too long or contains characters that are not allowed.
     #[display(
         "the id `{id}` is not valid: use 1 to {MAX_ID_LEN} letters, digits, `-`, `_` and `.`"
     )]
-    BadId {
+    InvalidId {
         /// The id.
         id: String,
     },
@@ -45,13 +45,13 @@
     },
     /// A rule is to be placed relative to itself.
     #[display("the rule `{id}` cannot be placed next to itself: name another rule")]
-    BesideItself {
+    RelativeToItself {
         /// The id.
         id: String,
     },
     /// A priority exceeds [`MAX_PRIORITY`].
     #[display("rule `{rule}`: `{key}` is {value}: use 0 to {MAX_PRIORITY}")]
-    Priority {
+    PriorityTooHigh {
         /// The rule.
         rule: String,
         /// The key.
@@ -73,7 +73,7 @@
     },
     /// A rate or burst is not finite or is too small.
     #[display("rule `{rule}`: `{key}` is {value}: use a finite number, {least}")]
-    BadNumber {
+    InvalidNumber {
         /// The rule.
         rule: String,
         /// The key.
@@ -99,14 +99,14 @@
     },
     /// The edit would result in more than [`MAX_RULES`] rules.
     #[display("there would be {count} rules: at most {MAX_RULES} are kept, withdraw some first")]
-    TooMany {
+    TooManyRules {
         /// The number of rules that would result.
         count: usize,
     },
 }
 
 /// Applies `edit` to `rules`. On an error the rules are unchanged.
-pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), Problem> {
+pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), EditError> {
     match edit {
         rules::Edit::Add { rule, position } => add(rules, rule, position),
         rules::Edit::Move { id, position } => relocate(rules, id, position),
@@ -116,10 +116,10 @@
 }
 
 /// Checks the syntax of a rule id or a change id.
-pub fn check_id(id: &str) -> Result<(), Problem> {
+pub fn check_id(id: &str) -> Result<(), EditError> {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if id.is_empty() || id.len() > MAX_ID_LEN || !id.bytes().all(allowed) {
-        return Err(Problem::BadId { id: id.to_owned() });
+        return Err(EditError::InvalidId { id: id.to_owned() });
     }
     Ok(())
 }
@@ -128,10 +128,10 @@
     rules: &mut Vec<rules::Rule>,
     rule: &rules::Rule,
     position: &rules::Position,
-) -> Result<(), Problem> {
+) -> Result<(), EditError> {
     check_rule(rule)?;
     if find(rules, &rule.id).is_some() {
-        return Err(Problem::DuplicateId {
+        return Err(EditError::DuplicateId {
             id: rule.id.clone(),
         });
     }
@@ -145,11 +145,11 @@
     rules: &mut Vec<rules::Rule>,
     id: &str,
     position: &rules::Position,
-) -> Result<(), Problem> {
+) -> Result<(), EditError> {
     let from = find(rules, id).ok_or_else(|| unknown(id))?;
     if let rules::Position::Before(other) | rules::Position::After(other) = position {
         if other == id {
-            return Err(Problem::BesideItself { id: id.to_owned() });
+            return Err(EditError::RelativeToItself { id: id.to_owned() });
         }
         // Checked before the rule is removed, so that a refused move changes nothing.
         find(rules, other).ok_or_else(|| unknown(other))?;
@@ -160,19 +160,19 @@
     Ok(())
 }
 
-fn withdraw(rules: &mut Vec<rules::Rule>, id: &str) -> Result<(), Problem> {
+fn withdraw(rules: &mut Vec<rules::Rule>, id: &str) -> Result<(), EditError> {
     let at = find(rules, id).ok_or_else(|| unknown(id))?;
     rules.remove(at);
     Ok(())
 }
 
-fn replace_all(rules: &mut Vec<rules::Rule>, new: &[rules::Rule]) -> Result<(), Problem> {
+fn replace_all(rules: &mut Vec<rules::Rule>, new: &[rules::Rule]) -> Result<(), EditError> {
     check_count(new.len())?;
     let mut ids = std::collections::BTreeSet::new();
     for rule in new {
         check_rule(rule)?;
         if !ids.insert(&rule.id) {
-            return Err(Problem::DuplicateId {
+            return Err(EditError::DuplicateId {
                 id: rule.id.clone(),
             });
         }
@@ -185,12 +185,12 @@
     rules.iter().position(|rule| rule.id == id)
 }
 
-fn unknown(id: &str) -> Problem {
-    Problem::UnknownId { id: id.to_owned() }
+fn unknown(id: &str) -> EditError {
+    EditError::UnknownId { id: id.to_owned() }
 }
 
 /// The index at which a rule is inserted for `position`.
-fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, Problem> {
+fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, EditError> {
     match position {
         rules::Position::First => Ok(0),
         rules::Position::Last => Ok(rules.len()),
@@ -199,29 +199,29 @@
     }
 }
 
-fn check_count(count: usize) -> Result<(), Problem> {
+fn check_count(count: usize) -> Result<(), EditError> {
     if count > MAX_RULES {
-        return Err(Problem::TooMany { count });
+        return Err(EditError::TooManyRules { count });
     }
     Ok(())
 }
 
-fn check_rule(rule: &rules::Rule) -> Result<(), Problem> {
+fn check_rule(rule: &rules::Rule) -> Result<(), EditError> {
     check_id(&rule.id)?;
     if rule.id == refusal::DEFAULT_RULE {
-        return Err(Problem::ReservedId);
+        return Err(EditError::ReservedId);
     }
     check_when(&rule.id, &rule.when)?;
     check_action(&rule.id, &rule.action)?;
     if rule.deadline_ms.is_some_and(|deadline| deadline.0 == 0) {
-        return Err(Problem::ZeroDeadline {
+        return Err(EditError::ZeroDeadline {
             rule: rule.id.clone(),
         });
     }
     Ok(())
 }
 
-fn check_when(rule: &str, when: &rules::When) -> Result<(), Problem> {
+fn check_when(rule: &str, when: &rules::When) -> Result<(), EditError> {
     let lists = [
         ("when.caller", &when.caller),
         ("when.class", &when.class),
@@ -244,7 +244,7 @@
     Ok(())
 }
 
-fn check_action(rule: &str, action: &rules::Action) -> Result<(), Problem> {
+fn check_action(rule: &str, action: &rules::Action) -> Result<(), EditError> {
     match action {
         rules::Action::Route(route) => check_route(rule, route),
         rules::Action::Refuse(_) => Ok(()),
@@ -252,7 +252,7 @@
     }
 }
 
-fn check_route(rule: &str, route: &rules::Route) -> Result<(), Problem> {
+fn check_route(rule: &str, route: &rules::Route) -> Result<(), EditError> {
     for (key, name) in [
         ("do.route.pool", &route.pool),
         ("do.route.model", &route.model),
@@ -268,8 +268,8 @@
 }
 
 /// Refuses rates and bursts that a token bucket cannot have. A burst below 1 would admit no request.
-fn check_limit(rule: &str, limit: &rules::Limit) -> Result<(), Problem> {
-    let bad = |key, value: f64, least| Problem::BadNumber {
+fn check_limit(rule: &str, limit: &rules::Limit) -> Result<(), EditError> {
+    let bad = |key, value: f64, least| EditError::InvalidNumber {
         rule: rule.to_owned(),
         key,
         value: value.to_string(),
@@ -284,9 +284,9 @@
     Ok(())
 }
 
-fn check_name(rule: &str, key: &'static str, name: &str) -> Result<(), Problem> {
+fn check_name(rule: &str, key: &'static str, name: &str) -> Result<(), EditError> {
     if name.is_empty() {
-        return Err(Problem::EmptyName {
+        return Err(EditError::EmptyName {
             rule: rule.to_owned(),
             key,
         });
@@ -294,10 +294,14 @@
     Ok(())
 }
 
-fn check_range(rule: &str, key: &'static str, range: Option<rules::Range>) -> Result<(), Problem> {
+fn check_range(
+    rule: &str,
+    key: &'static str,
+    range: Option<rules::Range>,
+) -> Result<(), EditError> {
     let rules::Range { min, max } = range.unwrap_or_default();
     match (min, max) {
-        (Some(min), Some(max)) if min > max => Err(Problem::EmptyRange {
+        (Some(min), Some(max)) if min > max => Err(EditError::EmptyRange {
             rule: rule.to_owned(),
             key,
             min,
@@ -307,9 +311,9 @@
     }
 }
 
-fn check_priority(rule: &str, key: &'static str, value: u32) -> Result<(), Problem> {
+fn check_priority(rule: &str, key: &'static str, value: u32) -> Result<(), EditError> {
     if value > MAX_PRIORITY.into() {
-        return Err(Problem::Priority {
+        return Err(EditError::PriorityTooHigh {
             rule: rule.to_owned(),
             key,
             value,
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -105,7 +105,7 @@
         rules::ChangeOutcome::Accepted { revision }
     }
 
-    fn try_edit(&mut self, change: &rules::Change) -> Result<(), edit::Problem> {
+    fn try_edit(&mut self, change: &rules::Change) -> Result<(), edit::EditError> {
         edit::check_id(&change.change_id)?;
         edit::apply(&mut self.current.rules, &change.edit)
     }
--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -30,7 +30,7 @@
         /// The revision of that change.
         revision: rules::Revision,
         /// Why it cannot be applied.
-        problem: edit::Problem,
+        problem: edit::EditError,
     },
 }
 
