--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -82,13 +82,13 @@
 
 /// A claim in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct ClaimEntry {
     /// The arrival that may send the request.
     pub holder: claims::Holder,
     /// The digest of the request's content.
     pub digest: u64,
     /// The state of the claim.
-    pub state: State,
+    pub state: ClaimState,
     /// How long the claim is kept after it is settled, in milliseconds.
     pub retention: time::Millis,
 }
@@ -96,7 +96,7 @@
 /// The state of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ClaimState {
     /// The holder may send the request or has sent it.
     Running,
     /// The request ran.
@@ -110,7 +110,7 @@
 
 /// The result of [`ClaimTable::claim`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimAttempt {
     /// The reply to the process that requested the claim.
     Answer(claims::ClaimOutcome),
     /// The holder has already released the claim, or its process has ended. Nothing was recorded.
@@ -122,7 +122,7 @@
 pub struct ClaimTable {
     limits: Limits,
     unix_ms: u64,
-    claims: collections::BTreeMap<claims::ClaimKey, Held>,
+    claims: collections::BTreeMap<claims::ClaimKey, ClaimEntry>,
     answer_bytes: usize,
     /// Claims settled since the last clock command, which have no expiry yet.
     unstamped: Vec<claims::ClaimKey>,
@@ -154,7 +154,7 @@
 
     /// The claim on `key`.
     #[must_use]
-    pub fn get(&self, key: &claims::ClaimKey) -> Option<&Held> {
+    pub fn get(&self, key: &claims::ClaimKey) -> Option<&ClaimEntry> {
         self.claims.get(key)
     }
 
@@ -177,14 +177,14 @@
     }
 
     /// Grants a claim, or returns why it is not granted.
-    pub fn claim(&mut self, claim: claims::Claim) -> Claimed {
+    pub fn claim(&mut self, claim: claims::Claim) -> ClaimAttempt {
         match self.claims.get(&claim.key) {
-            Some(held) => Claimed::Answer(answer_again(held, &claim)),
-            None if self.is_too_late(&claim.holder) => Claimed::TooLate,
+            Some(held) => ClaimAttempt::Answer(answer_again(held, &claim)),
+            None if self.is_too_late(&claim.holder) => ClaimAttempt::TooLate,
             None if self.claims.len() >= self.limits.claims => {
-                Claimed::Answer(claims::ClaimOutcome::Full)
+                ClaimAttempt::Answer(claims::ClaimOutcome::Full)
             }
-            None => Claimed::Answer(self.grant(claim)),
+            None => ClaimAttempt::Answer(self.grant(claim)),
         }
     }
 
@@ -201,14 +201,16 @@
             return command::SettleOutcome::Ignored;
         }
         match (&held.state, end) {
-            (State::Running, claims::ExecutionOutcome::Ran { answer }) => self.ran(key, answer),
+            (ClaimState::Running, claims::ExecutionOutcome::Ran { answer }) => {
+                self.ran(key, answer)
+            }
             // The process was wrongly declared gone and now reports the outcome. The expiry stays.
-            (State::Unknown, claims::ExecutionOutcome::Ran { answer }) => {
+            (ClaimState::Unknown, claims::ExecutionOutcome::Ran { answer }) => {
                 self.keep_answer(&key, answer)
             }
-            (State::Running, claims::ExecutionOutcome::Unknown) => self.unknown(key),
-            (State::Ran { .. }, claims::ExecutionOutcome::Ran { .. })
-            | (State::Unknown, claims::ExecutionOutcome::Unknown) => {}
+            (ClaimState::Running, claims::ExecutionOutcome::Unknown) => self.unknown(key),
+            (ClaimState::Ran { .. }, claims::ExecutionOutcome::Ran { .. })
+            | (ClaimState::Unknown, claims::ExecutionOutcome::Unknown) => {}
             _ => return command::SettleOutcome::Ignored,
         }
         command::SettleOutcome::Settled
@@ -220,7 +222,7 @@
         let alive_from = self.alive_from.entry(vm.to_owned()).or_default();
         *alive_from = incarnation_below.max(*alive_from);
         let running = self.claims.iter().filter(|(_, held)| {
-            held.state == State::Running
+            held.state == ClaimState::Running
                 && held.holder.vm == vm
                 && held.holder.incarnation < incarnation_below
         });
@@ -260,10 +262,10 @@
     }
 
     fn grant(&mut self, claim: claims::Claim) -> claims::ClaimOutcome {
-        let held = Held {
+        let held = ClaimEntry {
             holder: claim.holder,
             digest: claim.digest,
-            state: State::Running,
+            state: ClaimState::Running,
             retention: claim.retention,
         };
         self.claims.insert(claim.key, held);
@@ -278,7 +280,7 @@
         holder: claims::Holder,
     ) -> command::SettleOutcome {
         match self.claims.get(key) {
-            Some(held) if held.holder == holder && held.state != State::Running => {
+            Some(held) if held.holder == holder && held.state != ClaimState::Running => {
                 return command::SettleOutcome::Ignored;
             }
             Some(held) if held.holder == holder => {
@@ -304,7 +306,7 @@
 
     fn unknown(&mut self, key: claims::ClaimKey) {
         if let Some(held) = self.claims.get_mut(&key) {
-            held.state = State::Unknown;
+            held.state = ClaimState::Unknown;
             self.unstamped.push(key);
         }
     }
@@ -315,7 +317,7 @@
         let answer = answer.filter(|answer| answer.body.len() <= limit);
         if let Some(held) = self.claims.get_mut(key) {
             self.answer_bytes += answer.as_ref().map_or(0, |answer| answer.body.len());
-            held.state = State::Ran { answer };
+            held.state = ClaimState::Ran { answer };
         }
     }
 
@@ -333,7 +335,7 @@
         let Some(held) = self.claims.remove(key) else {
             return;
         };
-        if let State::Ran {
+        if let ClaimState::Ran {
             answer: Some(answer),
         } = held.state
         {
@@ -343,18 +345,18 @@
 }
 
 /// The reply to a claim on a key that is already claimed.
-fn answer_again(held: &Held, claim: &claims::Claim) -> claims::ClaimOutcome {
+fn answer_again(held: &ClaimEntry, claim: &claims::Claim) -> claims::ClaimOutcome {
     if held.digest != claim.digest {
         return claims::ClaimOutcome::OtherContent;
     }
     match &held.state {
-        State::Running if held.holder == claim.holder => claims::ClaimOutcome::Granted,
-        State::Running => claims::ClaimOutcome::Running {
+        ClaimState::Running if held.holder == claim.holder => claims::ClaimOutcome::Granted,
+        ClaimState::Running => claims::ClaimOutcome::Running {
             holder: held.holder.clone(),
         },
-        State::Ran { answer } => claims::ClaimOutcome::Ran {
+        ClaimState::Ran { answer } => claims::ClaimOutcome::Ran {
             answer: answer.clone(),
         },
-        State::Unknown => claims::ClaimOutcome::Unknown,
+        ClaimState::Unknown => claims::ClaimOutcome::Unknown,
     }
 }
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -138,8 +138,8 @@
         match command {
             Command::Change(change) => Outcome::Change(self.rules.change(change)),
             Command::Claim(claim) => match self.claims.claim(claim) {
-                claim_table::Claimed::Answer(answer) => Outcome::Claim(answer),
-                claim_table::Claimed::TooLate => Outcome::ClaimTooLate,
+                claim_table::ClaimAttempt::Answer(answer) => Outcome::Claim(answer),
+                claim_table::ClaimAttempt::TooLate => Outcome::ClaimTooLate,
             },
             Command::Settle(settle) => Outcome::Settle(self.claims.settle(settle)),
             Command::HolderGone {
--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -55,7 +55,7 @@
     table: &mut claim_table::ClaimTable,
     on: &str,
     holder: claims::Holder,
-) -> claim_table::Claimed {
+) -> claim_table::ClaimAttempt {
     table.claim(claim_of(on, holder, DIGEST))
 }
 
@@ -86,16 +86,16 @@
     }
 }
 
-fn granted() -> claim_table::Claimed {
-    claim_table::Claimed::Answer(claims::ClaimOutcome::Granted)
+fn granted() -> claim_table::ClaimAttempt {
+    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Granted)
 }
 
-fn kept(answer: Option<claims::RecordedAnswer>) -> claim_table::Claimed {
-    claim_table::Claimed::Answer(claims::ClaimOutcome::Ran { answer })
+fn kept(answer: Option<claims::RecordedAnswer>) -> claim_table::ClaimAttempt {
+    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Ran { answer })
 }
 
-fn running(holder: claims::Holder) -> claim_table::Claimed {
-    claim_table::Claimed::Answer(claims::ClaimOutcome::Running { holder })
+fn running(holder: claims::Holder) -> claim_table::ClaimAttempt {
+    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Running { holder })
 }
 
 // Guards against refusing a holder's repeated claim. If the reply that grants the claim is lost, the
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_same_key_with_other_content_is_rejected_in_every_state() {
-    let other = claim_table::Claimed::Answer(claims::ClaimOutcome::OtherContent);
+    let other = claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::OtherContent);
     let ends = [
         None,
         Some(ran(b"x")),
@@ -138,11 +138,14 @@
 fn a_claim_committed_after_its_holder_gave_up_is_not_granted() {
     let mut table = table();
     settle(&mut table, "k", first(), claims::ExecutionOutcome::NotRun);
-    assert_eq!(ask(&mut table, "k", first()), claim_table::Claimed::TooLate);
+    assert_eq!(
+        ask(&mut table, "k", first()),
+        claim_table::ClaimAttempt::TooLate
+    );
     table.holder_gone("vm2", endpoints::Incarnation(6));
     assert_eq!(
         ask(&mut table, "k", second()),
-        claim_table::Claimed::TooLate
+        claim_table::ClaimAttempt::TooLate
     );
     assert!(table.is_empty());
     assert_eq!(ask(&mut table, "k", holder("vm2", 6, "r2")), granted());
@@ -159,7 +162,7 @@
             claims::ExecutionOutcome::NotRun,
         );
     }
-    let late = claim_table::Claimed::TooLate;
+    let late = claim_table::ClaimAttempt::TooLate;
     assert_eq!(ask(&mut table, "k", holder("vm1", 5, "b")), late);
     assert_eq!(ask(&mut table, "k", holder("vm1", 5, "c")), late);
     assert_eq!(ask(&mut table, "k", holder("vm1", 5, "a")), granted());
@@ -173,7 +176,7 @@
     for on in ["a", "b", "c"] {
         assert_eq!(ask(&mut table, on, first()), granted());
     }
-    let full = claim_table::Claimed::Answer(claims::ClaimOutcome::Full);
+    let full = claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Full);
     assert_eq!(ask(&mut table, "d", second()), full);
     assert_eq!(ask(&mut table, "a", second()), running(first()));
     settle(&mut table, "a", first(), ran(b"x"));
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -179,11 +179,11 @@
     });
 }
 
-fn describe(claimed: claim_table::Claimed) -> String {
+fn describe(claimed: claim_table::ClaimAttempt) -> String {
     use claims::ClaimOutcome;
     let outcome = match claimed {
-        claim_table::Claimed::Answer(outcome) => outcome,
-        claim_table::Claimed::TooLate => return "too late".to_owned(),
+        claim_table::ClaimAttempt::Answer(outcome) => outcome,
+        claim_table::ClaimAttempt::TooLate => return "too late".to_owned(),
     };
     match outcome {
         ClaimOutcome::Granted => "granted".to_owned(),
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -212,7 +212,7 @@
             digest: 1,
             retention: RETENTION,
         };
-        if let claim_table::Claimed::Answer(answer) = self.table.claim(claim) {
+        if let claim_table::ClaimAttempt::Answer(answer) = self.table.claim(claim) {
             self.answers.push((arrival, answer));
         }
     }
@@ -388,7 +388,7 @@
             self.push(all, event, Self::clock);
         }
         let held = self.table.get(&key());
-        let running = held.filter(|held| held.state == claim_table::State::Running);
+        let running = held.filter(|held| held.state == claim_table::ClaimState::Running);
         if let Some(held) = running.filter(|_| !guards.no_expiry) {
             let holder = held.holder.clone();
             self.push(all, "a running claim ends by time".to_owned(), |next| {
