--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -4,15 +4,17 @@
 
 use sageshed_types::{arena, time};
 
-use super::{Ask, Choice, Chooser, Found, Missing, Pick, STEP_MS, endpoint, reading};
+use super::{
+    Ask, BATCH_STEP_MS, Choice, Chooser, EngineSelection, Missing, Pick, endpoint, prefill_speed,
+};
 use crate::{dialect, neighbours};
 
 /// The shortest estimate that teaches something, in milliseconds. Below, what came is mostly the way there and
 /// back and the step that was under way.
-const LEAST_LEARNT_MS: f64 = 30.0;
+const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
 /// How long one process's word that an engine can't be reached is kept for a second one.
-const MISSED_KEPT: time::Millis = time::Millis(1_000);
+const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
     /// Takes another process's word on an engine. Returns whether the engine has less to read by it.
@@ -29,18 +31,18 @@
             return false;
         };
         if let Some(beginning) = &word.kept {
-            endpoint.kept.learn(beginning);
+            endpoint.prefix_cache.insert_reported(beginning);
         }
         if word.pace.is_some() {
-            endpoint.word_at = now;
+            endpoint.last_activity = now;
             endpoint.ejection = time::Millis(0);
         }
         if let Some(running) = word.running {
-            endpoint.crowd = Some((running, now));
+            endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.hear(now, from, word.micros);
+        let has_less = endpoint.set_reported_prefill(now, from, word.micros);
         if let Some(trouble) = word.trouble {
-            endpoint.hear_of(now, from, trouble);
+            endpoint.apply_fault(now, from, trouble);
         }
         if let Some(pace) = word.pace {
             self.learn_pace(key, pace);
@@ -53,19 +55,19 @@
 
     /// Learns how fast an engine reads from a request of another process.
     fn learn_pace(&mut self, key: arena::EndpointKey, pace: neighbours::Pace) {
-        let estimated = f64::from(pace.estimated) - STEP_MS;
-        if estimated < LEAST_LEARNT_MS {
+        let estimated = f64::from(pace.estimated) - BATCH_STEP_MS;
+        if estimated < MIN_LEARNABLE_ESTIMATE_MS {
             return;
         }
-        let factor = (f64::from(pace.took) - STEP_MS).max(1.0) / estimated;
+        let factor = (f64::from(pace.took) - BATCH_STEP_MS).max(1.0) / estimated;
         let Some(endpoint) = self.get_mut(key) else {
             return;
         };
-        endpoint.slowness = reading::learn_slowness(endpoint.slowness, factor);
+        endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
         let models = endpoint.instance.models.iter();
-        let mut named = models.filter(|it| neighbours::key(&it.model) == pace.model);
-        if let Some(model) = named.next().map(|it| it.model.clone()) {
-            self.paces.learn(&model, factor);
+        let mut matching = models.filter(|it| neighbours::key(&it.model) == pace.model);
+        if let Some(model) = matching.next().map(|it| it.model.clone()) {
+            self.prefill_speeds.learn(&model, factor);
         }
     }
 
@@ -75,7 +77,7 @@
         let endpoint = self.get(pick.key)?;
         let word = neighbours::Unread {
             engine: neighbours::instance_key(&endpoint.instance.id),
-            micros: endpoint.unread,
+            micros: endpoint.pending_prefill_us,
             kept: None,
             pace: None,
             running: None,
@@ -113,29 +115,39 @@
         let Some(wanted) = ask.wanted else {
             return neighbours::Place::Unknown;
         };
-        let (with, without) = self.holders(now, ask, wanted);
-        if with.is_empty() && without.is_empty() && self.open(now, ask).next().is_none() {
+        let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
+        if with_adapter.is_empty()
+            && without_adapter.is_empty()
+            && self.open_endpoints(now, ask).next().is_none()
+        {
             return neighbours::Place::Unknown;
         }
-        let key = match self.find_engine(now, ask, &with, &without) {
-            Found::Engine(key) => key,
-            Found::Missing(Missing::Place) => {
-                let expected = self.lines.waits(now, &wanted.model, request);
+        let key = match self.select_engine(now, ask, &with_adapter, &without_adapter) {
+            EngineSelection::Engine(key) => key,
+            EngineSelection::Missing(Missing::Place) => {
+                let expected = self
+                    .wait_estimates
+                    .record_waiting(now, &wanted.model, request);
                 return neighbours::Place::Wait { expected };
             }
-            Found::Missing(_) | Found::Fetch(_) => return neighbours::Place::Unknown,
+            EngineSelection::Missing(_) | EngineSelection::Fetch(_) => {
+                return neighbours::Place::Unknown;
+            }
         };
-        let estimate = super::span(self.estimate(now, key, ask));
-        let Some((endpoint, reading)) = self.burden(now, key, ask) else {
+        let estimate = super::to_millis(self.estimate_ms(now, key, ask));
+        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
             return neighbours::Place::Unknown;
         };
-        endpoint.advise(now, to, reading);
+        endpoint.add_routed(now, to, reading);
         let place = neighbours::Place::Engine {
             engine: neighbours::instance_key(&endpoint.instance.id),
             estimate,
-            kept_tokens: ask.prompt_tokens.saturating_sub(endpoint.unkept(ask)),
+            kept_tokens: ask
+                .prompt_tokens
+                .saturating_sub(endpoint.uncached_tokens(ask)),
         };
-        self.lines.sent(now, &wanted.model, request);
+        self.wait_estimates
+            .record_routed(now, &wanted.model, request);
         place
     }
 
@@ -148,9 +160,9 @@
         ask: &Ask<'_>,
     ) -> Option<Choice> {
         let key = self.by_short_name(engine)?;
-        let is_open = self.is_of(key, ask.service) && self.is_open(now, key, ask);
+        let is_open = self.is_in_service(key, ask.service) && self.is_open(now, key, ask);
         let holds = ask.wanted.is_some_and(|it| self.holds(now, key, it));
-        (is_open && holds).then(|| self.send_by(now, key, ask, estimate))
+        (is_open && holds).then(|| self.dispatch_with_estimate(now, key, ask, estimate))
     }
 
     /// The endpoint of this short name.
@@ -171,8 +183,13 @@
     /// The process `from` has met with this trouble here.
     ///
     /// One that is cut off finds no engine: its word alone leaves none out. The word of two does.
-    fn hear_of(&mut self, now: time::Instant, from: net::Ipv4Addr, trouble: neighbours::Trouble) {
-        let named = |model: u64| {
+    fn apply_fault(
+        &mut self,
+        now: time::Instant,
+        from: net::Ipv4Addr,
+        trouble: neighbours::Trouble,
+    ) {
+        let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
             let found = models.find(|it| neighbours::key(&it.model) == model);
             found.map(|it| dialect::Wanted {
@@ -182,16 +199,16 @@
         };
         match trouble {
             neighbours::Trouble::Rejects(model) | neighbours::Trouble::Lacks(model) => {
-                if let Some(wanted) = named(model) {
-                    self.reject(now, Some(&wanted));
+                if let Some(wanted) = find_model(model) {
+                    self.record_rejection(now, Some(&wanted));
                 }
             }
-            neighbours::Trouble::Fails | neighbours::Trouble::Silent => self.fail(now),
+            neighbours::Trouble::Fails | neighbours::Trouble::Silent => self.record_failure(now),
             neighbours::Trouble::Unreachable => {
-                self.fail(now);
-                let before = self.missed_by.replace((from, now));
-                let is_second =
-                    before.is_some_and(|(it, at)| it != from && now.since(at) < MISSED_KEPT);
+                self.record_failure(now);
+                let before = self.unreachable_from.replace((from, now));
+                let is_second = before
+                    .is_some_and(|(it, at)| it != from && now.since(at) < UNREACHABLE_REPORT_TTL);
                 if is_second {
                     self.eject(now);
                 }
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -19,17 +19,17 @@
 
 /// The smallest limit that is kept to, in requests a second. Of one that names none at all nothing would ever be
 /// heard again.
-const LEAST_PER_S: f64 = 0.25;
+const MIN_RATE_PER_S: f64 = 0.25;
 
 /// Requests that may go to an endpoint with a limit at once. Half of what comes within seconds comes in pairs and
 /// clumps; what is not used meanwhile is lost.
 const BURST: f64 = 2.0;
 
 /// Between two counts of what was sent to an endpoint with a limit.
-const COUNTED_EVERY: time::Millis = time::Millis(4_000);
+const COUNT_INTERVAL: time::Millis = time::Millis(4_000);
 
 /// How long what an endpoint has said is kept once it is gone.
-const KEPT: time::Millis = time::Millis(60_000);
+const RETENTION: time::Millis = time::Millis(60_000);
 
 /// What is new of the limit of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -55,7 +55,7 @@
 
 /// What one start of an endpoint has said.
 #[derive(Debug, Clone, Copy, Default)]
-struct Said {
+struct InstanceState {
     limit: Option<Limit>,
     /// By its limit it is not this process's turn before.
     closed_until: time::Instant,
@@ -67,17 +67,17 @@
 /// What endpoints have said that asked for something.
 #[derive(Debug, Default)]
 pub(super) struct Backpressure {
-    by_start: collections::HashMap<directory::InstanceId, Said>,
+    by_instance: collections::HashMap<directory::InstanceId, InstanceState>,
 }
 
 impl Backpressure {
     /// How much longer nothing is to go to this start.
     fn closed_for(&self, now: time::Instant, id: &directory::InstanceId) -> Option<time::Millis> {
-        if self.by_start.is_empty() {
+        if self.by_instance.is_empty() {
             return None;
         }
-        let said = self.by_start.get(id)?;
-        let until = said.closed_until.max(said.rests_until);
+        let state = self.by_instance.get(id)?;
+        let until = state.closed_until.max(state.rests_until);
         (now < until).then(|| until.since(now))
     }
 
@@ -86,10 +86,10 @@
     }
 
     fn limit(&mut self, id: &directory::InstanceId) -> Option<&mut Limit> {
-        if self.by_start.is_empty() {
+        if self.by_instance.is_empty() {
             return None;
         }
-        self.by_start.get_mut(id)?.limit.as_mut()
+        self.by_instance.get_mut(id)?.limit.as_mut()
     }
 }
 
@@ -122,11 +122,11 @@
         id: &directory::InstanceId,
         per_s: f64,
     ) -> Option<Change> {
-        self.forget_said(now);
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        let before = said.limit.map(|it| it.per_s);
-        let limit = said.limit.get_or_insert(Limit {
+        self.expire(now);
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard = now;
+        let before = state.limit.map(|it| it.per_s);
+        let limit = state.limit.get_or_insert(Limit {
             per_s,
             heard: now,
             sent: 0,
@@ -139,12 +139,12 @@
 
     /// A start of an endpoint has answered without naming a limit. Returns what is new.
     pub fn unlimited(&mut self, id: &directory::InstanceId) -> Option<Change> {
-        if self.backpressure.by_start.is_empty() {
+        if self.backpressure.by_instance.is_empty() {
             return None;
         }
-        let said = self.backpressure.by_start.get_mut(id)?;
-        said.limit.take()?;
-        said.closed_until = time::Instant(0);
+        let state = self.backpressure.by_instance.get_mut(id)?;
+        state.limit.take()?;
+        state.closed_until = time::Instant(0);
         Some(Change::Lifted)
     }
 
@@ -157,7 +157,7 @@
         let limit = self.backpressure.limit(id)?;
         Some(allowance::Named {
             terms: allowance::Terms {
-                per_s: limit.per_s.max(LEAST_PER_S),
+                per_s: limit.per_s.max(MIN_RATE_PER_S),
                 burst: BURST,
             },
             age: now.since(limit.heard),
@@ -166,12 +166,12 @@
 
     /// Nothing goes to this start for `span`, when it is this process's turn. Of several turns the first counts.
     pub fn close(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        let is_closed = now < said.closed_until;
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard = now;
+        let is_closed = now < state.closed_until;
         let until = now + span;
-        said.closed_until = if is_closed {
-            until.min(said.closed_until)
+        state.closed_until = if is_closed {
+            until.min(state.closed_until)
         } else {
             until
         };
@@ -180,10 +180,10 @@
     /// This start has turned a request away and wants none from this process for `span`. Of several such words the
     /// one holds that lasts longest: it does not take an earlier one back.
     pub fn rest(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
-        self.forget_said(now);
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        said.rests_until = said.rests_until.max(now + span);
+        self.expire(now);
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard = now;
+        state.rests_until = state.rests_until.max(now + span);
     }
 
     /// A request goes to this start. Returns a count where it has a limit and one is due.
@@ -191,7 +191,7 @@
         let limit = self.backpressure.limit(id)?;
         limit.sent += 1;
         let span = now.since(limit.counted_from);
-        if span < COUNTED_EVERY {
+        if span < COUNT_INTERVAL {
             return None;
         }
         let sent = limit.sent;
@@ -203,15 +203,15 @@
     /// How many endpoints that are there have named a limit.
     #[must_use]
     pub fn count_limited(&self) -> usize {
-        let said = self.backpressure.by_start.iter();
-        let limited = said.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
+        let state = self.backpressure.by_instance.iter();
+        let limited = state.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
         limited.count()
     }
 
     /// Endpoints of the service to which nothing goes now, since they asked for that.
     #[must_use]
     pub fn closed(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
-        if self.backpressure.by_start.is_empty() {
+        if self.backpressure.by_instance.is_empty() {
             return Vec::new();
         }
         let all = self.by_service.get(service).into_iter().flatten().copied();
@@ -230,7 +230,7 @@
 
     /// What a request lacks for which nothing was found: the first endpoint that opens, where there is one that
     /// could take it then.
-    pub(super) fn missing_or_closed(
+    pub(super) fn wait_reason(
         &self,
         now: time::Instant,
         ask: &Ask<'_>,
@@ -241,7 +241,7 @@
         }
         let closed = self.closed(now, ask.service).into_iter();
         let fitting = closed.filter(|key| {
-            self.is_sound(now, *key, ask)
+            self.is_eligible(now, *key, ask)
                 && ask
                     .wanted
                     .is_none_or(|wanted| self.holds(now, *key, wanted))
@@ -250,10 +250,10 @@
         opens.map_or(missing, Missing::Allowance)
     }
 
-    fn forget_said(&mut self, now: time::Instant) {
+    fn expire(&mut self, now: time::Instant) {
         let known = &self.by_id;
         self.backpressure
-            .by_start
-            .retain(|id, it| known.contains_key(id) || now.since(it.heard) < KEPT);
+            .by_instance
+            .retain(|id, it| known.contains_key(id) || now.since(it.heard) < RETENTION);
     }
 }
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -22,11 +22,11 @@
 mod backpressure;
 mod endpoint;
 pub mod homes;
-mod kept;
-mod lines;
 mod outcomes;
-mod pauses;
-mod reading;
+mod prefill_limit;
+mod prefill_speed;
+mod prefix_cache;
+mod wait_estimates;
 
 use std::{collections, net};
 
@@ -41,32 +41,32 @@
 use crate::{config, dialect, directory, neighbours};
 
 /// A request to an engine costs this at least, in milliseconds: one step of its batch.
-const STEP_MS: f64 = 10.0;
+const BATCH_STEP_MS: f64 = 10.0;
 
 /// What a way to another availability zone adds, in milliseconds: the way there and back, and a bit
 /// so that equal endpoints are taken near by.
-const FAR_MS: f64 = 4.0;
+const CROSS_ZONE_MS: f64 = 4.0;
 
 /// The same for one that took requests and never answered: each that finds out that it still does not
 /// costs its caller the whole time.
-const SILENT_EJECTION: time::Millis = time::Millis(5_000);
+const SILENT_EJECTION_TIME: time::Millis = time::Millis(5_000);
 
 /// How long an engine that said that it does not hold a model is not asked for it again, unless it
 /// announces itself anew.
-const DENIAL: time::Millis = time::Millis(500);
+const MODEL_DENIAL_TTL: time::Millis = time::Millis(500);
 
 /// The longest span that is reckoned with, in milliseconds, of an endpoint that never answers.
-const LONGEST_MS: f64 = 1e9;
+const MAX_ESTIMATE_MS: f64 = 1e9;
 
 /// How long an adapter takes to be there once it is asked for, in milliseconds: two calls and a load.
-const ADAPTER_MS: f64 = 45.0;
+const ADAPTER_LOAD_MS: f64 = 45.0;
 
 /// By how much an engine without the adapter must be better than the best with it, in milliseconds.
-const WORTH_A_LOAD_MS: f64 = 120.0;
+const MIN_ADAPTER_LOAD_GAIN_MS: f64 = 120.0;
 
 /// What was found among engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Found {
+enum EngineSelection {
     /// This one.
     Engine(arena::EndpointKey),
     /// This one, once the adapter is loaded there.
@@ -87,9 +87,9 @@
     by_model: collections::HashMap<String, Vec<arena::EndpointKey>>,
     random: u64,
     homes: homes::Homes,
-    paces: reading::Paces,
-    bounds: pauses::Bounds,
-    lines: lines::Lines,
+    prefill_speeds: prefill_speed::PrefillSpeeds,
+    prefill_limits: prefill_limit::PrefillLimits,
+    wait_estimates: wait_estimates::WaitEstimates,
     backpressure: backpressure::Backpressure,
     policy: Policy,
 }
@@ -107,9 +107,9 @@
             by_model: collections::HashMap::new(),
             random: seed | 1,
             homes: homes::Homes::default(),
-            paces: reading::Paces::default(),
-            bounds: pauses::Bounds::default(),
-            lines: lines::Lines::default(),
+            prefill_speeds: prefill_speed::PrefillSpeeds::default(),
+            prefill_limits: prefill_limit::PrefillLimits::default(),
+            wait_estimates: wait_estimates::WaitEstimates::default(),
             backpressure: backpressure::Backpressure::default(),
             policy: Policy::default(),
         }
@@ -145,11 +145,11 @@
         if let Some(key) = self.by_id.get(&instance.id).copied() {
             if let Some(endpoint) = &mut self.endpoints[key.index()] {
                 let before = std::mem::replace(&mut endpoint.instance, instance.clone());
-                endpoint.denied.clear();
-                endpoint.kept.keep_resident(&instance.models);
+                endpoint.denied_models.clear();
+                endpoint.prefix_cache.retain_models(&instance.models);
                 if before.models != instance.models {
-                    self.drop_models(key, &before);
-                    self.hold_models(key, instance);
+                    self.unindex_models(key, &before);
+                    self.index_models(key, instance);
                 }
             }
             return;
@@ -162,10 +162,10 @@
         self.by_id.insert(instance.id.clone(), key);
         let service = self.by_service.entry(instance.service.clone());
         service.or_default().push(key);
-        self.hold_models(key, instance);
+        self.index_models(key, instance);
     }
 
-    fn hold_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
+    fn index_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
         for resident in &instance.models {
             let holders = self.by_model.entry(resident.model.clone()).or_default();
             if !holders.contains(&key) {
@@ -174,7 +174,7 @@
         }
     }
 
-    fn drop_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
+    fn unindex_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
         for resident in &instance.models {
             if let Some(holders) = self.by_model.get_mut(&resident.model) {
                 holders.retain(|it| *it != key);
@@ -194,7 +194,7 @@
         if let Some(list) = self.by_service.get_mut(&endpoint.instance.service) {
             list.retain(|it| *it != key);
         }
-        self.drop_models(key, &endpoint.instance);
+        self.unindex_models(key, &endpoint.instance);
     }
 
     /// Whether any endpoint is known that takes work.
@@ -218,27 +218,27 @@
     /// Decides.
     pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
         let choice = match ask.wanted {
-            Some(wanted) => self.choose_holder(now, ask, wanted),
-            None => self.choose_plain(now, ask),
+            Some(wanted) => self.choose_by_model(now, ask, wanted),
+            None => self.choose_plain_endpoint(now, ask),
         };
         match choice {
-            Choice::Wait(missing) => Choice::Wait(self.missing_or_closed(now, ask, missing)),
+            Choice::Wait(missing) => Choice::Wait(self.wait_reason(now, ask, missing)),
             choice => choice,
         }
     }
 
     /// Chooses among the engines that hold a model.
-    fn choose_holder(
+    fn choose_by_model(
         &mut self,
         now: time::Instant,
         ask: &Ask<'_>,
         wanted: &dialect::Wanted,
     ) -> Choice {
-        let (with, without) = self.holders(now, ask, wanted);
-        if !with.is_empty() || !without.is_empty() {
-            return self.choose_engine(now, ask, &with, &without);
+        let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
+        if !with_adapter.is_empty() || !without_adapter.is_empty() {
+            return self.choose_engine_of(now, ask, &with_adapter, &without_adapter);
         }
-        let is_any_open = self.open(now, ask).next().is_some();
+        let is_any_open = self.open_endpoints(now, ask).next().is_some();
         Choice::Wait(if is_any_open {
             Missing::Model
         } else {
@@ -250,86 +250,92 @@
     #[must_use]
     pub fn has_free(&self, now: time::Instant, ask: &Ask<'_>) -> bool {
         let Some(wanted) = ask.wanted else {
-            let mut open = self.open(now, ask).filter_map(|key| self.get(key));
-            return open.any(Endpoint::has_place);
+            let mut open = self
+                .open_endpoints(now, ask)
+                .filter_map(|key| self.get(key));
+            return open.any(Endpoint::has_capacity);
         };
-        let bound_ms = self.bounds.bound_ms(ask.service);
-        let (with, _) = self.holders(now, ask, wanted);
-        let mut with = with.into_iter().filter_map(|key| self.get(key));
-        with.any(|it| !it.would_pause(now, self.reading_ms(it, ask), bound_ms))
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(ask.service);
+        let (with_adapter, _) = self.engines_with_model(now, ask, wanted);
+        let mut with_adapter = with_adapter.into_iter().filter_map(|key| self.get(key));
+        with_adapter.any(|it| !it.exceeds_limit(now, self.prefill_ms(it, ask), prefill_limit_ms))
     }
 
-    fn choose_plain(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let open: Vec<_> = self.open(now, ask).collect();
+    fn choose_plain_endpoint(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
+        let open: Vec<_> = self.open_endpoints(now, ask).collect();
         if open.is_empty() {
             return Choice::Wait(Missing::Endpoint);
         }
-        let room = |key: &arena::EndpointKey| self.get(*key).is_some_and(Endpoint::has_place);
-        let free: Vec<_> = open.into_iter().filter(room).collect();
-        match self.best(now, ask, &free) {
-            Some((_, key)) => self.send(now, key, ask),
+        let has_capacity =
+            |key: &arena::EndpointKey| self.get(*key).is_some_and(Endpoint::has_capacity);
+        let free: Vec<_> = open.into_iter().filter(has_capacity).collect();
+        match self.lowest_score(now, ask, &free) {
+            Some((_, key)) => self.dispatch(now, key, ask),
             None => Choice::Wait(Missing::Place),
         }
     }
 
-    /// Chooses among engines `with` the adapter and those `without` it, where it could be loaded.
-    fn choose_engine(
+    /// Chooses among engines `with_adapter` the adapter and those `without_adapter` it, where it could be loaded.
+    fn choose_engine_of(
         &mut self,
         now: time::Instant,
         ask: &Ask<'_>,
-        with: &[arena::EndpointKey],
-        without: &[arena::EndpointKey],
+        with_adapter: &[arena::EndpointKey],
+        without_adapter: &[arena::EndpointKey],
     ) -> Choice {
-        match self.find_engine(now, ask, with, without) {
-            Found::Engine(key) => self.send(now, key, ask),
-            Found::Fetch(instance) => Choice::Fetch { instance },
-            Found::Missing(missing) => Choice::Wait(missing),
+        match self.select_engine(now, ask, with_adapter, without_adapter) {
+            EngineSelection::Engine(key) => self.dispatch(now, key, ask),
+            EngineSelection::Fetch(instance) => Choice::Fetch { instance },
+            EngineSelection::Missing(missing) => Choice::Wait(missing),
         }
     }
 
-    fn find_engine(
+    fn select_engine(
         &mut self,
         now: time::Instant,
         ask: &Ask<'_>,
-        with: &[arena::EndpointKey],
-        without: &[arena::EndpointKey],
-    ) -> Found {
-        let bound_ms = self.bounds.bound_ms(ask.service);
-        let calm = |list: &[arena::EndpointKey]| -> Vec<_> {
-            let is_calm = |key: &arena::EndpointKey| {
+        with_adapter: &[arena::EndpointKey],
+        without_adapter: &[arena::EndpointKey],
+    ) -> EngineSelection {
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(ask.service);
+        let within_limit = |list: &[arena::EndpointKey]| -> Vec<_> {
+            let is_within_limit = |key: &arena::EndpointKey| {
                 let endpoint = self.get(*key);
-                endpoint.is_some_and(|it| !it.would_pause(now, self.reading_ms(it, ask), bound_ms))
+                endpoint.is_some_and(|it| {
+                    !it.exceeds_limit(now, self.prefill_ms(it, ask), prefill_limit_ms)
+                })
             };
-            list.iter().copied().filter(is_calm).collect()
+            list.iter().copied().filter(is_within_limit).collect()
         };
-        let (calm_with, calm_without) = (calm(with), calm(without));
-        let best = self.best(now, ask, &calm_with);
-        let other = self.best(now, ask, &calm_without);
+        let (ready_with, ready_without) =
+            (within_limit(with_adapter), within_limit(without_adapter));
+        let best = self.lowest_score(now, ask, &ready_with);
+        let other = self.lowest_score(now, ask, &ready_without);
         let fetch = other.filter(|(ms, _)| {
-            let there = best.map_or(f64::INFINITY, |(least, _)| least);
-            ask.may_fetch && ms + ADAPTER_MS + WORTH_A_LOAD_MS < there
+            let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
+            ask.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
         if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
-            return Found::Fetch(endpoint.instance.id.clone());
+            return EngineSelection::Fetch(endpoint.instance.id.clone());
         }
         if let Some((_, key)) = best {
-            return Found::Engine(key);
+            return EngineSelection::Engine(key);
         }
         if ask.patience > time::Millis(0) {
-            return Found::Missing(Missing::Place);
+            return EngineSelection::Missing(Missing::Place);
         }
-        let Some((_, key)) = self.best(now, ask, with) else {
-            return Found::Missing(Missing::Adapter);
+        let Some((_, key)) = self.lowest_score(now, ask, with_adapter) else {
+            return EngineSelection::Missing(Missing::Adapter);
         };
         // One that will be late loses nothing more by waiting, and would make others late.
-        if ask.may_be_late && span(self.estimate(now, key, ask)) > ask.on_time {
-            return Found::Missing(Missing::Place);
+        if ask.may_be_late && to_millis(self.estimate_ms(now, key, ask)) > ask.on_time {
+            return EngineSelection::Missing(Missing::Place);
         }
-        Found::Engine(key)
+        EngineSelection::Engine(key)
     }
 
     /// The open engines that hold the model of `wanted`, those with and those without its adapter.
-    fn holders(
+    fn engines_with_model(
         &self,
         now: time::Instant,
         ask: &Ask<'_>,
@@ -342,13 +348,13 @@
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
         holders
             .copied()
-            .filter(|key| self.is_of(*key, ask.service) && self.is_open(now, *key, ask))
+            .filter(|key| self.is_in_service(*key, ask.service) && self.is_open(now, *key, ask))
             .filter(|key| self.holds(now, *key, &base))
             .partition(|key| self.holds(now, *key, wanted))
     }
 
     /// The one with the least estimate, and that. Of equal ones any.
-    fn best(
+    fn lowest_score(
         &mut self,
         now: time::Instant,
         ask: &Ask<'_>,
@@ -360,7 +366,7 @@
             let key = keys[(at + offset) % keys.len()];
             // Whole milliseconds: by less than that an endpoint that failed long ago would never be
             // chosen again while the others are idle.
-            let ms = self.measure(now, key, ask).floor();
+            let ms = self.score(now, key, ask).floor();
             if best.is_none_or(|(least, _)| ms < least) {
                 best = Some((ms, key));
             }
@@ -369,11 +375,12 @@
     }
 
     /// By what endpoints are compared; the least is taken.
-    fn measure(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn score(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
         match self.policy.choice {
             Routing::Estimate => {
-                let against = self.failures(now, key) + self.stall(now, key, ask);
-                self.estimate(now, key, ask) + against
+                let penalty_ms =
+                    self.failure_penalty_ms(now, key) + self.stall_penalty_ms(now, key, ask);
+                self.estimate_ms(now, key, ask) + penalty_ms
             }
             Routing::LeastLoad => self.get(key).map_or(f64::INFINITY, Endpoint::running),
             Routing::Random => 0.0,
@@ -399,22 +406,26 @@
     }
 
     /// The endpoints of the service that take work now.
-    fn open(&self, now: time::Instant, ask: &Ask<'_>) -> impl Iterator<Item = arena::EndpointKey> {
+    fn open_endpoints(
+        &self,
+        now: time::Instant,
+        ask: &Ask<'_>,
+    ) -> impl Iterator<Item = arena::EndpointKey> {
         let all = self.by_service.get(ask.service).into_iter().flatten();
         all.copied().filter(move |key| self.is_open(now, *key, ask))
     }
 
     fn is_open(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
-        self.is_sound(now, key, ask) && self.closed_for(now, key).is_none()
+        self.is_eligible(now, key, ask) && self.closed_for(now, key).is_none()
     }
 
-    fn is_of(&self, key: arena::EndpointKey, service: &str) -> bool {
+    fn is_in_service(&self, key: arena::EndpointKey, service: &str) -> bool {
         self.get(key)
             .is_some_and(|it| it.instance.service == service)
     }
 
     /// Whether an endpoint takes work and could be reached, and was not tried.
-    fn is_sound(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
+    fn is_eligible(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
         let takes = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
         !ask.tried.contains(&key) && self.get(key).is_some_and(takes)
     }
@@ -423,18 +434,18 @@
         self.get(key).is_some_and(|it| it.holds(now, wanted))
     }
 
-    fn estimate(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn estimate_ms(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
         let Some(endpoint) = self.get(key) else {
             return f64::INFINITY;
         };
         let work = if ask.wanted.is_some() {
             let is_told = self.homes.is_told(&endpoint.instance);
-            endpoint.engine_ms(now, self.reading_ms(endpoint, ask), is_told)
+            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, ask), is_told)
         } else {
-            endpoint.service_ms(now)
+            endpoint.service_estimate_ms(now)
         };
         let is_far = endpoint.instance.availability_zone != self.availability_zone;
-        work + if is_far { FAR_MS } else { 0.0 }
+        work + if is_far { CROSS_ZONE_MS } else { 0.0 }
     }
 
     /// Microseconds that an engine needs to read a prompt: the one that keeps most of it, of those that
@@ -456,47 +467,47 @@
         let holders = holders
             .filter_map(|key| self.get(*key))
             .filter(|it| it.instance.service == service);
-        let kept = holders
-            .map(|it| it.kept.tokens(wanted, &passing.parts))
+        let cached = holders
+            .map(|it| it.prefix_cache.cached_tokens(wanted, &passing.parts))
             .max();
-        let kept = kept.max(advised).unwrap_or(0);
-        let unkept = passing.prompt_tokens.saturating_sub(kept);
-        let ms = unkept as f64 * self.paces.ms_per_token(&wanted.model);
-        whole(ms * endpoint::MICROS)
+        let cached = cached.max(advised).unwrap_or(0);
+        let uncached_tokens = passing.prompt_tokens.saturating_sub(cached);
+        let ms = uncached_tokens as f64 * self.prefill_speeds.ms_per_token(&wanted.model);
+        to_u64(ms * endpoint::MICROS_PER_MS)
     }
 
     /// Milliseconds that the endpoint takes to read the prompt.
-    fn reading_ms(&self, endpoint: &Endpoint, ask: &Ask<'_>) -> f64 {
+    fn prefill_ms(&self, endpoint: &Endpoint, ask: &Ask<'_>) -> f64 {
         let Some(wanted) = ask.wanted else {
             return 0.0;
         };
-        let pace = self.paces.ms_per_token(&wanted.model);
-        endpoint.unkept(ask) as f64 * pace * endpoint.slowness
+        let ms_per_token = self.prefill_speeds.ms_per_token(&wanted.model);
+        endpoint.uncached_tokens(ask) as f64 * ms_per_token * endpoint.slowdown
     }
 
     /// What the endpoint's failures count against it.
-    fn failures(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
-        let against = |it: &Endpoint| it.failure_ms(now) + it.silence_ms(now);
-        self.get(key).map_or(0.0, against)
+    fn failure_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
+        let penalty_ms = |it: &Endpoint| it.failures_ms(now) + it.silence_penalty_ms(now);
+        self.get(key).map_or(0.0, penalty_ms)
     }
 
     /// What the streams that an engine runs count against sending it a prompt that stops them for long.
-    fn stall(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn stall_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
         let Some(endpoint) = self.get(key).filter(|_| ask.wanted.is_some()) else {
             return 0.0;
         };
-        let limit_ms = self.bounds.limit_ms(ask.service);
-        endpoint.stall_ms(now, self.reading_ms(endpoint, ask), limit_ms)
+        let pause_limit_ms = self.prefill_limits.pause_limit_ms(ask.service);
+        endpoint.engine_stall_penalty_ms(now, self.prefill_ms(endpoint, ask), pause_limit_ms)
     }
 
-    fn send(&mut self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> Choice {
+    fn dispatch(&mut self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> Choice {
         // Failures say that an answer is less likely, not that it comes later.
-        let estimate = span(self.estimate(now, key, ask));
-        self.send_by(now, key, ask, estimate)
+        let estimate = to_millis(self.estimate_ms(now, key, ask));
+        self.dispatch_with_estimate(now, key, ask, estimate)
     }
 
     /// Sends where the answer is estimated to begin in `estimate`.
-    fn send_by(
+    fn dispatch_with_estimate(
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
@@ -506,16 +517,16 @@
         if self.policy.turn_away && estimate >= ask.left {
             return Choice::TooLate { estimate };
         }
-        let Some((endpoint, reading)) = self.burden(now, key, ask) else {
+        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
             return Choice::Wait(Missing::Endpoint);
         };
-        let tokens = endpoint.unkept(ask);
+        let tokens = endpoint.uncached_tokens(ask);
         endpoint.in_flight += 1;
-        endpoint.unread += reading;
-        if endpoint.owed == 0 {
-            endpoint.owed_since = now;
+        endpoint.pending_prefill_us += reading;
+        if endpoint.awaiting == 0 {
+            endpoint.awaiting_since = now;
         }
-        endpoint.owed += 1;
+        endpoint.awaiting += 1;
         Choice::Send(Pick {
             key,
             instance: endpoint.instance.id.clone(),
@@ -528,21 +539,23 @@
 
     /// The endpoint that a request is about to go to, and the microseconds that it takes to read it. Notes
     /// where that is about as much as its streams bear.
-    fn burden(
+    fn prepare_dispatch(
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
         ask: &Ask<'_>,
     ) -> Option<(&mut Endpoint, u64)> {
         let endpoint = self.get(key)?;
-        let reading_ms = self.reading_ms(endpoint, ask);
-        let ahead_ms = endpoint.unread_by_all(now);
-        let is_strained = self.bounds.is_strain(ask.service, ahead_ms + reading_ms);
+        let prefill_ms = self.prefill_ms(endpoint, ask);
+        let pending_ms = endpoint.total_pending_prefill_ms(now);
+        let is_near_limit = self
+            .prefill_limits
+            .is_near_limit(ask.service, pending_ms + prefill_ms);
         let endpoint = self.get_mut(key)?;
-        if is_strained {
-            endpoint.strained_at = Some(now);
+        if is_near_limit {
+            endpoint.near_limit_at = Some(now);
         }
-        Some((endpoint, whole(reading_ms * endpoint::MICROS)))
+        Some((endpoint, to_u64(prefill_ms * endpoint::MICROS_PER_MS)))
     }
 
     fn get(&self, key: arena::EndpointKey) -> Option<&Endpoint> {
@@ -554,8 +567,8 @@
     }
 }
 
-fn span(ms: f64) -> time::Millis {
-    time::Millis(whole(ms.min(LONGEST_MS)))
+fn to_millis(ms: f64) -> time::Millis {
+    time::Millis(to_u64(ms.min(MAX_ESTIMATE_MS)))
 }
 
 #[expect(
@@ -563,6 +576,6 @@
     clippy::cast_sign_loss,
     reason = "the value is cut to the range of the target"
 )]
-fn whole(value: f64) -> u64 {
+fn to_u64(value: f64) -> u64 {
     value.clamp(0.0, 1e12) as u64
 }
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -3,12 +3,13 @@
 use sageshed_types::{arena, time};
 
 use super::{
-    Chooser, DENIAL, Ended, Pauses, Pick, Read, SILENT_EJECTION, STEP_MS, endpoint, reading,
+    BATCH_STEP_MS, Chooser, Ended, MODEL_DENIAL_TTL, Pauses, Pick, Read, SILENT_EJECTION_TIME,
+    endpoint, prefill_speed,
 };
 use crate::dialect;
 
 /// The part that a new measurement has in the learned time of a plain service.
-const ANSWER_GAIN: f64 = 0.1;
+const RESPONSE_TIME_GAIN: f64 = 0.1;
 
 impl Chooser {
     /// The answer of a request that was sent to `pick` has begun, `took` after it was sent.
@@ -23,27 +24,27 @@
         let Some(endpoint) = self.get_mut(pick.key) else {
             return;
         };
-        endpoint.owed = endpoint.owed.saturating_sub(1);
-        endpoint.word_at = now;
-        let ahead = endpoint.unread;
-        endpoint.unread = endpoint.unread.saturating_sub(pick.reading);
+        endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
+        endpoint.last_activity = now;
+        let pending_us = endpoint.pending_prefill_us;
+        endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.reading);
         if let Some(load) = load {
             endpoint.load = Some((load, now));
-            endpoint.crowd = Some((load.running, now));
+            endpoint.reported_running = Some((load.running, now));
         }
         endpoint.ejection = time::Millis(0);
         let Some(read) = read else {
             let ms = took.0 as f64;
-            endpoint.answer_ms += ANSWER_GAIN * (ms.min(1_000.0) - endpoint.answer_ms);
+            endpoint.response_ms += RESPONSE_TIME_GAIN * (ms.min(1_000.0) - endpoint.response_ms);
             return;
         };
-        endpoint.accept(read.wanted);
-        endpoint.kept.remember(read.wanted, read.parts);
-        let reading = took.0 as f64 - STEP_MS;
-        if reading > STEP_MS && pick.reading > 0 {
-            let factor = reading * endpoint::MICROS / ahead.max(pick.reading) as f64;
-            endpoint.slowness = reading::learn_slowness(endpoint.slowness, factor);
-            self.paces.learn(&read.wanted.model, factor);
+        endpoint.clear_rejection(read.wanted);
+        endpoint.prefix_cache.insert(read.wanted, read.parts);
+        let prefill_ms = took.0 as f64 - BATCH_STEP_MS;
+        if prefill_ms > BATCH_STEP_MS && pick.reading > 0 {
+            let factor = prefill_ms * endpoint::MICROS_PER_MS / pending_us.max(pick.reading) as f64;
+            endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
+            self.prefill_speeds.learn(&read.wanted.model, factor);
         }
     }
 
@@ -62,23 +63,23 @@
         let Some(endpoint) = self.get(key) else {
             return;
         };
-        let strained = endpoint.strained_at;
-        let is_strained = strained.is_some_and(|at| now.since(at) <= pauses.lasted);
+        let near_limit_at = endpoint.near_limit_at;
+        let was_near_limit = near_limit_at.is_some_and(|at| now.since(at) <= pauses.lasted);
         let service = endpoint.instance.service.clone();
-        self.bounds.learn(&service, pauses, is_strained);
+        self.prefill_limits.learn(&service, pauses, was_near_limit);
     }
 
     /// Whether the endpoint of `pick` owes answers and has said nothing for too long.
     #[must_use]
     pub fn is_suspected(&self, now: time::Instant, pick: &Pick) -> bool {
         let endpoint = self.get(pick.key);
-        endpoint.is_none_or(|it| it.silence_ms(now) > 0.0)
+        endpoint.is_none_or(|it| it.silence_penalty_ms(now) > 0.0)
     }
 
     /// Something came from the endpoint of `pick`.
     pub fn heard_from(&mut self, now: time::Instant, pick: &Pick) {
         if let Some(endpoint) = self.get_mut(pick.key) {
-            endpoint.word_at = now;
+            endpoint.last_activity = now;
         }
     }
 
@@ -96,31 +97,31 @@
         };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         if !began {
-            endpoint.unread = endpoint.unread.saturating_sub(pick.reading);
-            endpoint.owed = endpoint.owed.saturating_sub(1);
+            endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.reading);
+            endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
         }
         if matches!(how, Ended::Answered | Ended::Refused | Ended::Misdirected) {
-            endpoint.word_at = now;
+            endpoint.last_activity = now;
         }
         match how {
             Ended::Answered | Ended::GivenUp => {}
-            Ended::Failed => endpoint.fail(now),
-            Ended::Refused => endpoint.reject(now, wanted),
+            Ended::Failed => endpoint.record_failure(now),
+            Ended::Refused => endpoint.record_rejection(now, wanted),
             Ended::Unreachable => {
-                endpoint.fail(now);
+                endpoint.record_failure(now);
                 endpoint.eject(now);
             }
             Ended::Silent => {
-                endpoint.fail(now);
-                let lately = now.since(endpoint.word_at) < SILENT_EJECTION;
-                if !lately {
-                    endpoint.ejected_until = now + SILENT_EJECTION;
+                endpoint.record_failure(now);
+                let was_active = now.since(endpoint.last_activity) < SILENT_EJECTION_TIME;
+                if !was_active {
+                    endpoint.ejected_until = now + SILENT_EJECTION_TIME;
                 }
             }
             Ended::Misdirected => {
-                let until = now + DENIAL;
+                let until = now + MODEL_DENIAL_TTL;
                 match wanted {
-                    Some(wanted) => drop(endpoint.denied.insert(wanted.clone(), until)),
+                    Some(wanted) => drop(endpoint.denied_models.insert(wanted.clone(), until)),
                     None => endpoint.eject(now),
                 }
             }
--- a/crates/sageshed-fleet/src/chooser/lines.rs
+++ b/crates/sageshed-fleet/src/chooser/wait_estimates.rs
@@ -11,58 +11,62 @@
 
 /// Over this span it is counted how many requests were sent on. Shorter, single long prompts would make it
 /// jump; longer, engines that come or go would show late.
-const SPAN: time::Millis = time::Millis(2_000);
+const WINDOW: time::Millis = time::Millis(2_000);
 
 /// A request that was not asked for within this time waits no more. One that waits asks ten times a second.
-const ASKED_KEPT: time::Millis = time::Millis(300);
+const WAITING_TTL: time::Millis = time::Millis(300);
 
 /// Requests sent on in a span, below which nothing is foretold.
-const FEW: usize = 6;
+const MIN_ROUTED: usize = 6;
 
 /// The requests for one model.
 #[derive(Debug, Default)]
-struct Line {
-    sent: collections::VecDeque<time::Instant>,
+struct ModelQueue {
+    routed: collections::VecDeque<time::Instant>,
     /// By the request, when it was asked for last.
     waiting: collections::HashMap<u64, time::Instant>,
 }
 
 /// The requests for all models of which this process is the home.
 #[derive(Debug, Default)]
-pub(super) struct Lines {
-    by_model: collections::HashMap<String, Line>,
+pub(super) struct WaitEstimates {
+    by_model: collections::HashMap<String, ModelQueue>,
 }
 
-impl Lines {
+impl WaitEstimates {
     /// A request for `model` is sent on.
-    pub(super) fn sent(&mut self, now: time::Instant, model: &str, request: u64) {
-        let line = self.line(now, model);
-        line.waiting.remove(&request);
-        line.sent.push_back(now);
+    pub(super) fn record_routed(&mut self, now: time::Instant, model: &str, request: u64) {
+        let queue = self.queue(now, model);
+        queue.waiting.remove(&request);
+        queue.routed.push_back(now);
     }
 
     /// A request for `model` has to wait. Returns how long, where that can be told.
-    pub(super) fn waits(
+    pub(super) fn record_waiting(
         &mut self,
         now: time::Instant,
         model: &str,
         request: u64,
     ) -> Option<time::Millis> {
-        let line = self.line(now, model);
-        line.waiting.insert(request, now);
-        if line.sent.len() < FEW {
+        let queue = self.queue(now, model);
+        queue.waiting.insert(request, now);
+        if queue.routed.len() < MIN_ROUTED {
             return None;
         }
-        let each = SPAN.0 / line.sent.len() as u64;
-        Some(time::Millis(each * line.waiting.len() as u64))
+        let each = WINDOW.0 / queue.routed.len() as u64;
+        Some(time::Millis(each * queue.waiting.len() as u64))
     }
 
-    fn line(&mut self, now: time::Instant, model: &str) -> &mut Line {
-        let line = self.by_model.entry(model.to_owned()).or_default();
-        while line.sent.front().is_some_and(|at| now.since(*at) > SPAN) {
-            line.sent.pop_front();
+    fn queue(&mut self, now: time::Instant, model: &str) -> &mut ModelQueue {
+        let queue = self.by_model.entry(model.to_owned()).or_default();
+        while queue
+            .routed
+            .front()
+            .is_some_and(|at| now.since(*at) > WINDOW)
+        {
+            queue.routed.pop_front();
         }
-        line.waiting.retain(|_, at| now.since(*at) < ASKED_KEPT);
-        line
+        queue.waiting.retain(|_, at| now.since(*at) < WAITING_TTL);
+        queue
     }
 }
