--- a/crates/sageshed-fleet/src/chooser/ask.rs
+++ b/crates/sageshed-fleet/src/chooser/ask.rs
@@ -1,4 +1,4 @@
-//! What is asked of a chooser, and what it says.
+//! Inputs and results of [`Chooser::choose`](super::Chooser::choose).
 
 use std::net;
 
@@ -7,27 +7,28 @@
 
 use crate::{dialect, directory};
 
-/// How an endpoint is chosen among those that could take a request. All but [`Routing::Estimate`] are
-/// there to be compared with.
+/// How to select among the endpoints that could take a request. All but [`Routing::Estimate`] exist for
+/// comparison.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
-    /// The one whose answer is estimated to begin first.
+    /// The endpoint whose response is estimated to begin first.
     #[default]
     Estimate,
-    /// The one that runs the fewest requests by its latest word.
+    /// The endpoint that runs the fewest requests by its latest report.
     LeastLoad,
-    /// Any.
+    /// A random endpoint.
     Random,
 }
 
-/// How a chooser decides.
+/// Settings of the selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How an endpoint is chosen.
+    /// How to select an endpoint.
     pub choice: Routing,
-    /// Whether a request that can't be answered in its time is turned away when that is known.
+    /// Whether to refuse a request as soon as it is clear that its response can't begin before its
+    /// deadline.
     pub turn_away: bool,
 }
 
@@ -40,114 +41,115 @@
     }
 }
 
-/// What is asked for.
+/// A request to select an endpoint for.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// The service.
+    /// Service that the request is for.
     pub service: &'a str,
-    /// The model, for a service of engines.
+    /// Model and adapter, for a service of engines.
     pub wanted: Option<&'a dialect::Wanted>,
-    /// Parts of the prompt.
+    /// Prompt parts by which the prefix cache is looked up.
     pub parts: &'a [dialect::PromptPart],
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Endpoints that were tried and failed.
+    /// Endpoints on which an earlier attempt failed.
     pub tried: &'a [arena::EndpointKey],
-    /// What is left until nobody waits for the answer.
+    /// Time left until the deadline, after which nobody waits for the response.
     pub left: time::Millis,
-    /// How much longer it may wait here for an engine that reads little.
+    /// How much longer the request may be held back for an engine with little prefill pending.
     pub patience: time::Millis,
-    /// What is left until its answer would be late.
+    /// Time left until the response would be late.
     pub on_time: time::Millis,
-    /// Whether it has the time to wait on once it is late anyway.
+    /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
-    /// Whether an adapter may be loaded for it on another engine.
+    /// Whether its adapter may be loaded on another engine.
     pub may_fetch: bool,
 }
 
-/// What an engine has read of a request.
+/// The prompt that an engine has prefilled.
 #[derive(Debug, Clone, Copy)]
 pub struct Read<'a> {
-    /// For which model and adapter.
+    /// Model and adapter that it was prefilled for.
     pub wanted: &'a dialect::Wanted,
-    /// The parts of the prompt.
+    /// Its parts.
     pub parts: &'a [dialect::PromptPart],
 }
 
 /// What to do with a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send it to this endpoint.
     Send(Pick),
-    /// Have the adapter loaded on this engine, and ask again.
+    /// Load the adapter on this engine, then choose again.
     Fetch {
-        /// The start of the engine.
+        /// Instance of the engine.
         instance: directory::InstanceId,
     },
-    /// Wait for a change.
+    /// Hold the request until something changes.
     Wait(Missing),
-    /// It could not be answered in time: turn it away, with when there will be room.
+    /// Refuse the request with a retry delay, as its response can't begin in time.
     TooLate {
-        /// The estimate.
+        /// Estimated time until the response would begin.
         estimate: time::Millis,
     },
 }
 
-/// What a request waits for.
+/// Why a request has to wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Missing {
-    /// No endpoint of the service is known that takes work.
+    /// The service has no known endpoint that accepts requests.
     Endpoint,
     /// No engine holds the model.
     Model,
-    /// Engines hold the model, and none of them the adapter.
+    /// Engines hold the model, but none of them holds the adapter.
     Adapter,
-    /// A place at one of the endpoints, or an engine that reads little.
+    /// No endpoint has a free slot, or no engine has room below its prefill limit.
     Place,
-    /// All endpoints that could take it have asked for nothing more for now. The first of them opens after this span.
+    /// All endpoints that could take the request have asked for a pause, the first of which ends after this
+    /// time.
     Allowance(time::Millis),
 }
 
 impl Missing {
-    /// Whether a further copy of the model would help.
+    /// Whether another replica of the model would help.
     #[must_use]
     pub fn is_of_model(self) -> bool {
         matches!(self, Self::Model | Self::Allowance(_))
     }
 }
 
-/// Where a request goes.
+/// The endpoint that a request is sent to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pick {
-    /// The endpoint.
+    /// Key of the endpoint.
     pub key: arena::EndpointKey,
-    /// The start of it that is meant.
+    /// Instance of the endpoint that the request is meant for.
     pub instance: directory::InstanceId,
     /// Its address.
     pub address: net::SocketAddrV4,
-    /// Tokens that it has to read.
+    /// Tokens that the engine has to prefill.
     pub tokens: u64,
-    /// Microseconds that this is reckoned to take.
+    /// Estimated prefill time in microseconds.
     pub reading: u64,
-    /// The estimated time until the answer begins.
+    /// Estimated time until the response begins.
     pub estimate: time::Millis,
 }
 
-/// How a request at an endpoint ended.
+/// Outcome of an attempt at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// With an answer.
+    /// The endpoint responded.
     Answered,
-    /// The caller left, or it was given up.
+    /// The caller disconnected, or the attempt was abandoned.
     GivenUp,
-    /// The endpoint refused it and did not run it.
+    /// The endpoint refused the request without running it.
     Refused,
-    /// It does not hold what was asked for, or is another start.
+    /// The endpoint doesn't hold the requested model, or is another instance.
     Misdirected,
-    /// It failed.
+    /// The endpoint failed.
     Failed,
-    /// It could not be reached.
+    /// The endpoint could not be reached.
     Unreachable,
-    /// It said nothing until the time of the request was over.
+    /// The endpoint sent nothing until the time of the attempt was over.
     Silent,
 }
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -1,14 +1,16 @@
-//! What endpoints ask of those who send to them.
+//! Limits and pauses that endpoints request from those that send to them.
 //!
-//! An endpoint in need names in its answers how many requests a second it takes from all VMs together. No process
-//! sees all of these, so that the limit is an allowance ([`allowance`](crate::allowance)): whoever was told of
-//! it asks for a unit before each sending, and leaves the endpoint alone for as long as it is told.
+//! An overloaded endpoint reports in its responses how many requests per second it accepts from all VMs
+//! together. No process sees all of these requests, so the limit is enforced as an
+//! [`allowance`](crate::allowance): each process that knows of the limit acquires a unit before each
+//! request, and sends nothing to the endpoint for as long as it is told.
 //!
-//! One that turns a request away may want rest from the VM that sent it. That is between these two: no other process
-//! is told.
+//! An endpoint that rejects a request may ask the sending VM to pause. Only that VM pauses; no other
+//! process is told.
 //!
-//! It is kept by the start of an endpoint and apart from what else is known of it, since an endpoint that control
-//! loses sight of for a while is forgotten with all that was learnt, and holds others to its word all the same.
+//! This state is kept by instance, apart from the other state of an endpoint. An endpoint that control
+//! loses sight of for a while is removed together with everything learned about it, but its limit still
+//! applies.
 
 use std::collections;
 
@@ -17,61 +19,61 @@
 use super::{Ask, Chooser, Missing};
 use crate::{allowance, dialect, directory};
 
-/// The smallest limit that is kept to, in requests a second. Of one that names none at all nothing would ever be
-/// heard again.
+/// The lowest limit that is applied, in requests per second. With a limit of zero nothing would be sent,
+/// and no response could ever lift the limit.
 const MIN_RATE_PER_S: f64 = 0.25;
 
-/// Requests that may go to an endpoint with a limit at once. Half of what comes within seconds comes in pairs and
-/// clumps; what is not used meanwhile is lost.
+/// Requests that may go to a limited endpoint at once. Half of the requests that are seconds apart on
+/// average arrive in pairs or small bursts, and capacity that is not used meanwhile is lost.
 const BURST: f64 = 2.0;
 
-/// Between two counts of what was sent to an endpoint with a limit.
+/// Interval at which the requests sent to a limited endpoint are reported.
 const COUNT_INTERVAL: time::Millis = time::Millis(4_000);
 
-/// How long what an endpoint has said is kept once it is gone.
+/// How long the state of an instance is kept after the endpoint is gone.
 const RETENTION: time::Millis = time::Millis(60_000);
 
-/// What is new of the limit of an endpoint.
+/// A change of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// It names this one, in requests a second, and named none or another before.
+    /// It reported this limit in requests per second, and none or another one before.
     Named(f64),
-    /// It names none any more.
+    /// It no longer reports a limit.
     Lifted,
-    /// It has been sent so many requests by this process in the span since they were counted last.
+    /// This process has sent it so many requests in the time since the last count.
     Sent(u64, time::Millis),
 }
 
-/// A limit that an endpoint has named, and what this process has sent there since.
+/// A limit that an endpoint reported, and the requests that this process has sent since.
 #[derive(Debug, Clone, Copy)]
 struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     per_s: f64,
     heard: time::Instant,
-    /// Requests that were sent since `counted_from`.
+    /// Requests sent since `counted_from`.
     sent: u64,
     counted_from: time::Instant,
 }
 
-/// What one start of an endpoint has said.
+/// Limit and pauses of one instance of an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 struct InstanceState {
     limit: Option<Limit>,
-    /// By its limit it is not this process's turn before.
+    /// By the limit, this process may not send before this time.
     closed_until: time::Instant,
-    /// It rests from this process until then.
+    /// The endpoint asked this process to pause until this time.
     rests_until: time::Instant,
     heard: time::Instant,
 }
 
-/// What endpoints have said that asked for something.
+/// Limits and pauses of all instances that requested any.
 #[derive(Debug, Default)]
 pub(super) struct Backpressure {
     by_instance: collections::HashMap<directory::InstanceId, InstanceState>,
 }
 
 impl Backpressure {
-    /// How much longer nothing is to go to this start.
+    /// How much longer nothing may be sent to this instance.
     fn closed_for(&self, now: time::Instant, id: &directory::InstanceId) -> Option<time::Millis> {
         if self.by_instance.is_empty() {
             return None;
@@ -94,7 +96,8 @@
 }
 
 impl Chooser {
-    /// Takes what an answer to a request that was sent to the start `id` says of it. Returns what is new of its limit.
+    /// Applies the notice in a response to a request that was sent to the instance `id`. Returns the change
+    /// of its limit, if any.
     pub fn heed(
         &mut self,
         now: time::Instant,
@@ -109,13 +112,13 @@
         }
         match answered.notice.limit {
             Some(per_s) => self.limited(now, id, per_s),
-            // A rejection may be too short to say all.
+            // A rejection may be too short to include the limit.
             None if answered.word != dialect::Word::Vouched => None,
             None => self.unlimited(id),
         }
     }
 
-    /// A start of an endpoint has named a limit in an answer. Returns what is new.
+    /// Records the limit that an instance reported in a response. Returns the change, if any.
     pub fn limited(
         &mut self,
         now: time::Instant,
@@ -137,7 +140,7 @@
         (before != Some(per_s)).then_some(Change::Named(per_s))
     }
 
-    /// A start of an endpoint has answered without naming a limit. Returns what is new.
+    /// Records that an instance responded without a limit. Returns the change, if any.
     pub fn unlimited(&mut self, id: &directory::InstanceId) -> Option<Change> {
         if self.backpressure.by_instance.is_empty() {
             return None;
@@ -148,7 +151,7 @@
         Some(Change::Lifted)
     }
 
-    /// The terms by which requests may go to this start, where it has named a limit.
+    /// Rate and burst at which requests may go to this instance, if it reported a limit.
     pub fn limit_of(
         &mut self,
         now: time::Instant,
@@ -164,7 +167,8 @@
         })
     }
 
-    /// Nothing goes to this start for `span`, when it is this process's turn. Of several turns the first counts.
+    /// Holds back requests to this instance for `span`, until it is this process's turn. The earliest of
+    /// several turns counts.
     pub fn close(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
         state.heard = now;
@@ -177,8 +181,8 @@
         };
     }
 
-    /// This start has turned a request away and wants none from this process for `span`. Of several such words the
-    /// one holds that lasts longest: it does not take an earlier one back.
+    /// Holds back requests to this instance for `span`, as it rejected one and asked this process to pause.
+    /// The longest of several pauses counts: a later response does not shorten an earlier one.
     pub fn rest(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
@@ -186,7 +190,8 @@
         state.rests_until = state.rests_until.max(now + span);
     }
 
-    /// A request goes to this start. Returns a count where it has a limit and one is due.
+    /// Counts a request that is sent to this instance. Returns the count if the instance is limited and a
+    /// report is due.
     pub fn sends(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
         let limit = self.backpressure.limit(id)?;
         limit.sent += 1;
@@ -200,7 +205,7 @@
         Some(Change::Sent(sent, span))
     }
 
-    /// How many endpoints that are there have named a limit.
+    /// Number of known endpoints that reported a limit.
     #[must_use]
     pub fn count_limited(&self) -> usize {
         let state = self.backpressure.by_instance.iter();
@@ -208,7 +213,7 @@
         limited.count()
     }
 
-    /// Endpoints of the service to which nothing goes now, since they asked for that.
+    /// Endpoints of the service that nothing may be sent to now, because they asked for it.
     #[must_use]
     pub fn closed(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
         if self.backpressure.by_instance.is_empty() {
@@ -228,8 +233,8 @@
         self.backpressure.closed_for(now, &endpoint.instance.id)
     }
 
-    /// What a request lacks for which nothing was found: the first endpoint that opens, where there is one that
-    /// could take it then.
+    /// Why a request has to wait. Where endpoints that could take it are only held back, that is when the
+    /// first of them opens; otherwise it is `missing`.
     pub(super) fn wait_reason(
         &self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an entry process knows of one endpoint, and what it reckons of it.
+//! The state of one endpoint as known to an entry process, and the estimates derived from it.
 
 use std::{collections, net};
 
@@ -7,112 +7,114 @@
 use super::{Ask, BATCH_STEP_MS, prefix_cache};
 use crate::{dialect, directory};
 
-/// The time for an answer of a plain service, in milliseconds, until some were measured.
+/// Assumed response time of a plain service in milliseconds, until some were measured.
 const INITIAL_RESPONSE_MS: f64 = 30.0;
 
-/// How long what an endpoint said of its load is used, in milliseconds. It weighs less with age.
+/// How long a load report of an endpoint is used, in milliseconds. Its weight falls linearly over that
+/// time.
 const LOAD_TTL_MS: f64 = 1_000.0;
 
-/// In which time a failure counts half, in milliseconds.
+/// Half-life of a failure in milliseconds.
 const FAILURE_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// What a rejection counts against an endpoint of a plain service, in failures: its request goes
+/// Weight of a rejection by an endpoint of a plain service, relative to a failure. The request goes
 /// elsewhere at once.
 const REJECTION_FAILURE_WEIGHT: f64 = 0.2;
 
-/// How long an engine that rejected a request for a model is not asked for it. An unload takes as long
-/// as the requests that run, up to seconds; each that finds out costs one repeat.
+/// How long an engine that rejected a request for a model is not selected for that model. Unloading a model
+/// takes as long as its running requests, up to seconds, and each request that runs into it costs one
+/// retry.
 const REJECTION_TTL: time::Millis = time::Millis(500);
 
-/// What one failure adds to the estimate, in milliseconds.
+/// Penalty of one failure on the estimate in milliseconds.
 const FAILURE_PENALTY_MS: f64 = 250.0;
 
-/// An engine that owes an answer and says nothing at all for this long, in milliseconds, is suspected.
-/// An engine that only has much to read still sends events of its streams.
+/// Silence after which an engine with outstanding responses is suspected, in milliseconds. An engine that
+/// is merely busy with prefills still sends events of its streams.
 const SILENCE_THRESHOLD_MS: f64 = 700.0;
 
-/// What each millisecond of silence beyond that adds to the estimate.
+/// Penalty on the estimate for each further millisecond of silence.
 const SILENCE_PENALTY_FACTOR: f64 = 3.0;
 
-/// What is added for an engine whose group this process is not in, in milliseconds: what others send
-/// there is not known, and these would not expect it.
+/// Added for an engine whose load is not reported to this process, in milliseconds: what others send there
+/// is unknown here, and they don't expect this process to send there.
 const UNREPORTED_LOAD_MS: f64 = 40.0;
 
-/// How long another process's word on what it sent to an engine is believed. Prompts are read within
-/// that time, but for the largest.
+/// How long the pending prefill that another process reported counts. All but the largest prompts are
+/// prefilled within that time.
 const PENDING_PREFILL_TTL: time::Millis = time::Millis(900);
 
-/// How long a request that another process was advised to send counts without a word that it was sent. Such
-/// a word comes within some milliseconds, unless a datagram was lost.
+/// How long a request that was routed for another process counts before that process reports sending it.
+/// The report arrives within milliseconds, unless its datagram is lost.
 const ROUTED_TTL: time::Millis = time::Millis(150);
 
-/// The part of the pause that streams bear which a prompt may take without one of them being late: the step that
-/// was under way and what else waits take the rest.
+/// Share of the allowed pause of streams that a prefill may take without penalty. The step in progress and
+/// other pending prefills take up the rest.
 const FREE_STALL_SHARE: f64 = 0.5;
 
-/// What each stream that a long prompt stops adds to the engine's estimate, in milliseconds.
+/// Penalty for each stream that a long prefill stalls, in milliseconds.
 const STALL_PENALTY_MS: f64 = 20.0;
 
-/// How long an engine's word on what it runs is used. Most streams last that long.
+/// How long an engine's report of its running requests is used. Most streams last that long.
 const RUNNING_TTL: time::Millis = time::Millis(2_000);
 
-/// An endpoint that can't be reached is left out for this long at first, in milliseconds.
+/// First ejection time of an endpoint that can't be reached. It doubles with each further failure.
 const MIN_EJECTION: time::Millis = time::Millis(300);
 
-/// And this long at the most.
+/// Longest ejection time of an endpoint that can't be reached.
 const MAX_EJECTION: time::Millis = time::Millis(2_000);
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 pub(super) const MICROS_PER_MS: f64 = 1_000.0;
 
-/// Requests that one entry process has under way at one endpoint of a plain service, in parts of its
-/// places. Some may wait there: an endpoint that is never full is idle between two answers.
+/// Requests that one entry process keeps in flight at an endpoint of a plain service, per slot. Some of
+/// them may queue there, since an endpoint that is never full idles between two requests.
 const MAX_IN_FLIGHT_PER_SLOT: f64 = 1.5;
 
-/// A request that another process was advised to send.
+/// A request that this process routed to an engine for another process.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RoutedRequest {
     pub(super) to: net::Ipv4Addr,
-    /// Microseconds that it takes to be read.
+    /// Prefill time in microseconds.
     pub(super) prefill_us: u64,
     pub(super) at: time::Instant,
 }
 
-/// One start of an endpoint, with the requests that this process sent there.
+/// One instance of an endpoint, with the requests that this process has sent to it.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub(super) instance: directory::Instance,
-    /// Requests of this process that are there.
+    /// Requests of this process in flight.
     pub(super) in_flight: u32,
-    /// Microseconds that it takes to read those whose answer has not begun.
+    /// Prefill time of those whose response has not begun, in microseconds.
     pub(super) pending_prefill_us: u64,
     pub(super) load: Option<(dialect::Load, time::Instant)>,
-    /// Requests that an engine runs, by the latest word of its own that any process passed on.
+    /// Requests that an engine runs by its latest report to any process, and when that arrived.
     pub(super) reported_running: Option<(u32, time::Instant)>,
-    /// How many times as long as others it takes to read.
+    /// Factor by which its prefill is slower than that of other engines.
     pub(super) slowdown: f64,
-    /// Time for an answer, in milliseconds; of plain services.
+    /// Response time in milliseconds, for plain services.
     pub(super) response_ms: f64,
-    /// When anything came from it last.
+    /// When it last sent anything.
     pub(super) last_activity: time::Instant,
-    /// Requests of this process whose answer has not begun, and since when there has been one.
+    /// Requests of this process whose response has not begun, and since when there has been at least one.
     pub(super) awaiting: u32,
     pub(super) awaiting_since: time::Instant,
-    /// When it had about as much to read as its streams bear.
+    /// When its pending prefill was last near the limit.
     pub(super) near_limit_at: Option<time::Instant>,
     pub(super) failures: f64,
     failed_at: time::Instant,
     pub(super) ejection: time::Millis,
     pub(super) ejected_until: time::Instant,
     pub(super) denied_models: collections::HashMap<dialect::Wanted, time::Instant>,
-    /// Models for which it rejected requests, with until when it is not asked for them.
+    /// Models for which it rejected requests, and until when it is not selected for them.
     rejected_models: collections::HashMap<String, time::Instant>,
     pub(super) prefix_cache: prefix_cache::PrefixCache,
-    /// Microseconds that it takes to read what other processes sent there, with when they said so.
+    /// Pending prefill in microseconds that other processes reported, and when they did.
     pub(super) reported_prefill: collections::HashMap<net::Ipv4Addr, (u64, time::Instant)>,
-    /// What this process has advised others to send there, until they say that they have.
+    /// Requests routed there for other processes that these have not yet reported as sent.
     pub(super) routed: Vec<RoutedRequest>,
-    /// Which other process could not reach it last, and when.
+    /// The last other process that could not reach it, and when that was.
     pub(super) unreachable_from: Option<(net::Ipv4Addr, time::Instant)>,
 }
 
@@ -157,7 +159,7 @@
                 .holds(&wanted.model, wanted.adapter.as_deref())
     }
 
-    /// Tokens of a prompt that are not kept from an earlier one.
+    /// Tokens of a prompt that are not in the prefix cache.
     pub(super) fn uncached_tokens(&self, ask: &Ask<'_>) -> u64 {
         let cached = ask.wanted.map_or(0, |wanted| {
             self.prefix_cache.cached_tokens(wanted, ask.parts)
@@ -165,7 +167,7 @@
         ask.prompt_tokens.saturating_sub(cached)
     }
 
-    /// Its failures, each of which counts less with time.
+    /// The failure score, decayed to `now`.
     fn decayed_failures(&self, now: time::Instant) -> f64 {
         let age = now.since(self.failed_at).0 as f64;
         self.failures * 0.5_f64.powf(age / FAILURE_HALF_LIFE_MS)
@@ -175,7 +177,7 @@
         self.decayed_failures(now) * FAILURE_PENALTY_MS
     }
 
-    /// What its silence counts against it.
+    /// Penalty for its silence.
     pub(super) fn silence_penalty_ms(&self, now: time::Instant) -> f64 {
         if self.awaiting == 0 {
             return 0.0;
@@ -193,10 +195,11 @@
         self.failed_at = now;
     }
 
-    /// It rejected a request without having run it: it is full, or it drops or loads the model.
+    /// Records that the endpoint rejected a request without running it: it is full, or it is loading or
+    /// unloading the model.
     ///
-    /// An announcement does not lift this, as an engine that drops a model announces it until the
-    /// requests that run there are done.
+    /// A new directory record doesn't lift this, since an engine that unloads a model keeps announcing it until
+    /// the requests for it are done.
     pub(super) fn record_rejection(
         &mut self,
         now: time::Instant,
@@ -211,7 +214,7 @@
         }
     }
 
-    /// It reads for this model.
+    /// Records that the engine accepts requests for this model.
     pub(super) fn clear_rejection(&mut self, wanted: &dialect::Wanted) {
         self.rejected_models.remove(&wanted.model);
     }
@@ -222,7 +225,7 @@
         self.ejected_until = now + self.ejection;
     }
 
-    /// Notes a request that `to` is advised to send.
+    /// Records a request that was routed here for the process `to`.
     pub(super) fn add_routed(&mut self, now: time::Instant, to: net::Ipv4Addr, prefill_us: u64) {
         self.routed.retain(|it| now.since(it.at) < ROUTED_TTL);
         self.routed.push(RoutedRequest {
@@ -232,7 +235,7 @@
         });
     }
 
-    /// Takes another process's word on what it has there. Returns whether that is less than before.
+    /// Replaces the pending prefill that the process `from` reported. Returns whether it has shrunk.
     pub(super) fn set_reported_prefill(
         &mut self,
         now: time::Instant,
@@ -247,7 +250,7 @@
         before.is_some_and(|(before, _)| before > prefill_us)
     }
 
-    /// Milliseconds of reading that wait there, by this process and those that tell it.
+    /// Pending prefill in milliseconds, of this process and of all others that report to it.
     pub(super) fn total_pending_prefill_ms(&self, now: time::Instant) -> f64 {
         let fresh = self
             .reported_prefill
@@ -260,7 +263,7 @@
         (self.pending_prefill_us + reported_us + routed_us) as f64 / MICROS_PER_MS
     }
 
-    /// Requests that wait there by its own latest word, which weighs less with age.
+    /// Requests queued there by its latest load report, whose weight falls with age.
     fn decayed_waiting(&self, now: time::Instant) -> f64 {
         let Some((load, at)) = self.load else {
             return 0.0;
@@ -270,14 +273,14 @@
         f64::from(load.waiting) * weight
     }
 
-    /// Requests that it runs, by its latest word or, without one, by what this process sent.
+    /// Requests running there by its latest load report, or those sent by this process if there is none.
     pub(super) fn running(&self) -> f64 {
         let running = self.load.map_or(self.in_flight, |(load, _)| load.running);
         f64::from(running)
     }
 
-    /// What a prompt that takes so many milliseconds to be read costs the streams that run there, in milliseconds of
-    /// its own wait: each of them stands still meanwhile, and counts as late beyond `pause_limit_ms`.
+    /// Penalty in milliseconds for a prefill of `prefill_ms`, which stalls each running stream meanwhile. A
+    /// stream counts as late when it pauses for more than `pause_limit_ms`.
     pub(super) fn engine_stall_penalty_ms(
         &self,
         now: time::Instant,
@@ -295,8 +298,8 @@
         part * f64::from(running) * STALL_PENALTY_MS
     }
 
-    /// Milliseconds until an engine has read a prompt that takes it `prefill_ms` of them. Of one of which this process
-    /// is not told others may have sent more there.
+    /// Estimated milliseconds until an engine has finished a prefill that takes `prefill_ms` by itself. If
+    /// its load is not reported to this process (`is_told`), other processes may have sent more there.
     pub(super) fn engine_estimate_ms(
         &self,
         now: time::Instant,
@@ -307,8 +310,8 @@
         self.total_pending_prefill_ms(now) + prefill_ms + BATCH_STEP_MS + unreported
     }
 
-    /// Whether it would have more than `prefill_limit_ms` to read with so many milliseconds more. One prompt that
-    /// is too long by itself has to be read somewhere.
+    /// Whether another `prefill_ms` would raise the pending prefill above `prefill_limit_ms`. A single
+    /// prompt that is above the limit by itself is allowed, as it has to run somewhere.
     pub(super) fn exceeds_limit(
         &self,
         now: time::Instant,
@@ -319,12 +322,12 @@
         ahead > 0.0 && ahead + prefill_ms > prefill_limit_ms
     }
 
-    /// Milliseconds until a plain service has answered.
+    /// Estimated milliseconds until a plain service responds.
     pub(super) fn service_estimate_ms(&self, now: time::Instant) -> f64 {
         let slots = f64::from(self.instance.slots.max(1));
         let ahead = f64::from(self.in_flight).max(self.decayed_waiting(now));
         let turns = 1.0 + (ahead / slots).floor();
-        // Of two that have places the emptier one is taken.
+        // The last term prefers the emptier one of two endpoints with free slots.
         turns * self.response_ms + ahead / slots
     }
 
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -1,21 +1,22 @@
-//! Which endpoint a request goes to, whether it waits here, or is turned away.
+//! Selects the endpoint of a request, or decides that the request waits in this process or is refused.
 //!
-//! Each entry process decides for itself by what it knows: what the directory says of each endpoint,
-//! what it has sent there itself and what the endpoints said of their load in their latest answers.
-//! The measure is the estimated time until the answer, or its first event, comes.
+//! Each entry process decides on its own, from the directory's records of the endpoints, the requests that
+//! it has sent to them and the load that they reported in their latest responses. It compares estimates of
+//! the time until the response, or its first event, arrives.
 //!
 //! # Engines
 //!
-//! On a model engine it is the reading of prompts that runs out first, not the places: an engine
-//! reads some twenty tokens a millisecond, so a request with 1,800 tokens of its own takes a tenth of
-//! a second of the whole engine, while sixty others generate beside it. So the estimate counts tokens
-//! to be read, less those of prompt parts that the engine was sent before and still keeps.
+//! A model engine runs out of prefill throughput before it runs out of slots: it prefills some twenty
+//! tokens per millisecond, so that a request with 1,800 uncached tokens occupies the whole engine for a
+//! tenth of a second while sixty others generate beside it. The estimate therefore counts the tokens to
+//! prefill, less those of prompt parts that the engine has processed before and still holds in its prefix
+//! cache.
 //!
 //! # Failing endpoints
 //!
-//! Each failure adds to a score that halves every second and a half. The score lengthens the
-//! estimate, so an endpoint that fails a part of its requests gets fewer, and one that recovers comes
-//! back by itself. One that can't be reached at all is left out for a while that grows.
+//! Each failure adds to a score with a half-life of 1.5 seconds. The score is a penalty on the estimate, so
+//! that an endpoint that fails some of its requests gets fewer of them and recovers its share as the score
+//! decays. An endpoint that can't be reached is ejected for a time that grows with each failure.
 
 mod advice;
 mod ask;
@@ -40,42 +41,43 @@
 pub use crate::neighbours::Pauses;
 use crate::{config, dialect, directory, neighbours};
 
-/// A request to an engine costs this at least, in milliseconds: one step of its batch.
+/// Minimum cost of a request to an engine in milliseconds: one step of its batch.
 const BATCH_STEP_MS: f64 = 10.0;
 
-/// What a way to another availability zone adds, in milliseconds: the way there and back, and a bit
-/// so that equal endpoints are taken near by.
+/// Cost of sending to another availability zone in milliseconds: the round trip, and a margin by which the
+/// local one of two equal endpoints is preferred.
 const CROSS_ZONE_MS: f64 = 4.0;
 
-/// The same for one that took requests and never answered: each that finds out that it still does not
-/// costs its caller the whole time.
+/// Ejection time of an endpoint that accepted requests and never responded. Each request that finds it
+/// still silent costs its caller the full timeout.
 const SILENT_EJECTION_TIME: time::Millis = time::Millis(5_000);
 
-/// How long an engine that said that it does not hold a model is not asked for it again, unless it
-/// announces itself anew.
+/// How long an engine that denied holding a model is not selected for it, unless the engine registers again
+/// meanwhile.
 const MODEL_DENIAL_TTL: time::Millis = time::Millis(500);
 
-/// The longest span that is reckoned with, in milliseconds, of an endpoint that never answers.
+/// Upper bound of an estimate in milliseconds, for endpoints that never respond.
 const MAX_ESTIMATE_MS: f64 = 1e9;
 
-/// How long an adapter takes to be there once it is asked for, in milliseconds: two calls and a load.
+/// Time from the request for an adapter until it is loaded, in milliseconds: two calls and the load.
 const ADAPTER_LOAD_MS: f64 = 45.0;
 
-/// By how much an engine without the adapter must be better than the best with it, in milliseconds.
+/// By how much the estimate of an engine without the adapter must be lower than the best of those with it
+/// to load the adapter there, in milliseconds.
 const MIN_ADAPTER_LOAD_GAIN_MS: f64 = 120.0;
 
-/// What was found among engines.
+/// Result of the selection among engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum EngineSelection {
-    /// This one.
+    /// Send to this engine.
     Engine(arena::EndpointKey),
-    /// This one, once the adapter is loaded there.
+    /// Load the adapter on this engine first.
     Fetch(directory::InstanceId),
-    /// None now.
+    /// No engine can take the request now.
     Missing(Missing),
 }
 
-/// What one entry process knows of the endpoints.
+/// The state of all endpoints as known to one entry process.
 #[derive(Debug)]
 pub struct Chooser {
     availability_zone: String,
@@ -83,7 +85,7 @@
     by_id: collections::HashMap<directory::InstanceId, arena::EndpointKey>,
     by_key: collections::HashMap<u64, arena::EndpointKey>,
     by_service: collections::HashMap<String, Vec<arena::EndpointKey>>,
-    /// The engines that hold a model, of all services.
+    /// Engines that hold a model, across all services.
     by_model: collections::HashMap<String, Vec<arena::EndpointKey>>,
     random: u64,
     homes: homes::Homes,
@@ -95,7 +97,7 @@
 }
 
 impl Chooser {
-    /// Knows no endpoint. `seed` is for ties.
+    /// Creates a chooser without endpoints. `seed` initializes the generator that breaks ties.
     #[must_use]
     pub fn new(availability_zone: &str, seed: u64) -> Self {
         Self {
@@ -115,14 +117,14 @@
         }
     }
 
-    /// The same with another policy.
+    /// Replaces the policy.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// A random number.
+    /// Draws a random number.
     pub fn draw(&mut self) -> u64 {
         // Marsaglia's xorshift.
         self.random ^= self.random << 13;
@@ -131,12 +133,13 @@
         self.random
     }
 
-    /// Takes the list of entry processes, of which this one is `own`.
+    /// Sets the list of entry processes, of which this one is `own`.
     pub fn join_groups(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
         self.homes.set_entries(own, entries);
     }
 
-    /// Takes what the directory says of an endpoint.
+    /// Adds or updates an endpoint from its directory record, or removes it if the record says that it is
+    /// gone.
     pub fn know(&mut self, instance: &directory::Instance) {
         if !instance.is_present() {
             return self.forget(&instance.id);
@@ -182,7 +185,7 @@
         }
     }
 
-    /// An endpoint has gone. Its key is not given to another, since requests may be under way there.
+    /// Removes an endpoint. Its key is not reused, since requests to it may still be in flight.
     pub fn forget(&mut self, id: &directory::InstanceId) {
         let Some(key) = self.by_id.remove(id) else {
             return;
@@ -197,14 +200,14 @@
         self.unindex_models(key, &endpoint.instance);
     }
 
-    /// Whether any endpoint is known that takes work.
+    /// Whether any known endpoint is ready.
     #[must_use]
     pub fn knows_any(&self) -> bool {
         let mut known = self.endpoints.iter().flatten();
         known.any(|it| it.instance.is_ready())
     }
 
-    /// How many endpoints are known, and how many of them take work now.
+    /// Number of known endpoints, and of those that accept requests now.
     #[must_use]
     pub fn counts(&self, now: time::Instant) -> (usize, usize) {
         let known = self.endpoints.iter().flatten();
@@ -215,7 +218,7 @@
         (known.count(), open.count())
     }
 
-    /// Decides.
+    /// Decides what to do with a request.
     pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
         let choice = match ask.wanted {
             Some(wanted) => self.choose_by_model(now, ask, wanted),
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Chooses among the engines that hold a model.
+    /// Selects among the engines that hold a model.
     fn choose_by_model(
         &mut self,
         now: time::Instant,
@@ -246,7 +249,7 @@
         })
     }
 
-    /// Whether an endpoint could begin with the request now, as far as is known here.
+    /// Whether an endpoint could start on the request now, as far as this process knows.
     #[must_use]
     pub fn has_free(&self, now: time::Instant, ask: &Ask<'_>) -> bool {
         let Some(wanted) = ask.wanted else {
@@ -275,7 +278,7 @@
         }
     }
 
-    /// Chooses among engines `with_adapter` the adapter and those `without_adapter` it, where it could be loaded.
+    /// Selects among the engines `with_adapter` and those `without_adapter`, on which it could be loaded.
     fn choose_engine_of(
         &mut self,
         now: time::Instant,
@@ -327,14 +330,14 @@
         let Some((_, key)) = self.lowest_score(now, ask, with_adapter) else {
             return EngineSelection::Missing(Missing::Adapter);
         };
-        // One that will be late loses nothing more by waiting, and would make others late.
+        // A request that will be late anyway loses nothing by waiting; sent now, it would make others late.
         if ask.may_be_late && to_millis(self.estimate_ms(now, key, ask)) > ask.on_time {
             return EngineSelection::Missing(Missing::Place);
         }
         EngineSelection::Engine(key)
     }
 
-    /// The open engines that hold the model of `wanted`, those with and those without its adapter.
+    /// The open engines that hold the model of `wanted`: those with its adapter, and those without.
     fn engines_with_model(
         &self,
         now: time::Instant,
@@ -353,7 +356,7 @@
             .partition(|key| self.holds(now, *key, wanted))
     }
 
-    /// The one with the least estimate, and that. Of equal ones any.
+    /// The endpoint with the lowest score, and that score. Ties are broken at random.
     fn lowest_score(
         &mut self,
         now: time::Instant,
@@ -364,8 +367,8 @@
         let mut best: Option<(f64, arena::EndpointKey)> = None;
         for at in 0..keys.len() {
             let key = keys[(at + offset) % keys.len()];
-            // Whole milliseconds: by less than that an endpoint that failed long ago would never be
-            // chosen again while the others are idle.
+            // Compares whole milliseconds. Otherwise the remains of an old failure score would keep an
+            // endpoint from ever being selected while others are idle.
             let ms = self.score(now, key, ask).floor();
             if best.is_none_or(|(least, _)| ms < least) {
                 best = Some((ms, key));
@@ -374,7 +377,7 @@
         best
     }
 
-    /// By what endpoints are compared; the least is taken.
+    /// The score by which endpoints are compared; the lowest wins.
     fn score(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
         match self.policy.choice {
             Routing::Estimate => {
@@ -387,7 +390,8 @@
         }
     }
 
-    /// How soon some engine could hold `model`, which none does: by the nearest copy of its weights.
+    /// How soon some engine could hold `model`, which none holds now, given where the nearest copy of its
+    /// weights is.
     #[must_use]
     pub fn load_time(&self, service: &str, model: &config::Model) -> time::Millis {
         let engines = self.by_service.get(service).into_iter().flatten();
@@ -405,7 +409,7 @@
         near.min().unwrap_or(model.store_load)
     }
 
-    /// The endpoints of the service that take work now.
+    /// Endpoints of the service that accept requests now.
     fn open_endpoints(
         &self,
         now: time::Instant,
@@ -424,7 +428,7 @@
             .is_some_and(|it| it.instance.service == service)
     }
 
-    /// Whether an endpoint takes work and could be reached, and was not tried.
+    /// Whether an endpoint is ready, not ejected and not yet tried for this request.
     fn is_eligible(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
         let takes = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
         !ask.tried.contains(&key) && self.get(key).is_some_and(takes)
@@ -448,13 +452,13 @@
         work + if is_far { CROSS_ZONE_MS } else { 0.0 }
     }
 
-    /// Microseconds that an engine needs to read a prompt: the one that keeps most of it, of those that
-    /// hold its model, as far as is known here or the home of the model has `advised`, in tokens. All of it
-    /// where none does.
+    /// Microseconds of prefill that a prompt costs on the engine that caches most of it, out of those that
+    /// hold its model. `advised` is the number of cached tokens that the model's coordinator reported. If
+    /// no engine caches any, the whole prompt counts.
     ///
-    /// A leader weighs models by this. Counted in whole prompts, shared beginnings that every engine
-    /// keeps made models look four to six times as busy as they were, so that each was short of copies
-    /// and copies changed places all the time.
+    /// The leader weighs models by this. When it counted whole prompts, shared prefixes that every engine
+    /// caches made models look four to six times as busy as they were; each model seemed short of replicas,
+    /// and replicas moved all the time.
     #[must_use]
     pub fn reading_us(
         &self,
@@ -476,7 +480,7 @@
         to_u64(ms * endpoint::MICROS_PER_MS)
     }
 
-    /// Milliseconds that the endpoint takes to read the prompt.
+    /// Milliseconds that the endpoint needs to prefill the prompt.
     fn prefill_ms(&self, endpoint: &Endpoint, ask: &Ask<'_>) -> f64 {
         let Some(wanted) = ask.wanted else {
             return 0.0;
@@ -485,13 +489,13 @@
         endpoint.uncached_tokens(ask) as f64 * ms_per_token * endpoint.slowdown
     }
 
-    /// What the endpoint's failures count against it.
+    /// Penalty for the endpoint's failures and silence.
     fn failure_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
         let penalty_ms = |it: &Endpoint| it.failures_ms(now) + it.silence_penalty_ms(now);
         self.get(key).map_or(0.0, penalty_ms)
     }
 
-    /// What the streams that an engine runs count against sending it a prompt that stops them for long.
+    /// Penalty for stalling the streams that an engine runs with a long prefill.
     fn stall_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
         let Some(endpoint) = self.get(key).filter(|_| ask.wanted.is_some()) else {
             return 0.0;
@@ -501,12 +505,12 @@
     }
 
     fn dispatch(&mut self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> Choice {
-        // Failures say that an answer is less likely, not that it comes later.
+        // Failures make a response less likely, not later, so they don't count here.
         let estimate = to_millis(self.estimate_ms(now, key, ask));
         self.dispatch_with_estimate(now, key, ask, estimate)
     }
 
-    /// Sends where the answer is estimated to begin in `estimate`.
+    /// Sends the request if the response is estimated to begin in `estimate`, unless that is too late.
     fn dispatch_with_estimate(
         &mut self,
         now: time::Instant,
@@ -537,8 +541,8 @@
         })
     }
 
-    /// The endpoint that a request is about to go to, and the microseconds that it takes to read it. Notes
-    /// where that is about as much as its streams bear.
+    /// The endpoint that a request is about to go to, and the prefill time of the request there in
+    /// microseconds. Records when this brings the endpoint near its prefill limit.
     fn prepare_dispatch(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a chooser learns from the requests that it has sent.
+//! Learning from the outcomes of sent requests.
 
 use sageshed_types::{arena, time};
 
@@ -8,11 +8,11 @@
 };
 use crate::dialect;
 
-/// The part that a new measurement has in the learned time of a plain service.
+/// Weight of a new measurement in the moving average of a plain service's response time.
 const RESPONSE_TIME_GAIN: f64 = 0.1;
 
 impl Chooser {
-    /// The answer of a request that was sent to `pick` has begun, `took` after it was sent.
+    /// Records that the response to a request sent to `pick` began `took` after it was sent.
     pub fn began(
         &mut self,
         now: time::Instant,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// A stream from `pick` has ended whole.
+    /// Records the pauses of a stream from `pick` that ended normally.
     pub fn paused(&mut self, now: time::Instant, pick: &Pick, pauses: Pauses) {
         self.learn_pauses(now, pick.key, pauses);
     }
 
-    /// Learns how much may wait at engines from a stream of the engine `key`.
+    /// Adjusts the prefill limit by a stream of the engine `key`.
     pub(super) fn learn_pauses(
         &mut self,
         now: time::Instant,
@@ -69,21 +69,21 @@
         self.prefill_limits.learn(&service, pauses, was_near_limit);
     }
 
-    /// Whether the endpoint of `pick` owes answers and has said nothing for too long.
+    /// Whether the endpoint of `pick` has outstanding responses and has been silent for too long.
     #[must_use]
     pub fn is_suspected(&self, now: time::Instant, pick: &Pick) -> bool {
         let endpoint = self.get(pick.key);
         endpoint.is_none_or(|it| it.silence_penalty_ms(now) > 0.0)
     }
 
-    /// Something came from the endpoint of `pick`.
+    /// Records that the endpoint of `pick` sent something.
     pub fn heard_from(&mut self, now: time::Instant, pick: &Pick) {
         if let Some(endpoint) = self.get_mut(pick.key) {
             endpoint.last_activity = now;
         }
     }
 
-    /// A request that was sent to `pick` is over. `began` says whether its answer had begun.
+    /// Records the end of a request that was sent to `pick`. `began` tells whether its response had begun.
     pub fn ended(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/prefill_limit.rs
+++ b/crates/sageshed-fleet/src/chooser/prefill_limit.rs
@@ -1,44 +1,48 @@
-//! How much an engine may have to read before its streams pause for too long.
+//! The limit of pending prefill at an engine, above which its streams would pause for too long.
 //!
-//! The load pattern: prompts come faster than they are read, beside streams that must not pause. Some
-//! engines read all prompts that wait there in one step, and every stream pauses for as long; others
-//! read a piece of a prompt in each step, and no pause is ever longer than that piece takes, however
-//! much waits. On the first kind a prompt has to be held back here, on the second that only makes it
-//! late. Nothing announces which kind an engine is, so it is learnt from the pauses of streams.
+//! Under load, prompts arrive faster than they are prefilled, beside streams that must not pause. Some
+//! engines prefill all waiting prompts in a single step, and every stream pauses for as long as that takes.
+//! Others prefill one chunk per step (chunked prefill), and no pause is longer than a chunk takes, however
+//! much is pending. Prompts have to be held back from engines of the first kind; held back from the second
+//! kind, they are only delayed. Engines don't announce their kind, so the limit is learned from the pauses
+//! of streams.
 //!
-//! The bound begins where the first kind keeps its pauses and never falls below. It rises by streams
-//! that kept theirs while an engine had about as much to read as the bound allows, quickly until the
-//! first that did not, and falls by each that did not.
+//! The limit starts where engines of the first kind keep their streams within the allowed pause, and never
+//! falls below. It rises with each stream that kept within its pause while the engine's pending prefill was
+//! near the limit, quickly until the first stream that didn't, and falls with each that didn't.
 
 use std::collections;
 
 use super::Pauses;
 
-/// The bound at first and at least, in parts of the longest pause that callers count as on time.
+/// The initial and lowest limit, relative to the longest pause that callers accept.
 const MIN_LIMIT_RATIO: f64 = 0.8;
 
-/// The bound at most, in the same parts. A prompt that waits here can go to another engine still.
+/// The highest limit, relative to the same pause. A prompt that is held back here can still go to another
+/// engine.
 const MAX_LIMIT_RATIO: f64 = 6.0;
 
-/// What the bound grows by with a stream that kept its pause, until one did not.
+/// Growth of the limit with each stream that kept within its pause, until the first that didn't.
 const FAST_GROWTH: f64 = 1.5;
 
-/// The same afterwards. With [`DECREASE`] the bound rests where one stream of twenty pauses too long.
+/// Growth of the limit afterwards. With [`DECREASE`], the limit settles where one stream of twenty pauses
+/// for too long.
 const SLOW_GROWTH: f64 = 1.01;
 
-/// What is left of the bound after a stream that paused for too long.
+/// Factor applied to the limit when a stream paused for too long.
 const DECREASE: f64 = 0.82;
 
-/// An engine with this part of the bound to read tells whether its streams bear more.
+/// Pending prefill, relative to the limit, from which an engine's streams show whether the limit could be
+/// higher.
 const NEAR_LIMIT_RATIO: f64 = 0.5;
 
-/// The pause that is borne, in milliseconds, where no route says.
+/// The allowed pause in milliseconds where no route sets one.
 const DEFAULT_PAUSE_LIMIT_MS: f64 = 400.0;
 
-/// The bound for the engines of one service.
+/// The limit for the engines of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct PrefillLimit {
-    /// The longest pause that is on time, by the route of the stream that ended last.
+    /// The allowed pause by the route of the stream that ended last.
     pause_limit_ms: f64,
     value_ms: f64,
     was_exceeded: bool,
@@ -69,14 +73,14 @@
     }
 }
 
-/// The bounds of all services.
+/// The limits of all services.
 #[derive(Debug, Default)]
 pub(super) struct PrefillLimits {
     by_service: collections::HashMap<String, PrefillLimit>,
 }
 
 impl PrefillLimits {
-    /// Milliseconds of reading that may wait at an engine of `service`.
+    /// Milliseconds of prefill that may be pending at an engine of `service`.
     pub(super) fn prefill_limit_ms(&self, service: &str) -> f64 {
         let limit = self.by_service.get(service).copied();
         limit
@@ -84,19 +88,19 @@
             .value_ms
     }
 
-    /// The longest pause that callers of `service` count as on time, in milliseconds.
+    /// The longest pause that callers of `service` accept, in milliseconds.
     pub(super) fn pause_limit_ms(&self, service: &str) -> f64 {
         let limit = self.by_service.get(service);
         limit.map_or(DEFAULT_PAUSE_LIMIT_MS, |it| it.pause_limit_ms)
     }
 
-    /// Whether so many milliseconds to read are near the bound.
+    /// Whether so much pending prefill is near the limit.
     pub(super) fn is_near_limit(&self, service: &str, prefill_ms: f64) -> bool {
         prefill_ms >= NEAR_LIMIT_RATIO * self.prefill_limit_ms(service)
     }
 
-    /// A stream has ended. `was_near_limit` says whether its engine had about as much to read as the bound
-    /// allows meanwhile.
+    /// Adjusts the limit at the end of a stream. `was_near_limit` tells whether the pending prefill of its
+    /// engine was near the limit meanwhile.
     pub(super) fn learn(&mut self, service: &str, pauses: Pauses, was_near_limit: bool) {
         let pause_limit_ms = pauses.limit.0 as f64;
         let first = PrefillLimit::initial(pause_limit_ms);
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -1,8 +1,8 @@
-//! Which beginnings of prompts an engine keeps, as far as one entry process can know.
+//! The content of an engine's prefix cache, as far as one entry process knows it.
 //!
-//! An engine keeps what it has read for one model and adapter, and what another reads of the same words
-//! is of no use to it. Were a part taken for kept that another model had read, the engine would have up
-//! to a third more to read than it was chosen for, and its streams would pause for longer.
+//! An engine caches prompt prefixes separately for each model and adapter. If a prefix that was computed
+//! for another model counted as cached, the engine would have up to a third more to prefill than estimated,
+//! and its streams would pause for longer.
 
 use std::collections;
 
@@ -11,17 +11,17 @@
 /// Prompt parts that are remembered for each engine.
 const MAX_PARTS: usize = 2_000;
 
-/// The parts that one engine keeps.
+/// The parts that one engine caches.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
-    /// By reader and id, with the number of the request that used each last.
+    /// By model, adapter and id of the part, the number of the request that last used it.
     parts: collections::HashMap<(Reader, u64), u64>,
     clock: u64,
 }
 
 impl PrefixCache {
-    /// Tokens at the beginning of a prompt that need not be read. What comes behind a part that is not
-    /// kept has to be read too.
+    /// Tokens of the prefix of a prompt that are cached. A part after one that is not cached has to be
+    /// prefilled again.
     pub(super) fn cached_tokens(
         &self,
         wanted: &dialect::Wanted,
@@ -32,12 +32,12 @@
         parts.iter().take_while(kept).map(|part| part.tokens).sum()
     }
 
-    /// The engine has read a prompt of these parts.
+    /// Records that the engine prefilled a prompt of these parts.
     pub(super) fn insert(&mut self, wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) {
         self.insert_parts(Reader::of(wanted), parts.iter().map(|part| part.id));
     }
 
-    /// It has read a beginning for another process.
+    /// Records a prefix that the engine prefilled for another process.
     pub(super) fn insert_reported(&mut self, beginning: &neighbours::Beginning) {
         self.insert_parts(beginning.reader, beginning.parts.iter().copied());
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What was read for models that the engine has dropped is gone.
+    /// Drops the prefixes of models that the engine has unloaded.
     pub(super) fn retain_models(&mut self, models: &[directory::Resident]) {
         let resident: Vec<u64> = models.iter().map(|it| neighbours::key(&it.model)).collect();
         self.parts
--- a/crates/sageshed-fleet/src/chooser/wait_estimates.rs
+++ b/crates/sageshed-fleet/src/chooser/wait_estimates.rs
@@ -1,47 +1,49 @@
-//! How long requests for a model wait, as the home of the model knows.
+//! Estimates how long requests for a model wait, on the coordinator of the model.
 //!
-//! The load pattern: prompts come faster than the engines of a model read them. Each of some hundred entry
-//! processes holds a few of those that wait and can't tell how many there are; held until their callers
-//! leave, they cost these the time in which they could have come back. The home is asked for all of them,
-//! again and again while they wait, so it knows how many there are and how many it has sent on lately.
+//! Under load, prompts arrive faster than the engines of a model prefill them. Each of some hundred entry
+//! processes holds a few waiting requests and can't tell how many there are in all; if it held them until
+//! their callers give up, these would lose the time in which they could have retried. The coordinator is
+//! asked again and again for each waiting request, so it knows how many there are and how many it has
+//! routed lately.
 
 use std::collections;
 
 use sageshed_types::time;
 
-/// Over this span it is counted how many requests were sent on. Shorter, single long prompts would make it
-/// jump; longer, engines that come or go would show late.
+/// Time over which routed requests are counted. With a shorter one, single long prompts would make the
+/// estimate jump; with a longer one, it would follow added or removed engines too late.
 const WINDOW: time::Millis = time::Millis(2_000);
 
-/// A request that was not asked for within this time waits no more. One that waits asks ten times a second.
+/// A request that was not asked for within this time waits no longer. A waiting request is asked for ten
+/// times a second.
 const WAITING_TTL: time::Millis = time::Millis(300);
 
-/// Requests sent on in a span, below which nothing is foretold.
+/// Routed requests within [`WINDOW`] below which no estimate is given.
 const MIN_ROUTED: usize = 6;
 
-/// The requests for one model.
+/// Routed and waiting requests for one model.
 #[derive(Debug, Default)]
 struct ModelQueue {
     routed: collections::VecDeque<time::Instant>,
-    /// By the request, when it was asked for last.
+    /// By request, when it was last asked for.
     waiting: collections::HashMap<u64, time::Instant>,
 }
 
-/// The requests for all models of which this process is the home.
+/// The requests for all models that this process coordinates.
 #[derive(Debug, Default)]
 pub(super) struct WaitEstimates {
     by_model: collections::HashMap<String, ModelQueue>,
 }
 
 impl WaitEstimates {
-    /// A request for `model` is sent on.
+    /// Records that a request for `model` was routed.
     pub(super) fn record_routed(&mut self, now: time::Instant, model: &str, request: u64) {
         let queue = self.queue(now, model);
         queue.waiting.remove(&request);
         queue.routed.push_back(now);
     }
 
-    /// A request for `model` has to wait. Returns how long, where that can be told.
+    /// Records that a request for `model` has to wait. Returns the expected wait, if it can be estimated.
     pub(super) fn record_waiting(
         &mut self,
         now: time::Instant,
