--- a/crates/sageshed-fleet/src/allowance/book.rs
+++ b/crates/sageshed-fleet/src/allowance/book.rs
@@ -11,10 +11,10 @@
 
 /// Allowances that one message draws. An answer names each with its units in some 20 bytes, and has to fit into
 /// one datagram of 1,200.
-const MOST_DRAWN: usize = 40;
+const MAX_COLLECTED: usize = 40;
 
 /// The same where some stand in no configuration: with its terms each takes some 70 bytes.
-const MOST_DRAWN_NAMED: usize = 14;
+const MAX_COLLECTED_REPORTED: usize = 14;
 
 /// An answer, and what has to be sent besides.
 #[derive(Debug, Clone, PartialEq)]
@@ -35,17 +35,17 @@
     shares: collections::HashMap<Key, Share>,
     pots: collections::HashMap<Key, Pot>,
     /// The entry processes and when each was listed last.
-    listed: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
+    last_listed: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// Those that are listed now.
     current: Vec<net::Ipv4Addr>,
     /// The producers of each allowance that was needed, by that list.
     ranked: collections::HashMap<Key, Vec<net::Ipv4Addr>>,
     /// Homes that did not answer, and when.
-    lost: collections::HashMap<net::Ipv4Addr, time::Instant>,
+    unresponsive: collections::HashMap<net::Ipv4Addr, time::Instant>,
     /// How many were listed when the list was last unsettled, and when that was.
-    settled: (usize, time::Instant),
+    last_growth: (usize, time::Instant),
     /// When a control process answered last.
-    heard: time::Instant,
+    control_heard_at: time::Instant,
     next_id: u64,
 }
 
@@ -60,12 +60,12 @@
             named: named::NamedTerms::default(),
             shares: collections::HashMap::new(),
             pots: collections::HashMap::new(),
-            listed: collections::BTreeMap::new(),
+            last_listed: collections::BTreeMap::new(),
             current: Vec::new(),
             ranked: collections::HashMap::new(),
-            lost: collections::HashMap::new(),
-            settled: (0, time::Instant(0)),
-            heard: time::Instant(0),
+            unresponsive: collections::HashMap::new(),
+            last_growth: (0, time::Instant(0)),
+            control_heard_at: time::Instant(0),
             next_id: start,
         }
     }
@@ -73,13 +73,13 @@
     /// Takes the allowances of a configuration in place of those before.
     pub fn set_terms(&mut self, terms: impl IntoIterator<Item = (Key, Terms)>) {
         self.terms = terms.into_iter().collect();
-        self.forget_unknown();
+        self.remove_unknown();
     }
 
     /// Forgets what it has of allowances that there are no more.
-    fn forget_unknown(&mut self) {
-        let (set, named) = (&self.terms, &self.named);
-        let is_known = |key: &Key| set.contains_key(key) || named.get(*key).is_some();
+    fn remove_unknown(&mut self) {
+        let (configured, named) = (&self.terms, &self.named);
+        let is_known = |key: &Key| configured.contains_key(key) || named.get(*key).is_some();
         self.pots.retain(|key, _| is_known(key));
         self.shares.retain(|key, _| is_known(key));
         self.ranked.retain(|key, _| is_known(key));
@@ -88,37 +88,37 @@
     /// Takes the list of entry processes.
     pub fn set_entries(&mut self, now: time::Instant, entries: &[net::Ipv4Addr]) {
         for ip in &self.current {
-            self.listed.insert(*ip, now);
+            self.last_listed.insert(*ip, now);
         }
         self.heard_control(now);
         self.current = entries.to_vec();
         for ip in entries {
-            self.listed.insert(*ip, now);
+            self.last_listed.insert(*ip, now);
         }
-        self.forget_gone(now);
-        let count = self.listed.len();
-        if count * 10 > self.settled.0 * 11 {
-            self.settled = (count, now);
+        self.expire_entries(now);
+        let count = self.last_listed.len();
+        if count * 10 > self.last_growth.0 * 11 {
+            self.last_growth = (count, now);
         }
         self.ranked.clear();
     }
 
     /// A control process has answered.
     pub fn heard_control(&mut self, now: time::Instant) {
-        self.heard = now;
+        self.control_heard_at = now;
     }
 
     /// Forgets processes that have not been listed for long.
-    fn forget_gone(&mut self, now: time::Instant) {
-        if self.listed.len() == self.current.len() {
+    fn expire_entries(&mut self, now: time::Instant) {
+        if self.last_listed.len() == self.current.len() {
             return;
         }
-        let before = self.listed.len();
+        let before = self.last_listed.len();
         let current: collections::HashSet<_> = self.current.iter().collect();
-        self.listed
+        self.last_listed
             .retain(|ip, at| current.contains(ip) || now.since(*at) <= LISTED);
-        if self.listed.len() != before {
-            self.settled.0 = self.settled.0.min(self.listed.len());
+        if self.last_listed.len() != before {
+            self.last_growth.0 = self.last_growth.0.min(self.last_listed.len());
             self.ranked.clear();
         }
     }
@@ -132,27 +132,27 @@
     /// What an allowance is, if there is one.
     #[must_use]
     pub fn terms(&self, of: Key) -> Option<Terms> {
-        let set = self.terms.get(&of).copied();
-        set.or_else(|| self.named.get(of))
+        let configured = self.terms.get(&of).copied();
+        configured.or_else(|| self.named.get(of))
     }
 
     /// A question to the homes of an allowance, but for those that did not answer lately.
     pub fn question(&mut self, now: time::Instant, of: Key) -> Question {
-        self.lost.retain(|_, at| now.since(*at) < LOST);
+        self.unresponsive.retain(|_, at| now.since(*at) < LOST);
         // Processes that are gone count as producers for a while, but answer nobody: while VMs are exchanged one
         // after the other, all three homes of some workspace were gone for seconds.
         let ranked = self.producers(of).to_vec();
         // A list without half of them is that of a control process that has just started: the homes are there.
-        let is_whole = self.current.len() * 2 >= self.listed.len();
+        let is_whole = self.current.len() * 2 >= self.last_listed.len();
         let is_there = |it: &net::Ipv4Addr| !is_whole || self.current.contains(it);
         let homes = ranked.into_iter().filter(is_there).take(HOMES);
-        let there = homes.filter(|it| !self.lost.contains_key(it));
+        let there = homes.filter(|it| !self.unresponsive.contains_key(it));
         Question::new(there.collect())
     }
 
     /// A home did not answer.
     pub fn passed_over(&mut self, now: time::Instant, home: net::Ipv4Addr) {
-        self.lost.insert(home, now);
+        self.unresponsive.insert(home, now);
     }
 
     /// A number for a question, which no other of this process has.
@@ -162,7 +162,7 @@
     }
 
     fn producers(&mut self, of: Key) -> &[net::Ipv4Addr] {
-        let listed = &self.listed;
+        let listed = &self.last_listed;
         self.ranked.entry(of).or_insert_with(|| {
             let entries: Vec<_> = listed.keys().copied().collect();
             producers(of, &entries)
@@ -185,9 +185,9 @@
         let pot = self.pots.entry(draw.of);
         let pot = pot.or_insert_with(|| Pot::empty(now));
         let answer = pot.draw(now, &terms, producers, from, draw);
-        let needs_more = matches!(answer, Answer::Soon(_)) && pot.may_draw_again(now);
-        let draws = needs_more || pot.draws_now(now, &terms, producers);
-        let pull = draws.then(|| self.begin(now, vec![draw.of]).pop());
+        let needs_more = matches!(answer, Answer::Soon(_)) && pot.may_collect_again(now);
+        let draws = needs_more || pot.is_collection_due(now, &terms, producers);
+        let pull = draws.then(|| self.start_collection(now, vec![draw.of]).pop());
         Reply {
             answer,
             pull: pull.flatten(),
@@ -200,16 +200,16 @@
         };
         let producers = self.producers(of).len();
         let pot = self.pots.entry(of).or_insert_with(|| Pot::empty(now));
-        pot.draws_now(now, &terms, producers)
+        pot.is_collection_due(now, &terms, producers)
     }
 
     /// Draws for all allowances of which this process is the first home, where it is time. Returns what to send
     /// to whom.
     pub fn tick(&mut self, now: time::Instant) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
-        self.forget_gone(now);
+        self.expire_entries(now);
         let own = self.own;
-        if self.named.forget_unused(now) {
-            self.forget_unknown();
+        if self.named.expire(now) {
+            self.remove_unknown();
         }
         // Of a limit that an endpoint has named only a process is the home that was asked.
         let pots = &self.pots;
@@ -220,11 +220,15 @@
             is_first && self.is_due(now, *of)
         });
         let due = due.collect();
-        self.begin(now, due)
+        self.start_collection(now, due)
     }
 
     /// Begins a drawing for these allowances: one message to each producer, with all that it has a share of.
-    fn begin(&mut self, now: time::Instant, due: Vec<Key>) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
+    fn start_collection(
+        &mut self,
+        now: time::Instant,
+        due: Vec<Key>,
+    ) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
         let id = self.next_id();
         let mut by_producer: collections::BTreeMap<net::Ipv4Addr, Vec<Key>> =
             collections::BTreeMap::new();
@@ -233,10 +237,10 @@
             let all = self.producers(of).to_vec();
             let others: Vec<_> = all.iter().copied().filter(|it| *it != own).collect();
             if let Some(pot) = self.pots.get_mut(&of) {
-                pot.begin(now, id, &others);
+                pot.start_collection(now, id, &others);
             }
             if others.len() < all.len() {
-                self.draw_own(now, of);
+                self.collect_own(now, of);
             }
             for other in others {
                 by_producer.entry(other).or_default().push(of);
@@ -246,9 +250,9 @@
         for (to, all) in by_producer {
             let has_named = all.iter().any(|key| self.named.get(*key).is_some());
             let most = if has_named {
-                MOST_DRAWN_NAMED
+                MAX_COLLECTED_REPORTED
             } else {
-                MOST_DRAWN
+                MAX_COLLECTED
             };
             for of in all.chunks(most) {
                 match pulls.iter_mut().find(|(pull, _)| pull.of == of) {
@@ -262,7 +266,7 @@
 
     fn pull(&self, now: time::Instant, id: u64, of: &[Key]) -> Pull {
         let named = of.iter();
-        let named = named.filter_map(|key| Some((*key, self.named.tell(now, *key)?)));
+        let named = named.filter_map(|key| Some((*key, self.named.to_named(now, *key)?)));
         Pull {
             id,
             of: of.to_vec(),
@@ -270,8 +274,8 @@
         }
     }
 
-    fn draw_own(&mut self, now: time::Instant, of: Key) {
-        let units = self.take_share(now, of);
+    fn collect_own(&mut self, now: time::Instant, of: Key) {
+        let units = self.take_own_share(now, of);
         let producers = self.producers(of).len();
         let own = self.own;
         if let (Some(terms), Some(pot)) = (self.terms(of), self.pots.get_mut(&of)) {
@@ -281,17 +285,17 @@
 
     /// What this process yields of an allowance. Nothing until its list of entry processes has settled, and
     /// nothing once the others may have forgotten it.
-    fn take_share(&mut self, now: time::Instant, of: Key) -> f64 {
+    fn take_own_share(&mut self, now: time::Instant, of: Key) -> f64 {
         let own = self.own;
         let ranked = self.producers(of);
         let (count, yields) = (ranked.len(), ranked.contains(&own));
-        let listed = self.listed.len();
+        let listed = self.last_listed.len();
         let is_settled =
-            listed >= PRODUCERS || (listed > 0 && now.since(self.settled.1) >= SETTLED);
+            listed >= PRODUCERS || (listed > 0 && now.since(self.last_growth.1) >= SETTLED);
         // Control takes a process that it does not reach for gone, and the others take another in its place once
         // they have forgotten it. By then it must have stopped: in a cut of half a minute two fifths of 73
         // processes yielded two fifths of a quota beside the whole.
-        let is_listed = now.since(self.heard) <= LISTED;
+        let is_listed = now.since(self.control_heard_at) <= LISTED;
         let yields = yields && is_settled && is_listed;
         let Some(terms) = self.terms(of).filter(|_| yields) else {
             return 0.0;
@@ -306,7 +310,7 @@
             self.named.learn(now, *of, named);
         }
         let units = pull.of.iter();
-        let units = units.map(|of| (*of, self.take_share(now, *of)));
+        let units = units.map(|of| (*of, self.take_own_share(now, *of)));
         Given {
             units: units.collect(),
             id: pull.id,
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -72,7 +72,7 @@
 pub const IN_TOUCH: time::Millis = time::Millis(2_000);
 
 /// The span over which quotas are judged.
-const JUDGED: time::Millis = time::Millis(8_000);
+const QUOTA_WINDOW: time::Millis = time::Millis(8_000);
 
 /// How long an entry process counts as one after it was listed last. A group of control processes that starts
 /// again lists few at first; by such a list each of them would produce all. As long as the span over which
@@ -132,7 +132,7 @@
     /// request alone.
     #[must_use]
     pub fn largest(&self) -> f64 {
-        (self.stock() + self.grown(JUDGED)).max(1.0)
+        (self.stock() + self.grown(QUOTA_WINDOW)).max(1.0)
     }
 
     /// The most that pot and shares hold together: the burst, but at least what the shares keep.
--- a/crates/sageshed-fleet/src/allowance/named.rs
+++ b/crates/sageshed-fleet/src/allowance/named.rs
@@ -7,19 +7,19 @@
 use super::{Key, Named, Terms};
 
 /// How long terms are kept that nobody asks by. Longer than any time to come back that an answer tells.
-const KEPT: time::Millis = time::Millis(15_000);
+const TTL: time::Millis = time::Millis(15_000);
 
 /// Terms that are kept at most: one process keeps them for few of ten thousand endpoints, and anybody can send a
 /// datagram.
-const MOST_KEPT: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     terms: Terms,
     /// When an endpoint named them.
-    heard: time::Instant,
+    heard_at: time::Instant,
     /// When they were told here last.
-    told: time::Instant,
+    used_at: time::Instant,
 }
 
 /// Terms by allowance, the newest that were heard of each.
@@ -35,28 +35,28 @@
         if !named.terms.are_sound() {
             return;
         }
-        let heard = time::Instant(now.0.saturating_sub(named.age.0));
+        let heard_at = time::Instant(now.0.saturating_sub(named.age.0));
         if let Some(entry) = self.by_key.get_mut(&of) {
-            entry.told = now;
-            if heard >= entry.heard {
-                entry.heard = heard;
+            entry.used_at = now;
+            if heard_at >= entry.heard_at {
+                entry.heard_at = heard_at;
                 entry.terms = named.terms;
             }
             return;
         }
-        if self.by_key.len() >= MOST_KEPT {
-            self.forget_oldest();
+        if self.by_key.len() >= MAX_ENTRIES {
+            self.remove_oldest();
         }
         let entry = Entry {
             terms: named.terms,
-            heard,
-            told: now,
+            heard_at,
+            used_at: now,
         };
         self.by_key.insert(of, entry);
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.by_key.iter().min_by_key(|(_, it)| it.told);
+    fn remove_oldest(&mut self) {
+        let oldest = self.by_key.iter().min_by_key(|(_, it)| it.used_at);
         if let Some(key) = oldest.map(|(key, _)| *key) {
             self.by_key.remove(&key);
         }
@@ -67,18 +67,18 @@
     }
 
     /// What to tell others of it.
-    pub(super) fn tell(&self, now: time::Instant, of: Key) -> Option<Named> {
+    pub(super) fn to_named(&self, now: time::Instant, of: Key) -> Option<Named> {
         let entry = self.by_key.get(&of)?;
         Some(Named {
             terms: entry.terms,
-            age: now.since(entry.heard),
+            age: now.since(entry.heard_at),
         })
     }
 
     /// Forgets what nobody has asked by for long. Returns whether that was any.
-    pub(super) fn forget_unused(&mut self, now: time::Instant) -> bool {
+    pub(super) fn expire(&mut self, now: time::Instant) -> bool {
         let before = self.by_key.len();
-        self.by_key.retain(|_, it| now.since(it.told) < KEPT);
+        self.by_key.retain(|_, it| now.since(it.used_at) < TTL);
         self.by_key.len() < before
     }
 
--- a/crates/sageshed-fleet/src/allowance/question.rs
+++ b/crates/sageshed-fleet/src/allowance/question.rs
@@ -8,10 +8,10 @@
 
 /// How often one home is asked that does not answer. One datagram of a hundred may be lost on a link that is in
 /// trouble; asked but once, a home would be given up for it, and the next one begin with nothing.
-const TRIES: u32 = 2;
+const MAX_TRIES: u32 = 2;
 
 /// How often a home may put the question off.
-const MOST_SOON: u32 = 5;
+const MAX_POSTPONEMENTS: u32 = 5;
 
 /// What to do next to have units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     homes: Vec<net::Ipv4Addr>,
     at: usize,
     tries: u32,
-    put_off: u32,
+    postponements: u32,
 }
 
 impl Question {
@@ -43,7 +43,7 @@
             homes,
             at: 0,
             tries: 0,
-            put_off: 0,
+            postponements: 0,
         }
     }
 
@@ -65,9 +65,9 @@
         match answer {
             Answer::Granted => Next::Granted,
             Answer::Over(span) => Next::Over(span),
-            Answer::Soon(span) if self.put_off >= MOST_SOON => Next::Over(span),
+            Answer::Soon(span) if self.postponements >= MAX_POSTPONEMENTS => Next::Over(span),
             Answer::Soon(span) => {
-                self.put_off += 1;
+                self.postponements += 1;
                 self.tries = 0;
                 self.ask_after(span)
             }
@@ -76,12 +76,12 @@
 
     /// The home that was asked does not answer. Returns it if it is given up.
     pub fn unanswered(&mut self) -> (Next, Option<net::Ipv4Addr>) {
-        if self.tries < TRIES {
+        if self.tries < MAX_TRIES {
             return (self.ask_after(time::Millis(0)), None);
         }
-        let lost = self.homes.get(self.at).copied();
+        let unresponsive = self.homes.get(self.at).copied();
         self.at += 1;
         self.tries = 0;
-        (self.ask_after(time::Millis(0)), lost)
+        (self.ask_after(time::Millis(0)), unresponsive)
     }
 }
--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -20,15 +20,15 @@
 use sageshed_types::time;
 
 /// Over this span what is read is counted. Long enough for some prompts of each busy model.
-const SPAN: time::Millis = time::Millis(2_000);
+const RATE_WINDOW: time::Millis = time::Millis(2_000);
 
 /// Requests have to wait for so long before what is read meanwhile tells a speed: the time in which an
 /// engine reads two large prompts.
-const LEAST_SPAN: time::Millis = time::Millis(300);
+const MIN_BUSY_TIME: time::Millis = time::Millis(300);
 
 /// A request with less than this until its answer would be late can't be on time any more: a prompt of
 /// two thousand tokens takes an engine a tenth of a second.
-const LEAST_ANSWER: time::Millis = time::Millis(100);
+const MIN_RESPONSE_TIME: time::Millis = time::Millis(100);
 
 /// A request that waits.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 impl Waiter {
     fn rank(&self, now: time::Instant, ticket: u64) -> Rank {
         Rank {
-            is_late: now + LEAST_ANSWER > self.on_time_until,
+            is_late: now + MIN_RESPONSE_TIME > self.on_time_until,
             priority: self.priority,
             on_time_until: self.on_time_until,
             ticket,
@@ -63,7 +63,7 @@
     }
 
     /// Whether any engine that serves `other` would serve this one.
-    fn serves_for(&self, other: &Self) -> bool {
+    fn can_run_wherever(&self, other: &Self) -> bool {
         self.adapter.is_none() || self.adapter == other.adapter
     }
 }
@@ -73,7 +73,7 @@
     /// Those that wait, by ticket.
     waiting: collections::BTreeMap<u64, Waiter>,
     /// What was read lately.
-    read: collections::VecDeque<(time::Instant, u64)>,
+    prefilled: collections::VecDeque<(time::Instant, u64)>,
     /// Since when requests have waited without a break; none while none waits.
     busy_since: Option<time::Instant>,
 }
@@ -82,17 +82,17 @@
 #[derive(Debug, Default)]
 pub struct Backlog {
     queues: collections::HashMap<String, Queue>,
-    last: u64,
+    last_ticket: u64,
 }
 
 impl Backlog {
     /// A request begins to wait. Returns its ticket.
     pub fn enter(&mut self, now: time::Instant, model: &str, waiter: Waiter) -> u64 {
-        self.last += 1;
+        self.last_ticket += 1;
         let queue = self.queues.entry(model.to_owned()).or_default();
         queue.busy_since.get_or_insert(now);
-        queue.waiting.insert(self.last, waiter);
-        self.last
+        queue.waiting.insert(self.last_ticket, waiter);
+        self.last_ticket
     }
 
     /// Whether another request that waits for the model goes before `waiter`. One that has just come
@@ -110,7 +110,7 @@
         };
         let own = waiter.rank(now, ticket.unwrap_or(u64::MAX));
         let mut others = queue.waiting.iter();
-        others.any(|(at, it)| it.serves_for(waiter) && it.rank(now, *at) < own)
+        others.any(|(at, it)| it.can_run_wherever(waiter) && it.rank(now, *at) < own)
     }
 
     /// It waits no longer. Returns whether others still wait for the model.
@@ -129,13 +129,13 @@
     /// An engine has read a prompt that was sent from here.
     pub fn read(&mut self, now: time::Instant, model: &str, tokens: u64) {
         let queue = self.queues.entry(model.to_owned()).or_default();
-        queue.read.push_back((now, tokens));
+        queue.prefilled.push_back((now, tokens));
         while queue
-            .read
+            .prefilled
             .front()
-            .is_some_and(|(at, _)| now.since(*at) > SPAN)
+            .is_some_and(|(at, _)| now.since(*at) > RATE_WINDOW)
         {
-            queue.read.pop_front();
+            queue.prefilled.pop_front();
         }
     }
 
@@ -148,11 +148,14 @@
     #[must_use]
     pub fn expected(&self, now: time::Instant, model: &str, ticket: u64) -> Option<time::Millis> {
         let queue = self.queues.get(model)?;
-        let span = now.since(queue.busy_since?).min(SPAN);
-        if span < LEAST_SPAN {
+        let span = now.since(queue.busy_since?).min(RATE_WINDOW);
+        if span < MIN_BUSY_TIME {
             return None;
         }
-        let recent = queue.read.iter().filter(|(at, _)| now.since(*at) <= span);
+        let recent = queue
+            .prefilled
+            .iter()
+            .filter(|(at, _)| now.since(*at) <= span);
         let read: u64 = recent.map(|(_, tokens)| *tokens).sum();
         let own = queue.waiting.get(&ticket)?.rank(now, ticket);
         let before = queue
--- a/crates/sageshed-fleet/src/budget.rs
+++ b/crates/sageshed-fleet/src/budget.rs
@@ -95,13 +95,13 @@
             .services
             .get_mut(service)
             .expect("inserted just before if it was missing");
-        forget(&mut window.requests, now, self.allowance.window);
-        forget(&mut window.repeats, now, self.allowance.window);
+        remove_expired(&mut window.requests, now, self.allowance.window);
+        remove_expired(&mut window.repeats, now, self.allowance.window);
         window
     }
 }
 
-fn forget(
+fn remove_expired(
     times: &mut collections::VecDeque<time::Instant>,
     now: time::Instant,
     span: time::Millis,
--- a/crates/sageshed-fleet/src/chooser/homes.rs
+++ b/crates/sageshed-fleet/src/chooser/homes.rs
@@ -17,7 +17,7 @@
     own: net::Ipv4Addr,
     /// In order.
     entries: Vec<net::Ipv4Addr>,
-    by_model: collections::HashMap<String, Vec<neighbours::Weighted>>,
+    by_model: collections::HashMap<String, Vec<neighbours::HashedEntry>>,
 }
 
 impl Default for Homes {
@@ -53,12 +53,12 @@
         let mut ranked = 0;
         for (model, homes) in &mut self.by_model {
             let key = neighbours::key(model);
-            let is_there = |it: &neighbours::Weighted| self.entries.binary_search(&it.1).is_ok();
+            let is_there = |it: &neighbours::HashedEntry| self.entries.binary_search(&it.1).is_ok();
             if homes.len() < neighbours::HOMES || !homes.iter().all(is_there) {
-                *homes = neighbours::weighted(key, &self.entries, neighbours::HOMES);
+                *homes = neighbours::ranked_with_hashes(key, &self.entries, neighbours::HOMES);
                 ranked += 1;
             } else {
-                homes.extend(joined.iter().map(|it| neighbours::weight(key, *it)));
+                homes.extend(joined.iter().map(|it| neighbours::hashed_entry(key, *it)));
                 homes.sort_unstable_by(|a, b| b.cmp(a));
                 homes.truncate(neighbours::HOMES);
             }
@@ -74,7 +74,7 @@
             }
             let homes = if self.exist() {
                 let key = neighbours::key(&resident.model);
-                neighbours::weighted(key, &self.entries, neighbours::HOMES)
+                neighbours::ranked_with_hashes(key, &self.entries, neighbours::HOMES)
             } else {
                 Vec::new()
             };
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -52,8 +52,8 @@
 /// still silent costs its caller the full timeout.
 const SILENT_EJECTION_TIME: time::Millis = time::Millis(5_000);
 
-/// How long an engine that denied holding a model is not selected for it, unless the engine registers again
-/// meanwhile.
+/// How long an engine that denied holding a model is not selected for it, unless a new directory record of it
+/// arrives.
 const MODEL_DENIAL_TTL: time::Millis = time::Millis(500);
 
 /// Upper bound of an estimate in milliseconds, for endpoints that never respond.
--- a/crates/sageshed-fleet/src/neighbours.rs
+++ b/crates/sageshed-fleet/src/neighbours.rs
@@ -204,7 +204,7 @@
     #[must_use]
     pub fn of(wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) -> Option<Self> {
         let (_, shared) = parts.split_last()?;
-        let shared = &shared[..shared.len().min(MOST_PARTS)];
+        let shared = &shared[..shared.len().min(MAX_PREFIX_PARTS)];
         (!shared.is_empty()).then(|| Self {
             reader: Reader::of(wanted),
             parts: shared.iter().map(|it| it.id).collect(),
@@ -213,7 +213,7 @@
 }
 
 /// Parts of one beginning that are told, which bounds a datagram.
-const MOST_PARTS: usize = 8;
+const MAX_PREFIX_PARTS: usize = 8;
 
 /// The short name of a model in datagrams.
 #[must_use]
@@ -246,18 +246,22 @@
 /// The `count` of `entries` with the highest hash of both (rendezvous hashing), so that all processes find the
 /// same ones, and one that comes or goes changes few.
 pub(crate) fn ranked(key: u64, entries: &[net::Ipv4Addr], count: usize) -> Vec<net::Ipv4Addr> {
-    let weighted = weighted(key, entries, count);
+    let weighted = ranked_with_hashes(key, entries, count);
     weighted.into_iter().map(|(_, entry)| entry).collect()
 }
 
 /// An entry process with its hash for one key.
-pub(crate) type Weighted = (u64, net::Ipv4Addr);
+pub(crate) type HashedEntry = (u64, net::Ipv4Addr);
 
 /// The same as [`ranked`], with their hashes.
-pub(crate) fn weighted(key: u64, entries: &[net::Ipv4Addr], count: usize) -> Vec<Weighted> {
-    let mut best: Vec<Weighted> = Vec::with_capacity(count + 1);
+pub(crate) fn ranked_with_hashes(
+    key: u64,
+    entries: &[net::Ipv4Addr],
+    count: usize,
+) -> Vec<HashedEntry> {
+    let mut best: Vec<HashedEntry> = Vec::with_capacity(count + 1);
     for entry in entries {
-        let candidate = weight(key, *entry);
+        let candidate = hashed_entry(key, *entry);
         if best.len() == count && best.last().is_some_and(|least| candidate < *least) {
             continue;
         }
@@ -268,7 +272,7 @@
     best
 }
 
-pub(crate) fn weight(key: u64, entry: net::Ipv4Addr) -> Weighted {
+pub(crate) fn hashed_entry(key: u64, entry: net::Ipv4Addr) -> HashedEntry {
     (hash(&(key, entry)), entry)
 }
 
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -24,7 +24,7 @@
 //! # Bounds
 //!
 //! Whoever sends requests can make entries here, at the cost of a crash for each batch that an endpoint runs.
-//! [`MOST_REQUESTS`] are remembered; the one whose last crash is the oldest gives way, one that is not held
+//! [`MAX_REQUESTS`] are remembered; the one whose last crash is the oldest gives way, one that is not held
 //! before one that is.
 
 use std::{cmp, collections};
@@ -47,26 +47,26 @@
 
 /// Requests that are remembered at the most. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the
 /// smallest VMs.
-pub const MOST_REQUESTS: usize = 8_192;
+pub const MAX_REQUESTS: usize = 8_192;
 
 /// Requests that give way at once where there is no room for one more.
-const GIVE_WAY: usize = MOST_REQUESTS / 16;
+const EVICTION_BATCH: usize = MAX_REQUESTS / 16;
 
 /// Held requests that the control group keeps at the most: some 10 KB of its log for each change of them.
-const MOST_HELD_KEPT: usize = 256;
+const MAX_PERSISTED: usize = 256;
 
 /// Crashes that are remembered of one request: enough to stay held if all but three were cleared elsewhere.
-const MOST_CRASHES: usize = 2 * ENDS;
+const MAX_CRASHES: usize = 2 * ENDS;
 
 /// For how long, at the least, what was answered is known to be sound; at the most for twice that. What is asked so
 /// often that it runs at several endpoints at once is answered many times in it.
-const SOUND_FOR: time::Millis = time::Millis(30_000);
+const SUCCESS_WINDOW: time::Millis = time::Millis(30_000);
 
 /// What was answered in that time and is remembered: some 150 KB with the span before.
-const MOST_SOUND: usize = 4_096;
+const MAX_SUCCESSES: usize = 4_096;
 
 /// Between two looks for what is past [`KEPT`].
-const SWEEP: time::Millis = time::Millis(10_000);
+const SWEEP_INTERVAL: time::Millis = time::Millis(10_000);
 
 /// What a peer is to be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -129,39 +129,39 @@
     held_change: u64,
     requests: collections::HashMap<Fingerprint, Suspect>,
     swept: time::Instant,
-    sound: Sound,
+    recent_successes: RecentSuccesses,
 }
 
 /// What was answered whole lately, in two spans of which the older one is forgotten as a whole.
 #[derive(Debug, Clone, Default)]
-struct Sound {
-    now: collections::HashSet<Fingerprint>,
-    before: collections::HashSet<Fingerprint>,
+struct RecentSuccesses {
+    current: collections::HashSet<Fingerprint>,
+    previous: collections::HashSet<Fingerprint>,
     since: time::Instant,
 }
 
-impl Sound {
-    fn answered(&mut self, now: time::Instant, content: Fingerprint) {
-        self.turn(now);
-        if self.now.len() < MOST_SOUND {
-            self.now.insert(content);
+impl RecentSuccesses {
+    fn insert(&mut self, now: time::Instant, content: Fingerprint) {
+        self.rotate(now);
+        if self.current.len() < MAX_SUCCESSES {
+            self.current.insert(content);
         }
     }
 
-    fn knows(&mut self, now: time::Instant, content: Fingerprint) -> bool {
-        self.turn(now);
-        self.now.contains(&content) || self.before.contains(&content)
+    fn contains(&mut self, now: time::Instant, content: Fingerprint) -> bool {
+        self.rotate(now);
+        self.current.contains(&content) || self.previous.contains(&content)
     }
 
-    fn turn(&mut self, now: time::Instant) {
-        let spans = now.since(self.since).0 / SOUND_FOR.0;
+    fn rotate(&mut self, now: time::Instant) {
+        let spans = now.since(self.since).0 / SUCCESS_WINDOW.0;
         if spans == 0 {
             return;
         }
         self.since = now;
-        self.before = std::mem::take(&mut self.now);
+        self.previous = std::mem::take(&mut self.current);
         if spans > 1 {
-            self.before.clear();
+            self.previous.clear();
         }
     }
 }
@@ -169,32 +169,32 @@
 /// A request under which endpoints ended.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    crashes: Vec<Known>,
+    crashes: Vec<KnownCrash>,
     /// It is held, or was: entry processes were told of it.
     was_held: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct KnownCrash {
     endpoint: u64,
     /// When it is forgotten. It may have happened before this process started, so that its clock has no
     /// reading for that.
-    until: time::Instant,
+    expires_at: time::Instant,
     is_cleared: bool,
     /// By which change it was learnt last.
     change: u64,
 }
 
-impl Known {
-    fn counts(&self, now: time::Instant) -> bool {
-        !self.is_cleared && now < self.until
+impl KnownCrash {
+    fn is_counted(&self, now: time::Instant) -> bool {
+        !self.is_cleared && now < self.expires_at
     }
 
-    fn told(&self, now: time::Instant, content: Fingerprint) -> Crash {
+    fn to_crash(&self, now: time::Instant, content: Fingerprint) -> Crash {
         Crash {
             content,
             endpoint: self.endpoint,
-            age: time::Millis(KEPT.0.saturating_sub(self.until.since(now).0)),
+            age: time::Millis(KEPT.0.saturating_sub(self.expires_at.since(now).0)),
             is_cleared: self.is_cleared,
         }
     }
@@ -202,26 +202,26 @@
 
 impl Suspect {
     fn is_held(&self, now: time::Instant) -> bool {
-        let counting = self.crashes.iter().filter(|it| it.counts(now));
+        let counting = self.crashes.iter().filter(|it| it.is_counted(now));
         counting.count() >= ENDS
     }
 
     /// When the last of its crashes is forgotten.
-    fn last(&self) -> time::Instant {
-        let all = self.crashes.iter().map(|it| it.until);
+    fn expires(&self) -> time::Instant {
+        let all = self.crashes.iter().map(|it| it.expires_at);
         all.max().unwrap_or_default()
     }
 
     /// What the control group keeps of it.
-    fn kept(&self, now: time::Instant, content: Fingerprint) -> Held {
-        let crashes = self.crashes.iter().filter(|it| it.counts(now));
+    fn to_held(&self, now: time::Instant, content: Fingerprint) -> Held {
+        let crashes = self.crashes.iter().filter(|it| it.is_counted(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
         endpoints.sort_unstable();
         Held { content, endpoints }
     }
 
     /// By which change something of it was learnt last.
-    fn change(&self) -> u64 {
+    fn last_change(&self) -> u64 {
         let all = self.crashes.iter().map(|it| it.change);
         all.max().unwrap_or_default()
     }
@@ -237,16 +237,16 @@
             }
             return is_news;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             let cleared = self.crashes.iter().position(|it| it.is_cleared);
             let Some(at) = cleared.filter(|_| !crash.is_cleared) else {
                 return false;
             };
             self.crashes.swap_remove(at);
         }
-        self.crashes.push(Known {
+        self.crashes.push(KnownCrash {
             endpoint: crash.endpoint,
-            until: now + time::Millis(KEPT.0.saturating_sub(crash.age.0)),
+            expires_at: now + time::Millis(KEPT.0.saturating_sub(crash.age.0)),
             is_cleared: crash.is_cleared,
             change,
         });
@@ -292,16 +292,16 @@
         let after = mark.of(self.start);
         let mut told = Vec::new();
         for (content, suspect) in &self.requests {
-            let crashes = suspect.crashes.iter().map(|it| it.told(now, *content));
+            let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
             match telling {
                 // All that led to it: a peer was told nothing before it was held.
-                Telling::Held if suspect.was_held && suspect.change() > after => {
+                Telling::Held if suspect.was_held && suspect.last_change() > after => {
                     told.extend(crashes);
                 }
                 Telling::Held => {}
                 Telling::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
-                    told.extend(news.map(|it| it.told(now, *content)));
+                    told.extend(news.map(|it| it.to_crash(now, *content)));
                 }
             }
         }
@@ -329,9 +329,9 @@
             return Change::None;
         }
         self.sweep(now);
-        self.make_room(now, crash.content);
+        self.evict_oldest(now, crash.content);
         let crash = &Crash {
-            is_cleared: crash.is_cleared || self.sound.knows(now, crash.content),
+            is_cleared: crash.is_cleared || self.recent_successes.contains(now, crash.content),
             ..*crash
         };
         let change = self.change + 1;
@@ -356,7 +356,7 @@
     /// The request was answered whole: it was the cause of none of the ends so far. Returns whether there were
     /// any to clear.
     pub fn answered(&mut self, now: time::Instant, content: Fingerprint) -> bool {
-        self.sound.answered(now, content);
+        self.recent_successes.insert(now, content);
         let Some(suspect) = self.requests.get(&content) else {
             return false;
         };
@@ -364,7 +364,7 @@
         let cleared: Vec<_> = crashes
             .map(|it| Crash {
                 is_cleared: true,
-                ..it.told(now, content)
+                ..it.to_crash(now, content)
             })
             .collect();
         for crash in &cleared {
@@ -377,8 +377,8 @@
     #[must_use]
     pub fn held_for(&self, now: time::Instant, content: Fingerprint) -> Option<time::Millis> {
         let suspect = self.requests.get(&content)?;
-        let crashes = suspect.crashes.iter().filter(|it| it.counts(now));
-        let mut until: Vec<_> = crashes.map(|it| it.until).collect();
+        let crashes = suspect.crashes.iter().filter(|it| it.is_counted(now));
+        let mut until: Vec<_> = crashes.map(|it| it.expires_at).collect();
         until.sort_unstable();
         until.reverse();
         // It is held until fewer are left.
@@ -391,7 +391,7 @@
     pub fn ends(&self, now: time::Instant, content: Fingerprint) -> usize {
         let suspect = self.requests.get(&content);
         suspect.map_or(0, |it| {
-            it.crashes.iter().filter(|it| it.counts(now)).count()
+            it.crashes.iter().filter(|it| it.is_counted(now)).count()
         })
     }
 
@@ -402,17 +402,17 @@
         requests.filter(|it| it.is_held(now)).count()
     }
 
-    /// The requests that are held, in order, to be kept by the control group: [`MOST_HELD_KEPT`] at the most,
+    /// The requests that are held, in order, to be kept by the control group: [`MAX_PERSISTED`] at the most,
     /// those that were held last.
     #[must_use]
     pub fn held(&self, now: time::Instant) -> Vec<Held> {
         let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
         let mut held: Vec<_> = held.collect();
-        held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.last()), **content));
-        held.truncate(MOST_HELD_KEPT);
+        held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.expires()), **content));
+        held.truncate(MAX_PERSISTED);
         let mut held: Vec<_> = held
             .into_iter()
-            .map(|(content, it)| it.kept(now, *content))
+            .map(|(content, it)| it.to_held(now, *content))
             .collect();
         held.sort_unstable();
         held
@@ -435,27 +435,27 @@
 
     /// Forgets what is past [`KEPT`].
     fn sweep(&mut self, now: time::Instant) {
-        if now.since(self.swept) < SWEEP {
+        if now.since(self.swept) < SWEEP_INTERVAL {
             return;
         }
         self.swept = now;
         self.requests.retain(|_, suspect| {
-            suspect.crashes.retain(|it| now < it.until);
+            suspect.crashes.retain(|it| now < it.expires_at);
             !suspect.crashes.is_empty()
         });
     }
 
     /// Makes room for one request more, and for some to come: looking for the oldest takes a look at all.
-    fn make_room(&mut self, now: time::Instant, content: Fingerprint) {
-        if self.requests.len() < MOST_REQUESTS || self.requests.contains_key(&content) {
+    fn evict_oldest(&mut self, now: time::Instant, content: Fingerprint) {
+        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&content) {
             return;
         }
         let all = self.requests.iter();
         let mut all: Vec<_> = all
-            .map(|(content, it)| (it.is_held(now), it.last(), *content))
+            .map(|(content, it)| (it.is_held(now), it.expires(), *content))
             .collect();
         all.sort_unstable();
-        for (_, _, oldest) in all.iter().take(GIVE_WAY) {
+        for (_, _, oldest) in all.iter().take(EVICTION_BATCH) {
             self.requests.remove(oldest);
         }
     }
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Which requests are passed on no more.
 
 use sageshed_fleet::quarantine::{
-    Change, Crash, ENDS, Fingerprint, KEPT, Link, MOST_REQUESTS, Mark, Quarantine, Telling,
+    Change, Crash, ENDS, Fingerprint, KEPT, Link, MAX_REQUESTS, Mark, Quarantine, Telling,
 };
 use sageshed_types::time::{Instant, Millis};
 
@@ -257,12 +257,12 @@
 #[test]
 fn a_flood_of_suspects_pushes_out_none_that_is_held() {
     let mut quarantine = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3)]);
-    for number in 10..10 + 2 * MOST_REQUESTS as u64 {
+    for number in 10..10 + 2 * MAX_REQUESTS as u64 {
         quarantine.take(NOW + Millis(number), &crash(number, 4));
     }
     assert!(holds(&quarantine, 1));
     let told = quarantine.since(NOW, Mark::default(), Telling::All);
-    assert!(told.len() <= MOST_REQUESTS + ENDS, "{}", told.len());
+    assert!(told.len() <= MAX_REQUESTS + ENDS, "{}", told.len());
     for endpoint in 10..100 {
         quarantine.take(NOW, &crash(1, endpoint));
     }
