--- a/crates/sageshed-fleet/src/allowance/book.rs
+++ b/crates/sageshed-fleet/src/allowance/book.rs
@@ -1,4 +1,5 @@
-//! All that one process knows of allowances: its shares, and the pots of which it is the home.
+//! The state of all allowances in one process: its shares as a producer, and the buckets that it
+//! coordinates.
 
 use std::{collections, net};
 
@@ -9,49 +10,49 @@
     Terms, named, producers,
 };
 
-/// Allowances that one message draws. An answer names each with its units in some 20 bytes, and has to fit into
-/// one datagram of 1,200.
+/// Allowances in one collection message. The reply takes some 20 bytes for each and has to fit into one
+/// datagram of 1,200 bytes.
 const MAX_COLLECTED: usize = 40;
 
-/// The same where some stand in no configuration: with its terms each takes some 70 bytes.
+/// The same if some of the allowances are not configured: with rate and burst, each takes some 70 bytes.
 const MAX_COLLECTED_REPORTED: usize = 14;
 
-/// An answer, and what has to be sent besides.
+/// A reply to an acquisition, and a collection to send along with it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reply {
-    /// To the one that asked.
+    /// Goes to the process that asked.
     pub answer: Answer,
-    /// To the producers, if the home needs more.
+    /// Goes to the producers, if more units are needed.
     pub pull: Option<(Pull, Vec<net::Ipv4Addr>)>,
 }
 
-/// The allowances as one entry process knows them.
+/// The allowances as known to one entry process.
 #[derive(Debug, Clone)]
 pub struct Book {
     own: net::Ipv4Addr,
     terms: collections::HashMap<Key, Terms>,
-    /// Those that endpoints have named.
+    /// Limits that endpoints have reported.
     named: named::NamedTerms,
     shares: collections::HashMap<Key, Share>,
     pots: collections::HashMap<Key, Pot>,
-    /// The entry processes and when each was listed last.
+    /// All entry processes that still count as such, and when each was last listed.
     last_listed: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
-    /// Those that are listed now.
+    /// The entry processes in the latest list.
     current: Vec<net::Ipv4Addr>,
-    /// The producers of each allowance that was needed, by that list.
+    /// Cache of the producers of each allowance, valid for `last_listed`.
     ranked: collections::HashMap<Key, Vec<net::Ipv4Addr>>,
-    /// Homes that did not answer, and when.
+    /// Coordinators that did not respond, and when.
     unresponsive: collections::HashMap<net::Ipv4Addr, time::Instant>,
-    /// How many were listed when the list was last unsettled, and when that was.
+    /// The number of entry processes after the list last grew considerably, and when that was.
     last_growth: (usize, time::Instant),
-    /// When a control process answered last.
+    /// When a control process last responded.
     control_heard_at: time::Instant,
     next_id: u64,
 }
 
 impl Book {
-    /// Of the process at `own`, with a number of its start, so that what was sent to the start before is not taken
-    /// for an answer to this one.
+    /// Creates the state of the process at `own`. `start` differs between starts of the process, so that
+    /// replies to an earlier start are not taken for replies to this one.
     #[must_use]
     pub fn new(own: net::Ipv4Addr, start: u64) -> Self {
         Self {
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Takes the allowances of a configuration in place of those before.
+    /// Replaces the configured allowances.
     pub fn set_terms(&mut self, terms: impl IntoIterator<Item = (Key, Terms)>) {
         self.terms = terms.into_iter().collect();
         self.remove_unknown();
     }
 
-    /// Forgets what it has of allowances that there are no more.
+    /// Removes the state of allowances that no longer exist.
     fn remove_unknown(&mut self) {
         let (configured, named) = (&self.terms, &self.named);
         let is_known = |key: &Key| configured.contains_key(key) || named.get(*key).is_some();
@@ -85,7 +86,7 @@
         self.ranked.retain(|key, _| is_known(key));
     }
 
-    /// Takes the list of entry processes.
+    /// Sets the list of entry processes.
     pub fn set_entries(&mut self, now: time::Instant, entries: &[net::Ipv4Addr]) {
         for ip in &self.current {
             self.last_listed.insert(*ip, now);
@@ -103,12 +104,12 @@
         self.ranked.clear();
     }
 
-    /// A control process has answered.
+    /// Records that a control process responded.
     pub fn heard_control(&mut self, now: time::Instant) {
         self.control_heard_at = now;
     }
 
-    /// Forgets processes that have not been listed for long.
+    /// Removes entry processes that have not been listed for a long time.
     fn expire_entries(&mut self, now: time::Instant) {
         if self.last_listed.len() == self.current.len() {
             return;
@@ -129,20 +130,22 @@
         !self.terms.is_empty() || !self.named.is_empty()
     }
 
-    /// What an allowance is, if there is one.
+    /// Rate and burst of an allowance, if it exists.
     #[must_use]
     pub fn terms(&self, of: Key) -> Option<Terms> {
         let configured = self.terms.get(&of).copied();
         configured.or_else(|| self.named.get(of))
     }
 
-    /// A question to the homes of an allowance, but for those that did not answer lately.
+    /// Starts an acquisition from the coordinators of an allowance, skipping those that recently did not
+    /// respond.
     pub fn question(&mut self, now: time::Instant, of: Key) -> Question {
         self.unresponsive.retain(|_, at| now.since(*at) < LOST);
-        // Processes that are gone count as producers for a while, but answer nobody: while VMs are exchanged one
-        // after the other, all three homes of some workspace were gone for seconds.
+        // Processes that are gone count as producers for a while but don't respond. During a rolling
+        // replacement of VMs, all three coordinators of a workspace were gone for seconds.
         let ranked = self.producers(of).to_vec();
-        // A list without half of them is that of a control process that has just started: the homes are there.
+        // A list of less than half of the processes comes from a control process that has just started; the
+        // others still run.
         let is_whole = self.current.len() * 2 >= self.last_listed.len();
         let is_there = |it: &net::Ipv4Addr| !is_whole || self.current.contains(it);
         let homes = ranked.into_iter().filter(is_there).take(HOMES);
@@ -150,12 +153,12 @@
         Question::new(there.collect())
     }
 
-    /// A home did not answer.
+    /// Records that a coordinator did not respond.
     pub fn passed_over(&mut self, now: time::Instant, home: net::Ipv4Addr) {
         self.unresponsive.insert(home, now);
     }
 
-    /// A number for a question, which no other of this process has.
+    /// Returns an id for an acquisition that is unique in this process.
     pub fn next_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
@@ -169,13 +172,13 @@
         })
     }
 
-    /// Answers a question of `from` as the home.
+    /// Replies, as the coordinator, to an acquisition of `from`.
     pub fn draw(&mut self, now: time::Instant, from: net::Ipv4Addr, draw: &Draw) -> Reply {
         if let Some(named) = &draw.named {
             self.named.learn(now, draw.of, named);
         }
         let Some(terms) = self.terms(draw.of) else {
-            // By the configuration that is in force here there is no such bound.
+            // The configuration in force here has no such limit.
             return Reply {
                 answer: Answer::Granted,
                 pull: None,
@@ -203,15 +206,16 @@
         pot.is_collection_due(now, &terms, producers)
     }
 
-    /// Draws for all allowances of which this process is the first home, where it is time. Returns what to send
-    /// to whom.
+    /// Starts the due collections of all allowances that this process coordinates as the first producer.
+    /// Returns the messages to send, with their recipients.
     pub fn tick(&mut self, now: time::Instant) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
         self.expire_entries(now);
         let own = self.own;
         if self.named.expire(now) {
             self.remove_unknown();
         }
-        // Of a limit that an endpoint has named only a process is the home that was asked.
+        // A limit that an endpoint reported is only coordinated by a process that was asked for units of
+        // it.
         let pots = &self.pots;
         let asked = self.named.keys().filter(|key| pots.contains_key(key));
         let keys: Vec<Key> = self.terms.keys().copied().chain(asked).collect();
@@ -223,7 +227,8 @@
         self.start_collection(now, due)
     }
 
-    /// Begins a drawing for these allowances: one message to each producer, with all that it has a share of.
+    /// Starts a collection of these allowances, with one message to each producer for all allowances that
+    /// it has a share of.
     fn start_collection(
         &mut self,
         now: time::Instant,
@@ -283,8 +288,9 @@
         }
     }
 
-    /// What this process yields of an allowance. Nothing until its list of entry processes has settled, and
-    /// nothing once the others may have forgotten it.
+    /// Takes the units that this process has produced as its share of an allowance. Produces nothing until
+    /// its list of entry processes has settled, nor when the others may have dropped this process from
+    /// their lists.
     fn take_own_share(&mut self, now: time::Instant, of: Key) -> f64 {
         let own = self.own;
         let ranked = self.producers(of);
@@ -292,9 +298,10 @@
         let listed = self.last_listed.len();
         let is_settled =
             listed >= PRODUCERS || (listed > 0 && now.since(self.last_growth.1) >= SETTLED);
-        // Control takes a process that it does not reach for gone, and the others take another in its place once
-        // they have forgotten it. By then it must have stopped: in a cut of half a minute two fifths of 73
-        // processes yielded two fifths of a quota beside the whole.
+        // Control assumes that a process which it can't reach is gone, and the others replace it as a
+        // producer once it has expired from their lists. By then it must have stopped producing: in a
+        // partition of half a minute, two fifths of 73 processes produced two fifths of a quota on top of
+        // the whole.
         let is_listed = now.since(self.control_heard_at) <= LISTED;
         let yields = yields && is_settled && is_listed;
         let Some(terms) = self.terms(of).filter(|_| yields) else {
@@ -304,7 +311,7 @@
         share.take(now, &terms, count)
     }
 
-    /// Gives a home what this process has of what it draws.
+    /// Replies, as a producer, to a collection.
     pub fn give(&mut self, now: time::Instant, pull: &Pull) -> Given {
         for (of, named) in &pull.named {
             self.named.learn(now, *of, named);
@@ -317,7 +324,7 @@
         }
     }
 
-    /// Takes what `from` gives to a drawing.
+    /// Adds the units that `from` gave to a collection.
     pub fn take(&mut self, now: time::Instant, from: net::Ipv4Addr, given: &Given) {
         for (of, units) in &given.units {
             let producers = self.producers(*of).len();
@@ -327,7 +334,7 @@
         }
     }
 
-    /// The allowances of which this process is a home, with what it has of each.
+    /// The allowances that this process coordinates, with the units in the bucket of each.
     pub fn pots(&self) -> impl Iterator<Item = (Key, f64)> {
         self.pots.iter().map(|(key, pot)| (*key, pot.units()))
     }
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -1,31 +1,35 @@
-//! Allowances that are stated over all entry processes: what a workspace may use, how often requests to a
-//! service may be sent again.
+//! Distributed rate limits across all entry processes: quotas of workspaces, retries of requests to a
+//! service, limits that endpoints report.
 //!
-//! # The load pattern
+//! # Load pattern
 //!
-//! An allowance of a few requests in some seconds, over hundreds of processes of which each sees one of
-//! these requests now and then. Divided by their number the allowance is less than one request, so that a fixed
-//! share each refuses nearly all that is allowed. And the bound holds over all of them together at any time:
-//! also over those that are cut off, that stood still for a while, or were killed and remember nothing.
+//! An allowance may be a few requests in some seconds, across hundreds of processes of which each sees one
+//! of these requests now and then. Divided by the number of processes it is less than one request each, so
+//! fixed shares would refuse nearly everything that is allowed. The limit has to hold across all processes
+//! at any time, including those that are partitioned, were suspended for a while, or were killed and lost
+//! their state.
 //!
-//! # How it works
+//! # Design
 //!
-//! An allowance is a stream of units. It springs from a few producers among the entry processes
-//! ([`producers`], found by hashing, the same at each process): each yields an equal part of the rate, and keeps
-//! what grew within [`SPAN`] ([`Share`]). The first of them that answers is the home of the allowance: it draws
-//! what the producers have into a [`Pot`], and every process asks it before each sending.
+//! An allowance is a stream of units. Its source is a small set of producers among the entry processes
+//! ([`producers`], chosen by hashing, the same on every process). Each of them produces an equal share of
+//! the rate and stores at most what accrues in [`SPAN`] ([`Share`]). The first of them that responds is the
+//! coordinator of the allowance: it collects the producers' units into a [`Pot`], a token bucket, from
+//! which every process acquires units before it sends.
 //!
-//! Units are handed over and never copied. What a message loses is lost to all. So however the processes are cut
-//! from each other, whoever takes whom for the home, nothing can be spent that was not produced, and production
-//! needs no agreement: a side of a cut that holds four of [`PRODUCERS`] has four of as many parts of the rate. A
-//! process that comes back empty has no more than it had; one that stood still finds its pot void, since
-//! it was not in touch with producers for [`IN_TOUCH`].
+//! Units are moved and never copied; those in a lost message are lost. So whichever way the processes are
+//! partitioned, and whichever of them they take for the coordinator, no unit can be spent that was not
+//! produced, and production needs no agreement: a side of a partition that holds four of the [`PRODUCERS`]
+//! produces four shares of the rate. A process that restarts with an empty state holds no more than before.
+//! One that was suspended finds its bucket void, as it was out of contact with the producers for
+//! [`IN_TOUCH`].
 //!
-//! What is left to chance is bounded by what an allowance leaves above its rate: units in a pot that nobody
-//! reaches any more are spent beside those of the next home, at most one burst; two processes that know
-//! different lists of entry processes may take each a sixteenth for a producer, for as long as they differ; and a
-//! producer that starts again yields at once what grows in [`SPAN`], though it may have yielded it before: all of
-//! them killed at once yield as much as grows in that time, and spend nothing while they are away.
+//! The remaining inaccuracy is bounded by the margin that allowances leave above their rate. Units in the
+//! bucket of a coordinator that becomes unreachable are spent beside those of the next one, at most one
+//! burst. Two processes with different lists of entry processes may each count a sixteenth as a producer
+//! for as long as the lists differ. And a producer that restarts immediately yields what accrues in
+//! [`SPAN`], which it may have yielded before: if all of them are killed at once, they yield that much
+//! extra, and spend nothing while they are down.
 
 mod book;
 mod named;
@@ -45,49 +49,50 @@
 
 use crate::{directory, neighbours};
 
-/// Producers of an allowance. One that is lost takes its part of the rate with it until it is no longer
-/// listed, a fifteenth; one that is cut off and goes on by an old list adds as much. Both stay under the tenth that
+/// Producers of an allowance. A lost producer takes its fifteenth of the rate with it until it is no longer
+/// listed, and a partitioned one that continues by an old list adds as much. Both stay below the tenth that
 /// quotas leave above their rate.
 pub const PRODUCERS: usize = 15;
 
-/// Of them, those that may be asked as the home, one after the other.
+/// Number of producers, in order of rank, that may act as the coordinator.
 pub const HOMES: usize = 3;
 
-/// What a producer keeps grows in this time: twice what lies between two drawings, so that nothing is lost with
-/// one of them.
+/// A producer stores what accrues in this time: twice the collection interval, so that nothing is lost when
+/// a single collection fails.
 pub const SPAN: time::Millis = time::Millis(600);
 
-/// Between two drawings of a home whose pot is not full. A home of 15 producers exchanges 120 datagrams a second
-/// with them, some 8 KB.
+/// Collection interval of a coordinator whose bucket is not full. With 15 producers it exchanges 120
+/// datagrams a second with them, some 8 KB.
 pub const DRAW_EVERY: time::Millis = time::Millis(250);
 
-/// The same of a home that is asked for more than it has.
+/// Collection interval of a coordinator that was asked for more than it has.
 pub const DRAW_AGAIN: time::Millis = time::Millis(50);
 
-/// Between two drawings of a home whose pot is full, by which it knows that it is in touch.
+/// Collection interval of a coordinator whose bucket is full, by which it stays in contact with the
+/// producers.
 pub const LOOK_EVERY: time::Millis = time::Millis(1_000);
 
-/// How long a producer counts as in touch with a home after it was drawn from: two drawings, of which one may be
-/// lost.
+/// How long a producer counts as in contact with a coordinator after a collection: two collections at the
+/// longest interval, of which one may be lost.
 pub const IN_TOUCH: time::Millis = time::Millis(2_000);
 
-/// The span over which quotas are judged.
+/// Time over which quotas are measured.
 const QUOTA_WINDOW: time::Millis = time::Millis(8_000);
 
-/// How long an entry process counts as one after it was listed last. A group of control processes that starts
-/// again lists few at first; by such a list each of them would produce all. As long as the span over which
-/// quotas are judged.
+/// How long an entry process counts as one after it was last listed. Control processes that restart list
+/// few entry processes at first, and by such a list each of these would produce the whole rate. It is as
+/// long as the time over which quotas are measured.
 pub const LISTED: time::Millis = time::Millis(10_000);
 
-/// How long nothing is produced after the list of entry processes has grown by more than a tenth, while it is
-/// shorter than [`PRODUCERS`]. After a start of all, each process knows few of the others for some hundred
-/// milliseconds; those who know two would yield half of the rate each.
+/// How long nothing is produced after the list of entry processes has grown by more than a tenth, while it
+/// is shorter than [`PRODUCERS`]. When all processes start, each knows few of the others for some hundred
+/// milliseconds; those that know only two would each yield half of the rate.
 pub const SETTLED: time::Millis = time::Millis(500);
 
-/// How long a home that did not answer is passed over.
+/// How long a coordinator that did not respond is skipped.
 pub const LOST: time::Millis = time::Millis(1_000);
 
-/// Names an allowance.
+/// Identifies an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Key(pub u64);
@@ -99,49 +104,50 @@
         Self(neighbours::hash(&("workspace", name)))
     }
 
-    /// The repeats of requests to a service.
+    /// The retries of requests to a service.
     #[must_use]
     pub fn of_repeats(service: &str) -> Self {
         Self(neighbours::hash(&("repeats", service)))
     }
 
-    /// The requests that a start of an endpoint takes.
+    /// The requests that an instance of an endpoint accepts.
     #[must_use]
     pub fn of_endpoint(id: &directory::InstanceId) -> Self {
         Self(neighbours::hash(&("endpoint", id)))
     }
 }
 
-/// What an allowance is.
+/// Rate and burst of an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
-    /// Units that may be spent at once after a pause.
+    /// Units that may be spent at once after an idle time.
     pub burst: f64,
 }
 
 impl Terms {
-    /// Units that grow in `span`.
+    /// Units that accrue in `span`.
     #[must_use]
     pub fn grown(&self, span: time::Millis) -> f64 {
         self.per_s * span.0 as f64 / 1_000.0
     }
 
-    /// The most that one request may take. By more the span over which quotas are judged would be exceeded by this
-    /// request alone.
+    /// The most that a single request may acquire. A larger one would by itself exceed what is allowed in
+    /// the time over which quotas are measured.
     #[must_use]
     pub fn largest(&self) -> f64 {
         (self.stock() + self.grown(QUOTA_WINDOW)).max(1.0)
     }
 
-    /// The most that pot and shares hold together: the burst, but at least what the shares keep.
+    /// The most that the bucket and the shares hold together: the burst, but at least what the shares
+    /// store.
     #[must_use]
     pub fn stock(&self) -> f64 {
         self.burst.max(self.grown(SPAN))
     }
 
-    /// Whether both are numbers that can be reckoned with.
+    /// Whether rate and burst are finite and not negative.
     #[must_use]
     pub fn are_sound(&self) -> bool {
         let is_sound = |it: f64| it.is_finite() && it >= 0.0;
@@ -149,68 +155,68 @@
     }
 }
 
-/// Terms that stand in no configuration. An endpoint has named them to some processes, which tell them with their
-/// questions.
+/// Rate and burst that are not configured but were reported by an endpoint to some processes, which pass
+/// them on in their messages.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Named {
-    /// What is allowed.
+    /// Rate and burst.
     pub terms: Terms,
-    /// How long ago the endpoint said so. Of two that differ the younger ones hold.
+    /// Time since the endpoint reported them. Of two different reports, the newer one counts.
     pub age: time::Millis,
 }
 
-/// Asks the home of an allowance for units.
+/// Asks the coordinator of an allowance for units.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Draw {
-    /// Names the question, the same each time that it is asked again.
+    /// Identifies the request; the same when it is retried.
     pub id: u64,
     /// The allowance.
     pub of: Key,
-    /// Units that are asked for; zero where some are only given back.
+    /// Units to acquire; zero if units are only returned.
     pub amount: f64,
-    /// Units that were taken before and not used.
+    /// Units that were acquired before and not used.
     pub returned: f64,
-    /// The rank of the request; zero is the most urgent.
+    /// Priority of the request; zero is the most urgent.
     pub rank: u8,
-    /// The terms, where they stand in no configuration.
+    /// Rate and burst, if they are not configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub named: Option<Named>,
 }
 
-/// The answer to a [`Draw`].
+/// The reply to a [`Draw`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// They are taken.
+    /// The units are granted.
     Granted,
-    /// The home has just begun, or has sent for more: to be asked again after this span.
+    /// The coordinator has just started or is collecting more units: retry after this time.
     Soon(time::Millis),
-    /// The allowance is used up. After this span it will have grown by as much as is asked for, and by what those
-    /// were promised that were told the same before.
+    /// The allowance is exhausted. After this time, the requested units will have accrued on top of those
+    /// that were scheduled for earlier requests.
     Over(time::Millis),
 }
 
-/// A home draws what a producer has.
+/// Collects the units that a producer has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
-    /// Names the drawing.
+    /// Identifies the collection.
     pub id: u64,
-    /// Of which allowances.
+    /// The allowances to collect.
     pub of: Vec<Key>,
-    /// The terms of those that stand in no configuration.
+    /// Rate and burst of those that are not configured.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub named: Vec<(Key, Named)>,
 }
 
-/// What a producer gives to a [`Pull`].
+/// A producer's reply to a [`Pull`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Given {
-    /// The drawing.
+    /// The collection.
     pub id: u64,
     /// Units of each allowance.
     pub units: Vec<(Key, f64)>,
 }
 
-/// The producers of an allowance among `entries`, the first that is asked as its home first.
+/// The producers of an allowance among `entries`, in the order in which they are asked to coordinate it.
 #[must_use]
 pub fn producers(of: Key, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
     neighbours::ranked(of.0, entries, PRODUCERS)
--- a/crates/sageshed-fleet/src/allowance/named.rs
+++ b/crates/sageshed-fleet/src/allowance/named.rs
@@ -1,4 +1,4 @@
-//! Terms that processes tell each other with their questions.
+//! Limits that were reported by endpoints, as passed on between processes.
 
 use std::collections;
 
@@ -6,31 +6,31 @@
 
 use super::{Key, Named, Terms};
 
-/// How long terms are kept that nobody asks by. Longer than any time to come back that an answer tells.
+/// How long a limit is kept that no message refers to. Longer than any retry delay in a reply.
 const TTL: time::Millis = time::Millis(15_000);
 
-/// Terms that are kept at most: one process keeps them for few of ten thousand endpoints, and anybody can send a
-/// datagram.
+/// Limits that are kept. One process coordinates those of a few among ten thousand endpoints, but anybody
+/// can send a datagram.
 const MAX_ENTRIES: usize = 4_096;
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     terms: Terms,
-    /// When an endpoint named them.
+    /// When an endpoint reported the limit.
     heard_at: time::Instant,
-    /// When they were told here last.
+    /// When a message last referred to it.
     used_at: time::Instant,
 }
 
-/// Terms by allowance, the newest that were heard of each.
+/// The latest reported limit of each allowance.
 #[derive(Debug, Clone, Default)]
 pub(super) struct NamedTerms {
     by_key: collections::HashMap<Key, Entry>,
 }
 
 impl NamedTerms {
-    /// Takes what another process tells. What it heard before the terms that are known is older, and changes
-    /// nothing.
+    /// Records a limit that another process passed on. It is ignored if it was reported before the one that
+    /// is known.
     pub(super) fn learn(&mut self, now: time::Instant, of: Key, named: &Named) {
         if !named.terms.are_sound() {
             return;
@@ -66,7 +66,7 @@
         self.by_key.get(&of).map(|it| it.terms)
     }
 
-    /// What to tell others of it.
+    /// The limit in the form that is passed on.
     pub(super) fn to_named(&self, now: time::Instant, of: Key) -> Option<Named> {
         let entry = self.by_key.get(&of)?;
         Some(Named {
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Forgets what nobody has asked by for long. Returns whether that was any.
+    /// Removes limits that no message has referred to for long. Returns whether there were any.
     pub(super) fn expire(&mut self, now: time::Instant) -> bool {
         let before = self.by_key.len();
         self.by_key.retain(|_, it| now.since(it.used_at) < TTL);
--- a/crates/sageshed-fleet/src/allowance/pot.rs
+++ b/crates/sageshed-fleet/src/allowance/pot.rs
@@ -1,4 +1,4 @@
-//! What the home of an allowance has.
+//! The token bucket that the coordinator of an allowance keeps.
 
 use std::{collections, net};
 
@@ -6,52 +6,53 @@
 
 use super::{Answer, DRAW_AGAIN, DRAW_EVERY, Draw, IN_TOUCH, LOOK_EVERY, SPAN, Terms};
 
-/// How long the answer to a drawing may take until the home counts without it: several times the way there and
-/// back between availability zones.
+/// How long the coordinator waits for replies to a collection: several round trips between availability
+/// zones.
 const COLLECT_TIMEOUT: time::Millis = time::Millis(15);
 
-/// After this span a process asks again that was told [`Answer::Soon`].
+/// Delay after which a process retries that got [`Answer::Soon`].
 const RETRY_DELAY: time::Millis = time::Millis(8);
 
-/// How long a question that was answered is remembered. It is asked again within some ten milliseconds, where its
-/// answer was lost.
+/// How long granted acquisitions are remembered. If the reply is lost, the retry arrives within some ten
+/// milliseconds.
 const GRANT_MEMORY: time::Millis = time::Millis(500);
 
-/// Answered questions that are remembered at most.
+/// Granted acquisitions that are remembered.
 const MAX_REMEMBERED_GRANTS: usize = 256;
 
-/// The part of a pot that is left for more urgent requests while such ones come.
+/// Share of the bucket that is reserved for more urgent requests while such requests arrive.
 const URGENT_RESERVE: f64 = 0.25;
 
-/// How long more urgent requests count as coming after the last one.
+/// How long the reserve is kept after the last more urgent request.
 const URGENT_WINDOW: time::Millis = time::Millis(1_000);
 
-/// The longest time to come back that is told: behind it nobody knows what will be asked for.
+/// The longest retry delay that is returned. The demand after that can't be predicted.
 const MAX_RETRY_DELAY: time::Millis = time::Millis(10_000);
 
-/// The units that a home has drawn and not given out.
+/// Units that a coordinator has collected and not granted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pot {
-    /// Less than nothing where the last one took more than there was.
+    /// Negative if the last grant exceeded what was there.
     units: f64,
-    /// When each producer gave something last.
+    /// When each producer last gave units.
     last_given: collections::HashMap<net::Ipv4Addr, time::Instant>,
-    /// The drawing that is under way, and who has not answered it.
+    /// The current collection, and the producers that have not replied to it.
     collection: u64,
     awaited: Vec<net::Ipv4Addr>,
     collected_at: Option<time::Instant>,
-    /// When units were asked for last, and by which rank.
+    /// When units were last requested at each rank.
     asked_at: [Option<time::Instant>; RANKS],
-    /// Up to when the rate is promised to those that were told to come back.
+    /// Until when future units are scheduled for processes that got a retry delay.
     scheduled_until: time::Instant,
     granted: collections::VecDeque<(time::Instant, (net::Ipv4Addr, u64))>,
 }
 
-/// Ranks that are told apart; all behind the last count as the last.
+/// Number of distinct ranks; higher ones count as the last.
 const RANKS: usize = 4;
 
 impl Pot {
-    /// Empty: whoever was the home before has spent what there was, for all that this one knows.
+    /// Creates an empty bucket. For all that this process knows, the previous coordinator has spent what
+    /// there was.
     #[must_use]
     pub fn empty(now: time::Instant) -> Self {
         Self {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Answers `draw` of `from`, in a group of `producers`.
+    /// Replies to the acquisition `draw` of the process `from`. `producers` is the number of producers of
+    /// the allowance.
     pub fn draw(
         &mut self,
         now: time::Instant,
@@ -75,8 +77,8 @@
         from: net::Ipv4Addr,
         draw: &Draw,
     ) -> Answer {
-        // A caller may declare anything. A debt of that size would never be paid off, and a debt without end would
-        // leave the pot at no number at all.
+        // Callers may declare any amount. A debt of that size would never be paid off, and an infinite one
+        // would turn the balance into NaN.
         if !draw.amount.is_finite() || draw.amount > terms.largest() {
             return Answer::Over(MAX_RETRY_DELAY);
         }
@@ -96,7 +98,8 @@
         } else {
             0.0
         };
-        // What is larger than the pot is granted by a full one, and paid off before the next.
+        // An amount larger than the bucket is granted by a full one, and the debt is paid off before the
+        // next grant.
         let needed = draw.amount.min(capacity - reserved);
         if self.units > 0.0 && self.units - reserved >= needed {
             self.units -= draw.amount;
@@ -109,7 +112,7 @@
         Answer::Over(self.schedule_retry(now, terms, producers, draw.amount, needed + reserved))
     }
 
-    /// Whether the answer to this question was lost on its way.
+    /// Whether this acquisition was granted before, so that its reply was lost.
     fn is_granted(&mut self, now: time::Instant, from: net::Ipv4Addr, id: u64) -> bool {
         let is_old = |at: time::Instant| now.since(at) > GRANT_MEMORY;
         while self.granted.front().is_some_and(|(at, _)| is_old(*at))
@@ -120,8 +123,8 @@
         self.granted.iter().any(|(_, it)| *it == (from, id))
     }
 
-    /// Gives one that is refused a time at which `needed` will be there, behind those that were given one
-    /// before: a hundred that come back at once would find what one of them needs.
+    /// The delay after which a refused request finds `needed` units, behind those scheduled before it. If a
+    /// hundred refused requests were retried at once, they would find the units that one of them needs.
     fn schedule_retry(
         &mut self,
         now: time::Instant,
@@ -143,9 +146,10 @@
         wait.max(RETRY_DELAY)
     }
 
-    /// The most that the pot holds: the burst less what has grown at the producers since they were drawn from,
-    /// so that both together never hold more. And less where it is in touch with a part of its producers only:
-    /// a home that is cut off has what its own share yields.
+    /// The most that the bucket holds: the burst, less what has accrued at the producers since the last
+    /// collection, so that both together never hold more than the burst. It is reduced in proportion if
+    /// only some of the producers are in contact: a partitioned coordinator has just what its own share
+    /// yields.
     fn capacity(&mut self, now: time::Instant, terms: &Terms, producers: usize) -> f64 {
         let since = self.collected_at.map_or(SPAN, |at| now.since(at).min(SPAN));
         let capacity = (terms.stock() - terms.grown(since)) * self.reachable_share(now, producers);
@@ -153,7 +157,7 @@
         capacity
     }
 
-    /// The part of the producers that gave something lately.
+    /// The share of the producers that gave units recently.
     fn reachable_share(&self, now: time::Instant, producers: usize) -> f64 {
         let last_given = self.last_given.values();
         let count = last_given.filter(|at| now.since(**at) <= IN_TOUCH).count();
@@ -165,14 +169,14 @@
         !self.awaited.is_empty() && self.collected_at.is_some_and(is_young)
     }
 
-    /// Whether a home that has too little may draw now.
+    /// Whether a coordinator that is short of units may collect again.
     #[must_use]
     pub fn may_collect_again(&self, now: time::Instant) -> bool {
         self.collected_at
             .is_none_or(|at| now.since(at) >= DRAW_AGAIN)
     }
 
-    /// Whether to draw now: seldom while the pot is full.
+    /// Whether a collection is due. Collections are rare while the bucket is full.
     #[must_use]
     pub fn is_collection_due(
         &mut self,
@@ -189,15 +193,16 @@
         now.since(collected_at) >= every
     }
 
-    /// Begins the drawing called `id` from `others`.
+    /// Starts the collection `id` from `others`.
     pub fn start_collection(&mut self, now: time::Instant, id: u64, others: &[net::Ipv4Addr]) {
         self.collection = id;
         self.awaited = others.to_vec();
         self.collected_at = Some(now);
     }
 
-    /// Takes what `from` gives to the drawing `id`. A second answer, or one to an earlier drawing, is dropped:
-    /// the network may deliver twice, and what was given is lost rather than counted double.
+    /// Adds the units that a producer gave to a collection. A second reply, or one to an earlier
+    /// collection, is dropped: the network may duplicate datagrams, and units are rather lost than counted
+    /// twice.
     pub fn take(
         &mut self,
         now: time::Instant,
@@ -216,7 +221,7 @@
         self.fill(now, terms, producers, from, units);
     }
 
-    /// Takes what `from` has given, which is this process itself or has answered.
+    /// Adds the units of `from`, which is this process itself or a producer that replied.
     pub fn fill(
         &mut self,
         now: time::Instant,
@@ -231,7 +236,7 @@
         self.capacity(now, terms, producers);
     }
 
-    /// What there is to spend; less than nothing where the last one took more than there was.
+    /// Units that can be spent; negative if the last grant exceeded what was there.
     #[must_use]
     pub fn units(&self) -> f64 {
         self.units
--- a/crates/sageshed-fleet/src/allowance/question.rs
+++ b/crates/sageshed-fleet/src/allowance/question.rs
@@ -1,4 +1,4 @@
-//! Asking the homes of an allowance, one after the other.
+//! Client side of an acquisition: asks the coordinators of an allowance in turn.
 
 use std::net;
 
@@ -6,27 +6,28 @@
 
 use super::Answer;
 
-/// How often one home is asked that does not answer. One datagram of a hundred may be lost on a link that is in
-/// trouble; asked but once, a home would be given up for it, and the next one begin with nothing.
+/// How often a coordinator is asked that doesn't respond. A link in trouble may lose one datagram of a
+/// hundred; after a single try, the coordinator would be given up for that, and the next one starts with an
+/// empty bucket.
 const MAX_TRIES: u32 = 2;
 
-/// How often a home may put the question off.
+/// How often a coordinator may postpone its reply.
 const MAX_POSTPONEMENTS: u32 = 5;
 
-/// What to do next to have units.
+/// The next step of an acquisition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Ask this home, after this span.
+    /// Ask this coordinator after this delay.
     Ask(net::Ipv4Addr, time::Millis),
-    /// They are taken.
+    /// The units are granted.
     Granted,
-    /// The allowance is used up; this is when to come back.
+    /// The allowance is exhausted; retry after this time.
     Over(time::Millis),
-    /// No home answers, so that nobody can say.
+    /// No coordinator responds, so nobody can tell.
     Nobody,
 }
 
-/// One question for units.
+/// State of one acquisition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Question {
     homes: Vec<net::Ipv4Addr>,
@@ -36,7 +37,7 @@
 }
 
 impl Question {
-    /// To the first of `homes` that answers.
+    /// Creates an acquisition from the first of `homes` that responds.
     #[must_use]
     pub fn new(homes: Vec<net::Ipv4Addr>) -> Self {
         Self {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn begin(&mut self) -> Next {
         self.ask_after(time::Millis(0))
     }
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The home that was asked has answered.
+    /// Handles the reply of the coordinator that was asked.
     pub fn answered(&mut self, answer: Answer) -> Next {
         match answer {
             Answer::Granted => Next::Granted,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// The home that was asked does not answer. Returns it if it is given up.
+    /// Handles the timeout of the coordinator that was asked. Returns the coordinator too if it is given
+    /// up.
     pub fn unanswered(&mut self) -> (Next, Option<net::Ipv4Addr>) {
         if self.tries < MAX_TRIES {
             return (self.ask_after(time::Millis(0)), None);
--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -1,49 +1,49 @@
-//! In which order the requests that wait here for an engine go, and how long that will take.
+//! The order of the requests that wait in this process for an engine, and estimates of how long they wait.
 //!
-//! The load pattern: more prompts come than the engines of a model can read, for seconds.
+//! Under load, more prompts arrive than the engines of a model can prefill, for seconds at a time.
 //!
 //! # Order
 //!
-//! First come those that can still be on time, the urgent ones before others, and of equal ones the one
-//! that is late first. One that is late already loses nothing more by waiting, and were it first, those
-//! behind it would all be late as well. A request for an adapter goes to fewer engines than one for the
-//! bare model, so it does not hold that one back.
+//! Requests that can still be on time go first, urgent ones before others, and among equals by the earliest
+//! deadline. A request that is already late loses nothing more by waiting; if it went first, those behind
+//! it would all be late as well. A request for an adapter can go to fewer engines than one for the base
+//! model, so it does not hold that one back.
 //!
 //! # Time
 //!
-//! Each process sees what it reads of a model's prompts in a second, and how much waits here before a
-//! request. What can't be reached in its time is turned away when that is known, with when to come
-//! back, and not at its end.
+//! Each process sees how many tokens of a model's prompts are prefilled per second, and how many wait here
+//! before a request. A request that can't be served in time is refused with a retry delay as soon as that
+//! is known, and not at its deadline.
 
 use std::collections;
 
 use sageshed_types::time;
 
-/// Over this span what is read is counted. Long enough for some prompts of each busy model.
+/// Time over which prefilled tokens are counted. Long enough for some prompts of each busy model.
 const RATE_WINDOW: time::Millis = time::Millis(2_000);
 
-/// Requests have to wait for so long before what is read meanwhile tells a speed: the time in which an
-/// engine reads two large prompts.
+/// Requests have to wait this long before the tokens prefilled meanwhile count as a rate: the time in which
+/// an engine prefills two large prompts.
 const MIN_BUSY_TIME: time::Millis = time::Millis(300);
 
-/// A request with less than this until its answer would be late can't be on time any more: a prompt of
-/// two thousand tokens takes an engine a tenth of a second.
+/// A request with less time than this left until it is late can't be on time any more: a prompt of two
+/// thousand tokens takes an engine a tenth of a second.
 const MIN_RESPONSE_TIME: time::Millis = time::Millis(100);
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Waiter {
     /// Tokens of its prompt.
     pub tokens: u64,
-    /// Its route's rank, zero being the most urgent.
+    /// Priority of its route; zero is the most urgent.
     pub priority: u8,
-    /// Until then its answer is on time.
+    /// When its response would be late.
     pub on_time_until: time::Instant,
     /// The adapter that it needs besides the model.
     pub adapter: Option<String>,
 }
 
-/// Where a request stands among those that wait for its model; the lowest goes first.
+/// The position of a request among those that wait for its model; the lowest goes first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     is_late: bool,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether any engine that serves `other` would serve this one.
+    /// Whether any engine that can run `other` can run this request.
     fn can_run_wherever(&self, other: &Self) -> bool {
         self.adapter.is_none() || self.adapter == other.adapter
     }
@@ -70,15 +70,15 @@
 
 #[derive(Debug, Default)]
 struct Queue {
-    /// Those that wait, by ticket.
+    /// Waiting requests by ticket.
     waiting: collections::BTreeMap<u64, Waiter>,
-    /// What was read lately.
+    /// Recently prefilled prompts, with their tokens.
     prefilled: collections::VecDeque<(time::Instant, u64)>,
-    /// Since when requests have waited without a break; none while none waits.
+    /// Since when at least one request has been waiting; none while none waits.
     busy_since: Option<time::Instant>,
 }
 
-/// What waits and what is read, for each model.
+/// Waiting requests and recent prefill, for each model.
 #[derive(Debug, Default)]
 pub struct Backlog {
     queues: collections::HashMap<String, Queue>,
@@ -86,7 +86,7 @@
 }
 
 impl Backlog {
-    /// A request begins to wait. Returns its ticket.
+    /// Adds a waiting request. Returns its ticket.
     pub fn enter(&mut self, now: time::Instant, model: &str, waiter: Waiter) -> u64 {
         self.last_ticket += 1;
         let queue = self.queues.entry(model.to_owned()).or_default();
@@ -95,8 +95,8 @@
         self.last_ticket
     }
 
-    /// Whether another request that waits for the model goes before `waiter`. One that has just come
-    /// has no ticket.
+    /// Whether another request that waits for the model goes before `waiter`. A request that has just
+    /// arrived has no ticket.
     #[must_use]
     pub fn is_preceded(
         &self,
@@ -113,7 +113,7 @@
         others.any(|(at, it)| it.can_run_wherever(waiter) && it.rank(now, *at) < own)
     }
 
-    /// It waits no longer. Returns whether others still wait for the model.
+    /// Removes a request. Returns whether others still wait for the model.
     pub fn leave(&mut self, model: &str, ticket: u64) -> bool {
         let Some(queue) = self.queues.get_mut(model) else {
             return false;
@@ -126,7 +126,7 @@
         others_wait
     }
 
-    /// An engine has read a prompt that was sent from here.
+    /// Records that an engine has prefilled a prompt that was sent from here.
     pub fn read(&mut self, now: time::Instant, model: &str, tokens: u64) {
         let queue = self.queues.entry(model.to_owned()).or_default();
         queue.prefilled.push_back((now, tokens));
@@ -139,12 +139,12 @@
         }
     }
 
-    /// How long the request with this ticket will wait. None where nothing was read while requests
-    /// waited, so that nobody can say.
+    /// How long the request with this ticket is expected to wait. None if nothing was prefilled while
+    /// requests waited.
     ///
-    /// What is read while none waits says how much was asked for, not how fast engines read. Right after
-    /// a start, or when demand has moved to a model, nearly nothing was: 44 and 59 seconds were told where
-    /// six requests waited, and they were turned away.
+    /// What is prefilled while none waits reflects the demand and not the speed of the engines. Right after
+    /// a start, or when demand has moved to a model, that was next to nothing: six waiting requests were
+    /// given estimates of 44 and 59 seconds, and refused.
     #[must_use]
     pub fn expected(&self, now: time::Instant, model: &str, ticket: u64) -> Option<time::Millis> {
         let queue = self.queues.get(model)?;
@@ -166,7 +166,7 @@
         (ahead * span.0).checked_div(read).map(time::Millis)
     }
 
-    /// How many wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queues.values().map(|queue| queue.waiting.len()).sum()
--- a/crates/sageshed-fleet/src/budget.rs
+++ b/crates/sageshed-fleet/src/budget.rs
@@ -1,30 +1,30 @@
-//! How many requests may be sent a second time.
+//! Limits the number of retries.
 //!
-//! When a service fails a part of its requests, sending each again at once doubles the load on what
-//! is left of it. So repeats are bounded, over all entry processes together, by a share of the
-//! requests and a constant. Each entry process takes its part of both: the share of its own requests,
-//! and the constant divided by the number of entry processes.
+//! When a service fails some of its requests, retrying each at once doubles the load on what is left of it.
+//! So retries are limited, across all entry processes, to a share of the requests plus a constant. Each
+//! entry process uses its part of both: the share of its own requests, and the constant divided by the
+//! number of entry processes.
 
 use std::collections;
 
 use sageshed_types::time;
 
-/// The part of the allowance that is used. The number of entry processes is known some hundred
-/// milliseconds late, and a repeat counts where it arrives and not where it was sent.
+/// The share of the limit that is used. The number of entry processes is known with a delay of some hundred
+/// milliseconds, and a retry counts where it arrives and not where it was sent.
 const USED_SHARE: f64 = 0.6;
 
-/// What all entry processes may send again together.
+/// The retries that all entry processes may send together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats on top of that.
+    /// Retries on top of that.
     pub slack: f64,
-    /// Within any span of this length.
+    /// Length of the sliding window in which both apply.
     pub window: time::Millis,
 }
 
-/// The repeats that one entry process sent lately, for each service.
+/// The recent requests and retries of one entry process, for each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -38,7 +38,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates an unused budget.
     #[must_use]
     pub fn new(allowance: Allowance) -> Self {
         Self {
@@ -47,19 +47,19 @@
         }
     }
 
-    /// Counts a request that a caller sent for `service`.
+    /// Counts a request from a caller for `service`.
     pub fn request(&mut self, now: time::Instant, service: &str) {
         let window = self.window(now, service);
         window.requests.push_back(now);
     }
 
-    /// Whether a repeat is left, of which `entries` processes have a part each.
+    /// Whether a retry is left, as one of `entries` processes.
     pub fn has_one(&mut self, now: time::Instant, service: &str, entries: usize) -> bool {
         self.left_for(now, service, entries) >= 1.0
     }
 
-    /// Takes one repeat out of the budget, of which `entries` processes have a part each. Returns
-    /// false, and takes nothing, where none is left.
+    /// Takes one retry from the budget, as one of `entries` processes. Returns false and takes nothing if
+    /// none is left.
     pub fn spend(&mut self, now: time::Instant, service: &str, entries: usize) -> bool {
         if !self.has_one(now, service, entries) {
             return false;
@@ -68,7 +68,7 @@
         true
     }
 
-    /// The repeats that are left for each service.
+    /// The retries that are left for each service.
     pub fn left(&mut self, now: time::Instant, entries: usize) -> Vec<(String, f64)> {
         let names: Vec<String> = self.services.keys().cloned().collect();
         let left = names.into_iter().map(|name| {
--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -1,4 +1,4 @@
-//! What a chooser tells others and hears from them, where many entry processes share the engines.
+//! Exchange between the choosers of entry processes that share engines: reports, queries and decisions.
 
 use std::net;
 
@@ -9,15 +9,16 @@
 };
 use crate::{dialect, neighbours};
 
-/// The shortest estimate that teaches something, in milliseconds. Below, what came is mostly the way there and
-/// back and the step that was under way.
+/// The lowest estimate in milliseconds from which prefill speed is learned. Below, the time to first token
+/// is mostly network round trip and the step that was in progress.
 const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
-/// How long one process's word that an engine can't be reached is kept for a second one.
+/// How long the report of one process that an engine is unreachable waits for confirmation by a second one.
 const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
-    /// Takes another process's word on an engine. Returns whether the engine has less to read by it.
+    /// Applies another process's report on an engine. Returns whether the engine has less pending prefill
+    /// by it.
     pub fn hear(
         &mut self,
         now: time::Instant,
@@ -53,7 +54,7 @@
         has_less
     }
 
-    /// Learns how fast an engine reads from a request of another process.
+    /// Learns the prefill speed of an engine from a request of another process.
     fn learn_pace(&mut self, key: arena::EndpointKey, pace: neighbours::Pace) {
         let estimated = f64::from(pace.estimated) - BATCH_STEP_MS;
         if estimated < MIN_LEARNABLE_ESTIMATE_MS {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// What to tell whom of an engine to which this process sends.
+    /// The report to send on an engine that this process sends to, with its recipients.
     #[must_use]
     pub fn word_on(&self, pick: &Pick) -> Option<(neighbours::Unread, Vec<net::Ipv4Addr>)> {
         let endpoint = self.get(pick.key)?;
@@ -87,24 +88,25 @@
         Some((word, self.homes.told(&endpoint.instance)))
     }
 
-    /// Whether there are so many entry processes that models have homes. Homes alone hear of paces, pauses and
-    /// trouble.
+    /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
+    /// timings, pauses and faults.
     ///
-    /// Few processes have enough requests to learn from themselves, and one's bad luck with an engine would be held
-    /// against it by all.
+    /// A small number of processes has enough requests to learn from their own, and one process's bad luck
+    /// with an engine would count against that engine for all.
     #[must_use]
     pub fn has_homes(&self) -> bool {
         self.homes.exist()
     }
 
-    /// Whom to ask where requests for `model` go, the first of them first; nobody where this process is to
-    /// choose by itself.
+    /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
+    /// itself.
     #[must_use]
     pub fn homes(&self, model: &str) -> Vec<net::Ipv4Addr> {
         self.homes.asked(model)
     }
 
-    /// Says where a request that another process has taken is to go, and counts it as sent there.
+    /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
+    /// there.
     pub fn advise(
         &mut self,
         now: time::Instant,
@@ -151,7 +153,8 @@
         place
     }
 
-    /// Follows an advice, where the engine is known here and takes the request as far as is known.
+    /// Follows a coordinator's decision, if the engine is known here and accepts the request as far as this
+    /// process knows.
     pub fn follow(
         &mut self,
         now: time::Instant,
@@ -165,13 +168,13 @@
         (is_open && holds).then(|| self.dispatch_with_estimate(now, key, ask, estimate))
     }
 
-    /// The endpoint of this short name.
+    /// Looks up an endpoint by its [`neighbours::instance_key`].
     #[must_use]
     pub fn by_short_name(&self, name: u64) -> Option<arena::EndpointKey> {
         self.by_key.get(&name).copied()
     }
 
-    /// The short name of an endpoint.
+    /// The [`neighbours::instance_key`] of an endpoint.
     #[must_use]
     pub fn short_name(&self, key: arena::EndpointKey) -> Option<u64> {
         let endpoint = self.get(key)?;
@@ -180,9 +183,10 @@
 }
 
 impl endpoint::Endpoint {
-    /// The process `from` has met with this trouble here.
+    /// Applies a fault that the process `from` reported.
     ///
-    /// One that is cut off finds no engine: its word alone leaves none out. The word of two does.
+    /// A partitioned process reaches no engine, so that its report alone ejects none. The reports of two
+    /// processes do.
     fn apply_fault(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/homes.rs
+++ b/crates/sageshed-fleet/src/chooser/homes.rs
@@ -1,21 +1,22 @@
-//! The homes of models, kept while entry processes come and go.
+//! The coordinators of models, updated as entry processes are added and removed.
 //!
-//! # The load pattern
+//! # Load pattern
 //!
-//! While a thousand entry processes are restarted one after the other, their list changes several times a second, and
-//! each of them knows thousands of engines. Homes are kept by model: a change of the list costs a hash for each model and
-//! process that comes, and a ranking of all processes only for the models of which a home went. Ranked for each engine,
-//! a change took each process engines x entry processes.
+//! While a thousand entry processes are restarted one after the other, their list changes several times a
+//! second, and each of them knows thousands of engines. So coordinators are cached by model: a change of
+//! the list costs one hash for each model and added process, and a ranking of all processes only for the
+//! models that lost a coordinator. A ranking for each engine took every process engines x entry processes
+//! for each change.
 
 use std::{collections, net};
 
 use crate::{directory, neighbours};
 
-/// The homes of all models that engines hold.
+/// The coordinators of all models that engines hold.
 #[derive(Debug)]
 pub struct Homes {
     own: net::Ipv4Addr,
-    /// In order.
+    /// Sorted.
     entries: Vec<net::Ipv4Addr>,
     by_model: collections::HashMap<String, Vec<neighbours::HashedEntry>>,
 }
@@ -31,8 +32,8 @@
 }
 
 impl Homes {
-    /// Takes the list of entry processes, of which this one is `own`. Returns for how many models all processes were
-    /// ranked.
+    /// Sets the list of entry processes, of which this one is `own`. Returns for how many models all
+    /// processes were ranked.
     pub fn set_entries(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) -> usize {
         self.own = own;
         let mut entries = entries.to_vec();
@@ -66,7 +67,7 @@
         ranked
     }
 
-    /// Gets to know the models that an engine holds.
+    /// Adds the models that an engine holds.
     pub fn know(&mut self, instance: &directory::Instance) {
         for resident in &instance.models {
             if self.by_model.contains_key(&resident.model) {
@@ -82,13 +83,14 @@
         }
     }
 
-    /// Whether there are so many entry processes that models have homes.
+    /// Whether there are so many entry processes that models have coordinators.
     #[must_use]
     pub fn exist(&self) -> bool {
         neighbours::have_homes(&self.entries)
     }
 
-    /// The homes of a model, the one to be asked first; none where all tell each other.
+    /// The coordinators of a model, in the order in which they are queried; none if all processes report to
+    /// each other.
     #[must_use]
     pub fn of(&self, model: &str) -> Vec<net::Ipv4Addr> {
         match self.by_model.get(model) {
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Whom to tell of an engine: the homes of the models that it holds, or all where these tell each other.
+    /// The recipients of reports on an engine: the coordinators of the models that it holds, or all
+    /// processes if these all report to each other.
     #[must_use]
     pub fn told(&self, instance: &directory::Instance) -> Vec<net::Ipv4Addr> {
         let mut told = if self.exist() {
@@ -112,7 +115,7 @@
         told
     }
 
-    /// Whether this process is told of an engine.
+    /// Whether this process receives reports on an engine.
     #[must_use]
     pub fn is_told(&self, instance: &directory::Instance) -> bool {
         if !self.exist() {
@@ -125,8 +128,8 @@
         })
     }
 
-    /// Whom to ask where requests for `model` go, the first of them first; nobody where this process is to
-    /// choose by itself.
+    /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
+    /// itself.
     #[must_use]
     pub fn asked(&self, model: &str) -> Vec<net::Ipv4Addr> {
         let mut homes = self.of(model);
--- a/crates/sageshed-fleet/src/fingerprint.rs
+++ b/crates/sageshed-fleet/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Tells whether two requests are the same but for the id of the try.
+//! Identifies requests with the same content.
 //!
-//! A caller that sends a request again gives the new try another id, and the balancer another entry process.
-//! What stays is what it asks: method, host, path, query and body. Headers are left out, since the id and what
-//! is left of the time are among them.
+//! A caller that retries a request gives the new attempt another id, and the load balancer may send it to
+//! another entry process. What stays the same is the content: method, host, path, query and body. Headers
+//! are left out, since they include the id and the remaining time.
 
 use sageshed_types::quarantine;
 
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -1,13 +1,14 @@
-//! Which control processes an entry process watches, and which of them passes endpoints on to it.
+//! Selects the control processes that an entry process watches, and the one that sends it endpoint records.
 //!
-//! The first link goes to a control process in the availability zone of this process, where there is
-//! one, and the others to any two: with the group cut in two, three links reach the larger part, which is
-//! the one where changes are accepted. All of them bring configurations. Endpoints come by one link alone,
-//! the near one: by each of three, and from whichever zone, their records were the largest part of the
-//! bytes between zones. The others bring a digest of what their control process knows, and the near one tells up to
-//! where it knows each of the others. A link whose digest differs, and whose control process has known something for
-//! [`MAX_DIGEST_LAG`] that the near one was not told, brings endpoints as well, for as long as that holds. Digests alone do not
-//! tell: while endpoints change all the time, in a release of thousands, no two agree.
+//! The first link goes to a control process in the availability zone of this process, if there is one, and
+//! the others to any two. When the control group is partitioned in two, three links reach the larger side,
+//! the one that accepts changes. All links deliver configurations. Endpoint records come over one link
+//! only, the local one: when they came over all three, from whichever zone, they made up most of the
+//! traffic between zones. The other links deliver a digest of what their control process knows, and the
+//! local one tells how far it is up to date with each of the others. A link delivers endpoint records too
+//! while its digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the
+//! local one was not told. Digests alone are not enough: while endpoints change all the time, as in a
+//! rollout of thousands, no two digests agree.
 
 use std::{collections, net};
 
@@ -15,33 +16,34 @@
 
 use crate::{directory, messages};
 
-/// Links that are kept.
+/// Number of links.
 pub const LINKS: usize = 3;
 
-/// How long a control process that could not be reached is left out while there are others.
+/// How long an unreachable control process is avoided while there are others.
 const RETRY_DELAY: time::Millis = time::Millis(2_000);
 
-/// How long the near one is left out after that. Each try at one whose VM has no power takes a fifth of
-/// [`RETRY_DELAY`], in which another link has to pass endpoints on.
+/// How long the local control process is not taken back after it was unreachable. If its VM has no power,
+/// each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver endpoint
+/// records.
 const LOCAL_RETRY_DELAY: time::Millis = time::Millis(8_000);
 
-/// How long a digest may differ. News reaches control processes some milliseconds apart, and entry
-/// processes within the time that news is gathered for one answer.
+/// How long a digest may differ. Changes reach control processes some milliseconds apart, and entry
+/// processes within the time that changes are gathered for one response.
 const MAX_DIGEST_LAG: time::Millis = time::Millis(200);
 
-/// Marks of one control process that are kept until the near one is known to have them.
+/// Marks of one control process that are kept until the local one is known to have caught up with them.
 const MAX_MARKS: usize = 64;
 
-/// What a control process has answered.
+/// The response of a control process to a watch request.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer<'a> {
-    /// Whether its digest is another than that of this process.
+    /// Whether its digest differs from that of this process.
     pub differs: bool,
-    /// Whether it has more of the endpoints to tell.
+    /// Whether it has more endpoint records to send.
     pub has_more: bool,
-    /// Its last change that was news; none from an earlier version.
+    /// Its last change of the directory; none from an earlier version.
     pub news: Option<directory::Mark>,
-    /// Up to where it knows other control processes.
+    /// Up to where it knows the changes of other control processes.
     pub peers: &'a [(net::Ipv4Addr, directory::Mark)],
 }
 
@@ -49,11 +51,12 @@
 #[derive(Debug, Clone, Default)]
 struct Link {
     target: Option<net::Ipv4Addr>,
-    /// Whether the control process has answered since it is held.
+    /// Whether the control process has responded since it was selected.
     has_answered: bool,
-    /// Since when it knows something that the near one was not told, as far as is known.
+    /// Since when it is known to have changes that the local one was not told.
     differs_since: Option<time::Instant>,
-    /// Its marks while digests differed that the near one is not known to have, and when each was told.
+    /// Its marks, with the time of each, that arrived with a differing digest and that the local one is not
+    /// known to have.
     unconfirmed: collections::VecDeque<(time::Instant, directory::Mark)>,
 }
 
@@ -63,7 +66,8 @@
         self.unconfirmed.clear();
     }
 
-    /// Its digest differs. It has this mark, and the near one knows it up to `known`.
+    /// Records that its digest differs. `news` is its mark, and `known` is up to where the local one knows
+    /// it.
     fn record_difference(
         &mut self,
         now: time::Instant,
@@ -84,7 +88,7 @@
         self.confirm(known);
     }
 
-    /// The near one knows it up to `known`.
+    /// Drops the marks that the local one has caught up with.
     fn confirm(&mut self, known: directory::Mark) {
         self.unconfirmed
             .retain(|(_, mark)| mark.start != known.start || mark.change > known.change);
@@ -92,20 +96,21 @@
     }
 }
 
-/// The links and the control processes that are known.
+/// The links, and all known control processes.
 #[derive(Debug)]
 pub struct Links {
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
     links: [Link; LINKS],
-    /// Up to where the control process that brings endpoints knows the others.
+    /// Up to where the control process that delivers endpoint records knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Mark>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
 
 impl Links {
-    /// Links of a process in this availability zone that knows these control processes.
+    /// Creates the links of a process in this availability zone. `seeds` are the control processes to start
+    /// with.
     #[must_use]
     pub fn new(availability_zone: &str, seeds: Vec<net::Ipv4Addr>) -> Self {
         Self {
@@ -118,9 +123,9 @@
         }
     }
 
-    /// Which control process link `number` goes to. `draw` is a random number.
+    /// Selects the control process that link `number` goes to. `draw` is a random number.
     ///
-    /// The first link takes the near one also from another link, which then goes elsewhere.
+    /// The first link takes the local control process even from another link, which then goes elsewhere.
     pub fn pick(&mut self, now: time::Instant, number: usize, draw: u64) -> Option<net::Ipv4Addr> {
         self.unreachable_since
             .retain(|_, since| now.since(*since) < LOCAL_RETRY_DELAY);
@@ -153,7 +158,7 @@
         Some(chosen)
     }
 
-    /// What link `number` is to bring of the endpoints.
+    /// What link `number` requests: endpoint records or a digest.
     #[must_use]
     pub fn wants(&self, now: time::Instant, number: usize) -> messages::Wants {
         let differs = self.links[number].differs_since;
@@ -165,14 +170,14 @@
         }
     }
 
-    /// The link that brings endpoints: the first of those that answer.
+    /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
     pub fn source(&self) -> Option<usize> {
         self.links.iter().position(|it| it.has_answered)
     }
 
-    /// A control process has answered. It may have more of the endpoints to tell: until that has come, what
-    /// digests differ by is on its way, and need not come by other links too.
+    /// Handles the response of a control process. While it has more endpoint records to send, what makes
+    /// digests differ is still on its way, and need not come over other links.
     pub fn answered(&mut self, now: time::Instant, number: usize, answer: &Answer<'_>) {
         self.links[number].has_answered = true;
         if answer.has_more {
@@ -195,20 +200,20 @@
         self.peers = peers.iter().copied().collect();
         for link in &mut self.links {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
-            // One that was not told of by marks differs until its digest agrees.
+            // A difference that was recorded without marks lasts until the digests agree.
             if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
                 link.confirm(*known);
             }
         }
     }
 
-    /// A control process could not be reached.
+    /// Records that a control process could not be reached.
     pub fn avoid(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
         self.unreachable_since.insert(ip, now);
         self.links[number] = Link::default();
     }
 
-    /// Takes note of control processes and where they are.
+    /// Adds control processes and their availability zones.
     pub fn know(&mut self, control: Vec<messages::ControlVm>) {
         for vm in control {
             let zone = self.zones.entry(vm.ip).or_default();
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Takes other seeds. Returns whether they are new.
+    /// Replaces the seeds. Returns whether they have changed.
     #[must_use]
     pub fn set_seeds(&mut self, seeds: Vec<net::Ipv4Addr>) -> bool {
         let is_new = seeds != self.seeds;
--- a/crates/sageshed-fleet/src/neighbours.rs
+++ b/crates/sageshed-fleet/src/neighbours.rs
@@ -1,15 +1,16 @@
-//! What entry processes tell each other of engines, and whom they ask.
+//! Messages between entry processes about engines and allowances, and the choice of whom to send them to.
 //!
-//! An engine reads all prompts that wait there in one step, and all its streams pause meanwhile. So
-//! whoever chooses an engine has to know what the others have just sent there; what the engine itself says
-//! comes with an answer, when it is too late.
+//! An engine may prefill all waiting prompts in one step, and all its streams pause meanwhile. So a process
+//! that selects an engine has to know what the others have just sent there; the engine's own report comes
+//! with a response, when it is too late.
 //!
-//! Few entry processes all tell each other ([`GROUP`]), and each chooses for itself. Among many that costs
-//! messages by the square, and each has a request for a model only now and then, so that what it knows is
-//! old. There each model has a home among them ([`homes`]), found by hashing: it is told of all engines
-//! that hold the model, is asked for each request, and says where that goes. A request then costs the same
-//! few datagrams however many processes there are. Where no answer comes within milliseconds, the process
-//! that asked chooses by what it knows itself; the next home is asked from then on.
+//! A small number of entry processes ([`GROUP`]) all report to each other, and each selects engines by
+//! itself. With more processes, that takes a quadratic number of messages, and each process has a request
+//! for a model so seldom that its view is stale. Then each model has coordinators among them ([`homes`]),
+//! chosen by hashing. The coordinator receives reports on all engines that hold the model, is queried for
+//! each request, and decides where that goes, so a request costs the same few datagrams however many
+//! processes there are. If no reply arrives within milliseconds, the process that asked selects an engine
+//! by its own view, and queries the next coordinator from then on.
 
 use std::{
     collections::hash_map,
@@ -22,102 +23,103 @@
 
 use crate::{allowance, dialect, directory};
 
-/// Entry processes that all tell each other. Among more of them models have homes.
+/// Up to this many entry processes all report to each other. Among more, models have coordinators.
 pub const GROUP: usize = 12;
 
-/// Homes of a model: the one that is asked, and the one that is asked where the first is lost. Both are told.
+/// Coordinators of a model: the one that is queried, and the one that takes over when the first is lost.
+/// Both receive reports.
 pub(crate) const HOMES: usize = 2;
 
-/// What travels in a datagram.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A word on an engine.
+    /// Report on an engine.
     Word(Unread),
-    /// Where is a request to go?
+    /// Query for where to send a request.
     Ask(Ask),
-    /// There.
+    /// Reply to a query.
     Advice(Advice),
-    /// May this much of an allowance be used?
+    /// Acquisition of units of an allowance.
     Draw(allowance::Draw),
-    /// So much for a [`Self::Draw`] of this id.
+    /// Reply to the [`Self::Draw`] with this id.
     Drawn(u64, allowance::Answer),
-    /// What have you of these allowances?
+    /// Collection of a producer's units.
     Pull(allowance::Pull),
-    /// This.
+    /// Reply to a collection.
     Given(allowance::Given),
 }
 
-/// Asks the home of a model where a request is to go.
+/// Asks the coordinator of a model where to send a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Names the question in its answer.
+    /// Identifies the query in its reply.
     pub id: u64,
-    /// Names the request, the same in each question for it.
+    /// Identifies the request; the same in each query for it.
     pub request: u64,
-    /// The service.
+    /// Service that the request is for.
     pub service: String,
-    /// The model.
+    /// Its model.
     pub model: String,
-    /// The adapter, if one is asked for.
+    /// Its adapter, if it needs one.
     pub adapter: Option<String>,
-    /// The parts of the prompt, with their tokens.
+    /// Ids of the prompt's parts, with their tokens.
     pub parts: Vec<(u64, u64)>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Engines that were tried and failed, by [`instance_key`].
+    /// Engines on which an earlier attempt failed, by [`instance_key`].
     pub tried: Vec<u64>,
-    /// What is left until nobody waits for the answer.
+    /// Time left until the deadline, after which nobody waits for the response.
     pub left: time::Millis,
-    /// How much longer it may wait for an engine that reads little.
+    /// How much longer the request may be held back for an engine with little prefill pending.
     pub patience: time::Millis,
-    /// What is left until its answer would be late.
+    /// Time left until the response would be late.
     pub on_time: time::Millis,
-    /// Whether it has the time to wait on once it is late anyway.
+    /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
 }
 
-/// Where a request is to go.
+/// Reply to a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// The question.
+    /// Id of the query.
     pub id: u64,
-    /// The answer.
+    /// Where to send the request.
     pub place: Place,
 }
 
-/// The answer to an [`Ask`].
+/// Result of an [`Ask`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Place {
-    /// This engine.
+    /// Send it to this engine.
     Engine {
-        /// By [`instance_key`].
+        /// Key of the engine, by [`instance_key`].
         engine: u64,
-        /// The estimated time until the answer begins.
+        /// Estimated time until the response begins.
         estimate: time::Millis,
-        /// Tokens of the prompt that the engine keeps.
+        /// Tokens of the prompt that the engine caches.
         kept_tokens: u64,
     },
-    /// None now: all that hold the model have much to read.
+    /// Hold the request: all engines with the model have too much prefill pending.
     Wait {
-        /// How long those take that wait now, where that can be told.
+        /// How long requests wait at present, if it can be estimated.
         expected: Option<time::Millis>,
     },
-    /// The home knows of none that holds what is asked for.
+    /// The coordinator knows no engine that holds the requested model and adapter.
     Unknown,
 }
 
-/// How long an answer took to begin.
+/// Time to first token of one response, measured and estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
-    /// For which model.
+    /// The model, by [`key`].
     pub model: u64,
-    /// In milliseconds.
+    /// Measured time in milliseconds.
     pub took: u32,
-    /// As was estimated.
+    /// Estimated time in milliseconds.
     pub estimated: u32,
 }
 
-/// What is wrong with an engine.
+/// A fault of an engine that a process ran into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Trouble {
     /// It rejected a request for this model, by [`key`].
@@ -128,67 +130,68 @@
     Fails,
     /// It can't be reached.
     Unreachable,
-    /// It said nothing until the time of a request was over.
+    /// It sent nothing until the time of a request was over.
     Silent,
 }
 
-/// One process's word on an engine, sent by datagram whenever it changes. A lost one is made good by
-/// the next, and forgotten after a while.
+/// One process's report on an engine, sent by datagram whenever it changes. A lost report is made up for by
+/// the next one, and reports expire after a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unread {
-    /// The engine, by [`instance_key`].
+    /// Key of the engine, by [`instance_key`].
     pub engine: u64,
-    /// Microseconds that the engine takes to read what the sender has sent there and it has not read yet.
+    /// Pending prefill of the sender's requests at the engine, in microseconds.
     pub micros: u64,
-    /// A beginning that the engine has just read for the sender, and keeps. Without the word of others a
-    /// process of seven knows a seventh of what engines keep, and engines read again what others have read.
+    /// A prompt prefix that the engine has just prefilled for the sender and now caches. Without reports,
+    /// each of seven processes would know a seventh of what engines cache, and engines would prefill again
+    /// what they already have.
     #[serde(default)]
     pub kept: Option<Beginning>,
-    /// How long the answer took whose beginning this tells of.
+    /// Time to first token of the response that has just begun.
     #[serde(default)]
     pub pace: Option<Pace>,
-    /// Requests that the engine runs, by its own word in the answer that has just begun.
+    /// Requests that the engine runs, by its own report in the response that has just begun.
     #[serde(default)]
     pub running: Option<u32>,
-    /// How the stream paused that has just ended there.
+    /// Pauses of the stream that has just ended there.
     #[serde(default)]
     pub pauses: Option<Pauses>,
-    /// What has just gone wrong there.
+    /// A fault that has just occurred there.
     #[serde(default)]
     pub trouble: Option<Trouble>,
 }
 
-/// The pauses of a stream that came whole.
+/// The pauses of a stream that ended normally.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pauses {
-    /// From its first event to its last.
+    /// Time from its first event to its last.
     pub lasted: time::Millis,
     /// The longest time between two of its events.
     pub longest: time::Millis,
-    /// The longest that its callers count as on time.
+    /// The longest pause that its callers accept.
     pub limit: time::Millis,
 }
 
-/// Parts at the beginning of a prompt that others may share.
+/// The prefix of a prompt that other prompts may share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beginning {
-    /// For whom it was read.
+    /// Model and adapter that it was prefilled for.
     pub reader: Reader,
-    /// The parts, in order.
+    /// Ids of its parts, in order.
     pub parts: Vec<u64>,
 }
 
-/// The model and adapter for which a part was read, by their hashes.
+/// Model and adapter that a prompt part was prefilled for, by their hashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Reader {
-    /// Of the model, by [`key`].
+    /// The model, by [`key`].
     pub model: u64,
-    /// Of the whole name, the adapter included.
+    /// Model and adapter together.
     pub whole: u64,
 }
 
 impl Reader {
-    /// The one for `wanted`.
+    /// The scope of `wanted`.
     #[must_use]
     pub fn of(wanted: &dialect::Wanted) -> Self {
         Self {
@@ -199,8 +202,8 @@
 }
 
 impl Beginning {
-    /// What of a prompt others may share: all parts but the last, which is its own or its session's. None
-    /// where that is nothing.
+    /// The prefix of a prompt that other prompts may share: all parts but the last, which belongs to this
+    /// request or its session. None if that is empty.
     #[must_use]
     pub fn of(wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) -> Option<Self> {
         let (_, shared) = parts.split_last()?;
@@ -212,29 +215,30 @@
     }
 }
 
-/// Parts of one beginning that are told, which bounds a datagram.
+/// Parts of a prefix that are reported, to bound the size of a datagram.
 const MAX_PREFIX_PARTS: usize = 8;
 
-/// The short name of a model in datagrams.
+/// The hash that identifies a model in datagrams.
 #[must_use]
 pub fn key(model: &str) -> u64 {
     hash(&model)
 }
 
-/// The short name of an instance in datagrams. Another start has another: what was sent to the one before
-/// is not read there.
+/// The hash that identifies an instance in datagrams. It differs between starts of an endpoint, as what was
+/// sent to an earlier start is not prefilled by the new one.
 #[must_use]
 pub fn instance_key(instance: &directory::InstanceId) -> u64 {
     hash(instance)
 }
 
-/// Whether there are so many entry processes that models have homes.
+/// Whether there are so many entry processes that models have coordinators.
 #[must_use]
 pub fn have_homes(entries: &[net::Ipv4Addr]) -> bool {
     entries.len() > GROUP
 }
 
-/// The homes of a model among `entries`, the one to be asked first; none where these all tell each other.
+/// The coordinators of a model among `entries`, in the order in which they are queried; none if all
+/// processes report to each other.
 #[must_use]
 pub fn homes(model: u64, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
     if !have_homes(entries) {
@@ -243,8 +247,8 @@
     ranked(model, entries, HOMES)
 }
 
-/// The `count` of `entries` with the highest hash of both (rendezvous hashing), so that all processes find the
-/// same ones, and one that comes or goes changes few.
+/// The `count` of `entries` with the highest hash of key and entry (rendezvous hashing). All processes find
+/// the same ones, and an entry that is added or removed changes few of them.
 pub(crate) fn ranked(key: u64, entries: &[net::Ipv4Addr], count: usize) -> Vec<net::Ipv4Addr> {
     let weighted = ranked_with_hashes(key, entries, count);
     weighted.into_iter().map(|(_, entry)| entry).collect()
@@ -253,7 +257,7 @@
 /// An entry process with its hash for one key.
 pub(crate) type HashedEntry = (u64, net::Ipv4Addr);
 
-/// The same as [`ranked`], with their hashes.
+/// As [`ranked`], with the hashes.
 pub(crate) fn ranked_with_hashes(
     key: u64,
     entries: &[net::Ipv4Addr],
@@ -276,7 +280,8 @@
     (hash(&(key, entry)), entry)
 }
 
-/// The same on every process of one build: the standard library's hasher with its fixed keys.
+/// Hashes a value in the same way on every process of one build: by the standard library's hasher with its
+/// fixed keys.
 #[must_use]
 pub fn hash<T: Hash>(value: &T) -> u64 {
     let mut hasher = hash_map::DefaultHasher::new();
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -1,31 +1,33 @@
-//! Requests under which endpoints end, and which are therefore passed on no more.
+//! Requests that crash endpoints, and are therefore held: refused instead of passed on.
 //!
-//! Some request makes each endpoint crash that runs it. Its caller, who has no answer, sends it again, under
-//! another id and to another entry process. Passed on each time, it takes the whole pool down. So what ended
-//! under which request is remembered by what the request asks ([`crate::fingerprint`]), not by its id, and by all
-//! processes: an entry process tells control what it saw, control processes tell each other, and all entry
-//! processes are told of a request under which [`ENDS`] starts of endpoints have ended. It is *held*: refused at
-//! once, at every entry process, for [`KEPT`].
+//! A poison request crashes each endpoint that runs it. Its caller gets no response and sends it again,
+//! with another id and to another entry process; passed on each time, it takes down the whole pool. So
+//! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
+//! all processes together: an entry process reports what it saw to control, control processes exchange
+//! reports, and all entry processes are told of a request that [`ENDS`] instances of endpoints crashed
+//! under. It is then *held*, that is refused at once by every entry process, for [`KEPT`].
 //!
 //! # Evidence, and how it is merged
 //!
-//! A [`Crash`] says that one start of an endpoint ended while it ran one request. Evidence only grows: that a
-//! crash happened, and that it is *cleared*, are facts that stay true, so processes merge what they hear in any
-//! order, twice or late, and come to the same. A request is held while [`ENDS`] crashes under it are not cleared.
+//! A [`Crash`] says that one instance of an endpoint ended while it ran one request. Evidence only grows:
+//! that a crash happened, and that it was *cleared*, are facts that stay true. So processes may merge what
+//! they receive in any order, repeatedly or late, and arrive at the same state. A request is held while
+//! [`ENDS`] crashes under it are not cleared.
 //!
-//! # Those that ran beside it
+//! # Bystanders
 //!
-//! All requests that an endpoint ran end with it, and nobody sees which of them was the cause. One that is
-//! answered whole afterwards, by any endpoint, was not: its crashes are cleared. That is so for most when they
-//! are sent a second time. What many callers ask at the same time may run at three endpoints that end at once, as
-//! with a rack; a process that has answered it within the last minute takes any crash under it for cleared, and
-//! tells the others. So a bystander is held only if it was at three endpoints that ended, and came through nowhere.
+//! All requests that an endpoint was running end with it, and nobody sees which of them was the cause. A
+//! request that any endpoint completes afterwards was not: its crashes are cleared. For most bystanders
+//! this happens when they are retried. A request that many callers send at once may run on three endpoints
+//! that end together, for instance with a rack; a process that has completed it within the last minute
+//! takes any crash under it as cleared and tells the others. So a bystander is held only if it ran on three
+//! endpoints that ended and completed nowhere.
 //!
 //! # Bounds
 //!
-//! Whoever sends requests can make entries here, at the cost of a crash for each batch that an endpoint runs.
-//! [`MAX_REQUESTS`] are remembered; the one whose last crash is the oldest gives way, one that is not held
-//! before one that is.
+//! Anyone who sends requests can create entries here, at the price of one crash for each batch that an
+//! endpoint runs. [`MAX_REQUESTS`] requests are remembered. The one with the oldest last crash is evicted
+//! first, and requests that are not held are evicted before those that are.
 
 use std::{cmp, collections};
 
@@ -36,83 +38,84 @@
     quarantine::{Crash, Fingerprint, Held},
 };
 
-/// Starts of endpoints that end under a request until it is held. One end may be anybody's, and two happen to a
-/// bystander that is sent a second time to the endpoint to which the cause went as well. Each more costs every
-/// caller an endpoint for the seconds of its restart.
+/// Crashes of endpoint instances after which a request is held. A single crash may have any cause, and two
+/// happen to a bystander that is retried on the endpoint where the poison request went as well. Each
+/// further crash costs every caller an endpoint for the seconds of its restart.
 pub const ENDS: usize = 3;
 
-/// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers who got no
-/// answer come back for minutes; after it the cause costs three endpoints once more.
+/// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers without a
+/// response retry for minutes. After this time, a poison request costs three endpoints once more.
 pub const KEPT: time::Millis = time::Millis(3_600_000);
 
-/// Requests that are remembered at the most. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the
-/// smallest VMs.
+/// Requests that are remembered. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the smallest
+/// VMs.
 pub const MAX_REQUESTS: usize = 8_192;
 
-/// Requests that give way at once where there is no room for one more.
+/// Requests that are evicted together when there is no room for another one.
 const EVICTION_BATCH: usize = MAX_REQUESTS / 16;
 
-/// Held requests that the control group keeps at the most: some 10 KB of its log for each change of them.
+/// Held requests that the control group persists: some 10 KB of its log for each change.
 const MAX_PERSISTED: usize = 256;
 
-/// Crashes that are remembered of one request: enough to stay held if all but three were cleared elsewhere.
+/// Crashes that are remembered for each request: enough to keep it held if all but three were cleared
+/// elsewhere.
 const MAX_CRASHES: usize = 2 * ENDS;
 
-/// For how long, at the least, what was answered is known to be sound; at the most for twice that. What is asked so
-/// often that it runs at several endpoints at once is answered many times in it.
+/// How long a completed request is remembered at least; at most it is twice as long. A request that is sent
+/// so often that it runs on several endpoints at once completes many times within that.
 const SUCCESS_WINDOW: time::Millis = time::Millis(30_000);
 
-/// What was answered in that time and is remembered: some 150 KB with the span before.
+/// Completed requests that are remembered in one window: some 150 KB together with the window before.
 const MAX_SUCCESSES: usize = 4_096;
 
-/// Between two looks for what is past [`KEPT`].
+/// Interval at which crashes older than [`KEPT`] are removed.
 const SWEEP_INTERVAL: time::Millis = time::Millis(10_000);
 
-/// What a peer is to be told.
+/// Which crashes a peer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Telling {
-    /// All crashes: it counts them together with those that others saw.
+    /// All crashes, for peers that merge them with those of others.
     All,
-    /// Those under requests that are held, or were.
+    /// Those under requests that are or were held.
     Held,
 }
 
-/// What a piece of evidence changed.
+/// Effect of a piece of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it was known, or is too old.
+    /// None: it was known or is too old.
     None,
-    /// It is new, and the request goes on as before.
+    /// It is new, but doesn't change whether the request is held.
     Noted,
-    /// The request is held from now on.
+    /// The request is now held.
     Held,
-    /// The request is held no more.
+    /// The request is no longer held.
     Released,
 }
 
-/// What several pieces of evidence changed.
+/// Combined effect of several pieces of evidence.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Taken {
-    /// Whether there was anything new.
+    /// Whether any of them was new.
     pub is_news: bool,
-    /// Requests that are held from now on.
+    /// Requests that are now held.
     pub held: Vec<Fingerprint>,
-    /// Requests that are held no more.
+    /// Requests that are no longer held.
     pub released: Vec<Fingerprint>,
 }
 
-/// What the two ends of a link between processes know of each other's crashes.
+/// Progress of the exchange of crashes with one peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Link {
-    /// Up to where those that the peer remembers are known here.
+    /// Up to where the peer's crashes are known here.
     pub read: Mark,
-    /// Up to where the peer was told of those that this process remembers.
+    /// Up to where the peer was told the crashes of this process.
     pub told: Mark,
 }
 
 impl Link {
-    /// The peer was told of crashes up to `told`, and has answered with its own mark. One that was started anew
-    /// remembers nothing, whatever was told to the start before it, and is told all the next time.
+    /// Records that the peer was told crashes up to `told` and replied with its own mark. A restarted peer
+    /// has lost its state, whatever its previous start was told, and is told everything the next time.
     pub fn answered(&mut self, told: Mark, mark: Mark) {
         let is_known = mark.start == self.read.start;
         self.told = if is_known { told } else { Mark::default() };
@@ -120,19 +123,19 @@
     }
 }
 
-/// What one process remembers.
+/// The crashes known to one process.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     start: u64,
     change: u64,
-    /// The change by which something of a held request was learnt last.
+    /// The last change that concerned a held request.
     held_change: u64,
     requests: collections::HashMap<Fingerprint, Suspect>,
     swept: time::Instant,
     recent_successes: RecentSuccesses,
 }
 
-/// What was answered whole lately, in two spans of which the older one is forgotten as a whole.
+/// Requests that completed recently, in two windows of which the older one is dropped as a whole.
 #[derive(Debug, Clone, Default)]
 struct RecentSuccesses {
     current: collections::HashSet<Fingerprint>,
@@ -166,22 +169,22 @@
     }
 }
 
-/// A request under which endpoints ended.
+/// A request that endpoints crashed under.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
     crashes: Vec<KnownCrash>,
-    /// It is held, or was: entry processes were told of it.
+    /// Whether it is or was held, so that entry processes were told of it.
     was_held: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct KnownCrash {
     endpoint: u64,
-    /// When it is forgotten. It may have happened before this process started, so that its clock has no
-    /// reading for that.
+    /// When it expires. The crash may have happened before this process started, so that its clock can't
+    /// express that time.
     expires_at: time::Instant,
     is_cleared: bool,
-    /// By which change it was learnt last.
+    /// The last change that affected it.
     change: u64,
 }
 
@@ -206,13 +209,13 @@
         counting.count() >= ENDS
     }
 
-    /// When the last of its crashes is forgotten.
+    /// When its last crash expires.
     fn expires(&self) -> time::Instant {
         let all = self.crashes.iter().map(|it| it.expires_at);
         all.max().unwrap_or_default()
     }
 
-    /// What the control group keeps of it.
+    /// The record that the control group persists.
     fn to_held(&self, now: time::Instant, content: Fingerprint) -> Held {
         let crashes = self.crashes.iter().filter(|it| it.is_counted(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
@@ -220,13 +223,13 @@
         Held { content, endpoints }
     }
 
-    /// By which change something of it was learnt last.
+    /// The last change that affected any of its crashes.
     fn last_change(&self) -> u64 {
         let all = self.crashes.iter().map(|it| it.change);
         all.max().unwrap_or_default()
     }
 
-    /// Takes one piece of evidence, as of change number `change`. Returns whether it is new.
+    /// Merges one piece of evidence as change number `change`. Returns whether it is new.
     fn take(&mut self, now: time::Instant, crash: &Crash, change: u64) -> bool {
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|it| it.endpoint == crash.endpoint) {
@@ -255,7 +258,7 @@
 }
 
 impl Quarantine {
-    /// Remembers nothing. `start` tells this start of the process from others.
+    /// Creates an empty quarantine. `start` identifies this start of the process.
     #[must_use]
     pub fn new(start: u64) -> Self {
         Self {
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Up to where this process's memory is known to whom it is told now.
+    /// The mark that a peer reaches which is told everything now.
     #[must_use]
     pub fn mark(&self) -> Mark {
         Mark {
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Whether there is something to tell a peer that knows this process's memory up to `mark`.
+    /// Whether there is anything to send to a peer that knows this process's crashes up to `mark`.
     #[must_use]
     pub fn has_news(&self, mark: Mark, telling: Telling) -> bool {
         let newest = match telling {
@@ -283,7 +286,7 @@
         newest > mark.of(self.start)
     }
 
-    /// What a peer is to be told that knows this process's memory up to `mark`.
+    /// The crashes to send to a peer that knows those of this process up to `mark`.
     #[must_use]
     pub fn since(&self, now: time::Instant, mark: Mark, telling: Telling) -> Vec<Crash> {
         if !self.has_news(mark, telling) {
@@ -294,7 +297,7 @@
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
             match telling {
-                // All that led to it: a peer was told nothing before it was held.
+                // Includes all crashes of the request, since the peer was told none before it was held.
                 Telling::Held if suspect.was_held && suspect.last_change() > after => {
                     told.extend(crashes);
                 }
@@ -308,7 +311,7 @@
         told
     }
 
-    /// Takes what another process tells, or this one has seen.
+    /// Merges the evidence of another process, or of this one.
     pub fn take_all(&mut self, now: time::Instant, crashes: &[Crash]) -> Taken {
         let mut taken = Taken::default();
         for crash in crashes {
@@ -323,7 +326,7 @@
         taken
     }
 
-    /// Takes a piece of evidence, one's own or that of another process.
+    /// Merges one piece of evidence, from this process or another one.
     pub fn take(&mut self, now: time::Instant, crash: &Crash) -> Change {
         if crash.age >= KEPT {
             return Change::None;
@@ -353,8 +356,8 @@
         }
     }
 
-    /// The request was answered whole: it was the cause of none of the ends so far. Returns whether there were
-    /// any to clear.
+    /// Records that the request completed, so that it caused none of the crashes so far. Returns whether
+    /// there were any to clear.
     pub fn answered(&mut self, now: time::Instant, content: Fingerprint) -> bool {
         self.recent_successes.insert(now, content);
         let Some(suspect) = self.requests.get(&content) else {
@@ -373,7 +376,7 @@
         !cleared.is_empty()
     }
 
-    /// How much longer a request is held; none if it is not.
+    /// How much longer a request is held; none if it is not held.
     #[must_use]
     pub fn held_for(&self, now: time::Instant, content: Fingerprint) -> Option<time::Millis> {
         let suspect = self.requests.get(&content)?;
@@ -381,12 +384,12 @@
         let mut until: Vec<_> = crashes.map(|it| it.expires_at).collect();
         until.sort_unstable();
         until.reverse();
-        // It is held until fewer are left.
+        // The request is held until fewer than that are left.
         let end = until.get(ENDS - 1)?;
         Some(end.since(now))
     }
 
-    /// How many endpoints have ended under a request, as far as it was not cleared of them.
+    /// Number of endpoints that crashed under a request and were not cleared.
     #[must_use]
     pub fn ends(&self, now: time::Instant, content: Fingerprint) -> usize {
         let suspect = self.requests.get(&content);
@@ -395,15 +398,15 @@
         })
     }
 
-    /// How many requests are held.
+    /// Number of held requests.
     #[must_use]
     pub fn count_held(&self, now: time::Instant) -> usize {
         let requests = self.requests.values();
         requests.filter(|it| it.is_held(now)).count()
     }
 
-    /// The requests that are held, in order, to be kept by the control group: [`MAX_PERSISTED`] at the most,
-    /// those that were held last.
+    /// The held requests that the control group persists, in order: the [`MAX_PERSISTED`] that crashed an
+    /// endpoint last.
     #[must_use]
     pub fn held(&self, now: time::Instant) -> Vec<Held> {
         let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
@@ -418,7 +421,8 @@
         held
     }
 
-    /// Takes what the control group has kept. When it happened is not known any more: it counts from now.
+    /// Restores held requests that the control group has persisted. As the time of the crashes is unknown,
+    /// they count from now.
     pub fn restore(&mut self, now: time::Instant, held: &[Held]) {
         for it in held {
             for endpoint in &it.endpoints {
@@ -433,7 +437,7 @@
         }
     }
 
-    /// Forgets what is past [`KEPT`].
+    /// Removes crashes that are older than [`KEPT`].
     fn sweep(&mut self, now: time::Instant) {
         if now.since(self.swept) < SWEEP_INTERVAL {
             return;
@@ -445,7 +449,7 @@
         });
     }
 
-    /// Makes room for one request more, and for some to come: looking for the oldest takes a look at all.
+    /// Makes room for another request and for some more, since looking for the oldest visits all of them.
     fn evict_oldest(&mut self, now: time::Instant, content: Fingerprint) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&content) {
             return;
--- a/crates/sageshed-fleet/src/routes.rs
+++ b/crates/sageshed-fleet/src/routes.rs
@@ -1,8 +1,7 @@
-//! Which route a request takes: that of its host with the longest prefix of its path.
+//! Finds the route of a request: the one for its host with the longest matching path prefix.
 //!
-//! Routes are kept by host and prefix. A request looks up each prefix of its path that ends with a
-//! slash, longest first, so the cost grows with the depth of the path and not with the number of
-//! routes.
+//! Routes are indexed by host and prefix. A request looks up each prefix of its path that ends with a
+//! slash, longest first, so the cost grows with the depth of the path and not with the number of routes.
 
 use std::collections;
 
@@ -31,7 +30,7 @@
         }
     }
 
-    /// The route of a request for `path` at `host`, which may name a port.
+    /// The route of a request for `path` at `host`, which may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&config::Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
@@ -46,22 +45,22 @@
         None
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are none.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 }
 
-/// The target that `draw`, a random number, picks by weight.
+/// Selects a target by weight, with `draw` as the random number.
 ///
-/// None where the weights add up to zero, which a valid configuration does not have.
+/// None if the weights add up to zero, which a valid configuration rules out.
 #[must_use]
 pub fn pick(targets: &[config::Target], draw: u64) -> Option<&config::Target> {
     let sum: u64 = targets.iter().map(|it| u64::from(it.weight)).sum();
--- a/crates/sageshed-fleet/src/workspaces.rs
+++ b/crates/sageshed-fleet/src/workspaces.rs
@@ -1,14 +1,14 @@
-//! Who sends a request: the workspace that holds the key which the request shows.
+//! Authenticates requests: finds the workspace whose key a request carries.
 //!
-//! A configuration may have workspaces, each with keys. Then a request shows a key, but on a route that is open
-//! to all, and one that shows none or an unknown one is refused before anything is sent. A configuration without
-//! workspaces asks nobody.
+//! If a configuration has workspaces, a request has to carry the key of one, except on an open route;
+//! otherwise it is refused before anything is sent. Without workspaces in the configuration, no key is
+//! needed.
 //!
-//! Keys are looked up by their digests ([`secret::KeyDigest`]), so a request costs one look-up whatever the
-//! number of keys. What a configuration says of keys holds while it is in force: a key that a newer one has
-//! dropped or given to another workspace is looked up anew before each sending, so that a request which
-//! waits does not outlive its key. What an endpoint runs already goes on: an answer that is cut would tell its
-//! caller nothing and the work is done.
+//! Keys are looked up by their digest ([`secret::KeyDigest`]), so a request costs one lookup whatever the
+//! number of keys. Keys are valid as long as the configuration that holds them is in force: before each
+//! attempt, the key is looked up again if a newer configuration has removed it or given it to another
+//! workspace, so that a waiting request does not outlive its key. A request that an endpoint already runs
+//! continues; an interrupted response would be of no use to its caller, and the work is done.
 
 use std::{collections, sync};
 
@@ -17,24 +17,24 @@
 
 use crate::config;
 
-/// Why a request is refused for what it shows.
+/// Why a request fails authentication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Stranger {
-    /// It shows no key.
+    /// It carries no key.
     #[display("send the workspace's key as `Authorization: Bearer KEY`")]
     NoKey,
-    /// It shows something that is no key.
+    /// Its credentials are malformed.
     #[display("{_0}; send the workspace's key as `Authorization: Bearer KEY`, once")]
     Malformed(&'static str),
-    /// No workspace holds the key: it is unknown, or was taken away.
+    /// No workspace holds the key: it is unknown or was revoked.
     #[display("no workspace holds this key")]
     UnknownKey,
 }
 
-/// A workspace as a request is known by it, without its keys.
+/// A workspace without its keys, shared by the requests that it sends.
 pub type Known = sync::Arc<config::Workspace>;
 
-/// The workspaces of one configuration, by their keys.
+/// The workspaces of one configuration, indexed by their keys.
 #[derive(Debug, Clone)]
 pub struct Workspaces {
     all: Vec<Known>,
@@ -42,7 +42,7 @@
 }
 
 impl Workspaces {
-    /// Indexes `workspaces` by `keys`, each with the place of its holder among them.
+    /// Indexes `workspaces` by their keys.
     #[must_use]
     pub fn new(workspaces: &config::Workspaces) -> Self {
         Self {
@@ -51,18 +51,18 @@
         }
     }
 
-    /// The workspace that holds a key with this digest.
+    /// The workspace that holds the key with this digest.
     #[must_use]
     pub fn holder(&self, key: secret::KeyDigest) -> Option<&Known> {
         self.all.get(*self.holders.get(&key)?)
     }
 
-    /// Who sends a request that shows `shown` and takes a route that is open to all or not. None on an open
-    /// route, where it shows no key that is known.
+    /// The workspace that sends a request with the credentials `shown`; none on an open route (`is_open`)
+    /// if the key is missing or unknown.
     ///
     /// # Errors
     ///
-    /// If the route asks for a key, and no workspace holds what is shown.
+    /// If the route is not open and no workspace holds the key.
     pub fn identify(
         &self,
         shown: secret::Credential,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Who sends a request, where the configuration may have no workspaces at all.
+/// As [`Workspaces::identify`], for a configuration that may have no workspaces at all.
 ///
 /// # Errors
 ///
