--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -47,7 +47,7 @@
 pub use question::{Next, Question};
 pub use share::Share;
 
-use crate::{directory, neighbours};
+use crate::{directory, entry_peers};
 
 /// Producers of an allowance. A lost producer takes its fifteenth of the rate with it until it is no longer
 /// listed, and a partitioned one that continues by an old list adds as much. Both stay below the tenth that
@@ -101,19 +101,19 @@
     /// The quota of a workspace.
     #[must_use]
     pub fn of_workspace(name: &str) -> Self {
-        Self(neighbours::hash(&("workspace", name)))
+        Self(entry_peers::hash(&("workspace", name)))
     }
 
     /// The retries of requests to a service.
     #[must_use]
     pub fn of_repeats(service: &str) -> Self {
-        Self(neighbours::hash(&("repeats", service)))
+        Self(entry_peers::hash(&("repeats", service)))
     }
 
     /// The requests that an instance of an endpoint accepts.
     #[must_use]
     pub fn of_endpoint(id: &directory::InstanceId) -> Self {
-        Self(neighbours::hash(&("endpoint", id)))
+        Self(entry_peers::hash(&("endpoint", id)))
     }
 }
 
@@ -219,5 +219,5 @@
 /// The producers of an allowance among `entries`, in the order in which they are asked to coordinate it.
 #[must_use]
 pub fn producers(of: Key, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
-    neighbours::ranked(of.0, entries, PRODUCERS)
+    entry_peers::ranked(of.0, entries, PRODUCERS)
 }
--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -7,7 +7,7 @@
 use super::{
     Ask, BATCH_STEP_MS, Choice, Chooser, EngineSelection, Missing, Pick, endpoint, prefill_speed,
 };
-use crate::{dialect, neighbours};
+use crate::{dialect, entry_peers};
 
 /// The lowest estimate in milliseconds from which prefill speed is learned. Below, the time to first token
 /// is mostly network round trip and the step that was in progress.
@@ -23,7 +23,7 @@
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        word: &neighbours::Unread,
+        word: &entry_peers::Unread,
     ) -> bool {
         let Some(key) = self.by_short_name(word.engine) else {
             return false;
@@ -55,7 +55,7 @@
     }
 
     /// Learns the prefill speed of an engine from a request of another process.
-    fn learn_pace(&mut self, key: arena::EndpointKey, pace: neighbours::Pace) {
+    fn learn_pace(&mut self, key: arena::EndpointKey, pace: entry_peers::Pace) {
         let estimated = f64::from(pace.estimated) - BATCH_STEP_MS;
         if estimated < MIN_LEARNABLE_ESTIMATE_MS {
             return;
@@ -66,7 +66,7 @@
         };
         endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
         let models = endpoint.instance.models.iter();
-        let mut matching = models.filter(|it| neighbours::key(&it.model) == pace.model);
+        let mut matching = models.filter(|it| entry_peers::key(&it.model) == pace.model);
         if let Some(model) = matching.next().map(|it| it.model.clone()) {
             self.prefill_speeds.learn(&model, factor);
         }
@@ -74,10 +74,10 @@
 
     /// The report to send on an engine that this process sends to, with its recipients.
     #[must_use]
-    pub fn word_on(&self, pick: &Pick) -> Option<(neighbours::Unread, Vec<net::Ipv4Addr>)> {
+    pub fn word_on(&self, pick: &Pick) -> Option<(entry_peers::Unread, Vec<net::Ipv4Addr>)> {
         let endpoint = self.get(pick.key)?;
-        let word = neighbours::Unread {
-            engine: neighbours::instance_key(&endpoint.instance.id),
+        let word = entry_peers::Unread {
+            engine: entry_peers::instance_key(&endpoint.instance.id),
             micros: endpoint.pending_prefill_us,
             kept: None,
             pace: None,
@@ -113,16 +113,16 @@
         to: net::Ipv4Addr,
         request: u64,
         ask: &Ask<'_>,
-    ) -> neighbours::Place {
+    ) -> entry_peers::Place {
         let Some(wanted) = ask.wanted else {
-            return neighbours::Place::Unknown;
+            return entry_peers::Place::Unknown;
         };
         let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
         if with_adapter.is_empty()
             && without_adapter.is_empty()
             && self.open_endpoints(now, ask).next().is_none()
         {
-            return neighbours::Place::Unknown;
+            return entry_peers::Place::Unknown;
         }
         let key = match self.select_engine(now, ask, &with_adapter, &without_adapter) {
             EngineSelection::Engine(key) => key,
@@ -130,19 +130,19 @@
                 let expected = self
                     .wait_estimates
                     .record_waiting(now, &wanted.model, request);
-                return neighbours::Place::Wait { expected };
+                return entry_peers::Place::Wait { expected };
             }
             EngineSelection::Missing(_) | EngineSelection::Fetch(_) => {
-                return neighbours::Place::Unknown;
+                return entry_peers::Place::Unknown;
             }
         };
         let estimate = super::to_millis(self.estimate_ms(now, key, ask));
         let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
-            return neighbours::Place::Unknown;
+            return entry_peers::Place::Unknown;
         };
         endpoint.add_routed(now, to, reading);
-        let place = neighbours::Place::Engine {
-            engine: neighbours::instance_key(&endpoint.instance.id),
+        let place = entry_peers::Place::Engine {
+            engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
             kept_tokens: ask
                 .prompt_tokens
@@ -168,17 +168,17 @@
         (is_open && holds).then(|| self.dispatch_with_estimate(now, key, ask, estimate))
     }
 
-    /// Looks up an endpoint by its [`neighbours::instance_key`].
+    /// Looks up an endpoint by its [`entry_peers::instance_key`].
     #[must_use]
     pub fn by_short_name(&self, name: u64) -> Option<arena::EndpointKey> {
         self.by_key.get(&name).copied()
     }
 
-    /// The [`neighbours::instance_key`] of an endpoint.
+    /// The [`entry_peers::instance_key`] of an endpoint.
     #[must_use]
     pub fn short_name(&self, key: arena::EndpointKey) -> Option<u64> {
         let endpoint = self.get(key)?;
-        Some(neighbours::instance_key(&endpoint.instance.id))
+        Some(entry_peers::instance_key(&endpoint.instance.id))
     }
 }
 
@@ -191,24 +191,24 @@
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        trouble: neighbours::Trouble,
+        trouble: entry_peers::Trouble,
     ) {
         let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
-            let found = models.find(|it| neighbours::key(&it.model) == model);
+            let found = models.find(|it| entry_peers::key(&it.model) == model);
             found.map(|it| dialect::Wanted {
                 model: it.model.clone(),
                 adapter: None,
             })
         };
         match trouble {
-            neighbours::Trouble::Rejects(model) | neighbours::Trouble::Lacks(model) => {
+            entry_peers::Trouble::Rejects(model) | entry_peers::Trouble::Lacks(model) => {
                 if let Some(wanted) = find_model(model) {
                     self.record_rejection(now, Some(&wanted));
                 }
             }
-            neighbours::Trouble::Fails | neighbours::Trouble::Silent => self.record_failure(now),
-            neighbours::Trouble::Unreachable => {
+            entry_peers::Trouble::Fails | entry_peers::Trouble::Silent => self.record_failure(now),
+            entry_peers::Trouble::Unreachable => {
                 self.record_failure(now);
                 let before = self.unreachable_from.replace((from, now));
                 let is_second = before
--- a/crates/sageshed-fleet/src/chooser/homes.rs
+++ b/crates/sageshed-fleet/src/chooser/homes.rs
@@ -10,7 +10,7 @@
 
 use std::{collections, net};
 
-use crate::{directory, neighbours};
+use crate::{directory, entry_peers};
 
 /// The coordinators of all models that engines hold.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     own: net::Ipv4Addr,
     /// Sorted.
     entries: Vec<net::Ipv4Addr>,
-    by_model: collections::HashMap<String, Vec<neighbours::HashedEntry>>,
+    by_model: collections::HashMap<String, Vec<entry_peers::HashedEntry>>,
 }
 
 impl Default for Homes {
@@ -53,15 +53,16 @@
             .collect();
         let mut ranked = 0;
         for (model, homes) in &mut self.by_model {
-            let key = neighbours::key(model);
-            let is_there = |it: &neighbours::HashedEntry| self.entries.binary_search(&it.1).is_ok();
-            if homes.len() < neighbours::HOMES || !homes.iter().all(is_there) {
-                *homes = neighbours::ranked_with_hashes(key, &self.entries, neighbours::HOMES);
+            let key = entry_peers::key(model);
+            let is_there =
+                |it: &entry_peers::HashedEntry| self.entries.binary_search(&it.1).is_ok();
+            if homes.len() < entry_peers::HOMES || !homes.iter().all(is_there) {
+                *homes = entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::HOMES);
                 ranked += 1;
             } else {
-                homes.extend(joined.iter().map(|it| neighbours::hashed_entry(key, *it)));
+                homes.extend(joined.iter().map(|it| entry_peers::hashed_entry(key, *it)));
                 homes.sort_unstable_by(|a, b| b.cmp(a));
-                homes.truncate(neighbours::HOMES);
+                homes.truncate(entry_peers::HOMES);
             }
         }
         ranked
@@ -74,8 +75,8 @@
                 continue;
             }
             let homes = if self.exist() {
-                let key = neighbours::key(&resident.model);
-                neighbours::ranked_with_hashes(key, &self.entries, neighbours::HOMES)
+                let key = entry_peers::key(&resident.model);
+                entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::HOMES)
             } else {
                 Vec::new()
             };
@@ -86,7 +87,7 @@
     /// Whether there are so many entry processes that models have coordinators.
     #[must_use]
     pub fn exist(&self) -> bool {
-        neighbours::have_homes(&self.entries)
+        entry_peers::have_homes(&self.entries)
     }
 
     /// The coordinators of a model, in the order in which they are queried; none if all processes report to
@@ -95,7 +96,7 @@
     pub fn of(&self, model: &str) -> Vec<net::Ipv4Addr> {
         match self.by_model.get(model) {
             Some(homes) => homes.iter().map(|it| it.1).collect(),
-            None => neighbours::homes(neighbours::key(model), &self.entries),
+            None => entry_peers::homes(entry_peers::key(model), &self.entries),
         }
     }
 
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -38,8 +38,8 @@
     ask::{Ask, Choice, Ended, Missing, Pick, Policy, Read, Routing},
     backpressure::Change,
 };
-pub use crate::neighbours::Pauses;
-use crate::{config, dialect, directory, neighbours};
+pub use crate::entry_peers::Pauses;
+use crate::{config, dialect, directory, entry_peers};
 
 /// Minimum cost of a request to an engine in milliseconds: one step of its batch.
 const BATCH_STEP_MS: f64 = 10.0;
@@ -161,7 +161,7 @@
         let endpoint = Endpoint::new(instance.clone());
         self.endpoints.push(Some(endpoint));
         self.by_key
-            .insert(neighbours::instance_key(&instance.id), key);
+            .insert(entry_peers::instance_key(&instance.id), key);
         self.by_id.insert(instance.id.clone(), key);
         let service = self.by_service.entry(instance.service.clone());
         service.or_default().push(key);
@@ -190,7 +190,7 @@
         let Some(key) = self.by_id.remove(id) else {
             return;
         };
-        self.by_key.remove(&neighbours::instance_key(id));
+        self.by_key.remove(&entry_peers::instance_key(id));
         let Some(endpoint) = self.endpoints[key.index()].take() else {
             return;
         };
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -6,7 +6,7 @@
 
 use std::collections;
 
-use crate::{dialect, directory, neighbours, neighbours::Reader};
+use crate::{dialect, directory, entry_peers, entry_peers::Reader};
 
 /// Prompt parts that are remembered for each engine.
 const MAX_PARTS: usize = 2_000;
@@ -38,7 +38,7 @@
     }
 
     /// Records a prefix that the engine prefilled for another process.
-    pub(super) fn insert_reported(&mut self, beginning: &neighbours::Beginning) {
+    pub(super) fn insert_reported(&mut self, beginning: &entry_peers::Beginning) {
         self.insert_parts(beginning.reader, beginning.parts.iter().copied());
     }
 
@@ -54,7 +54,10 @@
 
     /// Drops the prefixes of models that the engine has unloaded.
     pub(super) fn retain_models(&mut self, models: &[directory::Resident]) {
-        let resident: Vec<u64> = models.iter().map(|it| neighbours::key(&it.model)).collect();
+        let resident: Vec<u64> = models
+            .iter()
+            .map(|it| entry_peers::key(&it.model))
+            .collect();
         self.parts
             .retain(|(reader, _), _| resident.contains(&reader.model));
     }
--- a/crates/sageshed-fleet/src/fingerprint.rs
+++ b/crates/sageshed-fleet/src/fingerprint.rs
@@ -6,7 +6,7 @@
 
 use sageshed_types::quarantine;
 
-use crate::neighbours;
+use crate::entry_peers;
 
 /// The fingerprint of a request for `path`, still percent-encoded, at `host`.
 #[must_use]
@@ -17,5 +17,5 @@
     query: Option<&str>,
     body: &[u8],
 ) -> quarantine::Fingerprint {
-    quarantine::Fingerprint(neighbours::hash(&(method, host, path, query, body)))
+    quarantine::Fingerprint(entry_peers::hash(&(method, host, path, query, body)))
 }
--- a/crates/sageshed-fleet/src/lib.rs
+++ b/crates/sageshed-fleet/src/lib.rs
@@ -16,7 +16,7 @@
 //! | [`allowance`] | what may still be used of a bound that holds over all entry processes |
 //! | [`budget`] | whether a request may be sent a second time |
 //! | [`fingerprint`] | whether two requests are the same but for their ids |
-//! | [`neighbours`] | which entry processes tell each other what they send to an engine |
+//! | [`entry_peers`] | which entry processes tell each other what they send to an engine |
 //! | [`quarantine`] | which requests are passed on no more, since endpoints ended under them |
 //! | [`transfer`] | which chunks of a configuration are fetched, and from whom |
 //! | [`versions`] | how far a held configuration is behind the newest |
@@ -35,10 +35,10 @@
 pub mod config;
 pub mod dialect;
 pub mod directory;
+pub mod entry_peers;
 pub mod fingerprint;
 pub mod links;
 pub mod messages;
-pub mod neighbours;
 pub mod planner;
 pub mod quarantine;
 pub mod routes;
--- a/crates/sageshed-fleet/tests/neighbours.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -6,7 +6,7 @@
 
 use sageshed_fleet::{
     chooser::{Ask, Choice, Chooser, Missing, homes},
-    dialect, neighbours,
+    dialect, entry_peers,
 };
 use sageshed_types::time;
 
@@ -26,10 +26,10 @@
     shuffled.reverse();
     let mut members = collections::BTreeSet::new();
     for model in 0..470_u64 {
-        let key = neighbours::key(&format!("m{model}"));
-        let homes = neighbours::homes(key, &entries);
+        let key = entry_peers::key(&format!("m{model}"));
+        let homes = entry_peers::homes(key, &entries);
         assert_eq!(homes.len(), 2);
-        assert_eq!(homes, neighbours::homes(key, &shuffled));
+        assert_eq!(homes, entry_peers::homes(key, &shuffled));
         members.extend(homes);
     }
     assert_eq!(members.len(), 90);
@@ -46,13 +46,13 @@
     let told = homes.told(&engine);
     assert!(told.len() <= 6, "{told:?}");
     for model in ["m0", "m1", "m2"] {
-        let homes = neighbours::homes(neighbours::key(model), &many);
+        let homes = entry_peers::homes(entry_peers::key(model), &many);
         assert!(homes.iter().all(|it| told.contains(it)), "{model}");
     }
     let few = entries(7);
     homes.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
     assert_eq!(homes.told(&engine), few);
-    assert!(neighbours::homes(neighbours::key("m0"), &few).is_empty());
+    assert!(entry_peers::homes(entry_peers::key("m0"), &few).is_empty());
 }
 
 /// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
@@ -77,14 +77,14 @@
         for name in &names {
             assert_eq!(
                 known.of(name),
-                neighbours::homes(neighbours::key(name), &left)
+                entry_peers::homes(entry_peers::key(name), &left)
             );
         }
         ranked += known.set_entries(own, &all);
         for name in &names {
             assert_eq!(
                 known.of(name),
-                neighbours::homes(neighbours::key(name), &all)
+                entry_peers::homes(entry_peers::key(name), &all)
             );
         }
     }
@@ -97,8 +97,8 @@
     let before = entries(90);
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
-        let key = neighbours::key(&format!("m{model}"));
-        neighbours::homes(key, &before) != neighbours::homes(key, &after)
+        let key = entry_peers::key(&format!("m{model}"));
+        entry_peers::homes(key, &before) != entry_peers::homes(key, &after)
     });
     assert!(changed.count() <= 8);
 }
@@ -121,8 +121,8 @@
     let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
     chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.know(&support::engine("e1", &["m0"]));
-    let word = |micros| neighbours::Unread {
-        engine: neighbours::instance_key(&"e1".into()),
+    let word = |micros| entry_peers::Unread {
+        engine: entry_peers::instance_key(&"e1".into()),
         micros,
         kept: None,
         pace: None,
@@ -155,8 +155,8 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.know(&support::engine("e1", &["m0"]));
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&"e1".into()),
+    let word = entry_peers::Unread {
+        engine: entry_peers::instance_key(&"e1".into()),
         micros: 3_000_000,
         kept: None,
         pace: None,
@@ -185,11 +185,11 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.know(&support::engine("e1", &["m0", "m1"]));
     chooser.know(&support::engine("e2", &["m0", "m1"]));
-    let kept = neighbours::Beginning::of(&m0, &parts);
+    let kept = entry_peers::Beginning::of(&m0, &parts);
     assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
-    assert_eq!(neighbours::Beginning::of(&m0, &parts[1..]), None);
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&"e2".into()),
+    assert_eq!(entry_peers::Beginning::of(&m0, &parts[1..]), None);
+    let word = entry_peers::Unread {
+        engine: entry_peers::instance_key(&"e2".into()),
         micros: 0,
         kept,
         pace: None,
--- a/crates/sageshed-fleet/tests/homes.rs
+++ b/crates/sageshed-fleet/tests/homes.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Ask, Choice, Chooser, Ended},
     dialect,
-    neighbours::{self, Place, Trouble},
+    entry_peers::{self, Place, Trouble},
 };
 use sageshed_types::time;
 
@@ -32,7 +32,7 @@
 
 /// The home of m0, which knows `engines` that hold it.
 fn home(engines: &[&str]) -> Chooser {
-    let own = neighbours::homes(neighbours::key("m0"), &entries())[0];
+    let own = entry_peers::homes(entry_peers::key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for id in engines {
@@ -57,11 +57,11 @@
 }
 
 fn short(id: &str) -> u64 {
-    neighbours::instance_key(&id.into())
+    entry_peers::instance_key(&id.into())
 }
 
-fn word(id: &str, micros: u64) -> neighbours::Unread {
-    neighbours::Unread {
+fn word(id: &str, micros: u64) -> entry_peers::Unread {
+    entry_peers::Unread {
         engine: short(id),
         micros,
         kept: None,
@@ -137,12 +137,12 @@
 #[test]
 fn an_engine_that_rejects_one_process_is_not_advised_to_others() {
     for trouble in [
-        Trouble::Rejects(neighbours::key("m0")),
-        Trouble::Lacks(neighbours::key("m0")),
+        Trouble::Rejects(entry_peers::key("m0")),
+        Trouble::Lacks(entry_peers::key("m0")),
     ] {
         let mut home = home(&["e1", "e2"]);
         let wanted = m0();
-        let told = neighbours::Unread {
+        let told = entry_peers::Unread {
             trouble: Some(trouble),
             ..word("e1", 0)
         };
@@ -160,7 +160,7 @@
 fn the_word_of_one_process_leaves_no_engine_out() {
     let mut home = home(&["e1", "e2"]);
     let wanted = m0();
-    let lost = |id| neighbours::Unread {
+    let lost = |id| entry_peers::Unread {
         trouble: Some(Trouble::Unreachable),
         ..word(id, 0)
     };
@@ -236,7 +236,7 @@
 /// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
 #[test]
 fn the_home_itself_asks_nobody() {
-    let homes = neighbours::homes(neighbours::key("m0"), &entries());
+    let homes = entry_peers::homes(entry_peers::key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
         chooser.join_groups(own, &entries());
@@ -257,13 +257,13 @@
 fn a_home_learns_from_the_answers_of_others() {
     let mut home = home(&["e1", "e2"]);
     let wanted = m0();
-    let pace = neighbours::Pace {
-        model: neighbours::key("m0"),
+    let pace = entry_peers::Pace {
+        model: entry_peers::key("m0"),
         took: 800,
         estimated: 200,
     };
     for number in 0..60_u64 {
-        let told = neighbours::Unread {
+        let told = entry_peers::Unread {
             pace: Some(pace),
             ..word("e1", 0)
         };
@@ -289,7 +289,7 @@
     let mut home = home(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
-    let pauses = neighbours::Pauses {
+    let pauses = entry_peers::Pauses {
         lasted: time::Millis(500),
         longest: time::Millis(60),
         limit: time::Millis(400),
@@ -306,7 +306,7 @@
             }
         }
         sent.push(waiting);
-        let told = neighbours::Unread {
+        let told = entry_peers::Unread {
             pauses: Some(pauses),
             ..word("e1", 0)
         };
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -8,7 +8,7 @@
     chooser::{Choice, Chooser, Ended, Missing},
     dialect,
     directory::{self, Directory, Instance, InstanceId, Offer, Passing, State},
-    messages, neighbours,
+    entry_peers, messages,
     planner::{Action, Planner, Policy},
 };
 use sageshed_types::time;
@@ -265,8 +265,8 @@
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
         panic!("the engine is there");
     };
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&pick.instance),
+    let word = entry_peers::Unread {
+        engine: entry_peers::instance_key(&pick.instance),
         micros: 900_000,
         kept: None,
         pace: None,
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Ask, Chooser},
     dialect,
-    neighbours::{self, Place},
+    entry_peers::{self, Place},
 };
 use sageshed_types::time;
 
@@ -30,12 +30,12 @@
 }
 
 fn short(id: &str) -> u64 {
-    neighbours::instance_key(&id.into())
+    entry_peers::instance_key(&id.into())
 }
 
 /// What an entry process says of an engine whose answer has just begun.
-fn began(id: &str, running: u32, micros: u64) -> neighbours::Unread {
-    neighbours::Unread {
+fn began(id: &str, running: u32, micros: u64) -> entry_peers::Unread {
+    entry_peers::Unread {
         engine: short(id),
         micros,
         kept: None,
@@ -48,7 +48,7 @@
 
 /// The home of m0, which was told at `T0` how many requests each of these engines runs.
 fn home(engines: &[(&str, u32)]) -> Chooser {
-    let own = neighbours::homes(neighbours::key("m0"), &entries())[0];
+    let own = entry_peers::homes(entry_peers::key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for (id, running) in engines {
@@ -114,7 +114,7 @@
         let mut chooser = home(&[("e1", 12), ("e2", 0), ("e3", 14)]);
         let micros = case.ahead * 1_000;
         let now = at(case.later);
-        let told = neighbours::Unread {
+        let told = entry_peers::Unread {
             running: None,
             ..began("e2", 0, micros)
         };
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -8,7 +8,7 @@
 
 use std::{collections, time as std_time};
 
-use sageshed_fleet::{neighbours, quarantine};
+use sageshed_fleet::{entry_peers, quarantine};
 use sageshed_types::{endpoints, fault, refusal, time, verdict};
 use sageshed_upstream::probe;
 
@@ -43,7 +43,7 @@
     fn crash(&self, now: time::Instant) -> quarantine::Crash {
         quarantine::Crash {
             content: self.content,
-            endpoint: neighbours::hash(&(&self.endpoint, self.incarnation)),
+            endpoint: entry_peers::hash(&(&self.endpoint, self.incarnation)),
             age: now.since(self.at),
             is_cleared: false,
         }
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -7,7 +7,7 @@
     thread, time,
 };
 
-use sageshed_fleet::{allowance, chooser, dialect, neighbours as words};
+use sageshed_fleet::{allowance, chooser, dialect, entry_peers as words};
 use sageshed_types::time::Millis;
 
 use super::{allowances, state};
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -3,7 +3,7 @@
 
 use std::time as std_time;
 
-use sageshed_fleet::{chooser, config, dialect, neighbours as words};
+use sageshed_fleet::{chooser, config, dialect, entry_peers as words};
 use sageshed_http::reply;
 use sageshed_types::{headers, time, verdict};
 use sageshed_upstream::{exchange, failure};
--- a/src/sageshed/gateway/pass/held.rs
+++ b/src/sageshed/gateway/pass/held.rs
@@ -1,6 +1,6 @@
 //! Requests under which endpoints end, and which are passed on no more.
 
-use sageshed_fleet::{chooser, dialect, neighbours, quarantine};
+use sageshed_fleet::{chooser, dialect, entry_peers, quarantine};
 use sageshed_types::{refusal, time, verdict};
 use sageshed_upstream::{failure, probe};
 
@@ -23,7 +23,7 @@
         }
         let crash = quarantine::Crash {
             content: self.content,
-            endpoint: neighbours::instance_key(&pick.instance),
+            endpoint: entry_peers::instance_key(&pick.instance),
             age: time::Millis(0),
             is_cleared: false,
         };
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -2,7 +2,7 @@
 
 use std::time as std_time;
 
-use sageshed_fleet::{chooser, dialect, neighbours};
+use sageshed_fleet::{chooser, dialect, entry_peers};
 use sageshed_types::{refusal, time, verdict};
 
 use super::{BACK_SOON, Life, waiting::READ_RESERVE};
@@ -16,16 +16,16 @@
     core: &mut state::Core,
     now: time::Instant,
     ask: &chooser::Ask<'_>,
-    place: Option<neighbours::Place>,
+    place: Option<entry_peers::Place>,
 ) -> chooser::Choice {
     let advised = match place {
-        Some(neighbours::Place::Engine {
+        Some(entry_peers::Place::Engine {
             engine, estimate, ..
         }) => core.chooser.follow(now, engine, estimate, ask),
-        Some(neighbours::Place::Wait { .. }) => {
+        Some(entry_peers::Place::Wait { .. }) => {
             Some(chooser::Choice::Wait(chooser::Missing::Place))
         }
-        Some(neighbours::Place::Unknown) | None => None,
+        Some(entry_peers::Place::Unknown) | None => None,
     };
     advised.unwrap_or_else(|| core.chooser.choose(now, ask))
 }
@@ -36,23 +36,23 @@
         &self,
         ask: &chooser::Ask<'_>,
         asked_at: &mut Option<std_time::Instant>,
-    ) -> Option<neighbours::Place> {
+    ) -> Option<entry_peers::Place> {
         if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
-            return Some(neighbours::Place::Wait { expected: None });
+            return Some(entry_peers::Place::Wait { expected: None });
         }
-        let request = neighbours::key(self.id());
+        let request = entry_peers::key(self.id());
         let place = gateway::neighbours::ask(self.shared, request, ask);
         *asked_at = place.map(|_| std_time::Instant::now());
         place
     }
 
     /// Counts what the request asks for, once.
-    pub(super) fn count(&self, place: Option<neighbours::Place>) {
+    pub(super) fn count(&self, place: Option<entry_peers::Place>) {
         let Some(wanted) = self.wanted.filter(|_| !self.is_counted.replace(true)) else {
             return;
         };
         let kept = match place {
-            Some(neighbours::Place::Engine { kept_tokens, .. }) => Some(kept_tokens),
+            Some(entry_peers::Place::Engine { kept_tokens, .. }) => Some(kept_tokens),
             _ => None,
         };
         self.shared
@@ -62,10 +62,10 @@
     /// The refusal of a request that can't be reached in its time, by all that wait for its model anywhere.
     pub(super) fn hopeless_by_home(
         &self,
-        place: Option<neighbours::Place>,
+        place: Option<entry_peers::Place>,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let Some(neighbours::Place::Wait { expected }) = place else {
+        let Some(entry_peers::Place::Wait { expected }) = place else {
             return None;
         };
         let expected = expected.unwrap_or_default();
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -7,7 +7,7 @@
 };
 
 use sageshed_fleet::{
-    allowance, backlog, budget, chooser, dialect, directory, messages, neighbours as words,
+    allowance, backlog, budget, chooser, dialect, directory, entry_peers as words, messages,
     quarantine, tally,
 };
 use sageshed_types::{document, time};
--- a/tests/datagrams.rs
+++ b/tests/datagrams.rs
@@ -2,7 +2,7 @@
 
 use std::net;
 
-use sageshed_fleet::{allowance, directory, neighbours};
+use sageshed_fleet::{allowance, directory, entry_peers};
 use sageshed_types::time;
 
 /// The largest datagram that is read.
@@ -32,7 +32,7 @@
                 age: time::Millis(100_000),
             }),
         };
-        let question = neighbours::Datagram::Draw(draw);
+        let question = entry_peers::Datagram::Draw(draw);
         assert!(encoded(&question).len() <= LARGEST);
         let reply = home.draw(time::Instant(1), entries[1], &draw);
         pulls.extend(reply.pull);
@@ -41,11 +41,11 @@
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
     assert!(drawn >= 300, "{drawn}");
     for (pull, _) in pulls {
-        let datagram = encoded(&neighbours::Datagram::Pull(pull));
+        let datagram = encoded(&entry_peers::Datagram::Pull(pull));
         assert!(datagram.len() <= LARGEST, "{} bytes", datagram.len());
     }
 }
 
-fn encoded(datagram: &neighbours::Datagram) -> Vec<u8> {
+fn encoded(datagram: &entry_peers::Datagram) -> Vec<u8> {
     sageshed_vms::encode(datagram).expect("it can be encoded")
 }
