--- a/crates/sageshed-fleet/src/allowance/book.rs
+++ b/crates/sageshed-fleet/src/allowance/book.rs
@@ -6,8 +6,8 @@
 use sageshed_types::time;
 
 use super::{
-    Answer, Draw, Given, HOMES, Key, LISTED, LOST, PRODUCERS, Pot, Pull, Question, SETTLED, Share,
-    Terms, named, producers,
+    Answer, COORDINATORS, Draw, Given, Key, LISTED, LOST, PRODUCERS, Pot, Pull, Question, SETTLED,
+    Share, Terms, named, producers,
 };
 
 /// Allowances in one collection message. The reply takes some 20 bytes for each and has to fit into one
@@ -148,14 +148,14 @@
         // others still run.
         let is_whole = self.current.len() * 2 >= self.last_listed.len();
         let is_there = |it: &net::Ipv4Addr| !is_whole || self.current.contains(it);
-        let homes = ranked.into_iter().filter(is_there).take(HOMES);
-        let there = homes.filter(|it| !self.unresponsive.contains_key(it));
+        let coordinators = ranked.into_iter().filter(is_there).take(COORDINATORS);
+        let there = coordinators.filter(|it| !self.unresponsive.contains_key(it));
         Question::new(there.collect())
     }
 
     /// Records that a coordinator did not respond.
-    pub fn passed_over(&mut self, now: time::Instant, home: net::Ipv4Addr) {
-        self.unresponsive.insert(home, now);
+    pub fn passed_over(&mut self, now: time::Instant, coordinator: net::Ipv4Addr) {
+        self.unresponsive.insert(coordinator, now);
     }
 
     /// Returns an id for an acquisition that is unique in this process.
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -55,7 +55,7 @@
 pub const PRODUCERS: usize = 15;
 
 /// Number of producers, in order of rank, that may act as the coordinator.
-pub const HOMES: usize = 3;
+pub const COORDINATORS: usize = 3;
 
 /// A producer stores what accrues in this time: twice the collection interval, so that nothing is lost when
 /// a single collection fails.
--- a/crates/sageshed-fleet/src/allowance/question.rs
+++ b/crates/sageshed-fleet/src/allowance/question.rs
@@ -30,18 +30,18 @@
 /// State of one acquisition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Question {
-    homes: Vec<net::Ipv4Addr>,
+    coordinators: Vec<net::Ipv4Addr>,
     at: usize,
     tries: u32,
     postponements: u32,
 }
 
 impl Question {
-    /// Creates an acquisition from the first of `homes` that responds.
+    /// Creates an acquisition from the first of `coordinators` that responds.
     #[must_use]
-    pub fn new(homes: Vec<net::Ipv4Addr>) -> Self {
+    pub fn new(coordinators: Vec<net::Ipv4Addr>) -> Self {
         Self {
-            homes,
+            coordinators,
             at: 0,
             tries: 0,
             postponements: 0,
@@ -55,8 +55,8 @@
 
     fn ask_after(&mut self, span: time::Millis) -> Next {
         self.tries += 1;
-        match self.homes.get(self.at) {
-            Some(home) => Next::Ask(*home, span),
+        match self.coordinators.get(self.at) {
+            Some(coordinator) => Next::Ask(*coordinator, span),
             None => Next::Nobody,
         }
     }
@@ -81,7 +81,7 @@
         if self.tries < MAX_TRIES {
             return (self.ask_after(time::Millis(0)), None);
         }
-        let unresponsive = self.homes.get(self.at).copied();
+        let unresponsive = self.coordinators.get(self.at).copied();
         self.at += 1;
         self.tries = 0;
         (self.ask_after(time::Millis(0)), unresponsive)
--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -85,7 +85,7 @@
             pauses: None,
             trouble: None,
         };
-        Some((word, self.homes.told(&endpoint.instance)))
+        Some((word, self.coordinators.told(&endpoint.instance)))
     }
 
     /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
@@ -94,15 +94,15 @@
     /// A small number of processes has enough requests to learn from their own, and one process's bad luck
     /// with an engine would count against that engine for all.
     #[must_use]
-    pub fn has_homes(&self) -> bool {
-        self.homes.exist()
+    pub fn uses_coordinators(&self) -> bool {
+        self.coordinators.exist()
     }
 
     /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
     /// itself.
     #[must_use]
-    pub fn homes(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        self.homes.asked(model)
+    pub fn coordinators(&self, model: &str) -> Vec<net::Ipv4Addr> {
+        self.coordinators.asked(model)
     }
 
     /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
--- a/crates/sageshed-fleet/src/chooser/homes.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -14,14 +14,14 @@
 
 /// The coordinators of all models that engines hold.
 #[derive(Debug)]
-pub struct Homes {
+pub struct Coordinators {
     own: net::Ipv4Addr,
     /// Sorted.
     entries: Vec<net::Ipv4Addr>,
     by_model: collections::HashMap<String, Vec<entry_peers::HashedEntry>>,
 }
 
-impl Default for Homes {
+impl Default for Coordinators {
     fn default() -> Self {
         Self {
             own: net::Ipv4Addr::UNSPECIFIED,
@@ -31,7 +31,7 @@
     }
 }
 
-impl Homes {
+impl Coordinators {
     /// Sets the list of entry processes, of which this one is `own`. Returns for how many models all
     /// processes were ranked.
     pub fn set_entries(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) -> usize {
@@ -52,17 +52,19 @@
             .filter(|it| is_new(&it))
             .collect();
         let mut ranked = 0;
-        for (model, homes) in &mut self.by_model {
+        for (model, coordinators) in &mut self.by_model {
             let key = entry_peers::key(model);
             let is_there =
                 |it: &entry_peers::HashedEntry| self.entries.binary_search(&it.1).is_ok();
-            if homes.len() < entry_peers::HOMES || !homes.iter().all(is_there) {
-                *homes = entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::HOMES);
+            if coordinators.len() < entry_peers::COORDINATORS || !coordinators.iter().all(is_there)
+            {
+                *coordinators =
+                    entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::COORDINATORS);
                 ranked += 1;
             } else {
-                homes.extend(joined.iter().map(|it| entry_peers::hashed_entry(key, *it)));
-                homes.sort_unstable_by(|a, b| b.cmp(a));
-                homes.truncate(entry_peers::HOMES);
+                coordinators.extend(joined.iter().map(|it| entry_peers::hashed_entry(key, *it)));
+                coordinators.sort_unstable_by(|a, b| b.cmp(a));
+                coordinators.truncate(entry_peers::COORDINATORS);
             }
         }
         ranked
@@ -74,20 +76,20 @@
             if self.by_model.contains_key(&resident.model) {
                 continue;
             }
-            let homes = if self.exist() {
+            let coordinators = if self.exist() {
                 let key = entry_peers::key(&resident.model);
-                entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::HOMES)
+                entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::COORDINATORS)
             } else {
                 Vec::new()
             };
-            self.by_model.insert(resident.model.clone(), homes);
+            self.by_model.insert(resident.model.clone(), coordinators);
         }
     }
 
     /// Whether there are so many entry processes that models have coordinators.
     #[must_use]
     pub fn exist(&self) -> bool {
-        entry_peers::have_homes(&self.entries)
+        entry_peers::uses_coordinators(&self.entries)
     }
 
     /// The coordinators of a model, in the order in which they are queried; none if all processes report to
@@ -95,8 +97,8 @@
     #[must_use]
     pub fn of(&self, model: &str) -> Vec<net::Ipv4Addr> {
         match self.by_model.get(model) {
-            Some(homes) => homes.iter().map(|it| it.1).collect(),
-            None => entry_peers::homes(entry_peers::key(model), &self.entries),
+            Some(coordinators) => coordinators.iter().map(|it| it.1).collect(),
+            None => entry_peers::coordinators(entry_peers::key(model), &self.entries),
         }
     }
 
@@ -124,8 +126,12 @@
         }
         let mut models = instance.models.iter();
         models.any(|it| {
-            let homes = self.by_model.get(&it.model);
-            homes.is_some_and(|homes| homes.iter().any(|home| home.1 == self.own))
+            let coordinators = self.by_model.get(&it.model);
+            coordinators.is_some_and(|coordinators| {
+                coordinators
+                    .iter()
+                    .any(|coordinator| coordinator.1 == self.own)
+            })
         })
     }
 
@@ -133,11 +139,11 @@
     /// itself.
     #[must_use]
     pub fn asked(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        let mut homes = self.of(model);
-        if homes.first() == Some(&self.own) {
+        let mut coordinators = self.of(model);
+        if coordinators.first() == Some(&self.own) {
             return Vec::new();
         }
-        homes.retain(|it| *it != self.own);
-        homes
+        coordinators.retain(|it| *it != self.own);
+        coordinators
     }
 }
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -21,8 +21,8 @@
 mod advice;
 mod ask;
 mod backpressure;
+pub mod coordinators;
 mod endpoint;
-pub mod homes;
 mod outcomes;
 mod prefill_limit;
 mod prefill_speed;
@@ -88,7 +88,7 @@
     /// Engines that hold a model, across all services.
     by_model: collections::HashMap<String, Vec<arena::EndpointKey>>,
     random: u64,
-    homes: homes::Homes,
+    coordinators: coordinators::Coordinators,
     prefill_speeds: prefill_speed::PrefillSpeeds,
     prefill_limits: prefill_limit::PrefillLimits,
     wait_estimates: wait_estimates::WaitEstimates,
@@ -108,7 +108,7 @@
             by_service: collections::HashMap::new(),
             by_model: collections::HashMap::new(),
             random: seed | 1,
-            homes: homes::Homes::default(),
+            coordinators: coordinators::Coordinators::default(),
             prefill_speeds: prefill_speed::PrefillSpeeds::default(),
             prefill_limits: prefill_limit::PrefillLimits::default(),
             wait_estimates: wait_estimates::WaitEstimates::default(),
@@ -135,7 +135,7 @@
 
     /// Sets the list of entry processes, of which this one is `own`.
     pub fn join_groups(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
-        self.homes.set_entries(own, entries);
+        self.coordinators.set_entries(own, entries);
     }
 
     /// Adds or updates an endpoint from its directory record, or removes it if the record says that it is
@@ -144,7 +144,7 @@
         if !instance.is_present() {
             return self.forget(&instance.id);
         }
-        self.homes.know(instance);
+        self.coordinators.know(instance);
         if let Some(key) = self.by_id.get(&instance.id).copied() {
             if let Some(endpoint) = &mut self.endpoints[key.index()] {
                 let before = std::mem::replace(&mut endpoint.instance, instance.clone());
@@ -443,7 +443,7 @@
             return f64::INFINITY;
         };
         let work = if ask.wanted.is_some() {
-            let is_told = self.homes.is_told(&endpoint.instance);
+            let is_told = self.coordinators.is_told(&endpoint.instance);
             endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, ask), is_told)
         } else {
             endpoint.service_estimate_ms(now)
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -6,7 +6,7 @@
 //!
 //! A small number of entry processes ([`GROUP`]) all report to each other, and each selects engines by
 //! itself. With more processes, that takes a quadratic number of messages, and each process has a request
-//! for a model so seldom that its view is stale. Then each model has coordinators among them ([`homes`]),
+//! for a model so seldom that its view is stale. Then each model has coordinators among them ([`coordinators`]),
 //! chosen by hashing. The coordinator receives reports on all engines that hold the model, is queried for
 //! each request, and decides where that goes, so a request costs the same few datagrams however many
 //! processes there are. If no reply arrives within milliseconds, the process that asked selects an engine
@@ -28,7 +28,7 @@
 
 /// Coordinators of a model: the one that is queried, and the one that takes over when the first is lost.
 /// Both receive reports.
-pub(crate) const HOMES: usize = 2;
+pub(crate) const COORDINATORS: usize = 2;
 
 /// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -233,18 +233,18 @@
 
 /// Whether there are so many entry processes that models have coordinators.
 #[must_use]
-pub fn have_homes(entries: &[net::Ipv4Addr]) -> bool {
+pub fn uses_coordinators(entries: &[net::Ipv4Addr]) -> bool {
     entries.len() > GROUP
 }
 
 /// The coordinators of a model among `entries`, in the order in which they are queried; none if all
 /// processes report to each other.
 #[must_use]
-pub fn homes(model: u64, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
-    if !have_homes(entries) {
+pub fn coordinators(model: u64, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
+    if !uses_coordinators(entries) {
         return Vec::new();
     }
-    ranked(model, entries, HOMES)
+    ranked(model, entries, COORDINATORS)
 }
 
 /// The `count` of `entries` with the highest hash of key and entry (rendezvous hashing). All processes find
--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -158,8 +158,8 @@
     served: f64,
 }
 
-fn home(world: &mut World) -> usize {
-    world.home(key())
+fn coordinator(world: &mut World) -> usize {
+    world.coordinator(key())
 }
 
 const ENTRIES: usize = 73;
@@ -172,8 +172,8 @@
             "the home is killed again and again",
             |it, second| {
                 if second % 3 == 0 {
-                    let home = home(it);
-                    it.restart(home);
+                    let coordinator = coordinator(it);
+                    it.restart(coordinator);
                 }
             },
             0.75,
@@ -181,10 +181,10 @@
         trouble(
             "the home stands still for five seconds",
             |it, second| {
-                let home = home(it);
+                let coordinator = coordinator(it);
                 match second % 10 {
-                    0 => it.freeze(home),
-                    5 => it.thaw(home),
+                    0 => it.freeze(coordinator),
+                    5 => it.thaw(coordinator),
                     _ => {}
                 }
             },
@@ -209,8 +209,8 @@
         trouble(
             "the home is cut off",
             |it, second| {
-                let home = home(it);
-                it.side[home] = u8::from(second % 10 >= 3);
+                let coordinator = coordinator(it);
+                it.side[coordinator] = u8::from(second % 10 >= 3);
             },
             0.75,
         ),
@@ -357,13 +357,13 @@
     match world.rng.u32(0..8) {
         0 => picked.iter().for_each(|at| world.restart(*at)),
         1 => {
-            let home = world.home(key());
-            world.restart(home);
+            let coordinator = world.coordinator(key());
+            world.restart(coordinator);
         }
         2 => picked.iter().for_each(|at| world.freeze(*at)),
         3 => {
-            let home = world.home(key());
-            world.freeze(home);
+            let coordinator = world.coordinator(key());
+            world.freeze(coordinator);
         }
         4 => {
             let side = world.rng.u8(1..4);
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -101,15 +101,15 @@
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             for round in 0..12 {
                 world.run(3_000);
-                let home = world.home(key());
+                let coordinator = world.coordinator(key());
                 match (seed, round % 3) {
-                    (0 | 3, _) => world.restart(home),
+                    (0 | 3, _) => world.restart(coordinator),
                     (1 | 4, 0) => {
                         world.side = (0..entries).map(|it| u8::from(it % 2 == 0)).collect();
                     }
                     (1 | 4, _) => world.side = vec![0; entries],
-                    (_, 0) => world.freeze(home),
-                    (_, _) => world.thaw(home),
+                    (_, 0) => world.freeze(coordinator),
+                    (_, _) => world.thaw(coordinator),
                 }
             }
             world.run(4_000);
@@ -144,8 +144,8 @@
 fn terms_that_are_no_numbers_are_not_taken() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let entries = [net::Ipv4Addr::LOCALHOST];
-        let mut home = allowance::Book::new(entries[0], 1);
-        home.set_entries(Instant(0), &entries);
+        let mut coordinator = allowance::Book::new(entries[0], 1);
+        coordinator.set_entries(Instant(0), &entries);
         let draw = allowance::Draw {
             id: 1,
             of: key(),
@@ -157,9 +157,9 @@
                 age: Millis(0),
             }),
         };
-        home.draw(Instant(1_000), entries[0], &draw);
-        assert_eq!(home.terms(key()), None, "{bad}");
-        assert_eq!(home.pots().count(), 0, "{bad}");
+        coordinator.draw(Instant(1_000), entries[0], &draw);
+        assert_eq!(coordinator.terms(key()), None, "{bad}");
+        assert_eq!(coordinator.pots().count(), 0, "{bad}");
     }
 }
 
@@ -167,8 +167,8 @@
 #[test]
 fn terms_are_forgotten_when_nobody_asks_by_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
-    let mut home = allowance::Book::new(entries[0], 1);
-    home.set_entries(Instant(0), &entries);
+    let mut coordinator = allowance::Book::new(entries[0], 1);
+    coordinator.set_entries(Instant(0), &entries);
     let draw = allowance::Draw {
         id: 1,
         of: key(),
@@ -180,11 +180,11 @@
             age: Millis(0),
         }),
     };
-    home.draw(Instant(1_000), entries[0], &draw);
-    assert!(home.has_any());
-    home.tick(Instant(60_000));
-    assert!(!home.has_any());
-    assert_eq!(home.pots().count(), 0);
+    coordinator.draw(Instant(1_000), entries[0], &draw);
+    assert!(coordinator.has_any());
+    coordinator.tick(Instant(60_000));
+    assert!(!coordinator.has_any());
+    assert_eq!(coordinator.pots().count(), 0);
 }
 
 const MODEL: &str = "m1";
--- a/crates/sageshed-fleet/tests/homes.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -31,8 +31,8 @@
 }
 
 /// The home of m0, which knows `engines` that hold it.
-fn home(engines: &[&str]) -> Chooser {
-    let own = entry_peers::homes(entry_peers::key("m0"), &entries())[0];
+fn coordinator(engines: &[&str]) -> Chooser {
+    let own = entry_peers::coordinators(entry_peers::key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for id in engines {
@@ -79,12 +79,12 @@
 fn requests_of_many_processes_are_spread_over_the_engines() {
     let ids: Vec<String> = (0..12).map(|it| format!("e{it}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut home = home(&ids);
+    let mut coordinator = coordinator(&ids);
     let wanted = m0();
     let mut picked = collections::BTreeSet::new();
     for (number, from) in entries().into_iter().take(12).enumerate() {
         let now = at(number as u64 * 2);
-        let place = home.advise(now, from, number as u64, &asks(&wanted, 3_000));
+        let place = coordinator.advise(now, from, number as u64, &asks(&wanted, 3_000));
         picked.insert(engine_of(place));
     }
     assert_eq!(picked.len(), 12);
@@ -94,29 +94,30 @@
 /// free again once it has read.
 #[test]
 fn what_was_advised_counts_until_the_word_on_it_comes() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
-    let Place::Engine { estimate, .. } = home.advise(T0, from, 1, &asks(&wanted, 6_000)) else {
+    let Place::Engine { estimate, .. } = coordinator.advise(T0, from, 1, &asks(&wanted, 6_000))
+    else {
         panic!("e1 reads nothing");
     };
     assert!(estimate >= time::Millis(300), "{estimate:?}");
     let other = entries()[10];
     assert!(matches!(
-        home.advise(at(5), other, 2, &asks(&wanted, 6_000)),
+        coordinator.advise(at(5), other, 2, &asks(&wanted, 6_000)),
         Place::Wait { .. }
     ));
-    home.hear(at(6), from, &word("e1", 316_000));
+    coordinator.hear(at(6), from, &word("e1", 316_000));
     assert!(matches!(
-        home.advise(at(300), other, 2, &asks(&wanted, 6_000)),
+        coordinator.advise(at(300), other, 2, &asks(&wanted, 6_000)),
         Place::Wait { .. }
     ));
     assert!(
-        home.hear(at(330), from, &word("e1", 0)),
+        coordinator.hear(at(330), from, &word("e1", 0)),
         "it has less to read"
     );
     assert_eq!(
-        engine_of(home.advise(at(331), other, 2, &asks(&wanted, 6_000))),
+        engine_of(coordinator.advise(at(331), other, 2, &asks(&wanted, 6_000))),
         short("e1")
     );
 }
@@ -125,10 +126,10 @@
 /// that.
 #[test]
 fn an_advice_of_which_nothing_is_heard_is_forgotten() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
-    home.advise(T0, entries()[9], 1, &asks(&wanted, 6_000));
-    let place = home.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
+    coordinator.advise(T0, entries()[9], 1, &asks(&wanted, 6_000));
+    let place = coordinator.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
     assert_eq!(engine_of(place), short("e1"));
 }
 
@@ -140,15 +141,16 @@
         Trouble::Rejects(entry_peers::key("m0")),
         Trouble::Lacks(entry_peers::key("m0")),
     ] {
-        let mut home = home(&["e1", "e2"]);
+        let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
         let told = entry_peers::Unread {
             trouble: Some(trouble),
             ..word("e1", 0)
         };
-        home.hear(T0, entries()[3], &told);
+        coordinator.hear(T0, entries()[3], &told);
         for number in 0..20 {
-            let place = home.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
+            let place =
+                coordinator.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
             assert_eq!(engine_of(place), short("e2"), "{trouble:?}");
         }
     }
@@ -158,21 +160,21 @@
 /// its word alone must not empty the pool. Where a second process says the same, the engine is left out.
 #[test]
 fn the_word_of_one_process_leaves_no_engine_out() {
-    let mut home = home(&["e1", "e2"]);
+    let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let lost = |id| entry_peers::Unread {
         trouble: Some(Trouble::Unreachable),
         ..word(id, 0)
     };
     for ms in [0, 5, 10] {
-        home.hear(at(ms), entries()[3], &lost("e1"));
-        home.hear(at(ms), entries()[3], &lost("e2"));
+        coordinator.hear(at(ms), entries()[3], &lost("e1"));
+        coordinator.hear(at(ms), entries()[3], &lost("e2"));
     }
-    let place = home.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
+    let place = coordinator.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
     assert!(matches!(place, Place::Engine { .. }), "{place:?}");
-    home.hear(at(30), entries()[4], &lost("e1"));
+    coordinator.hear(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
-        let place = home.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
+        let place = coordinator.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
         assert_eq!(engine_of(place), short("e2"));
     }
 }
@@ -181,18 +183,18 @@
 /// its caller leaves. The home knows how many wait and how many it sends on, and says how long that takes.
 #[test]
 fn the_home_tells_how_long_requests_wait() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
     for number in 0..10 {
         let now = at(number * 200);
-        home.hear(now, from, &word("e1", 0));
-        engine_of(home.advise(now, from, number, &asks(&wanted, 3_000)));
-        home.hear(at(number * 200 + 1), from, &word("e1", 400_000));
+        coordinator.hear(now, from, &word("e1", 0));
+        engine_of(coordinator.advise(now, from, number, &asks(&wanted, 3_000)));
+        coordinator.hear(at(number * 200 + 1), from, &word("e1", 400_000));
     }
     let mut expected = None;
     for request in 100..150 {
-        let place = home.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
+        let place = coordinator.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
         let Place::Wait { expected: told } = place else {
             panic!("{place:?}");
         };
@@ -235,27 +237,27 @@
 
 /// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
 #[test]
-fn the_home_itself_asks_nobody() {
-    let homes = entry_peers::homes(entry_peers::key("m0"), &entries());
+fn the_coordinator_itself_asks_nobody() {
+    let coordinators = entry_peers::coordinators(entry_peers::key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
         chooser.join_groups(own, &entries());
-        chooser.homes("m0")
+        chooser.coordinators("m0")
     };
-    assert!(asked_by(homes[0]).is_empty());
-    assert_eq!(asked_by(homes[1]), homes[..1]);
+    assert!(asked_by(coordinators[0]).is_empty());
+    assert_eq!(asked_by(coordinators[1]), coordinators[..1]);
     let other = entries()
         .into_iter()
-        .find(|it| !homes.contains(it))
+        .find(|it| !coordinators.contains(it))
         .expect("193 of them");
-    assert_eq!(asked_by(other), homes);
+    assert_eq!(asked_by(other), coordinators);
 }
 
 /// An engine reads slowly, and its answers tell so to processes that each have one request there in a while. The
 /// home hears of all of them and sends less there.
 #[test]
 fn a_home_learns_from_the_answers_of_others() {
-    let mut home = home(&["e1", "e2"]);
+    let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let pace = entry_peers::Pace {
         model: entry_peers::key("m0"),
@@ -267,7 +269,7 @@
             pace: Some(pace),
             ..word("e1", 0)
         };
-        home.hear(
+        coordinator.hear(
             at(number * 20),
             entries()[usize::try_from(number).expect("small")],
             &told,
@@ -276,7 +278,7 @@
     let mut counts = [0, 0];
     for number in 0..20 {
         let now = at(2_000 + number * 500);
-        let advised = home.advise(now, entries()[7], number, &asks(&wanted, 3_000));
+        let advised = coordinator.advise(now, entries()[7], number, &asks(&wanted, 3_000));
         counts[usize::from(engine_of(advised) == short("e2"))] += 1;
     }
     assert_eq!(counts, [0, 20]);
@@ -286,7 +288,7 @@
 /// streams a second; the home hears of all and lets more wait, or engines would stand idle while requests wait.
 #[test]
 fn a_home_learns_from_the_pauses_of_others_how_much_may_wait() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
     let pauses = entry_peers::Pauses {
@@ -299,10 +301,10 @@
         let mut waiting = 0;
         for number in 0..12 {
             let now = at(round * 1_000 + number);
-            let place = home.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
+            let place = coordinator.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
             if matches!(place, Place::Engine { .. }) {
                 waiting += 1;
-                home.hear(now, from, &word("e1", waiting * 105_000));
+                coordinator.hear(now, from, &word("e1", waiting * 105_000));
             }
         }
         sent.push(waiting);
@@ -310,7 +312,7 @@
             pauses: Some(pauses),
             ..word("e1", 0)
         };
-        home.hear(at(round * 1_000 + 500), from, &told);
+        coordinator.hear(at(round * 1_000 + 500), from, &told);
     }
     assert!(sent[0] <= 4 && sent[7] >= 2 * sent[0], "{sent:?}");
 }
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -5,7 +5,7 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Missing, homes},
+    chooser::{Ask, Choice, Chooser, Missing, coordinators},
     dialect, entry_peers,
 };
 use sageshed_types::time;
@@ -27,10 +27,10 @@
     let mut members = collections::BTreeSet::new();
     for model in 0..470_u64 {
         let key = entry_peers::key(&format!("m{model}"));
-        let homes = entry_peers::homes(key, &entries);
-        assert_eq!(homes.len(), 2);
-        assert_eq!(homes, entry_peers::homes(key, &shuffled));
-        members.extend(homes);
+        let coordinators = entry_peers::coordinators(key, &entries);
+        assert_eq!(coordinators.len(), 2);
+        assert_eq!(coordinators, entry_peers::coordinators(key, &shuffled));
+        members.extend(coordinators);
     }
     assert_eq!(members.len(), 90);
 }
@@ -40,19 +40,19 @@
 fn of_an_engine_the_homes_of_its_models_are_told() {
     let many = entries(195);
     let engine = support::engine("e1", &["m0", "m1", "m2"]);
-    let mut homes = homes::Homes::default();
-    homes.know(&engine);
-    homes.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
-    let told = homes.told(&engine);
+    let mut coordinators = coordinators::Coordinators::default();
+    coordinators.know(&engine);
+    coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
+    let told = coordinators.told(&engine);
     assert!(told.len() <= 6, "{told:?}");
     for model in ["m0", "m1", "m2"] {
-        let homes = entry_peers::homes(entry_peers::key(model), &many);
-        assert!(homes.iter().all(|it| told.contains(it)), "{model}");
+        let coordinators = entry_peers::coordinators(entry_peers::key(model), &many);
+        assert!(coordinators.iter().all(|it| told.contains(it)), "{model}");
     }
     let few = entries(7);
-    homes.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
-    assert_eq!(homes.told(&engine), few);
-    assert!(entry_peers::homes(entry_peers::key("m0"), &few).is_empty());
+    coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
+    assert_eq!(coordinators.told(&engine), few);
+    assert!(entry_peers::coordinators(entry_peers::key("m0"), &few).is_empty());
 }
 
 /// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
@@ -61,7 +61,7 @@
 fn a_change_of_the_list_ranks_all_processes_for_few_models() {
     let all = entries(985);
     let names: Vec<String> = (0..296).map(|it| format!("m{it}")).collect();
-    let mut known = homes::Homes::default();
+    let mut known = coordinators::Coordinators::default();
     for engine in 0..3_858 {
         let models: Vec<&str> = (0..3)
             .map(|it| names[(engine * 7 + it * 31) % names.len()].as_str())
@@ -77,14 +77,14 @@
         for name in &names {
             assert_eq!(
                 known.of(name),
-                entry_peers::homes(entry_peers::key(name), &left)
+                entry_peers::coordinators(entry_peers::key(name), &left)
             );
         }
         ranked += known.set_entries(own, &all);
         for name in &names {
             assert_eq!(
                 known.of(name),
-                entry_peers::homes(entry_peers::key(name), &all)
+                entry_peers::coordinators(entry_peers::key(name), &all)
             );
         }
     }
@@ -98,7 +98,7 @@
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
         let key = entry_peers::key(&format!("m{model}"));
-        entry_peers::homes(key, &before) != entry_peers::homes(key, &after)
+        entry_peers::coordinators(key, &before) != entry_peers::coordinators(key, &after)
     });
     assert!(changed.count() <= 8);
 }
--- a/crates/sageshed-fleet/tests/pots.rs
+++ b/crates/sageshed-fleet/tests/pots.rs
@@ -21,7 +21,7 @@
 
 /// A fleet of twenty processes, of which one is the home and hears of the others what the test says.
 struct World {
-    home: Book,
+    coordinator: Book,
     others: Vec<net::Ipv4Addr>,
 }
 
@@ -38,39 +38,39 @@
     fn new() -> Self {
         let entries: Vec<_> = (1..=20).map(ip).collect();
         let producers = sageshed_fleet::allowance::producers(key(), &entries);
-        let mut home = Book::new(producers[0], 1);
+        let mut coordinator = Book::new(producers[0], 1);
         let terms = Terms {
             per_s: PER_S,
             burst: PER_S,
         };
-        home.set_terms([(key(), terms)]);
-        home.set_entries(at(0), &entries);
+        coordinator.set_terms([(key(), terms)]);
+        coordinator.set_entries(at(0), &entries);
         Self {
-            home,
+            coordinator,
             others: producers[1..].to_vec(),
         }
     }
 
     fn pull(&mut self, now: time::Instant) -> Option<Pull> {
-        self.home.tick(now).pop().map(|(pull, _)| pull)
+        self.coordinator.tick(now).pop().map(|(pull, _)| pull)
     }
 
     /// All producers give what grows in a tenth of a second, if the home draws.
     fn draw_all(&mut self, now: time::Instant) {
         if let Some(pull) = self.pull(now) {
             for other in self.others.clone() {
-                self.home
+                self.coordinator
                     .take(now, other, &given(&pull, PER_S / 10.0 / 15.0 * 2.5));
             }
         }
     }
 
     fn asked(&mut self, now: time::Instant, draw: Draw) -> Answer {
-        self.home.draw(now, ip(99), &draw).answer
+        self.coordinator.draw(now, ip(99), &draw).answer
     }
 
     fn units(&self) -> f64 {
-        self.home.pots().map(|(_, units)| units).sum()
+        self.coordinator.pots().map(|(_, units)| units).sum()
     }
 }
 
@@ -103,7 +103,7 @@
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
     // Another's question of the same number is another question.
-    let reply = world.home.draw(now, ip(98), &draw(7, 15.0));
+    let reply = world.coordinator.draw(now, ip(98), &draw(7, 15.0));
     assert_eq!(reply.answer, Answer::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
@@ -117,19 +117,21 @@
     let first = world.pull(at(0)).expect("a new home draws");
     let from = world.others[0];
     let before = world.units();
-    world.home.take(at(1), from, &given(&first, 1.0));
+    world.coordinator.take(at(1), from, &given(&first, 1.0));
     let once = world.units();
     assert!(once > before);
-    world.home.take(at(2), from, &given(&first, 1.0));
+    world.coordinator.take(at(2), from, &given(&first, 1.0));
     assert!((world.units() - once).abs() < 1e-9, "delivered twice");
     let second = world.pull(at(400)).expect("it draws again");
     assert_ne!(first.id, second.id);
     let then = world.units();
     world
-        .home
+        .coordinator
         .take(at(401), world.others[1], &given(&first, 1.0));
     assert!((world.units() - then).abs() < 1e-9, "of an earlier drawing");
-    world.home.take(at(402), ip(77), &given(&second, 1.0));
+    world
+        .coordinator
+        .take(at(402), ip(77), &given(&second, 1.0));
     assert!(
         (world.units() - then).abs() < 1e-9,
         "of one that was not asked"
@@ -205,14 +207,14 @@
             Answer::Granted => assert_eq!(told, 0),
             Answer::Soon(_) => {
                 // The producers have nothing either.
-                world.home.draw(now, ip(99), &draw(id, 0.0));
+                world.coordinator.draw(now, ip(99), &draw(id, 0.0));
                 for other in world.others.clone() {
                     let pull = Pull {
                         id,
                         of: vec![key()],
                         named: Vec::new(),
                     };
-                    world.home.take(now, other, &given(&pull, 0.0));
+                    world.coordinator.take(now, other, &given(&pull, 0.0));
                 }
                 if id > 1_000 {
                     return;
@@ -344,13 +346,13 @@
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut book = producer(&entries, 9);
     let first = |book: &mut Book, now| book.question(now, key()).begin();
-    let to = |home| Next::Ask(home, time::Millis(0));
+    let to = |coordinator| Next::Ask(coordinator, time::Millis(0));
     assert_eq!(first(&mut book, at(0)), to(producers[0]));
     book.passed_over(at(0), producers[0]);
     assert_eq!(first(&mut book, at(500)), to(producers[1]));
     assert_eq!(first(&mut book, at(1_500)), to(producers[0]));
-    for home in &producers[..3] {
-        book.passed_over(at(2_000), *home);
+    for coordinator in &producers[..3] {
+        book.passed_over(at(2_000), *coordinator);
     }
     assert_eq!(first(&mut book, at(2_100)), Next::Nobody);
 }
@@ -366,10 +368,10 @@
         per_s: PER_S,
         burst: PER_S,
     };
-    let mut home = Book::new(entries[0], 1);
-    home.set_terms(keys.iter().map(|key| (*key, terms)));
-    home.set_entries(at(0), &entries);
-    let pulls = home.tick(at(1));
+    let mut coordinator = Book::new(entries[0], 1);
+    coordinator.set_terms(keys.iter().map(|key| (*key, terms)));
+    coordinator.set_entries(at(0), &entries);
+    let pulls = coordinator.tick(at(1));
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
     assert!(
         pulls.len() > 3 && drawn > 150,
@@ -382,9 +384,12 @@
     for (pull, to) in &pulls {
         assert_eq!(to, &vec![entries[1]]);
         assert!(pull.of.len() <= 40, "{}", pull.of.len());
-        home.take(at(1_000), entries[1], &other.give(at(1_000), pull));
+        coordinator.take(at(1_000), entries[1], &other.give(at(1_000), pull));
     }
-    let empty = home.pots().filter(|(_, units)| *units <= 0.0).count();
+    let empty = coordinator
+        .pots()
+        .filter(|(_, units)| *units <= 0.0)
+        .count();
     assert_eq!(empty, 0, "each was filled");
 }
 
@@ -398,17 +403,21 @@
             returned: bad,
             ..draw(1, bad)
         };
-        world.home.draw(now, ip(99), &spoiled);
+        world.coordinator.draw(now, ip(99), &spoiled);
         let pull = Pull {
             id: 3,
             of: vec![key()],
             named: Vec::new(),
         };
-        world.home.take(now, world.others[0], &given(&pull, bad));
+        world
+            .coordinator
+            .take(now, world.others[0], &given(&pull, bad));
         for round in 12..20 {
             let now = at(100 * round);
             if let Some(pull) = world.pull(now) {
-                world.home.take(now, world.others[0], &given(&pull, bad));
+                world
+                    .coordinator
+                    .take(now, world.others[0], &given(&pull, bad));
             }
         }
         world.draw_all(at(2_100));
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -47,8 +47,8 @@
 }
 
 /// The home of m0, which was told at `T0` how many requests each of these engines runs.
-fn home(engines: &[(&str, u32)]) -> Chooser {
-    let own = entry_peers::homes(entry_peers::key("m0"), &entries())[0];
+fn coordinator(engines: &[(&str, u32)]) -> Chooser {
+    let own = entry_peers::coordinators(entry_peers::key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for (id, running) in engines {
@@ -111,7 +111,7 @@
         ),
     ];
     for case in cases {
-        let mut chooser = home(&[("e1", 12), ("e2", 0), ("e3", 14)]);
+        let mut chooser = coordinator(&[("e1", 12), ("e2", 0), ("e3", 14)]);
         let micros = case.ahead * 1_000;
         let now = at(case.later);
         let told = entry_peers::Unread {
@@ -137,7 +137,7 @@
         .enumerate()
         .map(|(at, id)| (id.as_str(), crowd(at)))
         .collect();
-    let mut chooser = home(&engines);
+    let mut chooser = coordinator(&engines);
     let mut rng = fastrand::Rng::with_seed(11);
     let mut stopped = collections::BTreeMap::<bool, u32>::new();
     let (mut long, mut now) = (0, 0);
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -40,7 +40,7 @@
     /// A question is put.
     Ask {
         request: usize,
-        home: usize,
+        coordinator: usize,
     },
     /// A question was not answered.
     Late {
@@ -205,13 +205,13 @@
     }
 
     /// The process that is asked first for an allowance.
-    pub fn home(&mut self, of: Key) -> usize {
+    pub fn coordinator(&mut self, of: Key) -> usize {
         let now = Instant(self.now);
         let mut fresh = self.start(0);
         let everybody: Vec<_> = (0..self.books.len()).map(ip).collect();
         fresh.set_entries(now, &everybody);
         match fresh.question(now, of).begin() {
-            Next::Ask(home, _) => entry(home),
+            Next::Ask(coordinator, _) => entry(coordinator),
             other => panic!("a home: {other:?}"),
         }
     }
@@ -261,7 +261,10 @@
             Event::Arrive { entry, of, amount } => self.arrive(entry, of, amount),
             Event::Tick { entry } => self.tick(entry),
             Event::Deliver { to, from, message } => self.deliver(to, from, message),
-            Event::Ask { request, home } => self.put(request, home),
+            Event::Ask {
+                request,
+                coordinator,
+            } => self.put(request, coordinator),
             Event::Late { request, round } => self.late(request, round),
         }
     }
@@ -325,9 +328,15 @@
         let (amount, now) = (self.requests[request].amount, self.now);
         let outcome = self.outcomes.entry(of).or_default();
         match next {
-            Next::Ask(home, after) => {
-                let home = entry(home);
-                self.push(after.0, Event::Ask { request, home });
+            Next::Ask(coordinator, after) => {
+                let coordinator = entry(coordinator);
+                self.push(
+                    after.0,
+                    Event::Ask {
+                        request,
+                        coordinator,
+                    },
+                );
                 return;
             }
             Next::Granted => outcome.granted.push((now, amount)),
@@ -337,7 +346,7 @@
         outcome.waits.push(now - began);
     }
 
-    fn put(&mut self, request: usize, home: usize) {
+    fn put(&mut self, request: usize, coordinator: usize) {
         let asked = &mut self.requests[request];
         asked.round += 1;
         let (from, round) = (asked.entry, asked.round);
@@ -353,13 +362,13 @@
                 age: Millis(self.now - heard),
             }),
         };
-        if home == from {
+        if coordinator == from {
             let answer = self.answer(from, from, &draw);
             let next = self.requests[request].question.answered(answer);
             return self.go_on(request, next);
         }
         self.waiting.insert((from, draw.id), request);
-        self.send(from, home, Message::Draw(draw));
+        self.send(from, coordinator, Message::Draw(draw));
         self.push(ANSWER_LIMIT, Event::Late { request, round });
     }
 
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -251,7 +251,7 @@
         let tried: Vec<u64> = tried
             .filter_map(|key| core.chooser.short_name(*key))
             .collect();
-        (core.chooser.homes(&wanted.model), tried)
+        (core.chooser.coordinators(&wanted.model), tried)
     });
     if homes.is_empty() {
         return None;
@@ -360,7 +360,7 @@
     };
     let (word, has_homes) = shared.with_core(|core| {
         let chooser = &core.chooser;
-        (chooser.word_on(pick), chooser.has_homes())
+        (chooser.word_on(pick), chooser.uses_coordinators())
     });
     if let Some((mut word, group)) = word
         && complete(&mut word, has_homes)
--- a/tests/datagrams.rs
+++ b/tests/datagrams.rs
@@ -13,8 +13,8 @@
 #[test]
 fn drawings_of_many_limits_fit_into_datagrams() {
     let entries: Vec<_> = (1..=2).map(|it| net::Ipv4Addr::new(10, 0, 0, it)).collect();
-    let mut home = allowance::Book::new(entries[0], u64::MAX / 2);
-    home.set_entries(time::Instant(0), &entries);
+    let mut coordinator = allowance::Book::new(entries[0], u64::MAX / 2);
+    coordinator.set_entries(time::Instant(0), &entries);
     let mut pulls = Vec::new();
     for number in 0..300 {
         let id = directory::InstanceId::new(&format!("e{number}"), Some(1));
@@ -34,10 +34,10 @@
         };
         let question = entry_peers::Datagram::Draw(draw);
         assert!(encoded(&question).len() <= LARGEST);
-        let reply = home.draw(time::Instant(1), entries[1], &draw);
+        let reply = coordinator.draw(time::Instant(1), entries[1], &draw);
         pulls.extend(reply.pull);
     }
-    pulls.extend(home.tick(time::Instant(5_000)));
+    pulls.extend(coordinator.tick(time::Instant(5_000)));
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
     assert!(drawn >= 300, "{drawn}");
     for (pull, _) in pulls {
