--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -19,36 +19,36 @@
 impl Chooser {
     /// Applies another process's report on an engine. Returns whether the engine has less pending prefill
     /// by it.
-    pub fn hear(
+    pub fn apply_observation(
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        word: &entry_peers::Unread,
+        observation: &entry_peers::EngineObservation,
     ) -> bool {
-        let Some(key) = self.by_short_name(word.engine) else {
+        let Some(key) = self.by_short_name(observation.engine) else {
             return false;
         };
         let Some(endpoint) = self.get_mut(key) else {
             return false;
         };
-        if let Some(beginning) = &word.kept {
+        if let Some(beginning) = &observation.kept {
             endpoint.prefix_cache.insert_reported(beginning);
         }
-        if word.pace.is_some() {
+        if observation.pace.is_some() {
             endpoint.last_activity = now;
             endpoint.ejection = time::Millis(0);
         }
-        if let Some(running) = word.running {
+        if let Some(running) = observation.running {
             endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.set_reported_prefill(now, from, word.micros);
-        if let Some(trouble) = word.trouble {
+        let has_less = endpoint.set_reported_prefill(now, from, observation.micros);
+        if let Some(trouble) = observation.trouble {
             endpoint.apply_fault(now, from, trouble);
         }
-        if let Some(pace) = word.pace {
+        if let Some(pace) = observation.pace {
             self.learn_pace(key, pace);
         }
-        if let Some(pauses) = word.pauses {
+        if let Some(pauses) = observation.pauses {
             self.learn_pauses(now, key, pauses);
         }
         has_less
@@ -74,9 +74,12 @@
 
     /// The report to send on an engine that this process sends to, with its recipients.
     #[must_use]
-    pub fn word_on(&self, pick: &Pick) -> Option<(entry_peers::Unread, Vec<net::Ipv4Addr>)> {
+    pub fn observation_of(
+        &self,
+        pick: &Pick,
+    ) -> Option<(entry_peers::EngineObservation, Vec<net::Ipv4Addr>)> {
         let endpoint = self.get(pick.key)?;
-        let word = entry_peers::Unread {
+        let observation = entry_peers::EngineObservation {
             engine: entry_peers::instance_key(&endpoint.instance.id),
             micros: endpoint.pending_prefill_us,
             kept: None,
@@ -85,7 +88,7 @@
             pauses: None,
             trouble: None,
         };
-        Some((word, self.coordinators.told(&endpoint.instance)))
+        Some((observation, self.coordinators.told(&endpoint.instance)))
     }
 
     /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -34,7 +34,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// Report on an engine.
-    Word(Unread),
+    #[serde(rename = "Word")]
+    Observation(EngineObservation),
     /// Query for where to send a request.
     Ask(Ask),
     /// Reply to a query.
@@ -137,7 +138,7 @@
 /// One process's report on an engine, sent by datagram whenever it changes. A lost report is made up for by
 /// the next one, and reports expire after a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unread {
+pub struct EngineObservation {
     /// Key of the engine, by [`instance_key`].
     pub engine: u64,
     /// Pending prefill of the sender's requests at the engine, in microseconds.
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -60,8 +60,8 @@
     entry_peers::instance_key(&id.into())
 }
 
-fn word(id: &str, micros: u64) -> entry_peers::Unread {
-    entry_peers::Unread {
+fn observation(id: &str, micros: u64) -> entry_peers::EngineObservation {
+    entry_peers::EngineObservation {
         engine: short(id),
         micros,
         kept: None,
@@ -107,13 +107,13 @@
         coordinator.advise(at(5), other, 2, &asks(&wanted, 6_000)),
         Place::Wait { .. }
     ));
-    coordinator.hear(at(6), from, &word("e1", 316_000));
+    coordinator.apply_observation(at(6), from, &observation("e1", 316_000));
     assert!(matches!(
         coordinator.advise(at(300), other, 2, &asks(&wanted, 6_000)),
         Place::Wait { .. }
     ));
     assert!(
-        coordinator.hear(at(330), from, &word("e1", 0)),
+        coordinator.apply_observation(at(330), from, &observation("e1", 0)),
         "it has less to read"
     );
     assert_eq!(
@@ -143,11 +143,11 @@
     ] {
         let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
-        let told = entry_peers::Unread {
+        let told = entry_peers::EngineObservation {
             trouble: Some(trouble),
-            ..word("e1", 0)
+            ..observation("e1", 0)
         };
-        coordinator.hear(T0, entries()[3], &told);
+        coordinator.apply_observation(T0, entries()[3], &told);
         for number in 0..20 {
             let place =
                 coordinator.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
@@ -162,17 +162,17 @@
 fn the_word_of_one_process_leaves_no_engine_out() {
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
-    let lost = |id| entry_peers::Unread {
+    let lost = |id| entry_peers::EngineObservation {
         trouble: Some(Trouble::Unreachable),
-        ..word(id, 0)
+        ..observation(id, 0)
     };
     for ms in [0, 5, 10] {
-        coordinator.hear(at(ms), entries()[3], &lost("e1"));
-        coordinator.hear(at(ms), entries()[3], &lost("e2"));
+        coordinator.apply_observation(at(ms), entries()[3], &lost("e1"));
+        coordinator.apply_observation(at(ms), entries()[3], &lost("e2"));
     }
     let place = coordinator.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
     assert!(matches!(place, Place::Engine { .. }), "{place:?}");
-    coordinator.hear(at(30), entries()[4], &lost("e1"));
+    coordinator.apply_observation(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
         let place = coordinator.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
         assert_eq!(engine_of(place), short("e2"));
@@ -188,9 +188,9 @@
     let from = entries()[9];
     for number in 0..10 {
         let now = at(number * 200);
-        coordinator.hear(now, from, &word("e1", 0));
+        coordinator.apply_observation(now, from, &observation("e1", 0));
         engine_of(coordinator.advise(now, from, number, &asks(&wanted, 3_000)));
-        coordinator.hear(at(number * 200 + 1), from, &word("e1", 400_000));
+        coordinator.apply_observation(at(number * 200 + 1), from, &observation("e1", 400_000));
     }
     let mut expected = None;
     for request in 100..150 {
@@ -265,11 +265,11 @@
         estimated: 200,
     };
     for number in 0..60_u64 {
-        let told = entry_peers::Unread {
+        let told = entry_peers::EngineObservation {
             pace: Some(pace),
-            ..word("e1", 0)
+            ..observation("e1", 0)
         };
-        coordinator.hear(
+        coordinator.apply_observation(
             at(number * 20),
             entries()[usize::try_from(number).expect("small")],
             &told,
@@ -304,15 +304,15 @@
             let place = coordinator.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
             if matches!(place, Place::Engine { .. }) {
                 waiting += 1;
-                coordinator.hear(now, from, &word("e1", waiting * 105_000));
+                coordinator.apply_observation(now, from, &observation("e1", waiting * 105_000));
             }
         }
         sent.push(waiting);
-        let told = entry_peers::Unread {
+        let told = entry_peers::EngineObservation {
             pauses: Some(pauses),
-            ..word("e1", 0)
+            ..observation("e1", 0)
         };
-        coordinator.hear(at(round * 1_000 + 500), from, &told);
+        coordinator.apply_observation(at(round * 1_000 + 500), from, &told);
     }
     assert!(sent[0] <= 4 && sent[7] >= 2 * sent[0], "{sent:?}");
 }
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -121,7 +121,7 @@
     let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
     chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.know(&support::engine("e1", &["m0"]));
-    let word = |micros| entry_peers::Unread {
+    let observation = |micros| entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
         micros,
         kept: None,
@@ -134,7 +134,7 @@
         model: "m0".to_owned(),
         adapter: None,
     };
-    assert!(!chooser.hear(T0, neighbour, &word(316_000)));
+    assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
     let waits = Choice::Wait(Missing::Place);
     assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
     // It has waited for as long as makes sense.
@@ -145,7 +145,10 @@
         panic!("e2 reads nothing");
     };
     assert_eq!(pick.instance.name, "e2");
-    assert!(chooser.hear(T0, neighbour, &word(0)), "there is room again");
+    assert!(
+        chooser.apply_observation(T0, neighbour, &observation(0)),
+        "there is room again"
+    );
 }
 
 /// A datagram is lost, and the last word of a neighbour that was killed was that an engine has much to
@@ -155,7 +158,7 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.know(&support::engine("e1", &["m0"]));
-    let word = entry_peers::Unread {
+    let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
         micros: 3_000_000,
         kept: None,
@@ -164,7 +167,7 @@
         pauses: None,
         trouble: None,
     };
-    chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
+    chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let m0 = dialect::Wanted {
         model: "m0".to_owned(),
         adapter: None,
@@ -188,7 +191,7 @@
     let kept = entry_peers::Beginning::of(&m0, &parts);
     assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
     assert_eq!(entry_peers::Beginning::of(&m0, &parts[1..]), None);
-    let word = entry_peers::Unread {
+    let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e2".into()),
         micros: 0,
         kept,
@@ -197,7 +200,7 @@
         pauses: None,
         trouble: None,
     };
-    chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
+    chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
         let ask = Ask {
             parts: &parts,
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -265,7 +265,7 @@
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
         panic!("the engine is there");
     };
-    let word = entry_peers::Unread {
+    let word = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&pick.instance),
         micros: 900_000,
         kept: None,
@@ -281,7 +281,7 @@
     assert_eq!(chooser.choose(at(10), &ask), Choice::Wait(Missing::Model));
     chooser.know(&start(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
-    assert!(!chooser.hear(at(20), from, &word));
+    assert!(!chooser.apply_observation(at(20), from, &word));
     chooser.ended(at(20), &pick, Some(&wanted), false, Ended::Unreachable);
     let Choice::Send(next) = chooser.choose(at(30), &ask) else {
         panic!("the new start holds the model");
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -34,8 +34,8 @@
 }
 
 /// What an entry process says of an engine whose answer has just begun.
-fn began(id: &str, running: u32, micros: u64) -> entry_peers::Unread {
-    entry_peers::Unread {
+fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
+    entry_peers::EngineObservation {
         engine: short(id),
         micros,
         kept: None,
@@ -53,7 +53,7 @@
     chooser.join_groups(own, &entries());
     for (id, running) in engines {
         chooser.know(&support::engine(id, &["m0"]));
-        chooser.hear(T0, entries()[1], &began(id, *running, 0));
+        chooser.apply_observation(T0, entries()[1], &began(id, *running, 0));
     }
     chooser
 }
@@ -114,11 +114,11 @@
         let mut chooser = coordinator(&[("e1", 12), ("e2", 0), ("e3", 14)]);
         let micros = case.ahead * 1_000;
         let now = at(case.later);
-        let told = entry_peers::Unread {
+        let told = entry_peers::EngineObservation {
             running: None,
             ..began("e2", 0, micros)
         };
-        chooser.hear(now, entries()[3], &told);
+        chooser.apply_observation(now, entries()[3], &told);
         let engine = asked(&mut chooser, now, 1, case.tokens);
         assert_eq!(engine == short("e2"), case.to_the_calm, "{}", case.name);
     }
@@ -145,7 +145,7 @@
     for request in 0..1_560_u64 {
         now += rng.u64(1..77);
         for (id, running) in &engines {
-            chooser.hear(at(now), entries()[1], &began(id, *running, 0));
+            chooser.apply_observation(at(now), entries()[1], &began(id, *running, 0));
         }
         let is_long = rng.u32(0..12) == 0;
         let tokens = if is_long { 7_600 } else { 1_800 };
@@ -154,7 +154,7 @@
             .iter()
             .position(|id| short(id) == engine)
             .expect("known");
-        chooser.hear(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
+        chooser.apply_observation(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
         if is_long {
             long += 1;
             *stopped.entry(crowd(index) > 5).or_default() += 1;
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -63,8 +63,8 @@
 
     /// Tells `group` what this process has at an engine. A datagram may be lost; the next one says the same
     /// anew, and old words are forgotten.
-    pub fn tell(&self, word: words::Unread, group: &[net::Ipv4Addr]) {
-        self.send(&words::Datagram::Word(word), group);
+    pub fn tell(&self, word: words::EngineObservation, group: &[net::Ipv4Addr]) {
+        self.send(&words::Datagram::Observation(word), group);
     }
 
     fn send(&self, datagram: &words::Datagram, to: &[net::Ipv4Addr]) {
@@ -156,7 +156,7 @@
 
 fn take<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::SocketAddrV4, bytes: &[u8]) {
     match sageshed_vms::decode(bytes) {
-        Ok(words::Datagram::Word(word)) => shared.hear(*from.ip(), &word),
+        Ok(words::Datagram::Observation(word)) => shared.hear(*from.ip(), &word),
         Ok(words::Datagram::Ask(ask)) => advise(shared, *from.ip(), ask),
         Ok(words::Datagram::Advice(advice)) => {
             if let Some(neighbours) = &shared.neighbours {
@@ -353,14 +353,14 @@
 fn tell_with<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    complete: impl FnOnce(&mut words::Unread, bool) -> bool,
+    complete: impl FnOnce(&mut words::EngineObservation, bool) -> bool,
 ) {
     let Some(neighbours) = shared.neighbours.as_ref().filter(|_| pick.reading > 0) else {
         return;
     };
     let (word, has_homes) = shared.with_core(|core| {
         let chooser = &core.chooser;
-        (chooser.word_on(pick), chooser.uses_coordinators())
+        (chooser.observation_of(pick), chooser.uses_coordinators())
     });
     if let Some((mut word, group)) = word
         && complete(&mut word, has_homes)
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -233,9 +233,9 @@
     }
 
     /// Takes a neighbour's word, and wakes the requests that wait for an engine to have read.
-    pub fn hear(&self, from: net::Ipv4Addr, word: &words::Unread) {
+    pub fn hear(&self, from: net::Ipv4Addr, word: &words::EngineObservation) {
         let now = self.clock.now();
-        let has_room = self.with_core(|core| core.chooser.hear(now, from, word));
+        let has_room = self.with_core(|core| core.chooser.apply_observation(now, from, word));
         if has_room && self.waiting.load(atomic::Ordering::Relaxed) > 0 {
             self.place_freed();
         }
