--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -116,16 +116,16 @@
         to: net::Ipv4Addr,
         request: u64,
         ask: &Ask<'_>,
-    ) -> entry_peers::Place {
+    ) -> entry_peers::RoutingDecision {
         let Some(wanted) = ask.wanted else {
-            return entry_peers::Place::Unknown;
+            return entry_peers::RoutingDecision::Unknown;
         };
         let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
         if with_adapter.is_empty()
             && without_adapter.is_empty()
             && self.open_endpoints(now, ask).next().is_none()
         {
-            return entry_peers::Place::Unknown;
+            return entry_peers::RoutingDecision::Unknown;
         }
         let key = match self.select_engine(now, ask, &with_adapter, &without_adapter) {
             EngineSelection::Engine(key) => key,
@@ -133,18 +133,18 @@
                 let expected = self
                     .wait_estimates
                     .record_waiting(now, &wanted.model, request);
-                return entry_peers::Place::Wait { expected };
+                return entry_peers::RoutingDecision::Wait { expected };
             }
             EngineSelection::Missing(_) | EngineSelection::Fetch(_) => {
-                return entry_peers::Place::Unknown;
+                return entry_peers::RoutingDecision::Unknown;
             }
         };
         let estimate = super::to_millis(self.estimate_ms(now, key, ask));
         let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
-            return entry_peers::Place::Unknown;
+            return entry_peers::RoutingDecision::Unknown;
         };
         endpoint.add_routed(now, to, reading);
-        let place = entry_peers::Place::Engine {
+        let decision = entry_peers::RoutingDecision::Engine {
             engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
             kept_tokens: ask
@@ -153,7 +153,7 @@
         };
         self.wait_estimates
             .record_routed(now, &wanted.model, request);
-        place
+        decision
     }
 
     /// Follows a coordinator's decision, if the engine is known here and accepts the request as far as this
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -37,9 +37,11 @@
     #[serde(rename = "Word")]
     Observation(EngineObservation),
     /// Query for where to send a request.
-    Ask(Ask),
+    #[serde(rename = "Ask")]
+    RoutingQuery(RoutingQuery),
     /// Reply to a query.
-    Advice(Advice),
+    #[serde(rename = "Advice")]
+    RoutingReply(RoutingReply),
     /// Acquisition of units of an allowance.
     Draw(allowance::Draw),
     /// Reply to the [`Self::Draw`] with this id.
@@ -52,7 +54,7 @@
 
 /// Asks the coordinator of a model where to send a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct RoutingQuery {
     /// Identifies the query in its reply.
     pub id: u64,
     /// Identifies the request; the same in each query for it.
@@ -81,16 +83,17 @@
 
 /// Reply to a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Advice {
+pub struct RoutingReply {
     /// Id of the query.
     pub id: u64,
     /// Where to send the request.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub decision: RoutingDecision,
 }
 
-/// Result of an [`Ask`].
+/// Result of a [`RoutingQuery`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Place {
+pub enum RoutingDecision {
     /// Send it to this engine.
     Engine {
         /// Key of the engine, by [`instance_key`].
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Ask, Choice, Chooser, Ended},
     dialect,
-    entry_peers::{self, Place, Trouble},
+    entry_peers::{self, RoutingDecision, Trouble},
 };
 use sageshed_types::time;
 
@@ -49,9 +49,9 @@
     }
 }
 
-fn engine_of(place: Place) -> u64 {
-    match place {
-        Place::Engine { engine, .. } => engine,
+fn engine_of(decision: RoutingDecision) -> u64 {
+    match decision {
+        RoutingDecision::Engine { engine, .. } => engine,
         other => panic!("no engine: {other:?}"),
     }
 }
@@ -84,8 +84,8 @@
     let mut picked = collections::BTreeSet::new();
     for (number, from) in entries().into_iter().take(12).enumerate() {
         let now = at(number as u64 * 2);
-        let place = coordinator.advise(now, from, number as u64, &asks(&wanted, 3_000));
-        picked.insert(engine_of(place));
+        let decision = coordinator.advise(now, from, number as u64, &asks(&wanted, 3_000));
+        picked.insert(engine_of(decision));
     }
     assert_eq!(picked.len(), 12);
 }
@@ -97,7 +97,8 @@
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
-    let Place::Engine { estimate, .. } = coordinator.advise(T0, from, 1, &asks(&wanted, 6_000))
+    let RoutingDecision::Engine { estimate, .. } =
+        coordinator.advise(T0, from, 1, &asks(&wanted, 6_000))
     else {
         panic!("e1 reads nothing");
     };
@@ -105,12 +106,12 @@
     let other = entries()[10];
     assert!(matches!(
         coordinator.advise(at(5), other, 2, &asks(&wanted, 6_000)),
-        Place::Wait { .. }
+        RoutingDecision::Wait { .. }
     ));
     coordinator.apply_observation(at(6), from, &observation("e1", 316_000));
     assert!(matches!(
         coordinator.advise(at(300), other, 2, &asks(&wanted, 6_000)),
-        Place::Wait { .. }
+        RoutingDecision::Wait { .. }
     ));
     assert!(
         coordinator.apply_observation(at(330), from, &observation("e1", 0)),
@@ -129,8 +130,8 @@
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     coordinator.advise(T0, entries()[9], 1, &asks(&wanted, 6_000));
-    let place = coordinator.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
-    assert_eq!(engine_of(place), short("e1"));
+    let decision = coordinator.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
+    assert_eq!(engine_of(decision), short("e1"));
 }
 
 /// One process meets an engine that drops the model. With two requests a second in each of 195 processes, each
@@ -149,9 +150,9 @@
         };
         coordinator.apply_observation(T0, entries()[3], &told);
         for number in 0..20 {
-            let place =
+            let decision =
                 coordinator.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
-            assert_eq!(engine_of(place), short("e2"), "{trouble:?}");
+            assert_eq!(engine_of(decision), short("e2"), "{trouble:?}");
         }
     }
 }
@@ -170,12 +171,16 @@
         coordinator.apply_observation(at(ms), entries()[3], &lost("e1"));
         coordinator.apply_observation(at(ms), entries()[3], &lost("e2"));
     }
-    let place = coordinator.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
-    assert!(matches!(place, Place::Engine { .. }), "{place:?}");
+    let decision = coordinator.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
+    assert!(
+        matches!(decision, RoutingDecision::Engine { .. }),
+        "{decision:?}"
+    );
     coordinator.apply_observation(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
-        let place = coordinator.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
-        assert_eq!(engine_of(place), short("e2"));
+        let decision =
+            coordinator.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
+        assert_eq!(engine_of(decision), short("e2"));
     }
 }
 
@@ -194,9 +199,9 @@
     }
     let mut expected = None;
     for request in 100..150 {
-        let place = coordinator.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
-        let Place::Wait { expected: told } = place else {
-            panic!("{place:?}");
+        let decision = coordinator.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
+        let RoutingDecision::Wait { expected: told } = decision else {
+            panic!("{decision:?}");
         };
         expected = told;
     }
@@ -301,8 +306,9 @@
         let mut waiting = 0;
         for number in 0..12 {
             let now = at(round * 1_000 + number);
-            let place = coordinator.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
-            if matches!(place, Place::Engine { .. }) {
+            let decision =
+                coordinator.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
+            if matches!(decision, RoutingDecision::Engine { .. }) {
                 waiting += 1;
                 coordinator.apply_observation(now, from, &observation("e1", waiting * 105_000));
             }
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Ask, Chooser},
     dialect,
-    entry_peers::{self, Place},
+    entry_peers::{self, RoutingDecision},
 };
 use sageshed_types::time;
 
@@ -65,7 +65,7 @@
         ..support::ask(&wanted, tokens)
     };
     match chooser.advise(now, entries()[2], request, &ask) {
-        Place::Engine { engine, .. } => engine,
+        RoutingDecision::Engine { engine, .. } => engine,
         other => panic!("no engine: {other:?}"),
     }
 }
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -38,7 +38,7 @@
     socket: net::UdpSocket,
     port: u16,
     /// Questions that wait for their answers, by their ids.
-    asked: Asked<words::Place>,
+    asked: Asked<words::RoutingDecision>,
     /// The same of questions for units of allowances.
     drawn: Asked<allowance::Answer>,
     next_id: atomic::AtomicU64,
@@ -80,11 +80,15 @@
     }
 
     /// Asks the first of `homes` that is not lost where a request is to go. None where no answer comes.
-    pub fn ask(&self, homes: &[net::Ipv4Addr], mut ask: words::Ask) -> Option<words::Place> {
+    pub fn ask(
+        &self,
+        homes: &[net::Ipv4Addr],
+        mut ask: words::RoutingQuery,
+    ) -> Option<words::RoutingDecision> {
         let home = self.first_there(homes)?;
         ask.id = self.next_id.fetch_add(1, atomic::Ordering::Relaxed);
         let id = ask.id;
-        let place = self.question(&self.asked, id, &words::Datagram::Ask(ask), home);
+        let place = self.question(&self.asked, id, &words::Datagram::RoutingQuery(ask), home);
         if place.is_none() {
             locks::lock(&self.lost).insert(home, time::Instant::now());
             ::log::debug!(home:% = home; "gateway: home of a model does not answer");
@@ -157,10 +161,10 @@
 fn take<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::SocketAddrV4, bytes: &[u8]) {
     match sageshed_vms::decode(bytes) {
         Ok(words::Datagram::Observation(word)) => shared.hear(*from.ip(), &word),
-        Ok(words::Datagram::Ask(ask)) => advise(shared, *from.ip(), ask),
-        Ok(words::Datagram::Advice(advice)) => {
+        Ok(words::Datagram::RoutingQuery(ask)) => advise(shared, *from.ip(), ask),
+        Ok(words::Datagram::RoutingReply(advice)) => {
             if let Some(neighbours) = &shared.neighbours {
-                Neighbours::answered(&neighbours.asked, advice.id, advice.place);
+                Neighbours::answered(&neighbours.asked, advice.id, advice.decision);
             }
         }
         Ok(words::Datagram::Drawn(id, answer)) => {
@@ -196,7 +200,11 @@
 }
 
 /// Says where a request of `from` is to go.
-fn advise<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::Ipv4Addr, ask: words::Ask) {
+fn advise<D: dialect::Dialect>(
+    shared: &state::Shared<D>,
+    from: net::Ipv4Addr,
+    ask: words::RoutingQuery,
+) {
     let now = shared.clock.now();
     let (id, request) = (ask.id, ask.request);
     let wanted = dialect::Wanted {
@@ -229,9 +237,12 @@
         };
         core.chooser.advise(now, from, request, &ask)
     });
-    let advice = words::Advice { id, place };
+    let advice = words::RoutingReply {
+        id,
+        decision: place,
+    };
     if let Some(neighbours) = &shared.neighbours {
-        neighbours.send(&words::Datagram::Advice(advice), &[from]);
+        neighbours.send(&words::Datagram::RoutingReply(advice), &[from]);
     }
 }
 
@@ -240,7 +251,7 @@
     shared: &state::Shared<D>,
     request: u64,
     ask: &chooser::Ask<'_>,
-) -> Option<words::Place> {
+) -> Option<words::RoutingDecision> {
     let neighbours = shared.neighbours.as_ref()?;
     let wanted = ask.wanted?;
     let now = shared.clock.now();
@@ -257,7 +268,7 @@
         return None;
     }
     let parts = ask.parts.iter().take(MOST_PARTS);
-    let question = words::Ask {
+    let question = words::RoutingQuery {
         id: 0,
         request,
         service: ask.service.to_owned(),
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -16,16 +16,16 @@
     core: &mut state::Core,
     now: time::Instant,
     ask: &chooser::Ask<'_>,
-    place: Option<entry_peers::Place>,
+    place: Option<entry_peers::RoutingDecision>,
 ) -> chooser::Choice {
     let advised = match place {
-        Some(entry_peers::Place::Engine {
+        Some(entry_peers::RoutingDecision::Engine {
             engine, estimate, ..
         }) => core.chooser.follow(now, engine, estimate, ask),
-        Some(entry_peers::Place::Wait { .. }) => {
+        Some(entry_peers::RoutingDecision::Wait { .. }) => {
             Some(chooser::Choice::Wait(chooser::Missing::Place))
         }
-        Some(entry_peers::Place::Unknown) | None => None,
+        Some(entry_peers::RoutingDecision::Unknown) | None => None,
     };
     advised.unwrap_or_else(|| core.chooser.choose(now, ask))
 }
@@ -36,9 +36,9 @@
         &self,
         ask: &chooser::Ask<'_>,
         asked_at: &mut Option<std_time::Instant>,
-    ) -> Option<entry_peers::Place> {
+    ) -> Option<entry_peers::RoutingDecision> {
         if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
-            return Some(entry_peers::Place::Wait { expected: None });
+            return Some(entry_peers::RoutingDecision::Wait { expected: None });
         }
         let request = entry_peers::key(self.id());
         let place = gateway::neighbours::ask(self.shared, request, ask);
@@ -47,12 +47,12 @@
     }
 
     /// Counts what the request asks for, once.
-    pub(super) fn count(&self, place: Option<entry_peers::Place>) {
+    pub(super) fn count(&self, place: Option<entry_peers::RoutingDecision>) {
         let Some(wanted) = self.wanted.filter(|_| !self.is_counted.replace(true)) else {
             return;
         };
         let kept = match place {
-            Some(entry_peers::Place::Engine { kept_tokens, .. }) => Some(kept_tokens),
+            Some(entry_peers::RoutingDecision::Engine { kept_tokens, .. }) => Some(kept_tokens),
             _ => None,
         };
         self.shared
@@ -62,10 +62,10 @@
     /// The refusal of a request that can't be reached in its time, by all that wait for its model anywhere.
     pub(super) fn hopeless_by_home(
         &self,
-        place: Option<entry_peers::Place>,
+        place: Option<entry_peers::RoutingDecision>,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let Some(entry_peers::Place::Wait { expected }) = place else {
+        let Some(entry_peers::RoutingDecision::Wait { expected }) = place else {
             return None;
         };
         let expected = expected.unwrap_or_default();
