--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -31,22 +31,22 @@
         let Some(endpoint) = self.get_mut(key) else {
             return false;
         };
-        if let Some(beginning) = &observation.kept {
-            endpoint.prefix_cache.insert_reported(beginning);
+        if let Some(prefix) = &observation.cached_prefix {
+            endpoint.prefix_cache.insert_reported(prefix);
         }
-        if observation.pace.is_some() {
+        if observation.ttft.is_some() {
             endpoint.last_activity = now;
             endpoint.ejection = time::Millis(0);
         }
         if let Some(running) = observation.running {
             endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.set_reported_prefill(now, from, observation.micros);
-        if let Some(trouble) = observation.trouble {
-            endpoint.apply_fault(now, from, trouble);
+        let has_less = endpoint.set_reported_prefill(now, from, observation.pending_prefill_us);
+        if let Some(fault) = observation.fault {
+            endpoint.apply_fault(now, from, fault);
         }
-        if let Some(pace) = observation.pace {
-            self.learn_pace(key, pace);
+        if let Some(sample) = observation.ttft {
+            self.learn_ttft(key, sample);
         }
         if let Some(pauses) = observation.pauses {
             self.learn_pauses(now, key, pauses);
@@ -55,18 +55,18 @@
     }
 
     /// Learns the prefill speed of an engine from a request of another process.
-    fn learn_pace(&mut self, key: arena::EndpointKey, pace: entry_peers::Pace) {
-        let estimated = f64::from(pace.estimated) - BATCH_STEP_MS;
+    fn learn_ttft(&mut self, key: arena::EndpointKey, sample: entry_peers::TtftSample) {
+        let estimated = f64::from(sample.estimated) - BATCH_STEP_MS;
         if estimated < MIN_LEARNABLE_ESTIMATE_MS {
             return;
         }
-        let factor = (f64::from(pace.took) - BATCH_STEP_MS).max(1.0) / estimated;
+        let factor = (f64::from(sample.took) - BATCH_STEP_MS).max(1.0) / estimated;
         let Some(endpoint) = self.get_mut(key) else {
             return;
         };
         endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
         let models = endpoint.instance.models.iter();
-        let mut matching = models.filter(|it| entry_peers::key(&it.model) == pace.model);
+        let mut matching = models.filter(|it| entry_peers::key(&it.model) == sample.model);
         if let Some(model) = matching.next().map(|it| it.model.clone()) {
             self.prefill_speeds.learn(&model, factor);
         }
@@ -81,12 +81,12 @@
         let endpoint = self.get(pick.key)?;
         let observation = entry_peers::EngineObservation {
             engine: entry_peers::instance_key(&endpoint.instance.id),
-            micros: endpoint.pending_prefill_us,
-            kept: None,
-            pace: None,
+            pending_prefill_us: endpoint.pending_prefill_us,
+            cached_prefix: None,
+            ttft: None,
             running: None,
             pauses: None,
-            trouble: None,
+            fault: None,
         };
         Some((observation, self.coordinators.told(&endpoint.instance)))
     }
@@ -147,7 +147,7 @@
         let decision = entry_peers::RoutingDecision::Engine {
             engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
-            kept_tokens: ask
+            cached_tokens: ask
                 .prompt_tokens
                 .saturating_sub(endpoint.uncached_tokens(ask)),
         };
@@ -194,7 +194,7 @@
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        trouble: entry_peers::Trouble,
+        fault: entry_peers::EngineFault,
     ) {
         let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
@@ -204,14 +204,16 @@
                 adapter: None,
             })
         };
-        match trouble {
-            entry_peers::Trouble::Rejects(model) | entry_peers::Trouble::Lacks(model) => {
+        match fault {
+            entry_peers::EngineFault::Rejects(model) | entry_peers::EngineFault::Lacks(model) => {
                 if let Some(wanted) = find_model(model) {
                     self.record_rejection(now, Some(&wanted));
                 }
             }
-            entry_peers::Trouble::Fails | entry_peers::Trouble::Silent => self.record_failure(now),
-            entry_peers::Trouble::Unreachable => {
+            entry_peers::EngineFault::Fails | entry_peers::EngineFault::Silent => {
+                self.record_failure(now)
+            }
+            entry_peers::EngineFault::Unreachable => {
                 self.record_failure(now);
                 let before = self.unreachable_from.replace((from, now));
                 let is_second = before
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -6,7 +6,7 @@
 
 use std::collections;
 
-use crate::{dialect, directory, entry_peers, entry_peers::Reader};
+use crate::{dialect, directory, entry_peers, entry_peers::CacheScope};
 
 /// Prompt parts that are remembered for each engine.
 const MAX_PARTS: usize = 2_000;
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
     /// By model, adapter and id of the part, the number of the request that last used it.
-    parts: collections::HashMap<(Reader, u64), u64>,
+    parts: collections::HashMap<(CacheScope, u64), u64>,
     clock: u64,
 }
 
@@ -27,25 +27,25 @@
         wanted: &dialect::Wanted,
         parts: &[dialect::PromptPart],
     ) -> u64 {
-        let reader = Reader::of(wanted);
-        let kept = |part: &&dialect::PromptPart| self.parts.contains_key(&(reader, part.id));
+        let scope = CacheScope::of(wanted);
+        let kept = |part: &&dialect::PromptPart| self.parts.contains_key(&(scope, part.id));
         parts.iter().take_while(kept).map(|part| part.tokens).sum()
     }
 
     /// Records that the engine prefilled a prompt of these parts.
     pub(super) fn insert(&mut self, wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) {
-        self.insert_parts(Reader::of(wanted), parts.iter().map(|part| part.id));
+        self.insert_parts(CacheScope::of(wanted), parts.iter().map(|part| part.id));
     }
 
     /// Records a prefix that the engine prefilled for another process.
-    pub(super) fn insert_reported(&mut self, beginning: &entry_peers::Beginning) {
-        self.insert_parts(beginning.reader, beginning.parts.iter().copied());
+    pub(super) fn insert_reported(&mut self, prefix: &entry_peers::PromptPrefix) {
+        self.insert_parts(prefix.scope, prefix.parts.iter().copied());
     }
 
-    fn insert_parts(&mut self, reader: Reader, parts: impl Iterator<Item = u64>) {
+    fn insert_parts(&mut self, scope: CacheScope, parts: impl Iterator<Item = u64>) {
         self.clock += 1;
         for part in parts {
-            self.parts.insert((reader, part), self.clock);
+            self.parts.insert((scope, part), self.clock);
         }
         if self.parts.len() > MAX_PARTS {
             self.evict_older_half();
@@ -59,7 +59,7 @@
             .map(|it| entry_peers::key(&it.model))
             .collect();
         self.parts
-            .retain(|(reader, _), _| resident.contains(&reader.model));
+            .retain(|(scope, _), _| resident.contains(&scope.model));
     }
 
     fn evict_older_half(&mut self) {
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -101,7 +101,8 @@
         /// Estimated time until the response begins.
         estimate: time::Millis,
         /// Tokens of the prompt that the engine caches.
-        kept_tokens: u64,
+        #[serde(rename = "kept_tokens")]
+        cached_tokens: u64,
     },
     /// Hold the request: all engines with the model have too much prefill pending.
     Wait {
@@ -114,7 +115,7 @@
 
 /// Time to first token of one response, measured and estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct TtftSample {
     /// The model, by [`key`].
     pub model: u64,
     /// Measured time in milliseconds.
@@ -125,7 +126,7 @@
 
 /// A fault of an engine that a process ran into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Trouble {
+pub enum EngineFault {
     /// It rejected a request for this model, by [`key`].
     Rejects(u64),
     /// It does not hold this model.
@@ -145,15 +146,16 @@
     /// Key of the engine, by [`instance_key`].
     pub engine: u64,
     /// Pending prefill of the sender's requests at the engine, in microseconds.
-    pub micros: u64,
+    #[serde(rename = "micros")]
+    pub pending_prefill_us: u64,
     /// A prompt prefix that the engine has just prefilled for the sender and now caches. Without reports,
     /// each of seven processes would know a seventh of what engines cache, and engines would prefill again
     /// what they already have.
-    #[serde(default)]
-    pub kept: Option<Beginning>,
+    #[serde(default, rename = "kept")]
+    pub cached_prefix: Option<PromptPrefix>,
     /// Time to first token of the response that has just begun.
-    #[serde(default)]
-    pub pace: Option<Pace>,
+    #[serde(default, rename = "pace")]
+    pub ttft: Option<TtftSample>,
     /// Requests that the engine runs, by its own report in the response that has just begun.
     #[serde(default)]
     pub running: Option<u32>,
@@ -161,8 +163,8 @@
     #[serde(default)]
     pub pauses: Option<Pauses>,
     /// A fault that has just occurred there.
-    #[serde(default)]
-    pub trouble: Option<Trouble>,
+    #[serde(default, rename = "trouble")]
+    pub fault: Option<EngineFault>,
 }
 
 /// The pauses of a stream that ended normally.
@@ -178,23 +180,24 @@
 
 /// The prefix of a prompt that other prompts may share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beginning {
+pub struct PromptPrefix {
     /// Model and adapter that it was prefilled for.
-    pub reader: Reader,
+    #[serde(rename = "reader")]
+    pub scope: CacheScope,
     /// Ids of its parts, in order.
     pub parts: Vec<u64>,
 }
 
 /// Model and adapter that a prompt part was prefilled for, by their hashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Reader {
+pub struct CacheScope {
     /// The model, by [`key`].
     pub model: u64,
     /// Model and adapter together.
     pub whole: u64,
 }
 
-impl Reader {
+impl CacheScope {
     /// The scope of `wanted`.
     #[must_use]
     pub fn of(wanted: &dialect::Wanted) -> Self {
@@ -205,7 +208,7 @@
     }
 }
 
-impl Beginning {
+impl PromptPrefix {
     /// The prefix of a prompt that other prompts may share: all parts but the last, which belongs to this
     /// request or its session. None if that is empty.
     #[must_use]
@@ -213,7 +216,7 @@
         let (_, shared) = parts.split_last()?;
         let shared = &shared[..shared.len().min(MAX_PREFIX_PARTS)];
         (!shared.is_empty()).then(|| Self {
-            reader: Reader::of(wanted),
+            scope: CacheScope::of(wanted),
             parts: shared.iter().map(|it| it.id).collect(),
         })
     }
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -7,7 +7,7 @@
 use sageshed_fleet::{
     chooser::{Ask, Choice, Chooser, Ended},
     dialect,
-    entry_peers::{self, RoutingDecision, Trouble},
+    entry_peers::{self, EngineFault, RoutingDecision},
 };
 use sageshed_types::time;
 
@@ -63,12 +63,12 @@
 fn observation(id: &str, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
         engine: short(id),
-        micros,
-        kept: None,
-        pace: None,
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     }
 }
 
@@ -139,13 +139,13 @@
 #[test]
 fn an_engine_that_rejects_one_process_is_not_advised_to_others() {
     for trouble in [
-        Trouble::Rejects(entry_peers::key("m0")),
-        Trouble::Lacks(entry_peers::key("m0")),
+        EngineFault::Rejects(entry_peers::key("m0")),
+        EngineFault::Lacks(entry_peers::key("m0")),
     ] {
         let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
         let told = entry_peers::EngineObservation {
-            trouble: Some(trouble),
+            fault: Some(trouble),
             ..observation("e1", 0)
         };
         coordinator.apply_observation(T0, entries()[3], &told);
@@ -164,7 +164,7 @@
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let lost = |id| entry_peers::EngineObservation {
-        trouble: Some(Trouble::Unreachable),
+        fault: Some(EngineFault::Unreachable),
         ..observation(id, 0)
     };
     for ms in [0, 5, 10] {
@@ -264,14 +264,14 @@
 fn a_home_learns_from_the_answers_of_others() {
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
-    let pace = entry_peers::Pace {
+    let pace = entry_peers::TtftSample {
         model: entry_peers::key("m0"),
         took: 800,
         estimated: 200,
     };
     for number in 0..60_u64 {
         let told = entry_peers::EngineObservation {
-            pace: Some(pace),
+            ttft: Some(pace),
             ..observation("e1", 0)
         };
         coordinator.apply_observation(
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -123,12 +123,12 @@
     chooser.know(&support::engine("e1", &["m0"]));
     let observation = |micros| entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
-        micros,
-        kept: None,
-        pace: None,
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     let m0 = dialect::Wanted {
         model: "m0".to_owned(),
@@ -160,12 +160,12 @@
     chooser.know(&support::engine("e1", &["m0"]));
     let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
-        micros: 3_000_000,
-        kept: None,
-        pace: None,
+        pending_prefill_us: 3_000_000,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let m0 = dialect::Wanted {
@@ -188,17 +188,17 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.know(&support::engine("e1", &["m0", "m1"]));
     chooser.know(&support::engine("e2", &["m0", "m1"]));
-    let kept = entry_peers::Beginning::of(&m0, &parts);
+    let kept = entry_peers::PromptPrefix::of(&m0, &parts);
     assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
-    assert_eq!(entry_peers::Beginning::of(&m0, &parts[1..]), None);
+    assert_eq!(entry_peers::PromptPrefix::of(&m0, &parts[1..]), None);
     let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e2".into()),
-        micros: 0,
-        kept,
-        pace: None,
+        pending_prefill_us: 0,
+        cached_prefix: kept,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -267,12 +267,12 @@
     };
     let word = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&pick.instance),
-        micros: 900_000,
-        kept: None,
-        pace: None,
+        pending_prefill_us: 900_000,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     let mut gone = start(100, 900, &["m0"]);
     gone.state = State::Replaced;
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -37,12 +37,12 @@
 fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
         engine: short(id),
-        micros,
-        kept: None,
-        pace: None,
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: Some(running),
         pauses: None,
-        trouble: None,
+        fault: None,
     }
 }
 
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -322,9 +322,9 @@
 ) {
     tell_with(shared, pick, |word, has_homes| {
         let short = |ms: Millis| u32::try_from(ms.0).unwrap_or(u32::MAX);
-        word.kept = words::Beginning::of(read.wanted, read.parts);
+        word.cached_prefix = words::PromptPrefix::of(read.wanted, read.parts);
         word.running = load.map(|it| it.running);
-        word.pace = has_homes.then(|| words::Pace {
+        word.ttft = has_homes.then(|| words::TtftSample {
             model: words::key(&read.wanted.model),
             took: short(took),
             estimated: short(pick.estimate),
@@ -351,11 +351,11 @@
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
     began: bool,
-    trouble: Option<words::Trouble>,
+    trouble: Option<words::EngineFault>,
 ) {
     tell_with(shared, pick, |word, has_homes| {
-        word.trouble = trouble.filter(|_| has_homes);
-        !began || word.trouble.is_some()
+        word.fault = trouble.filter(|_| has_homes);
+        !began || word.fault.is_some()
     });
 }
 
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -269,16 +269,16 @@
     }
 
     /// What others are to know of an engine after a request of this kind has ended `how`.
-    fn trouble(&self, how: chooser::Ended) -> Option<words::Trouble> {
+    fn trouble(&self, how: chooser::Ended) -> Option<words::EngineFault> {
         let model = self.wanted.map(|it| words::key(&it.model))?;
         match how {
             chooser::Ended::Answered | chooser::Ended::GivenUp => None,
-            chooser::Ended::Refused => Some(words::Trouble::Rejects(model)),
+            chooser::Ended::Refused => Some(words::EngineFault::Rejects(model)),
             chooser::Ended::Misdirected if self.is_adapter() => None,
-            chooser::Ended::Misdirected => Some(words::Trouble::Lacks(model)),
-            chooser::Ended::Failed => Some(words::Trouble::Fails),
-            chooser::Ended::Unreachable => Some(words::Trouble::Unreachable),
-            chooser::Ended::Silent => Some(words::Trouble::Silent),
+            chooser::Ended::Misdirected => Some(words::EngineFault::Lacks(model)),
+            chooser::Ended::Failed => Some(words::EngineFault::Fails),
+            chooser::Ended::Unreachable => Some(words::EngineFault::Unreachable),
+            chooser::Ended::Silent => Some(words::EngineFault::Silent),
         }
     }
 
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -52,7 +52,7 @@
             return;
         };
         let kept = match place {
-            Some(entry_peers::RoutingDecision::Engine { kept_tokens, .. }) => Some(kept_tokens),
+            Some(entry_peers::RoutingDecision::Engine { cached_tokens, .. }) => Some(cached_tokens),
             _ => None,
         };
         self.shared
