--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -25,7 +25,7 @@
         from: net::Ipv4Addr,
         observation: &entry_peers::EngineObservation,
     ) -> bool {
-        let Some(key) = self.by_short_name(observation.engine) else {
+        let Some(key) = self.by_instance_key(observation.engine) else {
             return false;
         };
         let Some(endpoint) = self.get_mut(key) else {
@@ -66,7 +66,7 @@
         };
         endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
         let models = endpoint.instance.models.iter();
-        let mut matching = models.filter(|it| entry_peers::key(&it.model) == sample.model);
+        let mut matching = models.filter(|it| entry_peers::name_key(&it.model) == sample.model);
         if let Some(model) = matching.next().map(|it| it.model.clone()) {
             self.prefill_speeds.learn(&model, factor);
         }
@@ -165,7 +165,7 @@
         estimate: time::Millis,
         ask: &Ask<'_>,
     ) -> Option<Choice> {
-        let key = self.by_short_name(engine)?;
+        let key = self.by_instance_key(engine)?;
         let is_open = self.is_in_service(key, ask.service) && self.is_open(now, key, ask);
         let holds = ask.wanted.is_some_and(|it| self.holds(now, key, it));
         (is_open && holds).then(|| self.dispatch_with_estimate(now, key, ask, estimate))
@@ -173,13 +173,13 @@
 
     /// Looks up an endpoint by its [`entry_peers::instance_key`].
     #[must_use]
-    pub fn by_short_name(&self, name: u64) -> Option<arena::EndpointKey> {
+    pub fn by_instance_key(&self, name: u64) -> Option<arena::EndpointKey> {
         self.by_key.get(&name).copied()
     }
 
     /// The [`entry_peers::instance_key`] of an endpoint.
     #[must_use]
-    pub fn short_name(&self, key: arena::EndpointKey) -> Option<u64> {
+    pub fn instance_key(&self, key: arena::EndpointKey) -> Option<u64> {
         let endpoint = self.get(key)?;
         Some(entry_peers::instance_key(&endpoint.instance.id))
     }
@@ -198,7 +198,7 @@
     ) {
         let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
-            let found = models.find(|it| entry_peers::key(&it.model) == model);
+            let found = models.find(|it| entry_peers::name_key(&it.model) == model);
             found.map(|it| dialect::Wanted {
                 model: it.model.clone(),
                 adapter: None,
--- a/crates/sageshed-fleet/src/chooser/coordinators.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -53,7 +53,7 @@
             .collect();
         let mut ranked = 0;
         for (model, coordinators) in &mut self.by_model {
-            let key = entry_peers::key(model);
+            let key = entry_peers::name_key(model);
             let is_there =
                 |it: &entry_peers::HashedEntry| self.entries.binary_search(&it.1).is_ok();
             if coordinators.len() < entry_peers::COORDINATORS || !coordinators.iter().all(is_there)
@@ -77,7 +77,7 @@
                 continue;
             }
             let coordinators = if self.exist() {
-                let key = entry_peers::key(&resident.model);
+                let key = entry_peers::name_key(&resident.model);
                 entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::COORDINATORS)
             } else {
                 Vec::new()
@@ -98,7 +98,7 @@
     pub fn of(&self, model: &str) -> Vec<net::Ipv4Addr> {
         match self.by_model.get(model) {
             Some(coordinators) => coordinators.iter().map(|it| it.1).collect(),
-            None => entry_peers::coordinators(entry_peers::key(model), &self.entries),
+            None => entry_peers::coordinators(entry_peers::name_key(model), &self.entries),
         }
     }
 
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -56,7 +56,7 @@
     pub(super) fn retain_models(&mut self, models: &[directory::Resident]) {
         let resident: Vec<u64> = models
             .iter()
-            .map(|it| entry_peers::key(&it.model))
+            .map(|it| entry_peers::name_key(&it.model))
             .collect();
         self.parts
             .retain(|(scope, _), _| resident.contains(&scope.model));
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -4,7 +4,7 @@
 //! that selects an engine has to know what the others have just sent there; the engine's own report comes
 //! with a response, when it is too late.
 //!
-//! A small number of entry processes ([`GROUP`]) all report to each other, and each selects engines by
+//! A small number of entry processes ([`MAX_BROADCAST_ENTRIES`]) all report to each other, and each selects engines by
 //! itself. With more processes, that takes a quadratic number of messages, and each process has a request
 //! for a model so seldom that its view is stale. Then each model has coordinators among them ([`coordinators`]),
 //! chosen by hashing. The coordinator receives reports on all engines that hold the model, is queried for
@@ -24,7 +24,7 @@
 use crate::{allowance, dialect, directory};
 
 /// Up to this many entry processes all report to each other. Among more, models have coordinators.
-pub const GROUP: usize = 12;
+pub const MAX_BROADCAST_ENTRIES: usize = 12;
 
 /// Coordinators of a model: the one that is queried, and the one that takes over when the first is lost.
 /// Both receive reports.
@@ -116,7 +116,7 @@
 /// Time to first token of one response, measured and estimated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TtftSample {
-    /// The model, by [`key`].
+    /// The model, by [`name_key`].
     pub model: u64,
     /// Measured time in milliseconds.
     pub took: u32,
@@ -127,7 +127,7 @@
 /// A fault of an engine that a process ran into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineFault {
-    /// It rejected a request for this model, by [`key`].
+    /// It rejected a request for this model, by [`name_key`].
     Rejects(u64),
     /// It does not hold this model.
     Lacks(u64),
@@ -191,7 +191,7 @@
 /// Model and adapter that a prompt part was prefilled for, by their hashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CacheScope {
-    /// The model, by [`key`].
+    /// The model, by [`name_key`].
     pub model: u64,
     /// Model and adapter together.
     pub whole: u64,
@@ -202,7 +202,7 @@
     #[must_use]
     pub fn of(wanted: &dialect::Wanted) -> Self {
         Self {
-            model: key(&wanted.model),
+            model: name_key(&wanted.model),
             whole: hash(wanted),
         }
     }
@@ -227,8 +227,8 @@
 
 /// The hash that identifies a model in datagrams.
 #[must_use]
-pub fn key(model: &str) -> u64 {
-    hash(&model)
+pub fn name_key(name: &str) -> u64 {
+    hash(&name)
 }
 
 /// The hash that identifies an instance in datagrams. It differs between starts of an endpoint, as what was
@@ -241,7 +241,7 @@
 /// Whether there are so many entry processes that models have coordinators.
 #[must_use]
 pub fn uses_coordinators(entries: &[net::Ipv4Addr]) -> bool {
-    entries.len() > GROUP
+    entries.len() > MAX_BROADCAST_ENTRIES
 }
 
 /// The coordinators of a model among `entries`, in the order in which they are queried; none if all
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -323,7 +323,7 @@
     assert!(chooser.closed(now, "engines").is_empty());
     chooser.rest(now, &engines[1].id, Millis(500));
     let closed = chooser.closed(now, "engines");
-    let names: Vec<_> = closed.iter().map(|it| chooser.short_name(*it)).collect();
+    let names: Vec<_> = closed.iter().map(|it| chooser.instance_key(*it)).collect();
     let expected = sageshed_fleet::entry_peers::instance_key(&engines[1].id);
     assert_eq!(names, [Some(expected)]);
     assert!(chooser.closed(now, "plain").is_empty());
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -32,7 +32,7 @@
 
 /// The home of m0, which knows `engines` that hold it.
 fn coordinator(engines: &[&str]) -> Chooser {
-    let own = entry_peers::coordinators(entry_peers::key("m0"), &entries())[0];
+    let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for id in engines {
@@ -139,8 +139,8 @@
 #[test]
 fn an_engine_that_rejects_one_process_is_not_advised_to_others() {
     for trouble in [
-        EngineFault::Rejects(entry_peers::key("m0")),
-        EngineFault::Lacks(entry_peers::key("m0")),
+        EngineFault::Rejects(entry_peers::name_key("m0")),
+        EngineFault::Lacks(entry_peers::name_key("m0")),
     ] {
         let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
@@ -243,7 +243,7 @@
 /// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
 #[test]
 fn the_coordinator_itself_asks_nobody() {
-    let coordinators = entry_peers::coordinators(entry_peers::key("m0"), &entries());
+    let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
         chooser.join_groups(own, &entries());
@@ -265,7 +265,7 @@
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let pace = entry_peers::TtftSample {
-        model: entry_peers::key("m0"),
+        model: entry_peers::name_key("m0"),
         took: 800,
         estimated: 200,
     };
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -26,7 +26,7 @@
     shuffled.reverse();
     let mut members = collections::BTreeSet::new();
     for model in 0..470_u64 {
-        let key = entry_peers::key(&format!("m{model}"));
+        let key = entry_peers::name_key(&format!("m{model}"));
         let coordinators = entry_peers::coordinators(key, &entries);
         assert_eq!(coordinators.len(), 2);
         assert_eq!(coordinators, entry_peers::coordinators(key, &shuffled));
@@ -46,13 +46,13 @@
     let told = coordinators.told(&engine);
     assert!(told.len() <= 6, "{told:?}");
     for model in ["m0", "m1", "m2"] {
-        let coordinators = entry_peers::coordinators(entry_peers::key(model), &many);
+        let coordinators = entry_peers::coordinators(entry_peers::name_key(model), &many);
         assert!(coordinators.iter().all(|it| told.contains(it)), "{model}");
     }
     let few = entries(7);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
     assert_eq!(coordinators.told(&engine), few);
-    assert!(entry_peers::coordinators(entry_peers::key("m0"), &few).is_empty());
+    assert!(entry_peers::coordinators(entry_peers::name_key("m0"), &few).is_empty());
 }
 
 /// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
@@ -77,14 +77,14 @@
         for name in &names {
             assert_eq!(
                 known.of(name),
-                entry_peers::coordinators(entry_peers::key(name), &left)
+                entry_peers::coordinators(entry_peers::name_key(name), &left)
             );
         }
         ranked += known.set_entries(own, &all);
         for name in &names {
             assert_eq!(
                 known.of(name),
-                entry_peers::coordinators(entry_peers::key(name), &all)
+                entry_peers::coordinators(entry_peers::name_key(name), &all)
             );
         }
     }
@@ -97,7 +97,7 @@
     let before = entries(90);
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
-        let key = entry_peers::key(&format!("m{model}"));
+        let key = entry_peers::name_key(&format!("m{model}"));
         entry_peers::coordinators(key, &before) != entry_peers::coordinators(key, &after)
     });
     assert!(changed.count() <= 8);
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -48,7 +48,7 @@
 
 /// The home of m0, which was told at `T0` how many requests each of these engines runs.
 fn coordinator(engines: &[(&str, u32)]) -> Chooser {
-    let own = entry_peers::coordinators(entry_peers::key("m0"), &entries())[0];
+    let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.join_groups(own, &entries());
     for (id, running) in engines {
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -221,7 +221,7 @@
     let place = shared.with_core(|core| {
         let tried = ask.tried.iter();
         let tried: Vec<_> = tried
-            .filter_map(|it| core.chooser.by_short_name(*it))
+            .filter_map(|it| core.chooser.by_instance_key(*it))
             .collect();
         let ask = chooser::Ask {
             service: &ask.service,
@@ -260,7 +260,7 @@
         let closed = core.chooser.closed(now, ask.service);
         let tried = ask.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
-            .filter_map(|key| core.chooser.short_name(*key))
+            .filter_map(|key| core.chooser.instance_key(*key))
             .collect();
         (core.chooser.coordinators(&wanted.model), tried)
     });
@@ -325,7 +325,7 @@
         word.cached_prefix = words::PromptPrefix::of(read.wanted, read.parts);
         word.running = load.map(|it| it.running);
         word.ttft = has_homes.then(|| words::TtftSample {
-            model: words::key(&read.wanted.model),
+            model: words::name_key(&read.wanted.model),
             took: short(took),
             estimated: short(pick.estimate),
         });
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -270,7 +270,7 @@
 
     /// What others are to know of an engine after a request of this kind has ended `how`.
     fn trouble(&self, how: chooser::Ended) -> Option<words::EngineFault> {
-        let model = self.wanted.map(|it| words::key(&it.model))?;
+        let model = self.wanted.map(|it| words::name_key(&it.model))?;
         match how {
             chooser::Ended::Answered | chooser::Ended::GivenUp => None,
             chooser::Ended::Refused => Some(words::EngineFault::Rejects(model)),
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -40,7 +40,7 @@
         if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
             return Some(entry_peers::RoutingDecision::Wait { expected: None });
         }
-        let request = entry_peers::key(self.id());
+        let request = entry_peers::name_key(self.id());
         let place = gateway::neighbours::ask(self.shared, request, ask);
         *asked_at = place.map(|_| std_time::Instant::now());
         place
