--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -5,7 +5,8 @@
 use sageshed_types::{arena, time};
 
 use super::{
-    Ask, BATCH_STEP_MS, Choice, Chooser, EngineSelection, Missing, Pick, endpoint, prefill_speed,
+    BATCH_STEP_MS, Choice, Chooser, EndpointQuery, EngineSelection, Pick, WaitReason, endpoint,
+    prefill_speed,
 };
 use crate::{dialect, entry_peers};
 
@@ -115,41 +116,41 @@
         now: time::Instant,
         to: net::Ipv4Addr,
         request: u64,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> entry_peers::RoutingDecision {
-        let Some(wanted) = ask.wanted else {
+        let Some(wanted) = query.wanted else {
             return entry_peers::RoutingDecision::Unknown;
         };
-        let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
+        let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
         if with_adapter.is_empty()
             && without_adapter.is_empty()
-            && self.open_endpoints(now, ask).next().is_none()
+            && self.open_endpoints(now, query).next().is_none()
         {
             return entry_peers::RoutingDecision::Unknown;
         }
-        let key = match self.select_engine(now, ask, &with_adapter, &without_adapter) {
+        let key = match self.select_engine(now, query, &with_adapter, &without_adapter) {
             EngineSelection::Engine(key) => key,
-            EngineSelection::Missing(Missing::Place) => {
+            EngineSelection::Wait(WaitReason::Place) => {
                 let expected = self
                     .wait_estimates
                     .record_waiting(now, &wanted.model, request);
                 return entry_peers::RoutingDecision::Wait { expected };
             }
-            EngineSelection::Missing(_) | EngineSelection::Fetch(_) => {
+            EngineSelection::Wait(_) | EngineSelection::Fetch(_) => {
                 return entry_peers::RoutingDecision::Unknown;
             }
         };
-        let estimate = super::to_millis(self.estimate_ms(now, key, ask));
-        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
+        let estimate = super::to_millis(self.estimate_ms(now, key, query));
+        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, query) else {
             return entry_peers::RoutingDecision::Unknown;
         };
         endpoint.add_routed(now, to, reading);
         let decision = entry_peers::RoutingDecision::Engine {
             engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
-            cached_tokens: ask
+            cached_tokens: query
                 .prompt_tokens
-                .saturating_sub(endpoint.uncached_tokens(ask)),
+                .saturating_sub(endpoint.uncached_tokens(query)),
         };
         self.wait_estimates
             .record_routed(now, &wanted.model, request);
@@ -163,12 +164,12 @@
         now: time::Instant,
         engine: u64,
         estimate: time::Millis,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> Option<Choice> {
         let key = self.by_instance_key(engine)?;
-        let is_open = self.is_in_service(key, ask.service) && self.is_open(now, key, ask);
-        let holds = ask.wanted.is_some_and(|it| self.holds(now, key, it));
-        (is_open && holds).then(|| self.dispatch_with_estimate(now, key, ask, estimate))
+        let is_open = self.is_in_service(key, query.service) && self.is_open(now, key, query);
+        let holds = query.wanted.is_some_and(|it| self.holds(now, key, it));
+        (is_open && holds).then(|| self.dispatch_with_estimate(now, key, query, estimate))
     }
 
     /// Looks up an endpoint by its [`entry_peers::instance_key`].
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -16,7 +16,7 @@
 
 use sageshed_types::{arena, time};
 
-use super::{Ask, Chooser, Missing};
+use super::{Chooser, EndpointQuery, WaitReason};
 use crate::{allowance, dialect, directory};
 
 /// The lowest limit that is applied, in requests per second. With a limit of zero nothing would be sent,
@@ -238,21 +238,21 @@
     pub(super) fn wait_reason(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
-        missing: Missing,
-    ) -> Missing {
-        if !matches!(missing, Missing::Endpoint | Missing::Model) {
+        query: &EndpointQuery<'_>,
+        missing: WaitReason,
+    ) -> WaitReason {
+        if !matches!(missing, WaitReason::Endpoint | WaitReason::Model) {
             return missing;
         }
-        let closed = self.closed(now, ask.service).into_iter();
+        let closed = self.closed(now, query.service).into_iter();
         let fitting = closed.filter(|key| {
-            self.is_eligible(now, *key, ask)
-                && ask
+            self.is_eligible(now, *key, query)
+                && query
                     .wanted
                     .is_none_or(|wanted| self.holds(now, *key, wanted))
         });
         let opens = fitting.filter_map(|key| self.closed_for(now, key)).min();
-        opens.map_or(missing, Missing::Allowance)
+        opens.map_or(missing, WaitReason::Allowance)
     }
 
     fn expire(&mut self, now: time::Instant) {
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -4,7 +4,7 @@
 
 use sageshed_types::time;
 
-use super::{Ask, BATCH_STEP_MS, prefix_cache};
+use super::{BATCH_STEP_MS, EndpointQuery, prefix_cache};
 use crate::{dialect, directory};
 
 /// Assumed response time of a plain service in milliseconds, until some were measured.
@@ -160,11 +160,11 @@
     }
 
     /// Tokens of a prompt that are not in the prefix cache.
-    pub(super) fn uncached_tokens(&self, ask: &Ask<'_>) -> u64 {
-        let cached = ask.wanted.map_or(0, |wanted| {
-            self.prefix_cache.cached_tokens(wanted, ask.parts)
+    pub(super) fn uncached_tokens(&self, query: &EndpointQuery<'_>) -> u64 {
+        let cached = query.wanted.map_or(0, |wanted| {
+            self.prefix_cache.cached_tokens(wanted, query.parts)
         });
-        ask.prompt_tokens.saturating_sub(cached)
+        query.prompt_tokens.saturating_sub(cached)
     }
 
     /// The failure score, decayed to `now`.
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -19,7 +19,6 @@
 //! decays. An endpoint that can't be reached is ejected for a time that grows with each failure.
 
 mod advice;
-mod ask;
 mod backpressure;
 pub mod coordinators;
 mod endpoint;
@@ -27,6 +26,7 @@
 mod prefill_limit;
 mod prefill_speed;
 mod prefix_cache;
+mod query;
 mod wait_estimates;
 
 use std::{collections, net};
@@ -35,8 +35,8 @@
 
 use self::endpoint::Endpoint;
 pub use self::{
-    ask::{Ask, Choice, Ended, Missing, Pick, Policy, Read, Routing},
     backpressure::Change,
+    query::{AttemptOutcome, Choice, EndpointQuery, Pick, Policy, Prefill, Routing, WaitReason},
 };
 pub use crate::entry_peers::Pauses;
 use crate::{config, dialect, directory, entry_peers};
@@ -74,7 +74,7 @@
     /// Load the adapter on this engine first.
     Fetch(directory::InstanceId),
     /// No engine can take the request now.
-    Missing(Missing),
+    Wait(WaitReason),
 }
 
 /// The state of all endpoints as known to one entry process.
@@ -219,13 +219,13 @@
     }
 
     /// Decides what to do with a request.
-    pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let choice = match ask.wanted {
-            Some(wanted) => self.choose_by_model(now, ask, wanted),
-            None => self.choose_plain_endpoint(now, ask),
+    pub fn choose(&mut self, now: time::Instant, query: &EndpointQuery<'_>) -> Choice {
+        let choice = match query.wanted {
+            Some(wanted) => self.choose_by_model(now, query, wanted),
+            None => self.choose_plain_endpoint(now, query),
         };
         match choice {
-            Choice::Wait(missing) => Choice::Wait(self.wait_reason(now, ask, missing)),
+            Choice::Wait(missing) => Choice::Wait(self.wait_reason(now, query, missing)),
             choice => choice,
         }
     }
@@ -234,47 +234,47 @@
     fn choose_by_model(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         wanted: &dialect::Wanted,
     ) -> Choice {
-        let (with_adapter, without_adapter) = self.engines_with_model(now, ask, wanted);
+        let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
         if !with_adapter.is_empty() || !without_adapter.is_empty() {
-            return self.choose_engine_of(now, ask, &with_adapter, &without_adapter);
+            return self.choose_engine_of(now, query, &with_adapter, &without_adapter);
         }
-        let is_any_open = self.open_endpoints(now, ask).next().is_some();
+        let is_any_open = self.open_endpoints(now, query).next().is_some();
         Choice::Wait(if is_any_open {
-            Missing::Model
+            WaitReason::Model
         } else {
-            Missing::Endpoint
+            WaitReason::Endpoint
         })
     }
 
     /// Whether an endpoint could start on the request now, as far as this process knows.
     #[must_use]
-    pub fn has_free(&self, now: time::Instant, ask: &Ask<'_>) -> bool {
-        let Some(wanted) = ask.wanted else {
+    pub fn has_free(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
+        let Some(wanted) = query.wanted else {
             let mut open = self
-                .open_endpoints(now, ask)
+                .open_endpoints(now, query)
                 .filter_map(|key| self.get(key));
             return open.any(Endpoint::has_capacity);
         };
-        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(ask.service);
-        let (with_adapter, _) = self.engines_with_model(now, ask, wanted);
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(query.service);
+        let (with_adapter, _) = self.engines_with_model(now, query, wanted);
         let mut with_adapter = with_adapter.into_iter().filter_map(|key| self.get(key));
-        with_adapter.any(|it| !it.exceeds_limit(now, self.prefill_ms(it, ask), prefill_limit_ms))
+        with_adapter.any(|it| !it.exceeds_limit(now, self.prefill_ms(it, query), prefill_limit_ms))
     }
 
-    fn choose_plain_endpoint(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let open: Vec<_> = self.open_endpoints(now, ask).collect();
+    fn choose_plain_endpoint(&mut self, now: time::Instant, query: &EndpointQuery<'_>) -> Choice {
+        let open: Vec<_> = self.open_endpoints(now, query).collect();
         if open.is_empty() {
-            return Choice::Wait(Missing::Endpoint);
+            return Choice::Wait(WaitReason::Endpoint);
         }
         let has_capacity =
             |key: &arena::EndpointKey| self.get(*key).is_some_and(Endpoint::has_capacity);
         let free: Vec<_> = open.into_iter().filter(has_capacity).collect();
-        match self.lowest_score(now, ask, &free) {
-            Some((_, key)) => self.dispatch(now, key, ask),
-            None => Choice::Wait(Missing::Place),
+        match self.lowest_score(now, query, &free) {
+            Some((_, key)) => self.dispatch(now, key, query),
+            None => Choice::Wait(WaitReason::Place),
         }
     }
 
@@ -282,41 +282,41 @@
     fn choose_engine_of(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         with_adapter: &[arena::EndpointKey],
         without_adapter: &[arena::EndpointKey],
     ) -> Choice {
-        match self.select_engine(now, ask, with_adapter, without_adapter) {
-            EngineSelection::Engine(key) => self.dispatch(now, key, ask),
+        match self.select_engine(now, query, with_adapter, without_adapter) {
+            EngineSelection::Engine(key) => self.dispatch(now, key, query),
             EngineSelection::Fetch(instance) => Choice::Fetch { instance },
-            EngineSelection::Missing(missing) => Choice::Wait(missing),
+            EngineSelection::Wait(missing) => Choice::Wait(missing),
         }
     }
 
     fn select_engine(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         with_adapter: &[arena::EndpointKey],
         without_adapter: &[arena::EndpointKey],
     ) -> EngineSelection {
-        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(ask.service);
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(query.service);
         let within_limit = |list: &[arena::EndpointKey]| -> Vec<_> {
             let is_within_limit = |key: &arena::EndpointKey| {
                 let endpoint = self.get(*key);
                 endpoint.is_some_and(|it| {
-                    !it.exceeds_limit(now, self.prefill_ms(it, ask), prefill_limit_ms)
+                    !it.exceeds_limit(now, self.prefill_ms(it, query), prefill_limit_ms)
                 })
             };
             list.iter().copied().filter(is_within_limit).collect()
         };
         let (ready_with, ready_without) =
             (within_limit(with_adapter), within_limit(without_adapter));
-        let best = self.lowest_score(now, ask, &ready_with);
-        let other = self.lowest_score(now, ask, &ready_without);
+        let best = self.lowest_score(now, query, &ready_with);
+        let other = self.lowest_score(now, query, &ready_without);
         let fetch = other.filter(|(ms, _)| {
             let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
-            ask.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
+            query.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
         if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
             return EngineSelection::Fetch(endpoint.instance.id.clone());
@@ -324,15 +324,15 @@
         if let Some((_, key)) = best {
             return EngineSelection::Engine(key);
         }
-        if ask.patience > time::Millis(0) {
-            return EngineSelection::Missing(Missing::Place);
+        if query.patience > time::Millis(0) {
+            return EngineSelection::Wait(WaitReason::Place);
         }
-        let Some((_, key)) = self.lowest_score(now, ask, with_adapter) else {
-            return EngineSelection::Missing(Missing::Adapter);
+        let Some((_, key)) = self.lowest_score(now, query, with_adapter) else {
+            return EngineSelection::Wait(WaitReason::Adapter);
         };
         // A request that will be late anyway loses nothing by waiting; sent now, it would make others late.
-        if ask.may_be_late && to_millis(self.estimate_ms(now, key, ask)) > ask.on_time {
-            return EngineSelection::Missing(Missing::Place);
+        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.on_time {
+            return EngineSelection::Wait(WaitReason::Place);
         }
         EngineSelection::Engine(key)
     }
@@ -341,7 +341,7 @@
     fn engines_with_model(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         wanted: &dialect::Wanted,
     ) -> (Vec<arena::EndpointKey>, Vec<arena::EndpointKey>) {
         let base = dialect::Wanted {
@@ -351,7 +351,7 @@
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
         holders
             .copied()
-            .filter(|key| self.is_in_service(*key, ask.service) && self.is_open(now, *key, ask))
+            .filter(|key| self.is_in_service(*key, query.service) && self.is_open(now, *key, query))
             .filter(|key| self.holds(now, *key, &base))
             .partition(|key| self.holds(now, *key, wanted))
     }
@@ -360,7 +360,7 @@
     fn lowest_score(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         keys: &[arena::EndpointKey],
     ) -> Option<(f64, arena::EndpointKey)> {
         let offset = usize::try_from(self.draw()).unwrap_or(0) % keys.len().max(1);
@@ -369,7 +369,7 @@
             let key = keys[(at + offset) % keys.len()];
             // Compares whole milliseconds. Otherwise the remains of an old failure score would keep an
             // endpoint from ever being selected while others are idle.
-            let ms = self.score(now, key, ask).floor();
+            let ms = self.score(now, key, query).floor();
             if best.is_none_or(|(least, _)| ms < least) {
                 best = Some((ms, key));
             }
@@ -378,12 +378,12 @@
     }
 
     /// The score by which endpoints are compared; the lowest wins.
-    fn score(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn score(&self, now: time::Instant, key: arena::EndpointKey, query: &EndpointQuery<'_>) -> f64 {
         match self.policy.choice {
             Routing::Estimate => {
                 let penalty_ms =
-                    self.failure_penalty_ms(now, key) + self.stall_penalty_ms(now, key, ask);
-                self.estimate_ms(now, key, ask) + penalty_ms
+                    self.failure_penalty_ms(now, key) + self.stall_penalty_ms(now, key, query);
+                self.estimate_ms(now, key, query) + penalty_ms
             }
             Routing::LeastLoad => self.get(key).map_or(f64::INFINITY, Endpoint::running),
             Routing::Random => 0.0,
@@ -413,14 +413,20 @@
     fn open_endpoints(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> impl Iterator<Item = arena::EndpointKey> {
-        let all = self.by_service.get(ask.service).into_iter().flatten();
-        all.copied().filter(move |key| self.is_open(now, *key, ask))
+        let all = self.by_service.get(query.service).into_iter().flatten();
+        all.copied()
+            .filter(move |key| self.is_open(now, *key, query))
     }
 
-    fn is_open(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
-        self.is_eligible(now, key, ask) && self.closed_for(now, key).is_none()
+    fn is_open(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> bool {
+        self.is_eligible(now, key, query) && self.closed_for(now, key).is_none()
     }
 
     fn is_in_service(&self, key: arena::EndpointKey, service: &str) -> bool {
@@ -429,22 +435,32 @@
     }
 
     /// Whether an endpoint is ready, not ejected and not yet tried for this request.
-    fn is_eligible(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
+    fn is_eligible(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> bool {
         let takes = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
-        !ask.tried.contains(&key) && self.get(key).is_some_and(takes)
+        !query.tried.contains(&key) && self.get(key).is_some_and(takes)
     }
 
     fn holds(&self, now: time::Instant, key: arena::EndpointKey, wanted: &dialect::Wanted) -> bool {
         self.get(key).is_some_and(|it| it.holds(now, wanted))
     }
 
-    fn estimate_ms(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn estimate_ms(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> f64 {
         let Some(endpoint) = self.get(key) else {
             return f64::INFINITY;
         };
-        let work = if ask.wanted.is_some() {
+        let work = if query.wanted.is_some() {
             let is_told = self.coordinators.is_told(&endpoint.instance);
-            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, ask), is_told)
+            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, query), is_told)
         } else {
             endpoint.service_estimate_ms(now)
         };
@@ -481,12 +497,12 @@
     }
 
     /// Milliseconds that the endpoint needs to prefill the prompt.
-    fn prefill_ms(&self, endpoint: &Endpoint, ask: &Ask<'_>) -> f64 {
-        let Some(wanted) = ask.wanted else {
+    fn prefill_ms(&self, endpoint: &Endpoint, query: &EndpointQuery<'_>) -> f64 {
+        let Some(wanted) = query.wanted else {
             return 0.0;
         };
         let ms_per_token = self.prefill_speeds.ms_per_token(&wanted.model);
-        endpoint.uncached_tokens(ask) as f64 * ms_per_token * endpoint.slowdown
+        endpoint.uncached_tokens(query) as f64 * ms_per_token * endpoint.slowdown
     }
 
     /// Penalty for the endpoint's failures and silence.
@@ -496,18 +512,28 @@
     }
 
     /// Penalty for stalling the streams that an engine runs with a long prefill.
-    fn stall_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
-        let Some(endpoint) = self.get(key).filter(|_| ask.wanted.is_some()) else {
+    fn stall_penalty_ms(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> f64 {
+        let Some(endpoint) = self.get(key).filter(|_| query.wanted.is_some()) else {
             return 0.0;
         };
-        let pause_limit_ms = self.prefill_limits.pause_limit_ms(ask.service);
-        endpoint.engine_stall_penalty_ms(now, self.prefill_ms(endpoint, ask), pause_limit_ms)
+        let pause_limit_ms = self.prefill_limits.pause_limit_ms(query.service);
+        endpoint.engine_stall_penalty_ms(now, self.prefill_ms(endpoint, query), pause_limit_ms)
     }
 
-    fn dispatch(&mut self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> Choice {
+    fn dispatch(
+        &mut self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> Choice {
         // Failures make a response less likely, not later, so they don't count here.
-        let estimate = to_millis(self.estimate_ms(now, key, ask));
-        self.dispatch_with_estimate(now, key, ask, estimate)
+        let estimate = to_millis(self.estimate_ms(now, key, query));
+        self.dispatch_with_estimate(now, key, query, estimate)
     }
 
     /// Sends the request if the response is estimated to begin in `estimate`, unless that is too late.
@@ -515,16 +541,16 @@
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         estimate: time::Millis,
     ) -> Choice {
-        if self.policy.turn_away && estimate >= ask.left {
+        if self.policy.turn_away && estimate >= query.left {
             return Choice::TooLate { estimate };
         }
-        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, ask) else {
-            return Choice::Wait(Missing::Endpoint);
+        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, query) else {
+            return Choice::Wait(WaitReason::Endpoint);
         };
-        let tokens = endpoint.uncached_tokens(ask);
+        let tokens = endpoint.uncached_tokens(query);
         endpoint.in_flight += 1;
         endpoint.pending_prefill_us += reading;
         if endpoint.awaiting == 0 {
@@ -547,14 +573,14 @@
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> Option<(&mut Endpoint, u64)> {
         let endpoint = self.get(key)?;
-        let prefill_ms = self.prefill_ms(endpoint, ask);
+        let prefill_ms = self.prefill_ms(endpoint, query);
         let pending_ms = endpoint.total_pending_prefill_ms(now);
         let is_near_limit = self
             .prefill_limits
-            .is_near_limit(ask.service, pending_ms + prefill_ms);
+            .is_near_limit(query.service, pending_ms + prefill_ms);
         let endpoint = self.get_mut(key)?;
         if is_near_limit {
             endpoint.near_limit_at = Some(now);
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -3,8 +3,8 @@
 use sageshed_types::{arena, time};
 
 use super::{
-    BATCH_STEP_MS, Chooser, Ended, MODEL_DENIAL_TTL, Pauses, Pick, Read, SILENT_EJECTION_TIME,
-    endpoint, prefill_speed,
+    AttemptOutcome, BATCH_STEP_MS, Chooser, MODEL_DENIAL_TTL, Pauses, Pick, Prefill,
+    SILENT_EJECTION_TIME, endpoint, prefill_speed,
 };
 use crate::dialect;
 
@@ -17,7 +17,7 @@
         &mut self,
         now: time::Instant,
         pick: &Pick,
-        read: Option<Read<'_>>,
+        prefill: Option<Prefill<'_>>,
         took: time::Millis,
         load: Option<dialect::Load>,
     ) {
@@ -33,18 +33,18 @@
             endpoint.reported_running = Some((load.running, now));
         }
         endpoint.ejection = time::Millis(0);
-        let Some(read) = read else {
+        let Some(prefill) = prefill else {
             let ms = took.0 as f64;
             endpoint.response_ms += RESPONSE_TIME_GAIN * (ms.min(1_000.0) - endpoint.response_ms);
             return;
         };
-        endpoint.clear_rejection(read.wanted);
-        endpoint.prefix_cache.insert(read.wanted, read.parts);
+        endpoint.clear_rejection(prefill.wanted);
+        endpoint.prefix_cache.insert(prefill.wanted, prefill.parts);
         let prefill_ms = took.0 as f64 - BATCH_STEP_MS;
         if prefill_ms > BATCH_STEP_MS && pick.reading > 0 {
             let factor = prefill_ms * endpoint::MICROS_PER_MS / pending_us.max(pick.reading) as f64;
             endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
-            self.prefill_speeds.learn(&read.wanted.model, factor);
+            self.prefill_speeds.learn(&prefill.wanted.model, factor);
         }
     }
 
@@ -90,7 +90,7 @@
         pick: &Pick,
         wanted: Option<&dialect::Wanted>,
         began: bool,
-        how: Ended,
+        outcome: AttemptOutcome,
     ) {
         let Some(endpoint) = self.get_mut(pick.key) else {
             return;
@@ -100,25 +100,28 @@
             endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.reading);
             endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
         }
-        if matches!(how, Ended::Answered | Ended::Refused | Ended::Misdirected) {
+        if matches!(
+            outcome,
+            AttemptOutcome::Answered | AttemptOutcome::Refused | AttemptOutcome::Misdirected
+        ) {
             endpoint.last_activity = now;
         }
-        match how {
-            Ended::Answered | Ended::GivenUp => {}
-            Ended::Failed => endpoint.record_failure(now),
-            Ended::Refused => endpoint.record_rejection(now, wanted),
-            Ended::Unreachable => {
+        match outcome {
+            AttemptOutcome::Answered | AttemptOutcome::GivenUp => {}
+            AttemptOutcome::Failed => endpoint.record_failure(now),
+            AttemptOutcome::Refused => endpoint.record_rejection(now, wanted),
+            AttemptOutcome::Unreachable => {
                 endpoint.record_failure(now);
                 endpoint.eject(now);
             }
-            Ended::Silent => {
+            AttemptOutcome::Silent => {
                 endpoint.record_failure(now);
                 let was_active = now.since(endpoint.last_activity) < SILENT_EJECTION_TIME;
                 if !was_active {
                     endpoint.ejected_until = now + SILENT_EJECTION_TIME;
                 }
             }
-            Ended::Misdirected => {
+            AttemptOutcome::Misdirected => {
                 let until = now + MODEL_DENIAL_TTL;
                 match wanted {
                     Some(wanted) => drop(endpoint.denied_models.insert(wanted.clone(), until)),
--- a/crates/sageshed-fleet/src/chooser/ask.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -43,7 +43,7 @@
 
 /// A request to select an endpoint for.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct EndpointQuery<'a> {
     /// Service that the request is for.
     pub service: &'a str,
     /// Model and adapter, for a service of engines.
@@ -68,7 +68,7 @@
 
 /// The prompt that an engine has prefilled.
 #[derive(Debug, Clone, Copy)]
-pub struct Read<'a> {
+pub struct Prefill<'a> {
     /// Model and adapter that it was prefilled for.
     pub wanted: &'a dialect::Wanted,
     /// Its parts.
@@ -86,7 +86,7 @@
         instance: directory::InstanceId,
     },
     /// Hold the request until something changes.
-    Wait(Missing),
+    Wait(WaitReason),
     /// Refuse the request with a retry delay, as its response can't begin in time.
     TooLate {
         /// Estimated time until the response would begin.
@@ -96,7 +96,7 @@
 
 /// Why a request has to wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Missing {
+pub enum WaitReason {
     /// The service has no known endpoint that accepts requests.
     Endpoint,
     /// No engine holds the model.
@@ -110,7 +110,7 @@
     Allowance(time::Millis),
 }
 
-impl Missing {
+impl WaitReason {
     /// Whether another replica of the model would help.
     #[must_use]
     pub fn is_of_model(self) -> bool {
@@ -137,7 +137,7 @@
 
 /// Outcome of an attempt at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The endpoint responded.
     Answered,
     /// The caller disconnected, or the attempt was abandoned.
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -6,7 +6,7 @@
 
 use sageshed_fleet::{
     allowance::{self, Key, Terms},
-    chooser::{Ask, Change, Choice, Chooser, Missing},
+    chooser::{Change, Choice, Chooser, EndpointQuery, WaitReason},
     dialect, directory,
 };
 use sageshed_types::time::{Instant, Millis};
@@ -196,8 +196,8 @@
     }
 }
 
-fn ask(wanted: &dialect::Wanted) -> Ask<'_> {
-    Ask {
+fn ask(wanted: &dialect::Wanted) -> EndpointQuery<'_> {
+    EndpointQuery {
         service: "engines",
         wanted: Some(wanted),
         parts: &[],
@@ -247,7 +247,7 @@
     chooser.close(now, &engines[1].id, Millis(2_000));
     let later = Instant(10_300);
     let none = chooser.choose(later, &ask(&wanted));
-    assert_eq!(none, Choice::Wait(Missing::Allowance(Millis(600))));
+    assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(600))));
     let opened = chooser.choose(Instant(10_900), &ask(&wanted));
     assert_eq!(goes_to(&opened), Some("e1"));
 }
@@ -307,7 +307,7 @@
     chooser.rest(Instant(10_100), id, Millis(200));
     chooser.unlimited(id);
     let none = chooser.choose(Instant(12_000), &ask(&wanted));
-    assert_eq!(none, Choice::Wait(Missing::Allowance(Millis(1_000))));
+    assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
     let after = chooser.choose(Instant(13_000), &ask(&wanted));
     assert_eq!(goes_to(&after), Some("e1"));
     chooser.rest(now, id, Millis(u64::MAX));
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -3,7 +3,10 @@
 mod support;
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Ended, Missing, Pauses, Pick, Policy, Read, Routing},
+    chooser::{
+        AttemptOutcome, Choice, Chooser, EndpointQuery, Pauses, Pick, Policy, Prefill, Routing,
+        WaitReason,
+    },
     dialect, directory,
 };
 use sageshed_types::{arena, time};
@@ -17,8 +20,8 @@
     }
 }
 
-fn plain<'a>() -> Ask<'a> {
-    Ask {
+fn plain<'a>() -> EndpointQuery<'a> {
+    EndpointQuery {
         service: support::PLAIN,
         wanted: None,
         parts: &[],
@@ -80,12 +83,12 @@
                 waiting: 0,
                 slots: 64,
             };
-            let read = Read {
+            let read = Prefill {
                 wanted: &m0,
                 parts: &[],
             };
             chooser.began(T0, &pick, Some(read), time::Millis(70), Some(load));
-            chooser.ended(T0, &pick, Some(&m0), true, Ended::Answered);
+            chooser.ended(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
         }
         counts
     };
@@ -97,7 +100,7 @@
         choice: Routing::Estimate,
         turn_away: false,
     };
-    let hopeless = Ask {
+    let hopeless = EndpointQuery {
         left: time::Millis(50),
         ..support::ask(&m0, 9_000)
     };
@@ -116,20 +119,20 @@
     let m0 = wanted("m0", None);
     let part = |id, tokens| dialect::PromptPart { id, tokens };
     let parts = [part(1, 800), part(2, 1_000)];
-    let first = Ask {
+    let first = EndpointQuery {
         parts: &parts,
         ..support::ask(&m0, 1_800)
     };
     let pick = sent(chooser.choose(T0, &first));
-    let read = Read {
+    let read = Prefill {
         wanted: &m0,
         parts: &parts,
     };
     chooser.began(T0, &pick, Some(read), time::Millis(100), None);
-    chooser.ended(T0, &pick, Some(&m0), true, Ended::Answered);
+    chooser.ended(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
     let again = [part(1, 800), part(2, 1_000), part(3, 50)];
     for _ in 0..3 {
-        let ask = Ask {
+        let ask = EndpointQuery {
             parts: &again,
             ..support::ask(&m0, 1_850)
         };
@@ -138,11 +141,11 @@
             (next.instance.name.as_str(), next.tokens),
             (pick.instance.name.as_str(), 50)
         );
-        chooser.ended(T0, &next, Some(&m0), false, Ended::GivenUp);
+        chooser.ended(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     // A part behind one that is not kept has to be read too.
     let other = [part(9, 800), part(2, 1_000)];
-    let ask = Ask {
+    let ask = EndpointQuery {
         parts: &other,
         ..support::ask(&m0, 1_800)
     };
@@ -160,17 +163,17 @@
     chooser.know(&engine);
     let parts = [dialect::PromptPart { id: 1, tokens: 800 }];
     let tokens_of = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
-        let ask = Ask {
+        let ask = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 1_000)
         };
         let pick = sent(chooser.choose(T0, &ask));
-        chooser.ended(T0, &pick, Some(wanted), false, Ended::GivenUp);
+        chooser.ended(T0, &pick, Some(wanted), false, AttemptOutcome::GivenUp);
         pick
     };
     let m0 = wanted("m0", None);
     let pick = tokens_of(&mut chooser, &m0);
-    let read = Read {
+    let read = Prefill {
         wanted: &m0,
         parts: &parts,
     };
@@ -196,9 +199,9 @@
     let (large, small) = (wanted("m0", None), wanted("m1", None));
     let answer = |chooser: &mut Chooser, wanted: &dialect::Wanted, took: u64| {
         let pick = sent(chooser.choose(T0, &support::ask(wanted, 2_000)));
-        let read = Read { wanted, parts: &[] };
+        let read = Prefill { wanted, parts: &[] };
         chooser.began(T0, &pick, Some(read), time::Millis(took), None);
-        chooser.ended(T0, &pick, Some(wanted), true, Ended::Answered);
+        chooser.ended(T0, &pick, Some(wanted), true, AttemptOutcome::Answered);
         pick.estimate
     };
     for _ in 0..100 {
@@ -216,7 +219,7 @@
     name: &'static str,
     know: fn(&mut Chooser),
     wanted: dialect::Wanted,
-    missing: Missing,
+    missing: WaitReason,
 }
 
 #[test]
@@ -231,25 +234,25 @@
             name: "no engine at all",
             know: |_| {},
             wanted: wanted("m0", None),
-            missing: Missing::Endpoint,
+            missing: WaitReason::Endpoint,
         },
         Case {
             name: "the only one leaves",
             know: leaving,
             wanted: wanted("m0", None),
-            missing: Missing::Endpoint,
+            missing: WaitReason::Endpoint,
         },
         Case {
             name: "no engine holds the model",
             know: |it| it.know(&support::engine("e1", &["m0"])),
             wanted: wanted("m1", None),
-            missing: Missing::Model,
+            missing: WaitReason::Model,
         },
         Case {
             name: "no engine holds the adapter",
             know: |it| it.know(&support::engine("e1", &["m0"])),
             wanted: wanted("m0", Some("a1")),
-            missing: Missing::Adapter,
+            missing: WaitReason::Adapter,
         },
     ];
     for case in cases {
@@ -267,11 +270,11 @@
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, Ended::Unreachable);
+    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Unreachable);
     for _ in 0..5 {
         let next = sent(chooser.choose(T0, &support::ask(&m0, 100)));
         assert_ne!(next.instance, pick.instance);
-        chooser.ended(T0, &next, Some(&m0), false, Ended::GivenUp);
+        chooser.ended(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     assert_eq!(chooser.counts(T0), (2, 1));
     assert_eq!(chooser.counts(T0 + time::Millis(5_000)), (2, 2));
@@ -291,9 +294,9 @@
             let is_e1 = pick.instance.name == "e1";
             to_e1 += u32::from(is_e1);
             let how = if is_e1 && fails && n % 5 < 2 {
-                Ended::Failed
+                AttemptOutcome::Failed
             } else {
-                Ended::Answered
+                AttemptOutcome::Answered
             };
             chooser.ended(now, &pick, Some(&m0), false, how);
         }
@@ -315,7 +318,7 @@
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, Ended::Misdirected);
+    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Misdirected);
     let next = sent(chooser.choose(T0, &support::ask(&m0, 100)));
     assert_ne!(next.instance, pick.instance);
 }
@@ -333,10 +336,10 @@
     chooser.know(&engine(1));
     let (m0, m1) = (wanted("m0", None), wanted("m1", None));
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, Ended::Refused);
+    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Refused);
     chooser.know(&engine(2));
     let next = chooser.choose(T0, &support::ask(&m0, 100));
-    assert_eq!(next, Choice::Wait(Missing::Model));
+    assert_eq!(next, Choice::Wait(WaitReason::Model));
     sent(chooser.choose(T0, &support::ask(&m1, 100)));
     let later = T0 + time::Millis(600);
     sent(chooser.choose(later, &support::ask(&m0, 100)));
@@ -345,7 +348,7 @@
 /// How many prompts of 50 ms the only engine is given that waits for none of them.
 fn taken_at_once(chooser: &mut Chooser) -> usize {
     let m0 = wanted("m0", None);
-    let ask = Ask {
+    let ask = EndpointQuery {
         patience: time::Millis(100),
         ..support::ask(&m0, 950)
     };
@@ -354,7 +357,7 @@
         picks.push(pick);
     }
     for pick in &picks {
-        chooser.ended(T0, pick, Some(&m0), false, Ended::GivenUp);
+        chooser.ended(T0, pick, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     picks.len()
 }
@@ -375,7 +378,7 @@
             limit: time::Millis(400),
         };
         chooser.paused(T0 + time::Millis(1_000), &pick, pauses);
-        chooser.ended(T0, &pick, Some(&m0), false, Ended::Answered);
+        chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Answered);
     };
     let at_first = taken_at_once(&mut chooser);
     ended(&mut chooser, 170);
@@ -398,7 +401,7 @@
     for _ in 0..20 {
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
     }
-    let urgent = Ask {
+    let urgent = EndpointQuery {
         left: time::Millis(300),
         ..support::ask(&m0, 100)
     };
@@ -415,13 +418,13 @@
         match chooser.choose(T0, &plain()) {
             Choice::Send(pick) => picks.push(pick),
             other => {
-                assert_eq!(other, Choice::Wait(Missing::Place));
+                assert_eq!(other, Choice::Wait(WaitReason::Place));
                 break;
             }
         }
     }
     assert!((4..=8).contains(&picks.len()), "{}", picks.len());
-    chooser.ended(T0, &picks[0], None, true, Ended::Answered);
+    chooser.ended(T0, &picks[0], None, true, AttemptOutcome::Answered);
     sent(chooser.choose(T0, &plain()));
 }
 
@@ -436,7 +439,7 @@
     let near = sent(chooser.choose(T0, &support::ask(&m0, 0)));
     assert_eq!(near.instance.name, "e2");
     let tried: [arena::EndpointKey; 1] = [near.key];
-    let again = Ask {
+    let again = EndpointQuery {
         tried: &tried,
         ..support::ask(&m0, 0)
     };
@@ -462,7 +465,7 @@
             );
         } else {
             chooser.began(now, &pick, None, time::Millis(20), None);
-            chooser.ended(now, &pick, Some(&m0), true, Ended::Answered);
+            chooser.ended(now, &pick, Some(&m0), true, AttemptOutcome::Answered);
         }
     }
     chooser.ended(
@@ -470,7 +473,7 @@
         &dark,
         Some(&m0),
         false,
-        Ended::Silent,
+        AttemptOutcome::Silent,
     );
     assert_eq!(chooser.counts(T0 + time::Millis(9_000)), (2, 1));
 }
@@ -485,18 +488,18 @@
     for _ in 0..4 {
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
     }
-    let late = Ask {
+    let late = EndpointQuery {
         on_time: time::Millis(100),
         may_be_late: true,
         ..support::ask(&m0, 1_800)
     };
-    assert_eq!(chooser.choose(T0, &late), Choice::Wait(Missing::Place));
-    let in_time = Ask {
+    assert_eq!(chooser.choose(T0, &late), Choice::Wait(WaitReason::Place));
+    let in_time = EndpointQuery {
         on_time: time::Millis(900),
         ..late
     };
     sent(chooser.choose(T0, &in_time));
-    let out_of_time = Ask {
+    let out_of_time = EndpointQuery {
         may_be_late: false,
         ..late
     };
@@ -522,6 +525,6 @@
     assert_eq!(pick.instance.name, "e1");
     chooser.forget(&moved.id);
     let choice = chooser.choose(T0, &support::ask(&m1, 100));
-    assert_eq!(choice, Choice::Wait(Missing::Model));
+    assert_eq!(choice, Choice::Wait(WaitReason::Model));
     assert!(!chooser.has_free(T0, &support::ask(&m1, 100)));
 }
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -5,7 +5,7 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Ended},
+    chooser::{AttemptOutcome, Choice, Chooser, EndpointQuery},
     dialect,
     entry_peers::{self, EngineFault, RoutingDecision},
 };
@@ -41,8 +41,8 @@
     chooser
 }
 
-fn asks(wanted: &dialect::Wanted, tokens: u64) -> Ask<'_> {
-    Ask {
+fn asks(wanted: &dialect::Wanted, tokens: u64) -> EndpointQuery<'_> {
+    EndpointQuery {
         patience: time::Millis(300),
         may_be_late: true,
         ..support::ask(wanted, tokens)
@@ -231,12 +231,12 @@
     assert_eq!(chooser.follow(T0, short("e2"), estimate, &ask), None);
     assert_eq!(chooser.follow(T0, short("e3"), estimate, &ask), None);
     let tried = [pick.key];
-    let again = Ask {
+    let again = EndpointQuery {
         tried: &tried,
         ..ask
     };
     assert_eq!(chooser.follow(T0, short("e1"), estimate, &again), None);
-    chooser.ended(T0, &pick, Some(&wanted), false, Ended::Unreachable);
+    chooser.ended(T0, &pick, Some(&wanted), false, AttemptOutcome::Unreachable);
     assert_eq!(chooser.follow(at(5), short("e1"), estimate, &ask), None);
 }
 
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -5,7 +5,7 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Missing, coordinators},
+    chooser::{Choice, Chooser, EndpointQuery, WaitReason, coordinators},
     dialect, entry_peers,
 };
 use sageshed_types::time;
@@ -104,8 +104,8 @@
 }
 
 /// A request that waits 300 ms for an engine that reads little.
-fn waiting_ask(wanted: &dialect::Wanted, tokens: u64) -> Ask<'_> {
-    Ask {
+fn waiting_ask(wanted: &dialect::Wanted, tokens: u64) -> EndpointQuery<'_> {
+    EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
     }
@@ -135,7 +135,7 @@
         adapter: None,
     };
     assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
-    let waits = Choice::Wait(Missing::Place);
+    let waits = Choice::Wait(WaitReason::Place);
     assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
     // It has waited for as long as makes sense.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
@@ -202,7 +202,7 @@
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
-        let ask = Ask {
+        let ask = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 6_500)
         };
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -5,7 +5,7 @@
 use std::collections;
 
 use sageshed_fleet::{
-    chooser::{Choice, Chooser, Ended, Missing},
+    chooser::{AttemptOutcome, Choice, Chooser, WaitReason},
     dialect,
     directory::{self, Directory, Instance, InstanceId, Offer, Passing, State},
     entry_peers, messages,
@@ -278,11 +278,20 @@
     gone.state = State::Replaced;
     chooser.know(&gone);
     chooser.know(&start(2_000, 1, &[]));
-    assert_eq!(chooser.choose(at(10), &ask), Choice::Wait(Missing::Model));
+    assert_eq!(
+        chooser.choose(at(10), &ask),
+        Choice::Wait(WaitReason::Model)
+    );
     chooser.know(&start(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
     assert!(!chooser.apply_observation(at(20), from, &word));
-    chooser.ended(at(20), &pick, Some(&wanted), false, Ended::Unreachable);
+    chooser.ended(
+        at(20),
+        &pick,
+        Some(&wanted),
+        false,
+        AttemptOutcome::Unreachable,
+    );
     let Choice::Send(next) = chooser.choose(at(30), &ask) else {
         panic!("the new start holds the model");
     };
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -5,7 +5,7 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Chooser},
+    chooser::{Chooser, EndpointQuery},
     dialect,
     entry_peers::{self, RoutingDecision},
 };
@@ -60,7 +60,7 @@
 
 fn asked(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
     let wanted = m0();
-    let ask = Ask {
+    let ask = EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(&wanted, tokens)
     };
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -34,8 +34,8 @@
 }
 
 /// A request to the engines that has ten seconds and waits for nothing.
-pub fn ask(wanted: &dialect::Wanted, tokens: u64) -> chooser::Ask<'_> {
-    chooser::Ask {
+pub fn ask(wanted: &dialect::Wanted, tokens: u64) -> chooser::EndpointQuery<'_> {
+    chooser::EndpointQuery {
         service: ENGINES,
         wanted: Some(wanted),
         parts: &[],
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -223,7 +223,7 @@
         let tried: Vec<_> = tried
             .filter_map(|it| core.chooser.by_instance_key(*it))
             .collect();
-        let ask = chooser::Ask {
+        let ask = chooser::EndpointQuery {
             service: &ask.service,
             wanted: Some(&wanted),
             parts: &parts,
@@ -250,7 +250,7 @@
 pub(super) fn ask<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     request: u64,
-    ask: &chooser::Ask<'_>,
+    ask: &chooser::EndpointQuery<'_>,
 ) -> Option<words::RoutingDecision> {
     let neighbours = shared.neighbours.as_ref()?;
     let wanted = ask.wanted?;
@@ -316,7 +316,7 @@
 pub(super) fn tell_read<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    read: chooser::Read<'_>,
+    read: chooser::Prefill<'_>,
     took: Millis,
     load: Option<dialect::Load>,
 ) {
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -223,9 +223,9 @@
                 self.began(pick, sent_at, answered.load);
                 let failed = head.status >= 500;
                 let how = if failed {
-                    chooser::Ended::Failed
+                    chooser::AttemptOutcome::Failed
                 } else {
-                    chooser::Ended::Answered
+                    chooser::AttemptOutcome::Answered
                 };
                 self.ended(pick, true, how);
                 self.shared.pool.keep(pick.address, exchange);
@@ -245,7 +245,7 @@
         let now = self.shared.clock.now();
         let took = sent_at.elapsed().into();
         let parts = &self.passing.parts;
-        let read = self.wanted.map(|wanted| chooser::Read { wanted, parts });
+        let read = self.wanted.map(|wanted| chooser::Prefill { wanted, parts });
         self.shared.with_core(|core| {
             core.chooser.began(now, pick, read, took, load);
             if let Some(wanted) = self.wanted {
@@ -260,7 +260,7 @@
         self.shared.place_freed();
     }
 
-    pub(super) fn ended(&self, pick: &chooser::Pick, began: bool, how: chooser::Ended) {
+    pub(super) fn ended(&self, pick: &chooser::Pick, began: bool, how: chooser::AttemptOutcome) {
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
@@ -269,16 +269,16 @@
     }
 
     /// What others are to know of an engine after a request of this kind has ended `how`.
-    fn trouble(&self, how: chooser::Ended) -> Option<words::EngineFault> {
+    fn trouble(&self, how: chooser::AttemptOutcome) -> Option<words::EngineFault> {
         let model = self.wanted.map(|it| words::name_key(&it.model))?;
         match how {
-            chooser::Ended::Answered | chooser::Ended::GivenUp => None,
-            chooser::Ended::Refused => Some(words::EngineFault::Rejects(model)),
-            chooser::Ended::Misdirected if self.is_adapter() => None,
-            chooser::Ended::Misdirected => Some(words::EngineFault::Lacks(model)),
-            chooser::Ended::Failed => Some(words::EngineFault::Fails),
-            chooser::Ended::Unreachable => Some(words::EngineFault::Unreachable),
-            chooser::Ended::Silent => Some(words::EngineFault::Silent),
+            chooser::AttemptOutcome::Answered | chooser::AttemptOutcome::GivenUp => None,
+            chooser::AttemptOutcome::Refused => Some(words::EngineFault::Rejects(model)),
+            chooser::AttemptOutcome::Misdirected if self.is_adapter() => None,
+            chooser::AttemptOutcome::Misdirected => Some(words::EngineFault::Lacks(model)),
+            chooser::AttemptOutcome::Failed => Some(words::EngineFault::Fails),
+            chooser::AttemptOutcome::Unreachable => Some(words::EngineFault::Unreachable),
+            chooser::AttemptOutcome::Silent => Some(words::EngineFault::Silent),
         }
     }
 
@@ -304,12 +304,12 @@
         self.unuse_charge();
         let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
         if answered.word == dialect::Word::Misdirected && is_replaced {
-            self.ended(pick, false, chooser::Ended::GivenUp);
+            self.ended(pick, false, chooser::AttemptOutcome::GivenUp);
             self.shared.replaced(&pick.instance);
         } else if answered.word == dialect::Word::Misdirected {
-            self.ended(pick, false, chooser::Ended::Misdirected);
+            self.ended(pick, false, chooser::AttemptOutcome::Misdirected);
         } else {
-            self.ended(pick, false, chooser::Ended::Refused);
+            self.ended(pick, false, chooser::AttemptOutcome::Refused);
             self.tried.push(pick.key);
             std::thread::sleep(AFTER_REJECTION);
         }
@@ -342,7 +342,7 @@
         let began = false;
         let is_interrupted = failure.cause == failure::Cause::Interrupted;
         if is_interrupted && watch.caller_gone() {
-            self.ended(pick, began, chooser::Ended::GivenUp);
+            self.ended(pick, began, chooser::AttemptOutcome::GivenUp);
             return Sending::Gone(outlet);
         }
         if is_interrupted {
@@ -355,7 +355,7 @@
             self.last = format!("endpoint {} was not reached: {failure}", pick.instance);
             self.story.came_to(verdict::Verdict::NotRun, &self.last);
             self.unuse_charge();
-            self.ended(pick, began, chooser::Ended::Unreachable);
+            self.ended(pick, began, chooser::AttemptOutcome::Unreachable);
             self.shared.pool.forget(pick.address);
             self.tried.push(pick.key);
             return Sending::Again(outlet);
@@ -374,7 +374,7 @@
         failure: &failure::Failure,
     ) -> Sending<'c> {
         if failure.cause == failure::Cause::Interrupted {
-            self.ended(pick, began, chooser::Ended::GivenUp);
+            self.ended(pick, began, chooser::AttemptOutcome::GivenUp);
             return Sending::Gone(outlet);
         }
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, error:% = failure,
@@ -384,8 +384,8 @@
         self.note_end(pick, failure.cause);
         let is_over = self.left_ms() == time::Millis(0);
         let how = match failure.cause {
-            failure::Cause::Silent if !began => chooser::Ended::Silent,
-            _ => chooser::Ended::Failed,
+            failure::Cause::Silent if !began => chooser::AttemptOutcome::Silent,
+            _ => chooser::AttemptOutcome::Failed,
         };
         self.ended(pick, began, how);
         self.tried.push(pick.key);
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/pass/ending.rs
@@ -23,15 +23,17 @@
 
     pub(super) fn not_served(
         &self,
-        missing: chooser::Missing,
+        missing: chooser::WaitReason,
         load: time::Millis,
     ) -> refusal::Refusal {
         let detail = match missing {
-            chooser::Missing::Endpoint => "no endpoint of the service can be reached now",
-            chooser::Missing::Model => "no engine holds the model, and a load would take too long",
-            chooser::Missing::Adapter => "no engine holds the adapter yet",
-            chooser::Missing::Place => "all endpoints of the service are busy",
-            chooser::Missing::Allowance(_) => {
+            chooser::WaitReason::Endpoint => "no endpoint of the service can be reached now",
+            chooser::WaitReason::Model => {
+                "no engine holds the model, and a load would take too long"
+            }
+            chooser::WaitReason::Adapter => "no engine holds the adapter yet",
+            chooser::WaitReason::Place => "all endpoints of the service are busy",
+            chooser::WaitReason::Allowance(_) => {
                 "all endpoints that could take it have asked for nothing more for now"
             }
         };
@@ -122,11 +124,11 @@
     fn waited_for_word(&self) -> &'static str {
         match self.waited_for {
             None => "",
-            Some(chooser::Missing::Endpoint) => "endpoint",
-            Some(chooser::Missing::Model) => "model",
-            Some(chooser::Missing::Adapter) => "adapter",
-            Some(chooser::Missing::Place) => "place",
-            Some(chooser::Missing::Allowance(_)) => "allowance",
+            Some(chooser::WaitReason::Endpoint) => "endpoint",
+            Some(chooser::WaitReason::Model) => "model",
+            Some(chooser::WaitReason::Adapter) => "adapter",
+            Some(chooser::WaitReason::Place) => "place",
+            Some(chooser::WaitReason::Allowance(_)) => "allowance",
         }
     }
 
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -15,7 +15,7 @@
 pub(super) fn decide(
     core: &mut state::Core,
     now: time::Instant,
-    ask: &chooser::Ask<'_>,
+    ask: &chooser::EndpointQuery<'_>,
     place: Option<entry_peers::RoutingDecision>,
 ) -> chooser::Choice {
     let advised = match place {
@@ -23,7 +23,7 @@
             engine, estimate, ..
         }) => core.chooser.follow(now, engine, estimate, ask),
         Some(entry_peers::RoutingDecision::Wait { .. }) => {
-            Some(chooser::Choice::Wait(chooser::Missing::Place))
+            Some(chooser::Choice::Wait(chooser::WaitReason::Place))
         }
         Some(entry_peers::RoutingDecision::Unknown) | None => None,
     };
@@ -34,7 +34,7 @@
     /// Asks the home of the model where the request is to go, and not again within [`ASK_AGAIN`].
     pub(super) fn ask_home(
         &self,
-        ask: &chooser::Ask<'_>,
+        ask: &chooser::EndpointQuery<'_>,
         asked_at: &mut Option<std_time::Instant>,
     ) -> Option<entry_peers::RoutingDecision> {
         if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
--- a/src/sageshed/gateway/pass/mod.rs
+++ b/src/sageshed/gateway/pass/mod.rs
@@ -194,7 +194,7 @@
     /// It could have been sent once more, and the budget for repeats was spent.
     lacks_repeat: bool,
     /// What it waits for here, or waited for last.
-    waited_for: Option<chooser::Missing>,
+    waited_for: Option<chooser::WaitReason>,
     paces: Paces,
     story: story::Story,
 }
--- a/src/sageshed/gateway/pass/stream.rs
+++ b/src/sageshed/gateway/pass/stream.rs
@@ -44,7 +44,7 @@
                             .with_core(|core| core.chooser.heard_from(now, pick));
                     }
                     if stream.send(&whole).is_err() {
-                        self.ended(pick, true, chooser::Ended::GivenUp);
+                        self.ended(pick, true, chooser::AttemptOutcome::GivenUp);
                         return Sending::Gone(Outlet::Begun(stream, events));
                     }
                 }
@@ -54,7 +54,7 @@
                     if stream.send(&rest).is_err() {
                         ::log::info!(request = self.id(); "gateway: caller left at the end of its stream");
                     }
-                    self.ended(pick, true, chooser::Ended::Answered);
+                    self.ended(pick, true, chooser::AttemptOutcome::Answered);
                     self.tell_pause(pick);
                     let exchange_status = exchange.head.status;
                     self.shared.pool.keep(pick.address, exchange);
@@ -109,7 +109,7 @@
     fn has_free_beside(&self, pick: &chooser::Pick) -> bool {
         let mut tried = self.tried.clone();
         tried.push(pick.key);
-        let ask = chooser::Ask {
+        let ask = chooser::EndpointQuery {
             service: self.service,
             wanted: self.wanted,
             parts: &self.passing.parts,
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -78,7 +78,7 @@
                 return Step::Refuse(refusal);
             }
             let now = self.shared.clock.now();
-            let ask = chooser::Ask {
+            let ask = chooser::EndpointQuery {
                 service: self.service,
                 wanted: self.wanted,
                 parts: &self.passing.parts,
@@ -101,7 +101,7 @@
                     core.backlog.is_preceded(now, model, it, *ticket)
                 });
                 let choice = if is_preceded {
-                    chooser::Choice::Wait(chooser::Missing::Place)
+                    chooser::Choice::Wait(chooser::WaitReason::Place)
                 } else {
                     home::decide(core, now, &ask, place)
                 };
@@ -139,7 +139,7 @@
                 self.tell_waiting();
             }
             if self.shared.settings.routing.turn_away {
-                let queued = in_line.filter(|_| missing == chooser::Missing::Place);
+                let queued = in_line.filter(|_| missing == chooser::WaitReason::Place);
                 let refusal = self
                     .closed_too_long(missing, left)
                     .or_else(|| self.hopeless_by_home(place, left))
@@ -157,7 +157,7 @@
             waiting.fetch_add(1, atomic::Ordering::Relaxed);
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-            if missing == chooser::Missing::Adapter {
+            if missing == chooser::WaitReason::Adapter {
                 // The leader may have been lost with the question.
                 fetches = 0;
             }
@@ -180,7 +180,7 @@
     fn may_send(&mut self, pick: &chooser::Pick) -> Leave {
         let leave = self.leave_for(pick);
         if !matches!(leave, Leave::Given) {
-            self.ended(pick, false, chooser::Ended::GivenUp);
+            self.ended(pick, false, chooser::AttemptOutcome::GivenUp);
         }
         leave
     }
@@ -207,16 +207,16 @@
     /// more for longer, unless its model can be loaded elsewhere before.
     fn closed_too_long(
         &self,
-        missing: chooser::Missing,
+        missing: chooser::WaitReason,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let chooser::Missing::Allowance(opens) = missing else {
+        let chooser::WaitReason::Allowance(opens) = missing else {
             return None;
         };
         let load = self
             .model
             .is_some()
-            .then(|| self.load_time(chooser::Missing::Model));
+            .then(|| self.load_time(chooser::WaitReason::Model));
         let reading = self.wanted.map_or(time::Millis(0), |_| READ_RESERVE);
         if opens + reading < left || load.is_some_and(|it| it + LOAD_SLACK < left) {
             return None;
@@ -295,23 +295,25 @@
     }
 
     /// How long to wait for what is missing.
-    fn patience(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
+    fn patience(&self, missing: chooser::WaitReason, load: time::Millis) -> std_time::Duration {
         let objective = self.route.objective.0;
         match missing {
-            chooser::Missing::Model => (load + LOAD_SLACK).into(),
-            chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
+            chooser::WaitReason::Model => (load + LOAD_SLACK).into(),
+            chooser::WaitReason::Adapter | chooser::WaitReason::Allowance(_) => {
+                self.route.timeout.into()
+            }
             // It waits while it has time: an engine that can read it comes free by and by.
-            chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
-            chooser::Missing::Place | chooser::Missing::Endpoint => {
+            chooser::WaitReason::Place if self.wanted.is_some() => self.route.timeout.into(),
+            chooser::WaitReason::Place | chooser::WaitReason::Endpoint => {
                 std_time::Duration::from_millis(objective * PLACE_PATIENCE / 100)
             }
         }
     }
 
     /// How long what is missing takes to be loaded; zero where it is no model.
-    fn load_time(&self, missing: chooser::Missing) -> time::Millis {
+    fn load_time(&self, missing: chooser::WaitReason) -> time::Millis {
         match (missing, self.model) {
-            (chooser::Missing::Model, Some(model)) => self
+            (chooser::WaitReason::Model, Some(model)) => self
                 .shared
                 .with_core(|core| core.chooser.load_time(self.service, model)),
             _ => time::Millis(0),
