--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -111,7 +111,7 @@
 
     /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
     /// there.
-    pub fn advise(
+    pub fn route_for(
         &mut self,
         now: time::Instant,
         to: net::Ipv4Addr,
@@ -141,10 +141,10 @@
             }
         };
         let estimate = super::to_millis(self.estimate_ms(now, key, query));
-        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, query) else {
+        let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
             return entry_peers::RoutingDecision::Unknown;
         };
-        endpoint.add_routed(now, to, reading);
+        endpoint.add_routed(now, to, prefill_us);
         let decision = entry_peers::RoutingDecision::Engine {
             engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
@@ -159,7 +159,7 @@
 
     /// Follows a coordinator's decision, if the engine is known here and accepts the request as far as this
     /// process knows.
-    pub fn follow(
+    pub fn follow_decision(
         &mut self,
         now: time::Instant,
         engine: u64,
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -98,7 +98,7 @@
 impl Chooser {
     /// Applies the notice in a response to a request that was sent to the instance `id`. Returns the change
     /// of its limit, if any.
-    pub fn heed(
+    pub fn apply_notice(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
@@ -111,15 +111,15 @@
             self.rest(now, id, span);
         }
         match answered.notice.limit {
-            Some(per_s) => self.limited(now, id, per_s),
+            Some(per_s) => self.set_limit(now, id, per_s),
             // A rejection may be too short to include the limit.
             None if answered.word != dialect::Word::Vouched => None,
-            None => self.unlimited(id),
+            None => self.clear_limit(id),
         }
     }
 
     /// Records the limit that an instance reported in a response. Returns the change, if any.
-    pub fn limited(
+    pub fn set_limit(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
@@ -141,7 +141,7 @@
     }
 
     /// Records that an instance responded without a limit. Returns the change, if any.
-    pub fn unlimited(&mut self, id: &directory::InstanceId) -> Option<Change> {
+    pub fn clear_limit(&mut self, id: &directory::InstanceId) -> Option<Change> {
         if self.backpressure.by_instance.is_empty() {
             return None;
         }
@@ -152,7 +152,7 @@
     }
 
     /// Rate and burst at which requests may go to this instance, if it reported a limit.
-    pub fn limit_of(
+    pub fn limit(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
@@ -192,7 +192,7 @@
 
     /// Counts a request that is sent to this instance. Returns the count if the instance is limited and a
     /// report is due.
-    pub fn sends(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
+    pub fn count_send(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
         let limit = self.backpressure.limit(id)?;
         limit.sent += 1;
         let span = now.since(limit.counted_from);
@@ -215,7 +215,7 @@
 
     /// Endpoints of the service that nothing may be sent to now, because they asked for it.
     #[must_use]
-    pub fn closed(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
+    pub fn closed_endpoints(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
         if self.backpressure.by_instance.is_empty() {
             return Vec::new();
         }
@@ -244,7 +244,7 @@
         if !matches!(missing, WaitReason::Endpoint | WaitReason::Model) {
             return missing;
         }
-        let closed = self.closed(now, query.service).into_iter();
+        let closed = self.closed_endpoints(now, query.service).into_iter();
         let fitting = closed.filter(|key| {
             self.is_eligible(now, *key, query)
                 && query
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -134,15 +134,15 @@
     }
 
     /// Sets the list of entry processes, of which this one is `own`.
-    pub fn join_groups(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
+    pub fn set_entries(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
         self.coordinators.set_entries(own, entries);
     }
 
     /// Adds or updates an endpoint from its directory record, or removes it if the record says that it is
     /// gone.
-    pub fn know(&mut self, instance: &directory::Instance) {
+    pub fn update_instance(&mut self, instance: &directory::Instance) {
         if !instance.is_present() {
-            return self.forget(&instance.id);
+            return self.remove_instance(&instance.id);
         }
         self.coordinators.know(instance);
         if let Some(key) = self.by_id.get(&instance.id).copied() {
@@ -186,7 +186,7 @@
     }
 
     /// Removes an endpoint. Its key is not reused, since requests to it may still be in flight.
-    pub fn forget(&mut self, id: &directory::InstanceId) {
+    pub fn remove_instance(&mut self, id: &directory::InstanceId) {
         let Some(key) = self.by_id.remove(id) else {
             return;
         };
@@ -202,7 +202,7 @@
 
     /// Whether any known endpoint is ready.
     #[must_use]
-    pub fn knows_any(&self) -> bool {
+    pub fn has_ready_endpoint(&self) -> bool {
         let mut known = self.endpoints.iter().flatten();
         known.any(|it| it.instance.is_ready())
     }
@@ -476,7 +476,7 @@
     /// caches made models look four to six times as busy as they were; each model seemed short of replicas,
     /// and replicas moved all the time.
     #[must_use]
-    pub fn reading_us(
+    pub fn prefill_us(
         &self,
         service: &str,
         wanted: &dialect::Wanted,
@@ -547,12 +547,12 @@
         if self.policy.turn_away && estimate >= query.left {
             return Choice::TooLate { estimate };
         }
-        let Some((endpoint, reading)) = self.prepare_dispatch(now, key, query) else {
+        let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
             return Choice::Wait(WaitReason::Endpoint);
         };
-        let tokens = endpoint.uncached_tokens(query);
+        let uncached_tokens = endpoint.uncached_tokens(query);
         endpoint.in_flight += 1;
-        endpoint.pending_prefill_us += reading;
+        endpoint.pending_prefill_us += prefill_us;
         if endpoint.awaiting == 0 {
             endpoint.awaiting_since = now;
         }
@@ -561,8 +561,8 @@
             key,
             instance: endpoint.instance.id.clone(),
             address: endpoint.instance.address,
-            tokens,
-            reading,
+            uncached_tokens,
+            prefill_us,
             estimate,
         })
     }
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -13,7 +13,7 @@
 
 impl Chooser {
     /// Records that the response to a request sent to `pick` began `took` after it was sent.
-    pub fn began(
+    pub fn record_response_start(
         &mut self,
         now: time::Instant,
         pick: &Pick,
@@ -27,7 +27,7 @@
         endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
         endpoint.last_activity = now;
         let pending_us = endpoint.pending_prefill_us;
-        endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.reading);
+        endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.prefill_us);
         if let Some(load) = load {
             endpoint.load = Some((load, now));
             endpoint.reported_running = Some((load.running, now));
@@ -41,15 +41,16 @@
         endpoint.clear_rejection(prefill.wanted);
         endpoint.prefix_cache.insert(prefill.wanted, prefill.parts);
         let prefill_ms = took.0 as f64 - BATCH_STEP_MS;
-        if prefill_ms > BATCH_STEP_MS && pick.reading > 0 {
-            let factor = prefill_ms * endpoint::MICROS_PER_MS / pending_us.max(pick.reading) as f64;
+        if prefill_ms > BATCH_STEP_MS && pick.prefill_us > 0 {
+            let factor =
+                prefill_ms * endpoint::MICROS_PER_MS / pending_us.max(pick.prefill_us) as f64;
             endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
             self.prefill_speeds.learn(&prefill.wanted.model, factor);
         }
     }
 
     /// Records the pauses of a stream from `pick` that ended normally.
-    pub fn paused(&mut self, now: time::Instant, pick: &Pick, pauses: Pauses) {
+    pub fn record_pauses(&mut self, now: time::Instant, pick: &Pick, pauses: Pauses) {
         self.learn_pauses(now, pick.key, pauses);
     }
 
@@ -77,14 +78,14 @@
     }
 
     /// Records that the endpoint of `pick` sent something.
-    pub fn heard_from(&mut self, now: time::Instant, pick: &Pick) {
+    pub fn record_activity(&mut self, now: time::Instant, pick: &Pick) {
         if let Some(endpoint) = self.get_mut(pick.key) {
             endpoint.last_activity = now;
         }
     }
 
     /// Records the end of a request that was sent to `pick`. `began` tells whether its response had begun.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: time::Instant,
         pick: &Pick,
@@ -97,7 +98,8 @@
         };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         if !began {
-            endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.reading);
+            endpoint.pending_prefill_us =
+                endpoint.pending_prefill_us.saturating_sub(pick.prefill_us);
             endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
         }
         if matches!(
--- a/crates/sageshed-fleet/src/chooser/query.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -128,9 +128,9 @@
     /// Its address.
     pub address: net::SocketAddrV4,
     /// Tokens that the engine has to prefill.
-    pub tokens: u64,
+    pub uncached_tokens: u64,
     /// Estimated prefill time in microseconds.
-    pub reading: u64,
+    pub prefill_us: u64,
     /// Estimated time until the response begins.
     pub estimate: time::Millis,
 }
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -218,7 +218,7 @@
         .map(|id| support::engine(id, &[MODEL]))
         .collect();
     for engine in &engines {
-        chooser.know(engine);
+        chooser.update_instance(engine);
     }
     (chooser, engines)
 }
@@ -237,7 +237,7 @@
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let wanted = wanted();
     let now = Instant(10_000);
-    chooser.limited(now, &engines[0].id, 1.0);
+    chooser.set_limit(now, &engines[0].id, 1.0);
     chooser.close(now, &engines[0].id, Millis(900));
     for _ in 0..8 {
         let choice = chooser.choose(now, &ask(&wanted));
@@ -270,28 +270,26 @@
     let (mut chooser, engines) = chooser(&["e1"]);
     let now = Instant(10_000);
     let id = &engines[0].id;
-    assert_eq!(chooser.limited(now, id, 1.5), Some(Change::Named(1.5)));
-    assert_eq!(chooser.limited(now, id, 1.5), None);
-    chooser.forget(id);
-    chooser.know(&engines[0]);
-    let named = chooser
-        .limit_of(Instant(11_000), id)
-        .expect("it has a limit");
+    assert_eq!(chooser.set_limit(now, id, 1.5), Some(Change::Named(1.5)));
+    assert_eq!(chooser.set_limit(now, id, 1.5), None);
+    chooser.remove_instance(id);
+    chooser.update_instance(&engines[0]);
+    let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
     assert_eq!(named.terms, terms(1.5));
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
-    assert_eq!(chooser.limit_of(now, &other), None);
-    assert_eq!(chooser.unlimited(id), Some(Change::Lifted));
-    assert_eq!(chooser.unlimited(id), None);
-    assert_eq!(chooser.limit_of(now, id), None);
+    assert_eq!(chooser.limit(now, &other), None);
+    assert_eq!(chooser.clear_limit(id), Some(Change::Lifted));
+    assert_eq!(chooser.clear_limit(id), None);
+    assert_eq!(chooser.limit(now, id), None);
 }
 
 /// An engine that names no requests at all would never be heard again if nothing went there.
 #[test]
 fn a_limit_of_none_lets_one_through_now_and_then() {
     let (mut chooser, engines) = chooser(&["e1"]);
-    chooser.limited(Instant(0), &engines[0].id, 0.0);
-    let named = chooser.limit_of(Instant(0), &engines[0].id);
+    chooser.set_limit(Instant(0), &engines[0].id, 0.0);
+    let named = chooser.limit(Instant(0), &engines[0].id);
     assert!(named.is_some_and(|it| it.terms.per_s > 0.0));
 }
 
@@ -302,10 +300,10 @@
     let wanted = wanted();
     let now = Instant(10_000);
     let id = &engines[0].id;
-    chooser.limited(now, id, 5.0);
+    chooser.set_limit(now, id, 5.0);
     chooser.rest(now, id, Millis(3_000));
     chooser.rest(Instant(10_100), id, Millis(200));
-    chooser.unlimited(id);
+    chooser.clear_limit(id);
     let none = chooser.choose(Instant(12_000), &ask(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
     let after = chooser.choose(Instant(13_000), &ask(&wanted));
@@ -320,13 +318,13 @@
 fn engines_that_take_nothing_from_a_process_are_known_by_their_keys() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let now = Instant(10_000);
-    assert!(chooser.closed(now, "engines").is_empty());
+    assert!(chooser.closed_endpoints(now, "engines").is_empty());
     chooser.rest(now, &engines[1].id, Millis(500));
-    let closed = chooser.closed(now, "engines");
+    let closed = chooser.closed_endpoints(now, "engines");
     let names: Vec<_> = closed.iter().map(|it| chooser.instance_key(*it)).collect();
     let expected = sageshed_fleet::entry_peers::instance_key(&engines[1].id);
     assert_eq!(names, [Some(expected)]);
-    assert!(chooser.closed(now, "plain").is_empty());
+    assert!(chooser.closed_endpoints(now, "plain").is_empty());
 }
 
 /// The head of an answer, and whether the engine has its limit and rests after it.
@@ -414,12 +412,12 @@
     for case in cases {
         let (mut chooser, engines) = chooser(&["e1"]);
         let (now, id) = (Instant(10_000), &engines[0].id);
-        let first = chooser.heed(now, id, &answered(vouched, limit));
+        let first = chooser.apply_notice(now, id, &answered(vouched, limit));
         assert_eq!(first, Some(Change::Named(1.0)));
-        chooser.heed(now, id, &case.answered);
-        let is_limited = chooser.limit_of(now, id).is_some();
+        chooser.apply_notice(now, id, &case.answered);
+        let is_limited = chooser.limit(now, id).is_some();
         assert_eq!(is_limited, case.is_limited, "{}", case.name);
-        let rests = !chooser.closed(now, "engines").is_empty();
+        let rests = !chooser.closed_endpoints(now, "engines").is_empty();
         assert_eq!(rests, case.rests, "{}", case.name);
     }
 }
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -44,8 +44,8 @@
 
 fn two_engines() -> Chooser {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0"]));
-    chooser.know(&support::engine("e2", &["m0"]));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e2", &["m0"]));
     chooser
 }
 
@@ -87,8 +87,8 @@
                 wanted: &m0,
                 parts: &[],
             };
-            chooser.began(T0, &pick, Some(read), time::Millis(70), Some(load));
-            chooser.ended(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
+            chooser.record_response_start(T0, &pick, Some(read), time::Millis(70), Some(load));
+            chooser.record_end(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
         }
         counts
     };
@@ -128,8 +128,8 @@
         wanted: &m0,
         parts: &parts,
     };
-    chooser.began(T0, &pick, Some(read), time::Millis(100), None);
-    chooser.ended(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
+    chooser.record_response_start(T0, &pick, Some(read), time::Millis(100), None);
+    chooser.record_end(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
     let again = [part(1, 800), part(2, 1_000), part(3, 50)];
     for _ in 0..3 {
         let ask = EndpointQuery {
@@ -138,10 +138,10 @@
         };
         let next = sent(chooser.choose(T0, &ask));
         assert_eq!(
-            (next.instance.name.as_str(), next.tokens),
+            (next.instance.name.as_str(), next.uncached_tokens),
             (pick.instance.name.as_str(), 50)
         );
-        chooser.ended(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
+        chooser.record_end(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     // A part behind one that is not kept has to be read too.
     let other = [part(9, 800), part(2, 1_000)];
@@ -149,7 +149,7 @@
         parts: &other,
         ..support::ask(&m0, 1_800)
     };
-    assert_eq!(sent(chooser.choose(T0, &ask)).tokens, 1_800);
+    assert_eq!(sent(chooser.choose(T0, &ask)).uncached_tokens, 1_800);
 }
 
 /// Two models and an adapter on one engine are asked with the same words first. What one has read the
@@ -160,7 +160,7 @@
     let mut chooser = Chooser::new("z1", 7);
     let mut engine = support::engine("e1", &["m0", "m1"]);
     engine.models[0].adapters.push("a1".to_owned());
-    chooser.know(&engine);
+    chooser.update_instance(&engine);
     let parts = [dialect::PromptPart { id: 1, tokens: 800 }];
     let tokens_of = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
         let ask = EndpointQuery {
@@ -168,7 +168,7 @@
             ..support::ask(wanted, 1_000)
         };
         let pick = sent(chooser.choose(T0, &ask));
-        chooser.ended(T0, &pick, Some(wanted), false, AttemptOutcome::GivenUp);
+        chooser.record_end(T0, &pick, Some(wanted), false, AttemptOutcome::GivenUp);
         pick
     };
     let m0 = wanted("m0", None);
@@ -177,16 +177,20 @@
         wanted: &m0,
         parts: &parts,
     };
-    chooser.began(T0, &pick, Some(read), time::Millis(50), None);
+    chooser.record_response_start(T0, &pick, Some(read), time::Millis(50), None);
     let others = [wanted("m1", None), wanted("m0", Some("a1"))];
     for other in &others {
-        assert_eq!(tokens_of(&mut chooser, other).tokens, 1_000, "{other:?}");
+        assert_eq!(
+            tokens_of(&mut chooser, other).uncached_tokens,
+            1_000,
+            "{other:?}"
+        );
     }
-    assert_eq!(tokens_of(&mut chooser, &m0).tokens, 200);
+    assert_eq!(tokens_of(&mut chooser, &m0).uncached_tokens, 200);
     for models in [&["m1"][..], &["m0", "m1"]] {
-        chooser.know(&support::engine("e1", models));
+        chooser.update_instance(&support::engine("e1", models));
     }
-    assert_eq!(tokens_of(&mut chooser, &m0).tokens, 1_000);
+    assert_eq!(tokens_of(&mut chooser, &m0).uncached_tokens, 1_000);
 }
 
 /// An engine holds a large model and a small one, which it reads three times as fast. Were one speed
@@ -195,13 +199,13 @@
 #[test]
 fn each_model_has_its_own_speed() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0", "m1"]));
+    chooser.update_instance(&support::engine("e1", &["m0", "m1"]));
     let (large, small) = (wanted("m0", None), wanted("m1", None));
     let answer = |chooser: &mut Chooser, wanted: &dialect::Wanted, took: u64| {
         let pick = sent(chooser.choose(T0, &support::ask(wanted, 2_000)));
         let read = Prefill { wanted, parts: &[] };
-        chooser.began(T0, &pick, Some(read), time::Millis(took), None);
-        chooser.ended(T0, &pick, Some(wanted), true, AttemptOutcome::Answered);
+        chooser.record_response_start(T0, &pick, Some(read), time::Millis(took), None);
+        chooser.record_end(T0, &pick, Some(wanted), true, AttemptOutcome::Answered);
         pick.estimate
     };
     for _ in 0..100 {
@@ -227,7 +231,7 @@
     let leaving = |chooser: &mut Chooser| {
         let mut engine = support::engine("e1", &["m0"]);
         engine.state = directory::State::Leaving;
-        chooser.know(&engine);
+        chooser.update_instance(&engine);
     };
     let cases = [
         Case {
@@ -244,13 +248,13 @@
         },
         Case {
             name: "no engine holds the model",
-            know: |it| it.know(&support::engine("e1", &["m0"])),
+            know: |it| it.update_instance(&support::engine("e1", &["m0"])),
             wanted: wanted("m1", None),
             missing: WaitReason::Model,
         },
         Case {
             name: "no engine holds the adapter",
-            know: |it| it.know(&support::engine("e1", &["m0"])),
+            know: |it| it.update_instance(&support::engine("e1", &["m0"])),
             wanted: wanted("m0", Some("a1")),
             missing: WaitReason::Adapter,
         },
@@ -270,11 +274,11 @@
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Unreachable);
+    chooser.record_end(T0, &pick, Some(&m0), false, AttemptOutcome::Unreachable);
     for _ in 0..5 {
         let next = sent(chooser.choose(T0, &support::ask(&m0, 100)));
         assert_ne!(next.instance, pick.instance);
-        chooser.ended(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
+        chooser.record_end(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     assert_eq!(chooser.counts(T0), (2, 1));
     assert_eq!(chooser.counts(T0 + time::Millis(5_000)), (2, 2));
@@ -298,7 +302,7 @@
             } else {
                 AttemptOutcome::Answered
             };
-            chooser.ended(now, &pick, Some(&m0), false, how);
+            chooser.record_end(now, &pick, Some(&m0), false, how);
         }
         to_e1
     };
@@ -318,7 +322,7 @@
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Misdirected);
+    chooser.record_end(T0, &pick, Some(&m0), false, AttemptOutcome::Misdirected);
     let next = sent(chooser.choose(T0, &support::ask(&m0, 100)));
     assert_ne!(next.instance, pick.instance);
 }
@@ -333,11 +337,11 @@
         sequence,
         ..support::engine("e1", &["m0", "m1"])
     };
-    chooser.know(&engine(1));
+    chooser.update_instance(&engine(1));
     let (m0, m1) = (wanted("m0", None), wanted("m1", None));
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
-    chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Refused);
-    chooser.know(&engine(2));
+    chooser.record_end(T0, &pick, Some(&m0), false, AttemptOutcome::Refused);
+    chooser.update_instance(&engine(2));
     let next = chooser.choose(T0, &support::ask(&m0, 100));
     assert_eq!(next, Choice::Wait(WaitReason::Model));
     sent(chooser.choose(T0, &support::ask(&m1, 100)));
@@ -357,7 +361,7 @@
         picks.push(pick);
     }
     for pick in &picks {
-        chooser.ended(T0, pick, Some(&m0), false, AttemptOutcome::GivenUp);
+        chooser.record_end(T0, pick, Some(&m0), false, AttemptOutcome::GivenUp);
     }
     picks.len()
 }
@@ -368,7 +372,7 @@
 #[test]
 fn what_may_wait_at_an_engine_is_learnt_from_the_pauses_of_streams() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
     let m0 = wanted("m0", None);
     let ended = |chooser: &mut Chooser, longest| {
         let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
@@ -377,8 +381,8 @@
             longest: time::Millis(longest),
             limit: time::Millis(400),
         };
-        chooser.paused(T0 + time::Millis(1_000), &pick, pauses);
-        chooser.ended(T0, &pick, Some(&m0), false, AttemptOutcome::Answered);
+        chooser.record_pauses(T0 + time::Millis(1_000), &pick, pauses);
+        chooser.record_end(T0, &pick, Some(&m0), false, AttemptOutcome::Answered);
     };
     let at_first = taken_at_once(&mut chooser);
     ended(&mut chooser, 170);
@@ -396,7 +400,7 @@
 #[test]
 fn what_cannot_be_in_time_is_turned_away_at_once() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
     let m0 = wanted("m0", None);
     for _ in 0..20 {
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
@@ -412,7 +416,7 @@
 #[test]
 fn endpoints_of_a_plain_service_take_as_many_as_they_have_places_for() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::instance("p1", support::PLAIN, &[]));
+    chooser.update_instance(&support::instance("p1", support::PLAIN, &[]));
     let mut picks = Vec::new();
     loop {
         match chooser.choose(T0, &plain()) {
@@ -424,7 +428,7 @@
         }
     }
     assert!((4..=8).contains(&picks.len()), "{}", picks.len());
-    chooser.ended(T0, &picks[0], None, true, AttemptOutcome::Answered);
+    chooser.record_end(T0, &picks[0], None, true, AttemptOutcome::Answered);
     sent(chooser.choose(T0, &plain()));
 }
 
@@ -433,8 +437,8 @@
     let mut chooser = Chooser::new("z1", 7);
     let mut far = support::engine("e1", &["m0"]);
     far.availability_zone = "z2".to_owned();
-    chooser.know(&far);
-    chooser.know(&support::engine("e2", &["m0"]));
+    chooser.update_instance(&far);
+    chooser.update_instance(&support::engine("e2", &["m0"]));
     let m0 = wanted("m0", None);
     let near = sent(chooser.choose(T0, &support::ask(&m0, 0)));
     assert_eq!(near.instance.name, "e2");
@@ -464,11 +468,11 @@
                 "still sent there at {now:?}"
             );
         } else {
-            chooser.began(now, &pick, None, time::Millis(20), None);
-            chooser.ended(now, &pick, Some(&m0), true, AttemptOutcome::Answered);
+            chooser.record_response_start(now, &pick, None, time::Millis(20), None);
+            chooser.record_end(now, &pick, Some(&m0), true, AttemptOutcome::Answered);
         }
     }
-    chooser.ended(
+    chooser.record_end(
         T0 + time::Millis(6_000),
         &dark,
         Some(&m0),
@@ -483,7 +487,7 @@
 #[test]
 fn a_request_that_is_late_anyway_lets_others_go_first() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
     let m0 = wanted("m0", None);
     for _ in 0..4 {
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
@@ -515,7 +519,7 @@
         sequence: 2,
         ..support::engine("e1", &["m1"])
     };
-    chooser.know(&moved);
+    chooser.update_instance(&moved);
     assert!(chooser.has_free(T0, &support::ask(&m0, 100)));
     for _ in 0..20 {
         let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
@@ -523,7 +527,7 @@
     }
     let pick = sent(chooser.choose(T0, &support::ask(&m1, 100)));
     assert_eq!(pick.instance.name, "e1");
-    chooser.forget(&moved.id);
+    chooser.remove_instance(&moved.id);
     let choice = chooser.choose(T0, &support::ask(&m1, 100));
     assert_eq!(choice, Choice::Wait(WaitReason::Model));
     assert!(!chooser.has_free(T0, &support::ask(&m1, 100)));
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -34,9 +34,9 @@
 fn coordinator(engines: &[&str]) -> Chooser {
     let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(own, &entries());
+    chooser.set_entries(own, &entries());
     for id in engines {
-        chooser.know(&support::engine(id, &["m0"]));
+        chooser.update_instance(&support::engine(id, &["m0"]));
     }
     chooser
 }
@@ -84,7 +84,7 @@
     let mut picked = collections::BTreeSet::new();
     for (number, from) in entries().into_iter().take(12).enumerate() {
         let now = at(number as u64 * 2);
-        let decision = coordinator.advise(now, from, number as u64, &asks(&wanted, 3_000));
+        let decision = coordinator.route_for(now, from, number as u64, &asks(&wanted, 3_000));
         picked.insert(engine_of(decision));
     }
     assert_eq!(picked.len(), 12);
@@ -98,19 +98,19 @@
     let wanted = m0();
     let from = entries()[9];
     let RoutingDecision::Engine { estimate, .. } =
-        coordinator.advise(T0, from, 1, &asks(&wanted, 6_000))
+        coordinator.route_for(T0, from, 1, &asks(&wanted, 6_000))
     else {
         panic!("e1 reads nothing");
     };
     assert!(estimate >= time::Millis(300), "{estimate:?}");
     let other = entries()[10];
     assert!(matches!(
-        coordinator.advise(at(5), other, 2, &asks(&wanted, 6_000)),
+        coordinator.route_for(at(5), other, 2, &asks(&wanted, 6_000)),
         RoutingDecision::Wait { .. }
     ));
     coordinator.apply_observation(at(6), from, &observation("e1", 316_000));
     assert!(matches!(
-        coordinator.advise(at(300), other, 2, &asks(&wanted, 6_000)),
+        coordinator.route_for(at(300), other, 2, &asks(&wanted, 6_000)),
         RoutingDecision::Wait { .. }
     ));
     assert!(
@@ -118,7 +118,7 @@
         "it has less to read"
     );
     assert_eq!(
-        engine_of(coordinator.advise(at(331), other, 2, &asks(&wanted, 6_000))),
+        engine_of(coordinator.route_for(at(331), other, 2, &asks(&wanted, 6_000))),
         short("e1")
     );
 }
@@ -129,8 +129,8 @@
 fn an_advice_of_which_nothing_is_heard_is_forgotten() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
-    coordinator.advise(T0, entries()[9], 1, &asks(&wanted, 6_000));
-    let decision = coordinator.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
+    coordinator.route_for(T0, entries()[9], 1, &asks(&wanted, 6_000));
+    let decision = coordinator.route_for(at(200), entries()[10], 2, &asks(&wanted, 6_000));
     assert_eq!(engine_of(decision), short("e1"));
 }
 
@@ -151,7 +151,7 @@
         coordinator.apply_observation(T0, entries()[3], &told);
         for number in 0..20 {
             let decision =
-                coordinator.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
+                coordinator.route_for(at(10 + number), entries()[7], number, &asks(&wanted, 100));
             assert_eq!(engine_of(decision), short("e2"), "{trouble:?}");
         }
     }
@@ -171,7 +171,7 @@
         coordinator.apply_observation(at(ms), entries()[3], &lost("e1"));
         coordinator.apply_observation(at(ms), entries()[3], &lost("e2"));
     }
-    let decision = coordinator.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
+    let decision = coordinator.route_for(at(20), entries()[7], 1, &asks(&wanted, 100));
     assert!(
         matches!(decision, RoutingDecision::Engine { .. }),
         "{decision:?}"
@@ -179,7 +179,7 @@
     coordinator.apply_observation(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
         let decision =
-            coordinator.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
+            coordinator.route_for(at(40 + number), entries()[7], number, &asks(&wanted, 100));
         assert_eq!(engine_of(decision), short("e2"));
     }
 }
@@ -194,12 +194,13 @@
     for number in 0..10 {
         let now = at(number * 200);
         coordinator.apply_observation(now, from, &observation("e1", 0));
-        engine_of(coordinator.advise(now, from, number, &asks(&wanted, 3_000)));
+        engine_of(coordinator.route_for(now, from, number, &asks(&wanted, 3_000)));
         coordinator.apply_observation(at(number * 200 + 1), from, &observation("e1", 400_000));
     }
     let mut expected = None;
     for request in 100..150 {
-        let decision = coordinator.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
+        let decision =
+            coordinator.route_for(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
         let RoutingDecision::Wait { expected: told } = decision else {
             panic!("{decision:?}");
         };
@@ -216,28 +217,40 @@
 fn an_advice_is_followed_unless_more_is_known_here() {
     let wanted = m0();
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(entries()[9], &entries());
-    chooser.know(&support::engine("e1", &["m0"]));
-    chooser.know(&support::engine("e2", &["m1"]));
+    chooser.set_entries(entries()[9], &entries());
+    chooser.update_instance(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e2", &["m1"]));
     let ask = asks(&wanted, 100);
     let estimate = time::Millis(70);
-    let Some(Choice::Send(pick)) = chooser.follow(T0, short("e1"), estimate, &ask) else {
+    let Some(Choice::Send(pick)) = chooser.follow_decision(T0, short("e1"), estimate, &ask) else {
         panic!("e1 holds it");
     };
     assert_eq!(
         (pick.instance.name.as_str(), pick.estimate),
         ("e1", estimate)
     );
-    assert_eq!(chooser.follow(T0, short("e2"), estimate, &ask), None);
-    assert_eq!(chooser.follow(T0, short("e3"), estimate, &ask), None);
+    assert_eq!(
+        chooser.follow_decision(T0, short("e2"), estimate, &ask),
+        None
+    );
+    assert_eq!(
+        chooser.follow_decision(T0, short("e3"), estimate, &ask),
+        None
+    );
     let tried = [pick.key];
     let again = EndpointQuery {
         tried: &tried,
         ..ask
     };
-    assert_eq!(chooser.follow(T0, short("e1"), estimate, &again), None);
-    chooser.ended(T0, &pick, Some(&wanted), false, AttemptOutcome::Unreachable);
-    assert_eq!(chooser.follow(at(5), short("e1"), estimate, &ask), None);
+    assert_eq!(
+        chooser.follow_decision(T0, short("e1"), estimate, &again),
+        None
+    );
+    chooser.record_end(T0, &pick, Some(&wanted), false, AttemptOutcome::Unreachable);
+    assert_eq!(
+        chooser.follow_decision(at(5), short("e1"), estimate, &ask),
+        None
+    );
 }
 
 /// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
@@ -246,7 +259,7 @@
     let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
-        chooser.join_groups(own, &entries());
+        chooser.set_entries(own, &entries());
         chooser.coordinators("m0")
     };
     assert!(asked_by(coordinators[0]).is_empty());
@@ -283,7 +296,7 @@
     let mut counts = [0, 0];
     for number in 0..20 {
         let now = at(2_000 + number * 500);
-        let advised = coordinator.advise(now, entries()[7], number, &asks(&wanted, 3_000));
+        let advised = coordinator.route_for(now, entries()[7], number, &asks(&wanted, 3_000));
         counts[usize::from(engine_of(advised) == short("e2"))] += 1;
     }
     assert_eq!(counts, [0, 20]);
@@ -307,7 +320,7 @@
         for number in 0..12 {
             let now = at(round * 1_000 + number);
             let decision =
-                coordinator.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
+                coordinator.route_for(now, from, round * 100 + number, &asks(&wanted, 2_000));
             if matches!(decision, RoutingDecision::Engine { .. }) {
                 waiting += 1;
                 coordinator.apply_observation(now, from, &observation("e1", waiting * 105_000));
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -119,8 +119,8 @@
 fn a_prompt_does_not_go_on_top_of_what_a_neighbour_sent() {
     let mut chooser = Chooser::new("z1", 7);
     let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
-    chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
-    chooser.know(&support::engine("e1", &["m0"]));
+    chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
     let observation = |micros| entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
         pending_prefill_us: micros,
@@ -140,7 +140,7 @@
     // It has waited for as long as makes sense.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
     assert!(matches!(last, Choice::Send(_)), "{last:?}");
-    chooser.know(&support::engine("e2", &["m0"]));
+    chooser.update_instance(&support::engine("e2", &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &waiting_ask(&m0, 3_000)) else {
         panic!("e2 reads nothing");
     };
@@ -156,8 +156,8 @@
 #[test]
 fn an_old_word_of_a_neighbour_is_forgotten() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
-    chooser.know(&support::engine("e1", &["m0"]));
+    chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
     let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e1".into()),
         pending_prefill_us: 3_000_000,
@@ -186,8 +186,8 @@
     let parts = [part(7, 6_000), part(8, 500)];
     let (m0, m1) = (wanted("m0"), wanted("m1"));
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0", "m1"]));
-    chooser.know(&support::engine("e2", &["m0", "m1"]));
+    chooser.update_instance(&support::engine("e1", &["m0", "m1"]));
+    chooser.update_instance(&support::engine("e2", &["m0", "m1"]));
     let kept = entry_peers::PromptPrefix::of(&m0, &parts);
     assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
     assert_eq!(entry_peers::PromptPrefix::of(&m0, &parts[1..]), None);
@@ -207,7 +207,7 @@
             ..support::ask(wanted, 6_500)
         };
         match chooser.choose(T0, &ask) {
-            Choice::Send(pick) => (pick.instance.name, pick.tokens),
+            Choice::Send(pick) => (pick.instance.name, pick.uncached_tokens),
             other => panic!("not sent: {other:?}"),
         }
     };
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -261,7 +261,7 @@
         adapter: None,
     };
     let ask = support::ask(&wanted, 1_000);
-    chooser.know(&start(100, 900, &["m0"]));
+    chooser.update_instance(&start(100, 900, &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
         panic!("the engine is there");
     };
@@ -276,16 +276,16 @@
     };
     let mut gone = start(100, 900, &["m0"]);
     gone.state = State::Replaced;
-    chooser.know(&gone);
-    chooser.know(&start(2_000, 1, &[]));
+    chooser.update_instance(&gone);
+    chooser.update_instance(&start(2_000, 1, &[]));
     assert_eq!(
         chooser.choose(at(10), &ask),
         Choice::Wait(WaitReason::Model)
     );
-    chooser.know(&start(2_000, 2, &["m0"]));
+    chooser.update_instance(&start(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
     assert!(!chooser.apply_observation(at(20), from, &word));
-    chooser.ended(
+    chooser.record_end(
         at(20),
         &pick,
         Some(&wanted),
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -50,9 +50,9 @@
 fn coordinator(engines: &[(&str, u32)]) -> Chooser {
     let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(own, &entries());
+    chooser.set_entries(own, &entries());
     for (id, running) in engines {
-        chooser.know(&support::engine(id, &["m0"]));
+        chooser.update_instance(&support::engine(id, &["m0"]));
         chooser.apply_observation(T0, entries()[1], &began(id, *running, 0));
     }
     chooser
@@ -64,7 +64,7 @@
         patience: time::Millis(300),
         ..support::ask(&wanted, tokens)
     };
-    match chooser.advise(now, entries()[2], request, &ask) {
+    match chooser.route_for(now, entries()[2], request, &ask) {
         RoutingDecision::Engine { engine, .. } => engine,
         other => panic!("no engine: {other:?}"),
     }
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -235,7 +235,7 @@
             may_be_late: ask.may_be_late,
             may_fetch: false,
         };
-        core.chooser.advise(now, from, request, &ask)
+        core.chooser.route_for(now, from, request, &ask)
     });
     let advice = words::RoutingReply {
         id,
@@ -257,7 +257,7 @@
     let now = shared.clock.now();
     let (homes, tried) = shared.with_core(|core| {
         // What this process was told by an engine the home was not.
-        let closed = core.chooser.closed(now, ask.service);
+        let closed = core.chooser.closed_endpoints(now, ask.service);
         let tried = ask.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
             .filter_map(|key| core.chooser.instance_key(*key))
@@ -366,7 +366,7 @@
     pick: &chooser::Pick,
     complete: impl FnOnce(&mut words::EngineObservation, bool) -> bool,
 ) {
-    let Some(neighbours) = shared.neighbours.as_ref().filter(|_| pick.reading > 0) else {
+    let Some(neighbours) = shared.neighbours.as_ref().filter(|_| pick.prefill_us > 0) else {
         return;
     };
     let (word, has_homes) = shared.with_core(|core| {
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -247,7 +247,8 @@
         let parts = &self.passing.parts;
         let read = self.wanted.map(|wanted| chooser::Prefill { wanted, parts });
         self.shared.with_core(|core| {
-            core.chooser.began(now, pick, read, took, load);
+            core.chooser
+                .record_response_start(now, pick, read, took, load);
             if let Some(wanted) = self.wanted {
                 let tokens = self.passing.prompt_tokens;
                 core.backlog.read(now, &wanted.model, tokens);
@@ -263,7 +264,7 @@
     pub(super) fn ended(&self, pick: &chooser::Pick, began: bool, how: chooser::AttemptOutcome) {
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
+            .with_core(|core| core.chooser.record_end(now, pick, self.wanted, began, how));
         neighbours::tell_ended(self.shared, pick, began, self.trouble(how));
         self.shared.place_freed();
     }
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/pass/backpressure.rs
@@ -25,7 +25,7 @@
         let now = self.shared.clock.now();
         let change = self
             .shared
-            .with_core(|core| core.chooser.heed(now, &pick.instance, answered));
+            .with_core(|core| core.chooser.apply_notice(now, &pick.instance, answered));
         self.log_limit(pick, change);
     }
 
@@ -35,7 +35,7 @@
         let now = self.shared.clock.now();
         let limit = self
             .shared
-            .with_core(|core| core.chooser.limit_of(now, &pick.instance));
+            .with_core(|core| core.chooser.limit(now, &pick.instance));
         let Some(named) = limit else {
             return true;
         };
@@ -65,7 +65,7 @@
         let now = self.shared.clock.now();
         let change = self
             .shared
-            .with_core(|core| core.chooser.sends(now, &pick.instance));
+            .with_core(|core| core.chooser.count_send(now, &pick.instance));
         self.log_limit(pick, change);
     }
 
--- a/src/sageshed/gateway/pass/ending.rs
+++ b/src/sageshed/gateway/pass/ending.rs
@@ -112,7 +112,7 @@
         let sent = sent_at.duration_since(self.req.received);
         ::log::info!(request = self.id(), route = self.route.name.as_str(),
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
-            model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
+            model = self.model_name(), tokens = pick.uncached_tokens, estimate_ms = pick.estimate.0,
             waited_for = self.waited_for_word(), objective_ms = self.route.objective.0,
             pause_limit_ms = self.route.pause.map_or(0, |it| it.0), runs = self.runs, sent_ms = time::Millis::from(sent).0,
             first_ms = time::Millis::from(self.paces.first).0,
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/pass/home.rs
@@ -21,7 +21,7 @@
     let advised = match place {
         Some(entry_peers::RoutingDecision::Engine {
             engine, estimate, ..
-        }) => core.chooser.follow(now, engine, estimate, ask),
+        }) => core.chooser.follow_decision(now, engine, estimate, ask),
         Some(entry_peers::RoutingDecision::Wait { .. }) => {
             Some(chooser::Choice::Wait(chooser::WaitReason::Place))
         }
--- a/src/sageshed/gateway/pass/stream.rs
+++ b/src/sageshed/gateway/pass/stream.rs
@@ -41,7 +41,7 @@
                     if self.paces.piece() {
                         let now = self.shared.clock.now();
                         self.shared
-                            .with_core(|core| core.chooser.heard_from(now, pick));
+                            .with_core(|core| core.chooser.record_activity(now, pick));
                     }
                     if stream.send(&whole).is_err() {
                         self.ended(pick, true, chooser::AttemptOutcome::GivenUp);
@@ -140,7 +140,7 @@
             limit,
         };
         self.shared
-            .with_core(|core| core.chooser.paused(now, pick, pauses));
+            .with_core(|core| core.chooser.record_pauses(now, pick, pauses));
         neighbours::tell_pauses(self.shared, pick, pauses);
     }
 }
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -255,7 +255,7 @@
         }
         ::log::info!(count = entries.len(); "gateway: entry processes changed");
         let own = self.settings.discovery.ip;
-        core.chooser.join_groups(own, &entries);
+        core.chooser.set_entries(own, &entries);
         let now = self.clock.now();
         core.allowances.set_entries(now, &entries);
         core.entries_number = number;
@@ -267,7 +267,7 @@
     pub fn replaced(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
-        core.chooser.forget(id);
+        core.chooser.remove_instance(id);
         if core.directory.gone(now, id) {
             ::log::info!(endpoint:% = id; "gateway: another start answers at the endpoint's address");
         }
@@ -281,7 +281,7 @@
             return;
         }
         if let Some(instance) = core.directory.start(id).cloned() {
-            core.chooser.know(&instance);
+            core.chooser.update_instance(&instance);
         }
         core.leaving.push((id.clone(), now));
         core.changes += 1;
@@ -307,7 +307,7 @@
                 let Some(instance) = core.directory.start(&id).cloned() else {
                     return false;
                 };
-                core.chooser.know(&instance);
+                core.chooser.update_instance(&instance);
                 // Connections that were kept are to a start that has ended: where its VM lost power, what is
                 // sent on them is lost without a word.
                 if instance.has_ended() || offer == directory::Offer::New {
@@ -370,7 +370,7 @@
         !self.is_stopping()
             && self.version() > 0
             && !self.is_out_of_date()
-            && self.with_core(|it| it.chooser.knows_any())
+            && self.with_core(|it| it.chooser.has_ready_endpoint())
     }
 }
 
@@ -389,7 +389,7 @@
         passing: &dialect::Passing,
         kept: Option<u64>,
     ) {
-        let reading_us = self.chooser.reading_us(service, wanted, passing, kept);
+        let reading_us = self.chooser.prefill_us(service, wanted, passing, kept);
         let asked = tally::Asked {
             reading_us,
             output_tokens: passing.output_tokens,
