--- a/crates/sageshed-fleet/src/allowance/question.rs
+++ b/crates/sageshed-fleet/src/allowance/acquisition.rs
@@ -4,7 +4,7 @@
 
 use sageshed_types::time;
 
-use super::Answer;
+use super::AcquireReply;
 
 /// How often a coordinator is asked that doesn't respond. A link in trouble may lose one datagram of a
 /// hundred; after a single try, the coordinator would be given up for that, and the next one starts with an
@@ -24,19 +24,19 @@
     /// The allowance is exhausted; retry after this time.
     Over(time::Millis),
     /// No coordinator responds, so nobody can tell.
-    Nobody,
+    Unreachable,
 }
 
 /// State of one acquisition.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct Acquisition {
     coordinators: Vec<net::Ipv4Addr>,
     at: usize,
     tries: u32,
     postponements: u32,
 }
 
-impl Question {
+impl Acquisition {
     /// Creates an acquisition from the first of `coordinators` that responds.
     #[must_use]
     pub fn new(coordinators: Vec<net::Ipv4Addr>) -> Self {
@@ -57,17 +57,17 @@
         self.tries += 1;
         match self.coordinators.get(self.at) {
             Some(coordinator) => Next::Ask(*coordinator, span),
-            None => Next::Nobody,
+            None => Next::Unreachable,
         }
     }
 
     /// Handles the reply of the coordinator that was asked.
-    pub fn answered(&mut self, answer: Answer) -> Next {
+    pub fn answered(&mut self, answer: AcquireReply) -> Next {
         match answer {
-            Answer::Granted => Next::Granted,
-            Answer::Over(span) => Next::Over(span),
-            Answer::Soon(span) if self.postponements >= MAX_POSTPONEMENTS => Next::Over(span),
-            Answer::Soon(span) => {
+            AcquireReply::Granted => Next::Granted,
+            AcquireReply::Over(span) => Next::Over(span),
+            AcquireReply::Soon(span) if self.postponements >= MAX_POSTPONEMENTS => Next::Over(span),
+            AcquireReply::Soon(span) => {
                 self.postponements += 1;
                 self.tries = 0;
                 self.ask_after(span)
--- a/crates/sageshed-fleet/src/allowance/pot.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -4,13 +4,15 @@
 
 use sageshed_types::time;
 
-use super::{Answer, DRAW_AGAIN, DRAW_EVERY, Draw, IN_TOUCH, LOOK_EVERY, SPAN, Terms};
+use super::{
+    AcquireReply, AcquireRequest, DRAW_AGAIN, DRAW_EVERY, IN_TOUCH, LOOK_EVERY, RateLimit, SPAN,
+};
 
 /// How long the coordinator waits for replies to a collection: several round trips between availability
 /// zones.
 const COLLECT_TIMEOUT: time::Millis = time::Millis(15);
 
-/// Delay after which a process retries that got [`Answer::Soon`].
+/// Delay after which a process retries that got [`AcquireReply::Soon`].
 const RETRY_DELAY: time::Millis = time::Millis(8);
 
 /// How long granted acquisitions are remembered. If the reply is lost, the retry arrives within some ten
@@ -31,7 +33,7 @@
 
 /// Units that a coordinator has collected and not granted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Pot {
+pub struct Bucket {
     /// Negative if the last grant exceeded what was there.
     units: f64,
     /// When each producer last gave units.
@@ -50,7 +52,7 @@
 /// Number of distinct ranks; higher ones count as the last.
 const RANKS: usize = 4;
 
-impl Pot {
+impl Bucket {
     /// Creates an empty bucket. For all that this process knows, the previous coordinator has spent what
     /// there was.
     #[must_use]
@@ -72,20 +74,20 @@
     pub fn draw(
         &mut self,
         now: time::Instant,
-        terms: &Terms,
+        terms: &RateLimit,
         producers: usize,
         from: net::Ipv4Addr,
-        draw: &Draw,
-    ) -> Answer {
+        draw: &AcquireRequest,
+    ) -> AcquireReply {
         // Callers may declare any amount. A debt of that size would never be paid off, and an infinite one
         // would turn the balance into NaN.
         if !draw.amount.is_finite() || draw.amount > terms.largest() {
-            return Answer::Over(MAX_RETRY_DELAY);
+            return AcquireReply::Over(MAX_RETRY_DELAY);
         }
         let capacity = self.capacity(now, terms, producers);
         self.units = (self.units + draw.returned.max(0.0)).min(capacity);
         if draw.amount <= 0.0 || self.is_granted(now, from, draw.id) {
-            return Answer::Granted;
+            return AcquireReply::Granted;
         }
         let rank = usize::from(draw.rank).min(RANKS - 1);
         self.asked_at[rank] = Some(now);
@@ -104,12 +106,18 @@
         if self.units > 0.0 && self.units - reserved >= needed {
             self.units -= draw.amount;
             self.granted.push_back((now, (from, draw.id)));
-            return Answer::Granted;
+            return AcquireReply::Granted;
         }
         if self.is_collecting(now) || self.may_collect_again(now) {
-            return Answer::Soon(RETRY_DELAY);
+            return AcquireReply::Soon(RETRY_DELAY);
         }
-        Answer::Over(self.schedule_retry(now, terms, producers, draw.amount, needed + reserved))
+        AcquireReply::Over(self.schedule_retry(
+            now,
+            terms,
+            producers,
+            draw.amount,
+            needed + reserved,
+        ))
     }
 
     /// Whether this acquisition was granted before, so that its reply was lost.
@@ -128,7 +136,7 @@
     fn schedule_retry(
         &mut self,
         now: time::Instant,
-        terms: &Terms,
+        terms: &RateLimit,
         producers: usize,
         amount: f64,
         needed: f64,
@@ -150,7 +158,7 @@
     /// collection, so that both together never hold more than the burst. It is reduced in proportion if
     /// only some of the producers are in contact: a partitioned coordinator has just what its own share
     /// yields.
-    fn capacity(&mut self, now: time::Instant, terms: &Terms, producers: usize) -> f64 {
+    fn capacity(&mut self, now: time::Instant, terms: &RateLimit, producers: usize) -> f64 {
         let since = self.collected_at.map_or(SPAN, |at| now.since(at).min(SPAN));
         let capacity = (terms.stock() - terms.grown(since)) * self.reachable_share(now, producers);
         self.units = self.units.min(capacity);
@@ -181,7 +189,7 @@
     pub fn is_collection_due(
         &mut self,
         now: time::Instant,
-        terms: &Terms,
+        terms: &RateLimit,
         producers: usize,
     ) -> bool {
         let Some(collected_at) = self.collected_at else {
@@ -206,7 +214,7 @@
     pub fn take(
         &mut self,
         now: time::Instant,
-        terms: &Terms,
+        terms: &RateLimit,
         producers: usize,
         given: (net::Ipv4Addr, u64, f64),
     ) {
@@ -225,7 +233,7 @@
     pub fn fill(
         &mut self,
         now: time::Instant,
-        terms: &Terms,
+        terms: &RateLimit,
         producers: usize,
         from: net::Ipv4Addr,
         units: f64,
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -14,7 +14,7 @@
 //! An allowance is a stream of units. Its source is a small set of producers among the entry processes
 //! ([`producers`], chosen by hashing, the same on every process). Each of them produces an equal share of
 //! the rate and stores at most what accrues in [`SPAN`] ([`Share`]). The first of them that responds is the
-//! coordinator of the allowance: it collects the producers' units into a [`Pot`], a token bucket, from
+//! coordinator of the allowance: it collects the producers' units into a [`Bucket`], a token bucket, from
 //! which every process acquires units before it sends.
 //!
 //! Units are moved and never copied; those in a lost message are lost. So whichever way the processes are
@@ -31,21 +31,21 @@
 //! [`SPAN`], which it may have yielded before: if all of them are killed at once, they yield that much
 //! extra, and spend nothing while they are down.
 
-mod book;
-mod named;
-mod pot;
-mod question;
+mod acquisition;
+mod bucket;
+mod reported;
 mod share;
+mod table;
 
 use std::net;
 
 use sageshed_types::time;
 use serde::{Deserialize, Serialize};
 
-pub use book::{Book, Reply};
-pub use pot::Pot;
-pub use question::{Next, Question};
+pub use acquisition::{Acquisition, Next};
+pub use bucket::Bucket;
 pub use share::Share;
+pub use table::{AllowanceTable, Reply};
 
 use crate::{directory, entry_peers};
 
@@ -119,14 +119,14 @@
 
 /// Rate and burst of an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct RateLimit {
     /// Units per second.
     pub per_s: f64,
     /// Units that may be spent at once after an idle time.
     pub burst: f64,
 }
 
-impl Terms {
+impl RateLimit {
     /// Units that accrue in `span`.
     #[must_use]
     pub fn grown(&self, span: time::Millis) -> f64 {
@@ -158,16 +158,16 @@
 /// Rate and burst that are not configured but were reported by an endpoint to some processes, which pass
 /// them on in their messages.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Named {
+pub struct ReportedLimit {
     /// Rate and burst.
-    pub terms: Terms,
+    pub terms: RateLimit,
     /// Time since the endpoint reported them. Of two different reports, the newer one counts.
     pub age: time::Millis,
 }
 
 /// Asks the coordinator of an allowance for units.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Draw {
+pub struct AcquireRequest {
     /// Identifies the request; the same when it is retried.
     pub id: u64,
     /// The allowance.
@@ -180,12 +180,12 @@
     pub rank: u8,
     /// Rate and burst, if they are not configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub named: Option<Named>,
+    pub named: Option<ReportedLimit>,
 }
 
-/// The reply to a [`Draw`].
+/// The reply to a [`AcquireRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum AcquireReply {
     /// The units are granted.
     Granted,
     /// The coordinator has just started or is collecting more units: retry after this time.
@@ -197,19 +197,19 @@
 
 /// Collects the units that a producer has.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pull {
+pub struct CollectRequest {
     /// Identifies the collection.
     pub id: u64,
     /// The allowances to collect.
     pub of: Vec<Key>,
     /// Rate and burst of those that are not configured.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub named: Vec<(Key, Named)>,
+    pub named: Vec<(Key, ReportedLimit)>,
 }
 
-/// A producer's reply to a [`Pull`].
+/// A producer's reply to a [`CollectRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Given {
+pub struct CollectReply {
     /// The collection.
     pub id: u64,
     /// Units of each allowance.
--- a/crates/sageshed-fleet/src/allowance/named.rs
+++ b/crates/sageshed-fleet/src/allowance/reported.rs
@@ -4,7 +4,7 @@
 
 use sageshed_types::time;
 
-use super::{Key, Named, Terms};
+use super::{Key, RateLimit, ReportedLimit};
 
 /// How long a limit is kept that no message refers to. Longer than any retry delay in a reply.
 const TTL: time::Millis = time::Millis(15_000);
@@ -15,7 +15,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    terms: Terms,
+    terms: RateLimit,
     /// When an endpoint reported the limit.
     heard_at: time::Instant,
     /// When a message last referred to it.
@@ -24,14 +24,14 @@
 
 /// The latest reported limit of each allowance.
 #[derive(Debug, Clone, Default)]
-pub(super) struct NamedTerms {
+pub(super) struct ReportedLimits {
     by_key: collections::HashMap<Key, Entry>,
 }
 
-impl NamedTerms {
+impl ReportedLimits {
     /// Records a limit that another process passed on. It is ignored if it was reported before the one that
     /// is known.
-    pub(super) fn learn(&mut self, now: time::Instant, of: Key, named: &Named) {
+    pub(super) fn learn(&mut self, now: time::Instant, of: Key, named: &ReportedLimit) {
         if !named.terms.are_sound() {
             return;
         }
@@ -62,14 +62,14 @@
         }
     }
 
-    pub(super) fn get(&self, of: Key) -> Option<Terms> {
+    pub(super) fn get(&self, of: Key) -> Option<RateLimit> {
         self.by_key.get(&of).map(|it| it.terms)
     }
 
     /// The limit in the form that is passed on.
-    pub(super) fn to_named(&self, now: time::Instant, of: Key) -> Option<Named> {
+    pub(super) fn to_named(&self, now: time::Instant, of: Key) -> Option<ReportedLimit> {
         let entry = self.by_key.get(&of)?;
-        Some(Named {
+        Some(ReportedLimit {
             terms: entry.terms,
             age: now.since(entry.heard_at),
         })
--- a/crates/sageshed-fleet/src/allowance/share.rs
+++ b/crates/sageshed-fleet/src/allowance/share.rs
@@ -2,7 +2,7 @@
 
 use sageshed_types::time;
 
-use super::{SPAN, Terms};
+use super::{RateLimit, SPAN};
 
 /// The units that one producer has: those that accrued since the last collection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     ///
     /// At most what accrues in [`SPAN`] is stored, so that a process that was suspended, or whose
     /// coordinator was gone, does not return with the units of all that time.
-    pub fn take(&mut self, now: time::Instant, terms: &Terms, producers: usize) -> f64 {
+    pub fn take(&mut self, now: time::Instant, terms: &RateLimit, producers: usize) -> f64 {
         let since = self.collected_at.replace(now);
         let since = since.map_or(SPAN, |at| now.since(at).min(SPAN));
         let grown = terms.grown(since);
--- a/crates/sageshed-fleet/src/allowance/book.rs
+++ b/crates/sageshed-fleet/src/allowance/table.rs
@@ -6,8 +6,8 @@
 use sageshed_types::time;
 
 use super::{
-    Answer, COORDINATORS, Draw, Given, Key, LISTED, LOST, PRODUCERS, Pot, Pull, Question, SETTLED,
-    Share, Terms, named, producers,
+    AcquireReply, AcquireRequest, Acquisition, Bucket, COORDINATORS, CollectReply, CollectRequest,
+    Key, LISTED, LOST, PRODUCERS, RateLimit, SETTLED, Share, producers, reported,
 };
 
 /// Allowances in one collection message. The reply takes some 20 bytes for each and has to fit into one
@@ -21,20 +21,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reply {
     /// Goes to the process that asked.
-    pub answer: Answer,
+    pub answer: AcquireReply,
     /// Goes to the producers, if more units are needed.
-    pub pull: Option<(Pull, Vec<net::Ipv4Addr>)>,
+    pub pull: Option<(CollectRequest, Vec<net::Ipv4Addr>)>,
 }
 
 /// The allowances as known to one entry process.
 #[derive(Debug, Clone)]
-pub struct Book {
+pub struct AllowanceTable {
     own: net::Ipv4Addr,
-    terms: collections::HashMap<Key, Terms>,
+    terms: collections::HashMap<Key, RateLimit>,
     /// Limits that endpoints have reported.
-    named: named::NamedTerms,
+    named: reported::ReportedLimits,
     shares: collections::HashMap<Key, Share>,
-    pots: collections::HashMap<Key, Pot>,
+    pots: collections::HashMap<Key, Bucket>,
     /// All entry processes that still count as such, and when each was last listed.
     last_listed: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// The entry processes in the latest list.
@@ -50,7 +50,7 @@
     next_id: u64,
 }
 
-impl Book {
+impl AllowanceTable {
     /// Creates the state of the process at `own`. `start` differs between starts of the process, so that
     /// replies to an earlier start are not taken for replies to this one.
     #[must_use]
@@ -58,7 +58,7 @@
         Self {
             own,
             terms: collections::HashMap::new(),
-            named: named::NamedTerms::default(),
+            named: reported::ReportedLimits::default(),
             shares: collections::HashMap::new(),
             pots: collections::HashMap::new(),
             last_listed: collections::BTreeMap::new(),
@@ -72,7 +72,7 @@
     }
 
     /// Replaces the configured allowances.
-    pub fn set_terms(&mut self, terms: impl IntoIterator<Item = (Key, Terms)>) {
+    pub fn set_terms(&mut self, terms: impl IntoIterator<Item = (Key, RateLimit)>) {
         self.terms = terms.into_iter().collect();
         self.remove_unknown();
     }
@@ -132,14 +132,14 @@
 
     /// Rate and burst of an allowance, if it exists.
     #[must_use]
-    pub fn terms(&self, of: Key) -> Option<Terms> {
+    pub fn terms(&self, of: Key) -> Option<RateLimit> {
         let configured = self.terms.get(&of).copied();
         configured.or_else(|| self.named.get(of))
     }
 
     /// Starts an acquisition from the coordinators of an allowance, skipping those that recently did not
     /// respond.
-    pub fn question(&mut self, now: time::Instant, of: Key) -> Question {
+    pub fn question(&mut self, now: time::Instant, of: Key) -> Acquisition {
         self.unresponsive.retain(|_, at| now.since(*at) < LOST);
         // Processes that are gone count as producers for a while but don't respond. During a rolling
         // replacement of VMs, all three coordinators of a workspace were gone for seconds.
@@ -150,7 +150,7 @@
         let is_there = |it: &net::Ipv4Addr| !is_whole || self.current.contains(it);
         let coordinators = ranked.into_iter().filter(is_there).take(COORDINATORS);
         let there = coordinators.filter(|it| !self.unresponsive.contains_key(it));
-        Question::new(there.collect())
+        Acquisition::new(there.collect())
     }
 
     /// Records that a coordinator did not respond.
@@ -173,22 +173,27 @@
     }
 
     /// Replies, as the coordinator, to an acquisition of `from`.
-    pub fn draw(&mut self, now: time::Instant, from: net::Ipv4Addr, draw: &Draw) -> Reply {
+    pub fn draw(
+        &mut self,
+        now: time::Instant,
+        from: net::Ipv4Addr,
+        draw: &AcquireRequest,
+    ) -> Reply {
         if let Some(named) = &draw.named {
             self.named.learn(now, draw.of, named);
         }
         let Some(terms) = self.terms(draw.of) else {
             // The configuration in force here has no such limit.
             return Reply {
-                answer: Answer::Granted,
+                answer: AcquireReply::Granted,
                 pull: None,
             };
         };
         let producers = self.producers(draw.of).len();
         let pot = self.pots.entry(draw.of);
-        let pot = pot.or_insert_with(|| Pot::empty(now));
+        let pot = pot.or_insert_with(|| Bucket::empty(now));
         let answer = pot.draw(now, &terms, producers, from, draw);
-        let needs_more = matches!(answer, Answer::Soon(_)) && pot.may_collect_again(now);
+        let needs_more = matches!(answer, AcquireReply::Soon(_)) && pot.may_collect_again(now);
         let draws = needs_more || pot.is_collection_due(now, &terms, producers);
         let pull = draws.then(|| self.start_collection(now, vec![draw.of]).pop());
         Reply {
@@ -202,13 +207,13 @@
             return false;
         };
         let producers = self.producers(of).len();
-        let pot = self.pots.entry(of).or_insert_with(|| Pot::empty(now));
+        let pot = self.pots.entry(of).or_insert_with(|| Bucket::empty(now));
         pot.is_collection_due(now, &terms, producers)
     }
 
     /// Starts the due collections of all allowances that this process coordinates as the first producer.
     /// Returns the messages to send, with their recipients.
-    pub fn tick(&mut self, now: time::Instant) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
+    pub fn tick(&mut self, now: time::Instant) -> Vec<(CollectRequest, Vec<net::Ipv4Addr>)> {
         self.expire_entries(now);
         let own = self.own;
         if self.named.expire(now) {
@@ -233,7 +238,7 @@
         &mut self,
         now: time::Instant,
         due: Vec<Key>,
-    ) -> Vec<(Pull, Vec<net::Ipv4Addr>)> {
+    ) -> Vec<(CollectRequest, Vec<net::Ipv4Addr>)> {
         let id = self.next_id();
         let mut by_producer: collections::BTreeMap<net::Ipv4Addr, Vec<Key>> =
             collections::BTreeMap::new();
@@ -251,7 +256,7 @@
                 by_producer.entry(other).or_default().push(of);
             }
         }
-        let mut pulls: Vec<(Pull, Vec<net::Ipv4Addr>)> = Vec::new();
+        let mut pulls: Vec<(CollectRequest, Vec<net::Ipv4Addr>)> = Vec::new();
         for (to, all) in by_producer {
             let has_named = all.iter().any(|key| self.named.get(*key).is_some());
             let most = if has_named {
@@ -269,10 +274,10 @@
         pulls
     }
 
-    fn pull(&self, now: time::Instant, id: u64, of: &[Key]) -> Pull {
+    fn pull(&self, now: time::Instant, id: u64, of: &[Key]) -> CollectRequest {
         let named = of.iter();
         let named = named.filter_map(|key| Some((*key, self.named.to_named(now, *key)?)));
-        Pull {
+        CollectRequest {
             id,
             of: of.to_vec(),
             named: named.collect(),
@@ -312,20 +317,20 @@
     }
 
     /// Replies, as a producer, to a collection.
-    pub fn give(&mut self, now: time::Instant, pull: &Pull) -> Given {
+    pub fn give(&mut self, now: time::Instant, pull: &CollectRequest) -> CollectReply {
         for (of, named) in &pull.named {
             self.named.learn(now, *of, named);
         }
         let units = pull.of.iter();
         let units = units.map(|of| (*of, self.take_own_share(now, *of)));
-        Given {
+        CollectReply {
             units: units.collect(),
             id: pull.id,
         }
     }
 
     /// Adds the units that `from` gave to a collection.
-    pub fn take(&mut self, now: time::Instant, from: net::Ipv4Addr, given: &Given) {
+    pub fn take(&mut self, now: time::Instant, from: net::Ipv4Addr, given: &CollectReply) {
         for (of, units) in &given.units {
             let producers = self.producers(*of).len();
             if let (Some(terms), Some(pot)) = (self.terms(*of), self.pots.get_mut(of)) {
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -156,10 +156,10 @@
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
-    ) -> Option<allowance::Named> {
+    ) -> Option<allowance::ReportedLimit> {
         let limit = self.backpressure.limit(id)?;
-        Some(allowance::Named {
-            terms: allowance::Terms {
+        Some(allowance::ReportedLimit {
+            terms: allowance::RateLimit {
                 per_s: limit.per_s.max(MIN_RATE_PER_S),
                 burst: BURST,
             },
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -43,13 +43,17 @@
     #[serde(rename = "Advice")]
     RoutingReply(RoutingReply),
     /// Acquisition of units of an allowance.
-    Draw(allowance::Draw),
-    /// Reply to the [`Self::Draw`] with this id.
-    Drawn(u64, allowance::Answer),
+    #[serde(rename = "Draw")]
+    Acquire(allowance::AcquireRequest),
+    /// Reply to the [`Self::Acquire`] with this id.
+    #[serde(rename = "Drawn")]
+    Acquired(u64, allowance::AcquireReply),
     /// Collection of a producer's units.
-    Pull(allowance::Pull),
+    #[serde(rename = "Pull")]
+    Collect(allowance::CollectRequest),
     /// Reply to a collection.
-    Given(allowance::Given),
+    #[serde(rename = "Given")]
+    Collected(allowance::CollectReply),
 }
 
 /// Asks the coordinator of a model where to send a request.
--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use sageshed_fleet::allowance::{Key, Terms};
+use sageshed_fleet::allowance::{Key, RateLimit};
 use support::allowances::{Outcome, World, some};
 
 /// Quotas are judged over any span of this length, in milliseconds.
@@ -19,15 +19,15 @@
 }
 
 /// So many requests in a window, and an eighth of that at once.
-fn terms(in_window: f64) -> Terms {
+fn terms(in_window: f64) -> RateLimit {
     let per_s = in_window * 1_000.0 / WINDOW as f64;
-    Terms {
+    RateLimit {
         per_s,
         burst: per_s,
     }
 }
 
-fn bound(terms: &Terms) -> f64 {
+fn bound(terms: &RateLimit) -> f64 {
     let within = terms.per_s * WINDOW as f64 / 1_000.0 + terms.burst;
     within * (1.0 + OVERAGE) + SLACK
 }
@@ -35,7 +35,7 @@
 /// Asks for `times` the rate over so many seconds, at entry processes that `pick` chooses.
 fn demand(
     world: &mut World,
-    terms: &Terms,
+    terms: &RateLimit,
     times: f64,
     seconds: u64,
     mut pick: impl FnMut(&mut World) -> usize,
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -5,7 +5,7 @@
 use std::net;
 
 use sageshed_fleet::{
-    allowance::{self, Key, Terms},
+    allowance::{self, Key, RateLimit},
     chooser::{Change, Choice, Chooser, EndpointQuery, WaitReason},
     dialect, directory,
 };
@@ -24,8 +24,8 @@
 }
 
 /// As the chooser reckons them from a limit.
-fn terms(per_s: f64) -> Terms {
-    Terms { per_s, burst: 2.0 }
+fn terms(per_s: f64) -> RateLimit {
+    RateLimit { per_s, burst: 2.0 }
 }
 
 /// One and a half times what the limit allows in the window, and five.
@@ -144,15 +144,15 @@
 fn terms_that_are_no_numbers_are_not_taken() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let entries = [net::Ipv4Addr::LOCALHOST];
-        let mut coordinator = allowance::Book::new(entries[0], 1);
+        let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
         coordinator.set_entries(Instant(0), &entries);
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: 1,
             of: key(),
             amount: 1.0,
             returned: 0.0,
             rank: 0,
-            named: Some(allowance::Named {
+            named: Some(allowance::ReportedLimit {
                 terms: terms(bad),
                 age: Millis(0),
             }),
@@ -167,15 +167,15 @@
 #[test]
 fn terms_are_forgotten_when_nobody_asks_by_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
-    let mut coordinator = allowance::Book::new(entries[0], 1);
+    let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
     coordinator.set_entries(Instant(0), &entries);
-    let draw = allowance::Draw {
+    let draw = allowance::AcquireRequest {
         id: 1,
         of: key(),
         amount: 1.0,
         returned: 0.0,
         rank: 0,
-        named: Some(allowance::Named {
+        named: Some(allowance::ReportedLimit {
             terms: terms(1.0),
             age: Millis(0),
         }),
--- a/crates/sageshed-fleet/tests/pots.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -2,7 +2,10 @@
 
 use std::net;
 
-use sageshed_fleet::allowance::{Answer, Book, Draw, Given, Key, Next, Pull, Terms};
+use sageshed_fleet::allowance::{
+    AcquireReply, AcquireRequest, AllowanceTable, CollectReply, CollectRequest, Key, Next,
+    RateLimit,
+};
 use sageshed_types::time;
 
 const PER_S: f64 = 100.0;
@@ -21,7 +24,7 @@
 
 /// A fleet of twenty processes, of which one is the home and hears of the others what the test says.
 struct World {
-    coordinator: Book,
+    coordinator: AllowanceTable,
     others: Vec<net::Ipv4Addr>,
 }
 
@@ -38,8 +41,8 @@
     fn new() -> Self {
         let entries: Vec<_> = (1..=20).map(ip).collect();
         let producers = sageshed_fleet::allowance::producers(key(), &entries);
-        let mut coordinator = Book::new(producers[0], 1);
-        let terms = Terms {
+        let mut coordinator = AllowanceTable::new(producers[0], 1);
+        let terms = RateLimit {
             per_s: PER_S,
             burst: PER_S,
         };
@@ -51,7 +54,7 @@
         }
     }
 
-    fn pull(&mut self, now: time::Instant) -> Option<Pull> {
+    fn pull(&mut self, now: time::Instant) -> Option<CollectRequest> {
         self.coordinator.tick(now).pop().map(|(pull, _)| pull)
     }
 
@@ -65,7 +68,7 @@
         }
     }
 
-    fn asked(&mut self, now: time::Instant, draw: Draw) -> Answer {
+    fn asked(&mut self, now: time::Instant, draw: AcquireRequest) -> AcquireReply {
         self.coordinator.draw(now, ip(99), &draw).answer
     }
 
@@ -74,15 +77,15 @@
     }
 }
 
-fn given(pull: &Pull, units: f64) -> Given {
-    Given {
+fn given(pull: &CollectRequest, units: f64) -> CollectReply {
+    CollectReply {
         id: pull.id,
         units: vec![(key(), units)],
     }
 }
 
-fn draw(id: u64, amount: f64) -> Draw {
-    Draw {
+fn draw(id: u64, amount: f64) -> AcquireRequest {
+    AcquireRequest {
         id,
         of: key(),
         amount,
@@ -96,15 +99,15 @@
 fn a_question_that_is_asked_again_takes_once() {
     let mut world = World::full();
     let now = at(1_200);
-    assert_eq!(world.asked(now, draw(7, 15.0)), Answer::Granted);
+    assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
     let after = world.units();
     for _ in 0..3 {
-        assert_eq!(world.asked(now, draw(7, 15.0)), Answer::Granted);
+        assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
     // Another's question of the same number is another question.
     let reply = world.coordinator.draw(now, ip(98), &draw(7, 15.0));
-    assert_eq!(reply.answer, Answer::Granted);
+    assert_eq!(reply.answer, AcquireReply::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
 }
@@ -147,7 +150,7 @@
         let now = at(1_100 + later);
         let answer = world.asked(now, draw(1, 40.0));
         assert_eq!(
-            answer == Answer::Granted,
+            answer == AcquireReply::Granted,
             !is_void,
             "after {later} ms: {answer:?}"
         );
@@ -157,12 +160,15 @@
 #[test]
 fn a_request_larger_than_the_pot_is_granted_by_a_full_one_and_paid_off() {
     let mut world = World::full();
-    assert_eq!(world.asked(at(1_105), draw(1, 250.0)), Answer::Granted);
+    assert_eq!(
+        world.asked(at(1_105), draw(1, 250.0)),
+        AcquireReply::Granted
+    );
     assert!(world.units() < -100.0);
     for round in 12..24 {
         world.draw_all(at(100 * round));
         let answer = world.asked(at(100 * round + 5), draw(round, 1.0));
-        assert_ne!(answer, Answer::Granted, "round {round}");
+        assert_ne!(answer, AcquireReply::Granted, "round {round}");
     }
 }
 
@@ -170,19 +176,19 @@
 #[test]
 fn the_less_urgent_leave_a_part_to_the_urgent() {
     let mut world = World::full();
-    let lookup = |id| Draw {
+    let lookup = |id| AcquireRequest {
         rank: 2,
         ..draw(id, 10.0)
     };
-    assert_eq!(world.asked(at(1_101), draw(1, 10.0)), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), draw(1, 10.0)), AcquireReply::Granted);
     let mut granted = 0;
-    while world.asked(at(1_101), lookup(10 + granted)) == Answer::Granted {
+    while world.asked(at(1_101), lookup(10 + granted)) == AcquireReply::Granted {
         granted += 1;
     }
     assert!(granted > 0);
     assert_eq!(
         world.asked(at(1_101), draw(2, 10.0)),
-        Answer::Granted,
+        AcquireReply::Granted,
         "for the urgent there is some"
     );
 }
@@ -199,17 +205,17 @@
     while told < 100 {
         id += 1;
         match world.asked(now, draw(id, 5.0)) {
-            Answer::Over(span) => {
+            AcquireReply::Over(span) => {
                 assert!(span >= last, "{span:?} behind {last:?}");
                 last = span;
                 told += 1;
             }
-            Answer::Granted => assert_eq!(told, 0),
-            Answer::Soon(_) => {
+            AcquireReply::Granted => assert_eq!(told, 0),
+            AcquireReply::Soon(_) => {
                 // The producers have nothing either.
                 world.coordinator.draw(now, ip(99), &draw(id, 0.0));
                 for other in world.others.clone() {
-                    let pull = Pull {
+                    let pull = CollectRequest {
                         id,
                         of: vec![key()],
                         named: Vec::new(),
@@ -229,20 +235,20 @@
 #[test]
 fn what_is_given_back_is_there_again_and_never_more_than_the_burst() {
     let mut world = World::full();
-    assert_eq!(world.asked(at(1_101), draw(1, 60.0)), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), draw(1, 60.0)), AcquireReply::Granted);
     let after = world.units();
-    let back = Draw {
+    let back = AcquireRequest {
         returned: 60.0,
         ..draw(2, 0.0)
     };
-    assert_eq!(world.asked(at(1_101), back), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
     assert!(world.units() > after + 50.0);
     for id in 3..50 {
-        let back = Draw {
+        let back = AcquireRequest {
             returned: 60.0,
             ..draw(id, 0.0)
         };
-        assert_eq!(world.asked(at(1_101), back), Answer::Granted);
+        assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
     }
     assert!(world.units() <= PER_S);
 }
@@ -252,10 +258,10 @@
 fn two_homes_divide_what_a_producer_yields() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
-    let mut producer = Book::new(producers[3], 1);
+    let mut producer = AllowanceTable::new(producers[3], 1);
     producer.set_terms([(
         key(),
-        Terms {
+        RateLimit {
             per_s: PER_S,
             burst: PER_S,
         },
@@ -263,7 +269,7 @@
     producer.set_entries(at(0), &entries);
     let mut all = 0.0;
     for ms in (0..10_000).step_by(50) {
-        let pull = Pull {
+        let pull = CollectRequest {
             id: ms,
             of: vec![key()],
             named: Vec::new(),
@@ -276,10 +282,10 @@
     assert!(all >= PER_S * 9.9 / 15.0, "{all}");
 }
 
-fn producer(entries: &[net::Ipv4Addr], place: usize) -> Book {
+fn producer(entries: &[net::Ipv4Addr], place: usize) -> AllowanceTable {
     let producers = sageshed_fleet::allowance::producers(key(), entries);
-    let mut book = Book::new(producers[place], 1);
-    let terms = Terms {
+    let mut book = AllowanceTable::new(producers[place], 1);
+    let terms = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
@@ -288,8 +294,8 @@
     book
 }
 
-fn gives(book: &mut Book, now: time::Instant) -> f64 {
-    let pull = Pull {
+fn gives(book: &mut AllowanceTable, now: time::Instant) -> f64 {
+    let pull = CollectRequest {
         id: now.0,
         of: vec![key()],
         named: Vec::new(),
@@ -333,7 +339,7 @@
 fn pot_and_producers_hold_one_burst_together() {
     let mut world = World::full();
     let later = at(1_100 + 600);
-    assert_eq!(world.asked(later, draw(1, 0.0)), Answer::Granted);
+    assert_eq!(world.asked(later, draw(1, 0.0)), AcquireReply::Granted);
     let kept_by_producers = PER_S * 0.6;
     let all = world.units() + kept_by_producers;
     assert!(all <= PER_S * 1.05, "{all}");
@@ -345,7 +351,7 @@
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut book = producer(&entries, 9);
-    let first = |book: &mut Book, now| book.question(now, key()).begin();
+    let first = |book: &mut AllowanceTable, now| book.question(now, key()).begin();
     let to = |coordinator| Next::Ask(coordinator, time::Millis(0));
     assert_eq!(first(&mut book, at(0)), to(producers[0]));
     book.passed_over(at(0), producers[0]);
@@ -354,7 +360,7 @@
     for coordinator in &producers[..3] {
         book.passed_over(at(2_000), *coordinator);
     }
-    assert_eq!(first(&mut book, at(2_100)), Next::Nobody);
+    assert_eq!(first(&mut book, at(2_100)), Next::Unreachable);
 }
 
 /// Few processes keep the quotas of many workspaces. What one of them draws and is given has to fit into datagrams.
@@ -364,11 +370,11 @@
     let keys: Vec<_> = (0..500)
         .map(|at| Key::of_workspace(&format!("w{at}")))
         .collect();
-    let terms = Terms {
+    let terms = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
-    let mut coordinator = Book::new(entries[0], 1);
+    let mut coordinator = AllowanceTable::new(entries[0], 1);
     coordinator.set_terms(keys.iter().map(|key| (*key, terms)));
     coordinator.set_entries(at(0), &entries);
     let pulls = coordinator.tick(at(1));
@@ -378,7 +384,7 @@
         "{} pulls of {drawn}",
         pulls.len()
     );
-    let mut other = Book::new(entries[1], 1);
+    let mut other = AllowanceTable::new(entries[1], 1);
     other.set_terms(keys.iter().map(|key| (*key, terms)));
     other.set_entries(at(0), &entries);
     for (pull, to) in &pulls {
@@ -399,12 +405,12 @@
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0] {
         let mut world = World::full();
         let now = at(1_101);
-        let spoiled = Draw {
+        let spoiled = AcquireRequest {
             returned: bad,
             ..draw(1, bad)
         };
         world.coordinator.draw(now, ip(99), &spoiled);
-        let pull = Pull {
+        let pull = CollectRequest {
             id: 3,
             of: vec![key()],
             named: Vec::new(),
@@ -440,7 +446,7 @@
         let before = world.units();
         let answer = world.asked(now, draw(1, amount));
         assert_eq!(
-            matches!(answer, Answer::Over(_)),
+            matches!(answer, AcquireReply::Over(_)),
             is_over,
             "{amount}: {answer:?}"
         );
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -7,7 +7,10 @@
     net::Ipv4Addr,
 };
 
-use sageshed_fleet::allowance::{Book, Draw, Given, Key, Named, Next, Pull, Question, Terms};
+use sageshed_fleet::allowance::{
+    AcquireRequest, Acquisition, AllowanceTable, CollectReply, CollectRequest, Key, Next,
+    RateLimit, ReportedLimit,
+};
 use sageshed_types::time::{Instant, Millis};
 
 /// How long an entry process waits for an answer, in milliseconds, as the gateway does.
@@ -18,10 +21,10 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Draw(Draw),
-    Answer(u64, sageshed_fleet::allowance::Answer),
-    Pull(Pull),
-    Given(Given),
+    Acquire(AcquireRequest),
+    Acquired(u64, sageshed_fleet::allowance::AcquireReply),
+    Collect(CollectRequest),
+    Collected(CollectReply),
 }
 
 #[derive(Debug, Clone)]
@@ -57,7 +60,7 @@
     of: Key,
     amount: f64,
     id: u64,
-    question: Question,
+    question: Acquisition,
     round: u32,
     began: u64,
 }
@@ -78,7 +81,7 @@
 pub struct World {
     now: u64,
     pub rng: fastrand::Rng,
-    books: Vec<Book>,
+    books: Vec<AllowanceTable>,
     /// Which processes stand still, and what came for them meanwhile.
     frozen: HashMap<usize, Vec<Event>>,
     /// Which side of a cut each process is on.
@@ -89,9 +92,9 @@
     listed: Vec<usize>,
     /// Of a thousand datagrams, so many are lost.
     pub lost: u64,
-    terms: Vec<(Key, Terms)>,
+    terms: Vec<(Key, RateLimit)>,
     /// Terms that stand in no configuration, with which processes ask, and when each has heard them.
-    named: HashMap<(usize, Key), (Terms, u64)>,
+    named: HashMap<(usize, Key), (RateLimit, u64)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     count: u64,
@@ -112,7 +115,7 @@
 
 impl World {
     /// So many processes that have known each other for a while.
-    pub fn new(seed: u64, entries: usize, terms: Vec<(Key, Terms)>) -> Self {
+    pub fn new(seed: u64, entries: usize, terms: Vec<(Key, RateLimit)>) -> Self {
         let mut world = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -142,8 +145,8 @@
         world
     }
 
-    fn start(&mut self, at: usize) -> Book {
-        let mut book = Book::new(ip(at), self.rng.u64(..) >> 8);
+    fn start(&mut self, at: usize) -> AllowanceTable {
+        let mut book = AllowanceTable::new(ip(at), self.rng.u64(..) >> 8);
         book.set_terms(self.terms.clone());
         book
     }
@@ -171,7 +174,7 @@
     }
 
     /// Another configuration is in force at all of them.
-    pub fn set_terms(&mut self, terms: Vec<(Key, Terms)>) {
+    pub fn set_terms(&mut self, terms: Vec<(Key, RateLimit)>) {
         self.terms = terms;
         for book in &mut self.books {
             book.set_terms(self.terms.clone());
@@ -179,7 +182,7 @@
     }
 
     /// An endpoint names these terms to a process.
-    pub fn name(&mut self, at: usize, of: Key, terms: Terms) {
+    pub fn name(&mut self, at: usize, of: Key, terms: RateLimit) {
         self.named.insert((at, of), (terms, self.now));
     }
 
@@ -271,11 +274,11 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let bytes = match &message {
-            Message::Draw(draw) if draw.named.is_some() => 140,
-            Message::Draw(_) => 110,
-            Message::Answer(..) => 70,
-            Message::Pull(pull) => 50 + 9 * pull.of.len() + 36 * pull.named.len(),
-            Message::Given(given) => 50 + 19 * given.units.len(),
+            Message::Acquire(draw) if draw.named.is_some() => 140,
+            Message::Acquire(_) => 110,
+            Message::Acquired(..) => 70,
+            Message::Collect(pull) => 50 + 9 * pull.of.len() + 36 * pull.named.len(),
+            Message::Collected(given) => 50 + 19 * given.units.len(),
         };
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes as u64;
@@ -287,10 +290,10 @@
         self.push(after, Event::Deliver { to, from, message });
     }
 
-    fn pull(&mut self, from: usize, pulls: Vec<(Pull, Vec<Ipv4Addr>)>) {
+    fn pull(&mut self, from: usize, pulls: Vec<(CollectRequest, Vec<Ipv4Addr>)>) {
         for (pull, group) in pulls {
             for to in group {
-                self.send(from, entry(to), Message::Pull(pull.clone()));
+                self.send(from, entry(to), Message::Collect(pull.clone()));
             }
         }
     }
@@ -341,7 +344,7 @@
             }
             Next::Granted => outcome.granted.push((now, amount)),
             Next::Over(_) => {}
-            Next::Nobody => outcome.unanswered += 1,
+            Next::Unreachable => outcome.unanswered += 1,
         }
         outcome.waits.push(now - began);
     }
@@ -351,13 +354,13 @@
         asked.round += 1;
         let (from, round) = (asked.entry, asked.round);
         let named = self.named.get(&(from, asked.of));
-        let draw = Draw {
+        let draw = AcquireRequest {
             id: asked.id,
             of: asked.of,
             amount: asked.amount,
             returned: 0.0,
             rank: 0,
-            named: named.map(|(terms, heard)| Named {
+            named: named.map(|(terms, heard)| ReportedLimit {
                 terms: *terms,
                 age: Millis(self.now - heard),
             }),
@@ -368,11 +371,16 @@
             return self.go_on(request, next);
         }
         self.waiting.insert((from, draw.id), request);
-        self.send(from, coordinator, Message::Draw(draw));
+        self.send(from, coordinator, Message::Acquire(draw));
         self.push(ANSWER_LIMIT, Event::Late { request, round });
     }
 
-    fn answer(&mut self, at: usize, from: usize, draw: &Draw) -> sageshed_fleet::allowance::Answer {
+    fn answer(
+        &mut self,
+        at: usize,
+        from: usize,
+        draw: &AcquireRequest,
+    ) -> sageshed_fleet::allowance::AcquireReply {
         let now = Instant(self.now);
         let reply = self.books[at].draw(now, ip(from), draw);
         self.pull(at, reply.pull.into_iter().collect());
@@ -395,22 +403,22 @@
     fn deliver(&mut self, to: usize, from: usize, message: Message) {
         let now = Instant(self.now);
         match message {
-            Message::Draw(draw) => {
+            Message::Acquire(draw) => {
                 let answer = self.answer(to, from, &draw);
-                self.send(to, from, Message::Answer(draw.id, answer));
+                self.send(to, from, Message::Acquired(draw.id, answer));
             }
-            Message::Answer(id, answer) => {
+            Message::Acquired(id, answer) => {
                 let Some(request) = self.waiting.remove(&(to, id)) else {
                     return;
                 };
                 let next = self.requests[request].question.answered(answer);
                 self.go_on(request, next);
             }
-            Message::Pull(pull) => {
+            Message::Collect(pull) => {
                 let given = self.books[to].give(now, &pull);
-                self.send(to, from, Message::Given(given));
+                self.send(to, from, Message::Collected(given));
             }
-            Message::Given(given) => self.books[to].take(now, ip(from), &given),
+            Message::Collected(given) => self.books[to].take(now, ip(from), &given),
         }
     }
 }
@@ -433,7 +441,7 @@
 
     /// What one bucket of these terms, which all could see at once, would have granted from `since` on, and what
     /// was granted.
-    pub fn against_one_bucket(&self, terms: &Terms, since: u64) -> (f64, f64) {
+    pub fn against_one_bucket(&self, terms: &RateLimit, since: u64) -> (f64, f64) {
         let (mut level, mut at, mut ideal) = (terms.burst, 0, 0.0);
         for (now, amount) in &self.asked {
             level = (level + terms.grown(Millis(now - at))).min(terms.burst.max(0.0));
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -13,11 +13,11 @@
 const IDLE: time::Duration = time::Duration::from_secs(1);
 
 /// The allowances of a configuration.
-pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::Terms)> {
+pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::RateLimit)> {
     let workspaces = config.workspaces.iter().flat_map(|it| &it.all);
     let quota = |workspace: &config::Workspace| {
         let quota = workspace.quota?;
-        let terms = allowance::Terms {
+        let terms = allowance::RateLimit {
             per_s: quota.per_s,
             burst: quota.burst,
         };
@@ -47,14 +47,14 @@
 /// Asks the homes of an allowance for units. Returns how it ended.
 pub(super) fn ask<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    draw: allowance::Draw,
+    draw: allowance::AcquireRequest,
 ) -> allowance::Next {
     let now = shared.clock.now();
     let (mut question, id) = shared.with_core(|core| {
         let book = &mut core.allowances;
         (book.question(now, draw.of), book.next_id())
     });
-    let draw = allowance::Draw { id, ..draw };
+    let draw = allowance::AcquireRequest { id, ..draw };
     let mut next = question.begin();
     while let allowance::Next::Ask(home, after) = next {
         thread::sleep(after.into());
@@ -68,7 +68,7 @@
 
 fn unanswered<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    question: &mut allowance::Question,
+    question: &mut allowance::Acquisition,
 ) -> allowance::Next {
     let (next, lost) = question.unanswered();
     if let Some(home) = lost {
@@ -82,8 +82,8 @@
 fn put<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     home: net::Ipv4Addr,
-    question: allowance::Draw,
-) -> Option<allowance::Answer> {
+    question: allowance::AcquireRequest,
+) -> Option<allowance::AcquireReply> {
     let own = shared.settings.discovery.ip;
     if home == own {
         return Some(draw(shared, own, &question));
@@ -95,8 +95,8 @@
 pub(super) fn draw<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
-    question: &allowance::Draw,
-) -> allowance::Answer {
+    question: &allowance::AcquireRequest,
+) -> allowance::AcquireReply {
     let now = shared.clock.now();
     let reply = shared.with_core(|core| core.allowances.draw(now, from, question));
     if let Some(neighbours) = &shared.neighbours {
@@ -116,7 +116,7 @@
         let book = &mut core.allowances;
         (book.question(now, of), book.next_id())
     });
-    let word = allowance::Draw {
+    let word = allowance::AcquireRequest {
         id,
         of,
         amount: 0.0,
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -40,7 +40,7 @@
     /// Questions that wait for their answers, by their ids.
     asked: Asked<words::RoutingDecision>,
     /// The same of questions for units of allowances.
-    drawn: Asked<allowance::Answer>,
+    drawn: Asked<allowance::AcquireReply>,
     next_id: atomic::AtomicU64,
     /// Homes that did not answer, and when.
     lost: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
@@ -97,19 +97,23 @@
     }
 
     /// Asks `home` for units of an allowance. None where no answer comes.
-    pub fn draw(&self, home: net::Ipv4Addr, draw: allowance::Draw) -> Option<allowance::Answer> {
-        self.question(&self.drawn, draw.id, &words::Datagram::Draw(draw), home)
+    pub fn draw(
+        &self,
+        home: net::Ipv4Addr,
+        draw: allowance::AcquireRequest,
+    ) -> Option<allowance::AcquireReply> {
+        self.question(&self.drawn, draw.id, &words::Datagram::Acquire(draw), home)
     }
 
     /// Gives units back to `home`, and waits for no answer.
-    pub fn give_back(&self, home: net::Ipv4Addr, draw: allowance::Draw) {
-        self.send(&words::Datagram::Draw(draw), &[home]);
+    pub fn give_back(&self, home: net::Ipv4Addr, draw: allowance::AcquireRequest) {
+        self.send(&words::Datagram::Acquire(draw), &[home]);
     }
 
     /// Draws what producers of allowances have.
-    pub fn pull(&self, pulls: Vec<(allowance::Pull, Vec<net::Ipv4Addr>)>) {
+    pub fn pull(&self, pulls: Vec<(allowance::CollectRequest, Vec<net::Ipv4Addr>)>) {
         for (pull, producers) in pulls {
-            self.send(&words::Datagram::Pull(pull), &producers);
+            self.send(&words::Datagram::Collect(pull), &producers);
         }
     }
 
@@ -167,25 +171,25 @@
                 Neighbours::answered(&neighbours.asked, advice.id, advice.decision);
             }
         }
-        Ok(words::Datagram::Drawn(id, answer)) => {
+        Ok(words::Datagram::Acquired(id, answer)) => {
             if let Some(neighbours) = &shared.neighbours {
                 Neighbours::answered(&neighbours.drawn, id, answer);
             }
         }
-        Ok(words::Datagram::Draw(draw)) => {
+        Ok(words::Datagram::Acquire(draw)) => {
             let answer = allowances::draw(shared, *from.ip(), &draw);
             if let Some(neighbours) = shared.neighbours.as_ref().filter(|_| draw.amount > 0.0) {
-                neighbours.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
+                neighbours.send(&words::Datagram::Acquired(draw.id, answer), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Pull(pull)) => {
+        Ok(words::Datagram::Collect(pull)) => {
             let now = shared.clock.now();
             let given = shared.with_core(|core| core.allowances.give(now, &pull));
             if let Some(neighbours) = &shared.neighbours {
-                neighbours.send(&words::Datagram::Given(given), &[*from.ip()]);
+                neighbours.send(&words::Datagram::Collected(given), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Given(given)) => {
+        Ok(words::Datagram::Collected(given)) => {
             let now = shared.clock.now();
             shared.with_core(|core| core.allowances.take(now, *from.ip(), &given));
         }
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/pass/backpressure.rs
@@ -39,7 +39,7 @@
         let Some(named) = limit else {
             return true;
         };
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: 0,
             of: allowance::Key::of_endpoint(&pick.instance),
             amount: 1.0,
@@ -50,7 +50,7 @@
         let span = match allowances::ask(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
-            allowance::Next::Nobody => NOBODY_KEEPS_IT,
+            allowance::Next::Unreachable => NOBODY_KEEPS_IT,
         };
         ::log::debug!(request = self.id(), endpoint:% = pick.instance, span_ms = span.0;
             "gateway: endpoint is left alone");
--- a/src/sageshed/gateway/pass/quota.rs
+++ b/src/sageshed/gateway/pass/quota.rs
@@ -44,7 +44,7 @@
             return None;
         }
         let held = self.charge.take();
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: 0,
             of,
             amount: units,
@@ -61,7 +61,7 @@
                 let refusal = self.give_up(verdict::Reason::CallerLimit, detail);
                 Some(after_quota(refusal, after))
             }
-            allowance::Next::Nobody => {
+            allowance::Next::Unreachable => {
                 let detail = format!(
                     "no process answers that keeps the quota of workspace {}",
                     workspace.name
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -70,7 +70,7 @@
     /// What waits here for engines.
     pub backlog: backlog::Backlog,
     /// What is known of allowances that all entry processes spend together.
-    pub allowances: allowance::Book,
+    pub allowances: allowance::AllowanceTable,
     /// Allows repeats.
     pub budget: budget::RetryBudget,
     /// What is known of endpoints.
@@ -133,7 +133,7 @@
             chooser: chooser::Chooser::new(&settings.availability_zone, seed)
                 .with_policy(settings.routing),
             backlog: backlog::Backlog::default(),
-            allowances: allowance::Book::new(settings.discovery.ip, start),
+            allowances: allowance::AllowanceTable::new(settings.discovery.ip, start),
             budget: budget::RetryBudget::new(budget::Allowance {
                 ratio: retries.ratio,
                 slack: retries.slack,
--- a/tests/datagrams.rs
+++ b/tests/datagrams.rs
@@ -13,26 +13,26 @@
 #[test]
 fn drawings_of_many_limits_fit_into_datagrams() {
     let entries: Vec<_> = (1..=2).map(|it| net::Ipv4Addr::new(10, 0, 0, it)).collect();
-    let mut coordinator = allowance::Book::new(entries[0], u64::MAX / 2);
+    let mut coordinator = allowance::AllowanceTable::new(entries[0], u64::MAX / 2);
     coordinator.set_entries(time::Instant(0), &entries);
     let mut pulls = Vec::new();
     for number in 0..300 {
         let id = directory::InstanceId::new(&format!("e{number}"), Some(1));
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: u64::MAX,
             of: allowance::Key::of_endpoint(&id),
             amount: 1.0,
             returned: 0.0,
             rank: 9,
-            named: Some(allowance::Named {
-                terms: allowance::Terms {
+            named: Some(allowance::ReportedLimit {
+                terms: allowance::RateLimit {
                     per_s: 1.1,
                     burst: 2.0,
                 },
                 age: time::Millis(100_000),
             }),
         };
-        let question = entry_peers::Datagram::Draw(draw);
+        let question = entry_peers::Datagram::Acquire(draw);
         assert!(encoded(&question).len() <= LARGEST);
         let reply = coordinator.draw(time::Instant(1), entries[1], &draw);
         pulls.extend(reply.pull);
@@ -41,7 +41,7 @@
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
     assert!(drawn >= 300, "{drawn}");
     for (pull, _) in pulls {
-        let datagram = encoded(&entry_peers::Datagram::Pull(pull));
+        let datagram = encoded(&entry_peers::Datagram::Collect(pull));
         assert!(datagram.len() <= LARGEST, "{} bytes", datagram.len());
     }
 }
