--- a/crates/sageshed-fleet/src/allowance/acquisition.rs
+++ b/crates/sageshed-fleet/src/allowance/acquisition.rs
@@ -62,8 +62,8 @@
     }
 
     /// Handles the reply of the coordinator that was asked.
-    pub fn answered(&mut self, answer: AcquireReply) -> Next {
-        match answer {
+    pub fn replied(&mut self, reply: AcquireReply) -> Next {
+        match reply {
             AcquireReply::Granted => Next::Granted,
             AcquireReply::Over(span) => Next::Over(span),
             AcquireReply::Soon(span) if self.postponements >= MAX_POSTPONEMENTS => Next::Over(span),
@@ -77,7 +77,7 @@
 
     /// Handles the timeout of the coordinator that was asked. Returns the coordinator too if it is given
     /// up.
-    pub fn unanswered(&mut self) -> (Next, Option<net::Ipv4Addr>) {
+    pub fn timed_out(&mut self) -> (Next, Option<net::Ipv4Addr>) {
         if self.tries < MAX_TRIES {
             return (self.ask_after(time::Millis(0)), None);
         }
--- a/crates/sageshed-fleet/src/allowance/bucket.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -5,7 +5,8 @@
 use sageshed_types::time;
 
 use super::{
-    AcquireReply, AcquireRequest, DRAW_AGAIN, DRAW_EVERY, IN_TOUCH, LOOK_EVERY, RateLimit, SPAN,
+    AcquireReply, AcquireRequest, COLLECT_INTERVAL, CONTACT_TIMEOUT, IDLE_COLLECT_INTERVAL,
+    RateLimit, SHARE_WINDOW, STARVED_COLLECT_INTERVAL,
 };
 
 /// How long the coordinator waits for replies to a collection: several round trips between availability
@@ -69,27 +70,27 @@
         }
     }
 
-    /// Replies to the acquisition `draw` of the process `from`. `producers` is the number of producers of
+    /// Replies to the acquisition `request` of the process `from`. `producers` is the number of producers of
     /// the allowance.
-    pub fn draw(
+    pub fn acquire(
         &mut self,
         now: time::Instant,
-        terms: &RateLimit,
+        limit: &RateLimit,
         producers: usize,
         from: net::Ipv4Addr,
-        draw: &AcquireRequest,
+        request: &AcquireRequest,
     ) -> AcquireReply {
         // Callers may declare any amount. A debt of that size would never be paid off, and an infinite one
         // would turn the balance into NaN.
-        if !draw.amount.is_finite() || draw.amount > terms.largest() {
+        if !request.amount.is_finite() || request.amount > limit.max_amount() {
             return AcquireReply::Over(MAX_RETRY_DELAY);
         }
-        let capacity = self.capacity(now, terms, producers);
-        self.units = (self.units + draw.returned.max(0.0)).min(capacity);
-        if draw.amount <= 0.0 || self.is_granted(now, from, draw.id) {
+        let capacity = self.capacity(now, limit, producers);
+        self.units = (self.units + request.returned.max(0.0)).min(capacity);
+        if request.amount <= 0.0 || self.is_granted(now, from, request.id) {
             return AcquireReply::Granted;
         }
-        let rank = usize::from(draw.rank).min(RANKS - 1);
+        let rank = usize::from(request.rank).min(RANKS - 1);
         self.asked_at[rank] = Some(now);
         let has_urgent = self.asked_at[..rank].iter().flatten();
         let has_urgent = has_urgent
@@ -102,10 +103,10 @@
         };
         // An amount larger than the bucket is granted by a full one, and the debt is paid off before the
         // next grant.
-        let needed = draw.amount.min(capacity - reserved);
+        let needed = request.amount.min(capacity - reserved);
         if self.units > 0.0 && self.units - reserved >= needed {
-            self.units -= draw.amount;
-            self.granted.push_back((now, (from, draw.id)));
+            self.units -= request.amount;
+            self.granted.push_back((now, (from, request.id)));
             return AcquireReply::Granted;
         }
         if self.is_collecting(now) || self.may_collect_again(now) {
@@ -113,9 +114,9 @@
         }
         AcquireReply::Over(self.schedule_retry(
             now,
-            terms,
+            limit,
             producers,
-            draw.amount,
+            request.amount,
             needed + reserved,
         ))
     }
@@ -136,12 +137,12 @@
     fn schedule_retry(
         &mut self,
         now: time::Instant,
-        terms: &RateLimit,
+        limit: &RateLimit,
         producers: usize,
         amount: f64,
         needed: f64,
     ) -> time::Millis {
-        let per_ms = terms.per_s / 1_000.0 * self.reachable_share(now, producers);
+        let per_ms = limit.per_s / 1_000.0 * self.reachable_share(now, producers);
         if per_ms <= 0.0 {
             return MAX_RETRY_DELAY;
         }
@@ -158,9 +159,12 @@
     /// collection, so that both together never hold more than the burst. It is reduced in proportion if
     /// only some of the producers are in contact: a partitioned coordinator has just what its own share
     /// yields.
-    fn capacity(&mut self, now: time::Instant, terms: &RateLimit, producers: usize) -> f64 {
-        let since = self.collected_at.map_or(SPAN, |at| now.since(at).min(SPAN));
-        let capacity = (terms.stock() - terms.grown(since)) * self.reachable_share(now, producers);
+    fn capacity(&mut self, now: time::Instant, limit: &RateLimit, producers: usize) -> f64 {
+        let since = self
+            .collected_at
+            .map_or(SHARE_WINDOW, |at| now.since(at).min(SHARE_WINDOW));
+        let capacity =
+            (limit.total_capacity() - limit.accrued(since)) * self.reachable_share(now, producers);
         self.units = self.units.min(capacity);
         capacity
     }
@@ -168,7 +172,9 @@
     /// The share of the producers that gave units recently.
     fn reachable_share(&self, now: time::Instant, producers: usize) -> f64 {
         let last_given = self.last_given.values();
-        let count = last_given.filter(|at| now.since(**at) <= IN_TOUCH).count();
+        let count = last_given
+            .filter(|at| now.since(**at) <= CONTACT_TIMEOUT)
+            .count();
         (count as f64 / producers.max(1) as f64).min(1.0)
     }
 
@@ -181,7 +187,7 @@
     #[must_use]
     pub fn may_collect_again(&self, now: time::Instant) -> bool {
         self.collected_at
-            .is_none_or(|at| now.since(at) >= DRAW_AGAIN)
+            .is_none_or(|at| now.since(at) >= STARVED_COLLECT_INTERVAL)
     }
 
     /// Whether a collection is due. Collections are rare while the bucket is full.
@@ -189,15 +195,19 @@
     pub fn is_collection_due(
         &mut self,
         now: time::Instant,
-        terms: &RateLimit,
+        limit: &RateLimit,
         producers: usize,
     ) -> bool {
         let Some(collected_at) = self.collected_at else {
             return true;
         };
-        let is_full = self.units >= self.capacity(now, terms, producers)
+        let is_full = self.units >= self.capacity(now, limit, producers)
             && self.reachable_share(now, producers) >= 1.0;
-        let every = if is_full { LOOK_EVERY } else { DRAW_EVERY };
+        let every = if is_full {
+            IDLE_COLLECT_INTERVAL
+        } else {
+            COLLECT_INTERVAL
+        };
         now.since(collected_at) >= every
     }
 
@@ -211,10 +221,10 @@
     /// Adds the units that a producer gave to a collection. A second reply, or one to an earlier
     /// collection, is dropped: the network may duplicate datagrams, and units are rather lost than counted
     /// twice.
-    pub fn take(
+    pub fn add_collected(
         &mut self,
         now: time::Instant,
-        terms: &RateLimit,
+        limit: &RateLimit,
         producers: usize,
         given: (net::Ipv4Addr, u64, f64),
     ) {
@@ -226,22 +236,23 @@
             return;
         }
         self.awaited.swap_remove(at);
-        self.fill(now, terms, producers, from, units);
+        self.fill(now, limit, producers, from, units);
     }
 
     /// Adds the units of `from`, which is this process itself or a producer that replied.
     pub fn fill(
         &mut self,
         now: time::Instant,
-        terms: &RateLimit,
+        limit: &RateLimit,
         producers: usize,
         from: net::Ipv4Addr,
         units: f64,
     ) {
-        self.last_given.retain(|_, at| now.since(*at) <= IN_TOUCH);
+        self.last_given
+            .retain(|_, at| now.since(*at) <= CONTACT_TIMEOUT);
         self.last_given.insert(from, now);
         self.units += units.max(0.0);
-        self.capacity(now, terms, producers);
+        self.capacity(now, limit, producers);
     }
 
     /// Units that can be spent; negative if the last grant exceeded what was there.
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -13,7 +13,7 @@
 //!
 //! An allowance is a stream of units. Its source is a small set of producers among the entry processes
 //! ([`producers`], chosen by hashing, the same on every process). Each of them produces an equal share of
-//! the rate and stores at most what accrues in [`SPAN`] ([`Share`]). The first of them that responds is the
+//! the rate and stores at most what accrues in [`SHARE_WINDOW`] ([`Share`]). The first of them that responds is the
 //! coordinator of the allowance: it collects the producers' units into a [`Bucket`], a token bucket, from
 //! which every process acquires units before it sends.
 //!
@@ -22,13 +22,13 @@
 //! produced, and production needs no agreement: a side of a partition that holds four of the [`PRODUCERS`]
 //! produces four shares of the rate. A process that restarts with an empty state holds no more than before.
 //! One that was suspended finds its bucket void, as it was out of contact with the producers for
-//! [`IN_TOUCH`].
+//! [`CONTACT_TIMEOUT`].
 //!
 //! The remaining inaccuracy is bounded by the margin that allowances leave above their rate. Units in the
 //! bucket of a coordinator that becomes unreachable are spent beside those of the next one, at most one
 //! burst. Two processes with different lists of entry processes may each count a sixteenth as a producer
 //! for as long as the lists differ. And a producer that restarts immediately yields what accrues in
-//! [`SPAN`], which it may have yielded before: if all of them are killed at once, they yield that much
+//! [`SHARE_WINDOW`], which it may have yielded before: if all of them are killed at once, they yield that much
 //! extra, and spend nothing while they are down.
 
 mod acquisition;
@@ -45,7 +45,7 @@
 pub use acquisition::{Acquisition, Next};
 pub use bucket::Bucket;
 pub use share::Share;
-pub use table::{AllowanceTable, Reply};
+pub use table::{AcquireOutcome, AllowanceTable};
 
 use crate::{directory, entry_peers};
 
@@ -59,22 +59,22 @@
 
 /// A producer stores what accrues in this time: twice the collection interval, so that nothing is lost when
 /// a single collection fails.
-pub const SPAN: time::Millis = time::Millis(600);
+pub const SHARE_WINDOW: time::Millis = time::Millis(600);
 
 /// Collection interval of a coordinator whose bucket is not full. With 15 producers it exchanges 120
 /// datagrams a second with them, some 8 KB.
-pub const DRAW_EVERY: time::Millis = time::Millis(250);
+pub const COLLECT_INTERVAL: time::Millis = time::Millis(250);
 
 /// Collection interval of a coordinator that was asked for more than it has.
-pub const DRAW_AGAIN: time::Millis = time::Millis(50);
+pub const STARVED_COLLECT_INTERVAL: time::Millis = time::Millis(50);
 
 /// Collection interval of a coordinator whose bucket is full, by which it stays in contact with the
 /// producers.
-pub const LOOK_EVERY: time::Millis = time::Millis(1_000);
+pub const IDLE_COLLECT_INTERVAL: time::Millis = time::Millis(1_000);
 
 /// How long a producer counts as in contact with a coordinator after a collection: two collections at the
 /// longest interval, of which one may be lost.
-pub const IN_TOUCH: time::Millis = time::Millis(2_000);
+pub const CONTACT_TIMEOUT: time::Millis = time::Millis(2_000);
 
 /// Time over which quotas are measured.
 const QUOTA_WINDOW: time::Millis = time::Millis(8_000);
@@ -82,15 +82,15 @@
 /// How long an entry process counts as one after it was last listed. Control processes that restart list
 /// few entry processes at first, and by such a list each of these would produce the whole rate. It is as
 /// long as the time over which quotas are measured.
-pub const LISTED: time::Millis = time::Millis(10_000);
+pub const LISTING_TIMEOUT: time::Millis = time::Millis(10_000);
 
 /// How long nothing is produced after the list of entry processes has grown by more than a tenth, while it
 /// is shorter than [`PRODUCERS`]. When all processes start, each knows few of the others for some hundred
 /// milliseconds; those that know only two would each yield half of the rate.
-pub const SETTLED: time::Millis = time::Millis(500);
+pub const SETTLE_TIME: time::Millis = time::Millis(500);
 
 /// How long a coordinator that did not respond is skipped.
-pub const LOST: time::Millis = time::Millis(1_000);
+pub const UNRESPONSIVE_TIME: time::Millis = time::Millis(1_000);
 
 /// Identifies an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -129,27 +129,27 @@
 impl RateLimit {
     /// Units that accrue in `span`.
     #[must_use]
-    pub fn grown(&self, span: time::Millis) -> f64 {
+    pub fn accrued(&self, span: time::Millis) -> f64 {
         self.per_s * span.0 as f64 / 1_000.0
     }
 
     /// The most that a single request may acquire. A larger one would by itself exceed what is allowed in
     /// the time over which quotas are measured.
     #[must_use]
-    pub fn largest(&self) -> f64 {
-        (self.stock() + self.grown(QUOTA_WINDOW)).max(1.0)
+    pub fn max_amount(&self) -> f64 {
+        (self.total_capacity() + self.accrued(QUOTA_WINDOW)).max(1.0)
     }
 
     /// The most that the bucket and the shares hold together: the burst, but at least what the shares
     /// store.
     #[must_use]
-    pub fn stock(&self) -> f64 {
-        self.burst.max(self.grown(SPAN))
+    pub fn total_capacity(&self) -> f64 {
+        self.burst.max(self.accrued(SHARE_WINDOW))
     }
 
     /// Whether rate and burst are finite and not negative.
     #[must_use]
-    pub fn are_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let is_sound = |it: f64| it.is_finite() && it >= 0.0;
         is_sound(self.per_s) && is_sound(self.burst)
     }
@@ -160,7 +160,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReportedLimit {
     /// Rate and burst.
-    pub terms: RateLimit,
+    #[serde(rename = "terms")]
+    pub limit: RateLimit,
     /// Time since the endpoint reported them. Of two different reports, the newer one counts.
     pub age: time::Millis,
 }
@@ -179,8 +180,8 @@
     /// Priority of the request; zero is the most urgent.
     pub rank: u8,
     /// Rate and burst, if they are not configured.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub named: Option<ReportedLimit>,
+    #[serde(rename = "named", default, skip_serializing_if = "Option::is_none")]
+    pub reported: Option<ReportedLimit>,
 }
 
 /// The reply to a [`AcquireRequest`].
@@ -203,8 +204,8 @@
     /// The allowances to collect.
     pub of: Vec<Key>,
     /// Rate and burst of those that are not configured.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub named: Vec<(Key, ReportedLimit)>,
+    #[serde(rename = "named", default, skip_serializing_if = "Vec::is_empty")]
+    pub reported: Vec<(Key, ReportedLimit)>,
 }
 
 /// A producer's reply to a [`CollectRequest`].
--- a/crates/sageshed-fleet/src/allowance/reported.rs
+++ b/crates/sageshed-fleet/src/allowance/reported.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
-    terms: RateLimit,
+    limit: RateLimit,
     /// When an endpoint reported the limit.
     heard_at: time::Instant,
     /// When a message last referred to it.
@@ -31,16 +31,16 @@
 impl ReportedLimits {
     /// Records a limit that another process passed on. It is ignored if it was reported before the one that
     /// is known.
-    pub(super) fn learn(&mut self, now: time::Instant, of: Key, named: &ReportedLimit) {
-        if !named.terms.are_sound() {
+    pub(super) fn learn(&mut self, now: time::Instant, of: Key, reported: &ReportedLimit) {
+        if !reported.limit.is_valid() {
             return;
         }
-        let heard_at = time::Instant(now.0.saturating_sub(named.age.0));
+        let heard_at = time::Instant(now.0.saturating_sub(reported.age.0));
         if let Some(entry) = self.by_key.get_mut(&of) {
             entry.used_at = now;
             if heard_at >= entry.heard_at {
                 entry.heard_at = heard_at;
-                entry.terms = named.terms;
+                entry.limit = reported.limit;
             }
             return;
         }
@@ -48,7 +48,7 @@
             self.remove_oldest();
         }
         let entry = Entry {
-            terms: named.terms,
+            limit: reported.limit,
             heard_at,
             used_at: now,
         };
@@ -63,14 +63,14 @@
     }
 
     pub(super) fn get(&self, of: Key) -> Option<RateLimit> {
-        self.by_key.get(&of).map(|it| it.terms)
+        self.by_key.get(&of).map(|it| it.limit)
     }
 
     /// The limit in the form that is passed on.
-    pub(super) fn to_named(&self, now: time::Instant, of: Key) -> Option<ReportedLimit> {
+    pub(super) fn to_reported(&self, now: time::Instant, of: Key) -> Option<ReportedLimit> {
         let entry = self.by_key.get(&of)?;
         Some(ReportedLimit {
-            terms: entry.terms,
+            limit: entry.limit,
             age: now.since(entry.heard_at),
         })
     }
--- a/crates/sageshed-fleet/src/allowance/share.rs
+++ b/crates/sageshed-fleet/src/allowance/share.rs
@@ -2,7 +2,7 @@
 
 use sageshed_types::time;
 
-use super::{RateLimit, SPAN};
+use super::{RateLimit, SHARE_WINDOW};
 
 /// The units that one producer has: those that accrued since the last collection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -15,12 +15,12 @@
 impl Share {
     /// Takes all accrued units, as one of `producers`.
     ///
-    /// At most what accrues in [`SPAN`] is stored, so that a process that was suspended, or whose
+    /// At most what accrues in [`SHARE_WINDOW`] is stored, so that a process that was suspended, or whose
     /// coordinator was gone, does not return with the units of all that time.
-    pub fn take(&mut self, now: time::Instant, terms: &RateLimit, producers: usize) -> f64 {
+    pub fn take(&mut self, now: time::Instant, limit: &RateLimit, producers: usize) -> f64 {
         let since = self.collected_at.replace(now);
-        let since = since.map_or(SPAN, |at| now.since(at).min(SPAN));
-        let grown = terms.grown(since);
-        grown / producers.max(1) as f64
+        let since = since.map_or(SHARE_WINDOW, |at| now.since(at).min(SHARE_WINDOW));
+        let accrued = limit.accrued(since);
+        accrued / producers.max(1) as f64
     }
 }
--- a/crates/sageshed-fleet/src/allowance/table.rs
+++ b/crates/sageshed-fleet/src/allowance/table.rs
@@ -7,7 +7,8 @@
 
 use super::{
     AcquireReply, AcquireRequest, Acquisition, Bucket, COORDINATORS, CollectReply, CollectRequest,
-    Key, LISTED, LOST, PRODUCERS, RateLimit, SETTLED, Share, producers, reported,
+    Key, LISTING_TIMEOUT, PRODUCERS, RateLimit, SETTLE_TIME, Share, UNRESPONSIVE_TIME, producers,
+    reported,
 };
 
 /// Allowances in one collection message. The reply takes some 20 bytes for each and has to fit into one
@@ -19,22 +20,22 @@
 
 /// A reply to an acquisition, and a collection to send along with it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
+pub struct AcquireOutcome {
     /// Goes to the process that asked.
-    pub answer: AcquireReply,
+    pub reply: AcquireReply,
     /// Goes to the producers, if more units are needed.
-    pub pull: Option<(CollectRequest, Vec<net::Ipv4Addr>)>,
+    pub collection: Option<(CollectRequest, Vec<net::Ipv4Addr>)>,
 }
 
 /// The allowances as known to one entry process.
 #[derive(Debug, Clone)]
 pub struct AllowanceTable {
     own: net::Ipv4Addr,
-    terms: collections::HashMap<Key, RateLimit>,
+    limits: collections::HashMap<Key, RateLimit>,
     /// Limits that endpoints have reported.
-    named: reported::ReportedLimits,
+    reported: reported::ReportedLimits,
     shares: collections::HashMap<Key, Share>,
-    pots: collections::HashMap<Key, Bucket>,
+    buckets: collections::HashMap<Key, Bucket>,
     /// All entry processes that still count as such, and when each was last listed.
     last_listed: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// The entry processes in the latest list.
@@ -57,10 +58,10 @@
     pub fn new(own: net::Ipv4Addr, start: u64) -> Self {
         Self {
             own,
-            terms: collections::HashMap::new(),
-            named: reported::ReportedLimits::default(),
+            limits: collections::HashMap::new(),
+            reported: reported::ReportedLimits::default(),
             shares: collections::HashMap::new(),
-            pots: collections::HashMap::new(),
+            buckets: collections::HashMap::new(),
             last_listed: collections::BTreeMap::new(),
             current: Vec::new(),
             ranked: collections::HashMap::new(),
@@ -72,16 +73,16 @@
     }
 
     /// Replaces the configured allowances.
-    pub fn set_terms(&mut self, terms: impl IntoIterator<Item = (Key, RateLimit)>) {
-        self.terms = terms.into_iter().collect();
+    pub fn set_limits(&mut self, limits: impl IntoIterator<Item = (Key, RateLimit)>) {
+        self.limits = limits.into_iter().collect();
         self.remove_unknown();
     }
 
     /// Removes the state of allowances that no longer exist.
     fn remove_unknown(&mut self) {
-        let (configured, named) = (&self.terms, &self.named);
-        let is_known = |key: &Key| configured.contains_key(key) || named.get(*key).is_some();
-        self.pots.retain(|key, _| is_known(key));
+        let (configured, reported) = (&self.limits, &self.reported);
+        let is_known = |key: &Key| configured.contains_key(key) || reported.get(*key).is_some();
+        self.buckets.retain(|key, _| is_known(key));
         self.shares.retain(|key, _| is_known(key));
         self.ranked.retain(|key, _| is_known(key));
     }
@@ -117,7 +118,7 @@
         let before = self.last_listed.len();
         let current: collections::HashSet<_> = self.current.iter().collect();
         self.last_listed
-            .retain(|ip, at| current.contains(ip) || now.since(*at) <= LISTED);
+            .retain(|ip, at| current.contains(ip) || now.since(*at) <= LISTING_TIMEOUT);
         if self.last_listed.len() != before {
             self.last_growth.0 = self.last_growth.0.min(self.last_listed.len());
             self.ranked.clear();
@@ -127,20 +128,21 @@
     /// Whether there is any allowance.
     #[must_use]
     pub fn has_any(&self) -> bool {
-        !self.terms.is_empty() || !self.named.is_empty()
+        !self.limits.is_empty() || !self.reported.is_empty()
     }
 
     /// Rate and burst of an allowance, if it exists.
     #[must_use]
-    pub fn terms(&self, of: Key) -> Option<RateLimit> {
-        let configured = self.terms.get(&of).copied();
-        configured.or_else(|| self.named.get(of))
+    pub fn limit(&self, of: Key) -> Option<RateLimit> {
+        let configured = self.limits.get(&of).copied();
+        configured.or_else(|| self.reported.get(of))
     }
 
     /// Starts an acquisition from the coordinators of an allowance, skipping those that recently did not
     /// respond.
-    pub fn question(&mut self, now: time::Instant, of: Key) -> Acquisition {
-        self.unresponsive.retain(|_, at| now.since(*at) < LOST);
+    pub fn acquisition(&mut self, now: time::Instant, of: Key) -> Acquisition {
+        self.unresponsive
+            .retain(|_, at| now.since(*at) < UNRESPONSIVE_TIME);
         // Processes that are gone count as producers for a while but don't respond. During a rolling
         // replacement of VMs, all three coordinators of a workspace were gone for seconds.
         let ranked = self.producers(of).to_vec();
@@ -154,7 +156,7 @@
     }
 
     /// Records that a coordinator did not respond.
-    pub fn passed_over(&mut self, now: time::Instant, coordinator: net::Ipv4Addr) {
+    pub fn mark_unresponsive(&mut self, now: time::Instant, coordinator: net::Ipv4Addr) {
         self.unresponsive.insert(coordinator, now);
     }
 
@@ -173,42 +175,42 @@
     }
 
     /// Replies, as the coordinator, to an acquisition of `from`.
-    pub fn draw(
+    pub fn acquire(
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        draw: &AcquireRequest,
-    ) -> Reply {
-        if let Some(named) = &draw.named {
-            self.named.learn(now, draw.of, named);
+        request: &AcquireRequest,
+    ) -> AcquireOutcome {
+        if let Some(reported) = &request.reported {
+            self.reported.learn(now, request.of, reported);
         }
-        let Some(terms) = self.terms(draw.of) else {
+        let Some(limit) = self.limit(request.of) else {
             // The configuration in force here has no such limit.
-            return Reply {
-                answer: AcquireReply::Granted,
-                pull: None,
+            return AcquireOutcome {
+                reply: AcquireReply::Granted,
+                collection: None,
             };
         };
-        let producers = self.producers(draw.of).len();
-        let pot = self.pots.entry(draw.of);
-        let pot = pot.or_insert_with(|| Bucket::empty(now));
-        let answer = pot.draw(now, &terms, producers, from, draw);
-        let needs_more = matches!(answer, AcquireReply::Soon(_)) && pot.may_collect_again(now);
-        let draws = needs_more || pot.is_collection_due(now, &terms, producers);
-        let pull = draws.then(|| self.start_collection(now, vec![draw.of]).pop());
-        Reply {
-            answer,
-            pull: pull.flatten(),
+        let producers = self.producers(request.of).len();
+        let bucket = self.buckets.entry(request.of);
+        let bucket = bucket.or_insert_with(|| Bucket::empty(now));
+        let reply = bucket.acquire(now, &limit, producers, from, request);
+        let needs_more = matches!(reply, AcquireReply::Soon(_)) && bucket.may_collect_again(now);
+        let is_due = needs_more || bucket.is_collection_due(now, &limit, producers);
+        let collection = is_due.then(|| self.start_collection(now, vec![request.of]).pop());
+        AcquireOutcome {
+            reply,
+            collection: collection.flatten(),
         }
     }
 
     fn is_due(&mut self, now: time::Instant, of: Key) -> bool {
-        let Some(terms) = self.terms(of) else {
+        let Some(limit) = self.limit(of) else {
             return false;
         };
         let producers = self.producers(of).len();
-        let pot = self.pots.entry(of).or_insert_with(|| Bucket::empty(now));
-        pot.is_collection_due(now, &terms, producers)
+        let bucket = self.buckets.entry(of).or_insert_with(|| Bucket::empty(now));
+        bucket.is_collection_due(now, &limit, producers)
     }
 
     /// Starts the due collections of all allowances that this process coordinates as the first producer.
@@ -216,14 +218,14 @@
     pub fn tick(&mut self, now: time::Instant) -> Vec<(CollectRequest, Vec<net::Ipv4Addr>)> {
         self.expire_entries(now);
         let own = self.own;
-        if self.named.expire(now) {
+        if self.reported.expire(now) {
             self.remove_unknown();
         }
         // A limit that an endpoint reported is only coordinated by a process that was asked for units of
         // it.
-        let pots = &self.pots;
-        let asked = self.named.keys().filter(|key| pots.contains_key(key));
-        let keys: Vec<Key> = self.terms.keys().copied().chain(asked).collect();
+        let buckets = &self.buckets;
+        let asked = self.reported.keys().filter(|key| buckets.contains_key(key));
+        let keys: Vec<Key> = self.limits.keys().copied().chain(asked).collect();
         let due = keys.into_iter().filter(|of| {
             let is_first = self.producers(*of).first() == Some(&own);
             is_first && self.is_due(now, *of)
@@ -246,8 +248,8 @@
             let own = self.own;
             let all = self.producers(of).to_vec();
             let others: Vec<_> = all.iter().copied().filter(|it| *it != own).collect();
-            if let Some(pot) = self.pots.get_mut(&of) {
-                pot.start_collection(now, id, &others);
+            if let Some(bucket) = self.buckets.get_mut(&of) {
+                bucket.start_collection(now, id, &others);
             }
             if others.len() < all.len() {
                 self.collect_own(now, of);
@@ -256,31 +258,32 @@
                 by_producer.entry(other).or_default().push(of);
             }
         }
-        let mut pulls: Vec<(CollectRequest, Vec<net::Ipv4Addr>)> = Vec::new();
+        let mut requests: Vec<(CollectRequest, Vec<net::Ipv4Addr>)> = Vec::new();
         for (to, all) in by_producer {
-            let has_named = all.iter().any(|key| self.named.get(*key).is_some());
-            let most = if has_named {
+            let has_reported = all.iter().any(|key| self.reported.get(*key).is_some());
+            let most = if has_reported {
                 MAX_COLLECTED_REPORTED
             } else {
                 MAX_COLLECTED
             };
             for of in all.chunks(most) {
-                match pulls.iter_mut().find(|(pull, _)| pull.of == of) {
+                match requests.iter_mut().find(|(request, _)| request.of == of) {
                     Some((_, group)) => group.push(to),
-                    None => pulls.push((self.pull(now, id, of), vec![to])),
+                    None => requests.push((self.collect_request(now, id, of), vec![to])),
                 }
             }
         }
-        pulls
+        requests
     }
 
-    fn pull(&self, now: time::Instant, id: u64, of: &[Key]) -> CollectRequest {
-        let named = of.iter();
-        let named = named.filter_map(|key| Some((*key, self.named.to_named(now, *key)?)));
+    fn collect_request(&self, now: time::Instant, id: u64, of: &[Key]) -> CollectRequest {
+        let reported = of.iter();
+        let reported =
+            reported.filter_map(|key| Some((*key, self.reported.to_reported(now, *key)?)));
         CollectRequest {
             id,
             of: of.to_vec(),
-            named: named.collect(),
+            reported: reported.collect(),
         }
     }
 
@@ -288,8 +291,8 @@
         let units = self.take_own_share(now, of);
         let producers = self.producers(of).len();
         let own = self.own;
-        if let (Some(terms), Some(pot)) = (self.terms(of), self.pots.get_mut(&of)) {
-            pot.fill(now, &terms, producers, own, units);
+        if let (Some(limit), Some(bucket)) = (self.limit(of), self.buckets.get_mut(&of)) {
+            bucket.fill(now, &limit, producers, own, units);
         }
     }
 
@@ -302,45 +305,47 @@
         let (count, yields) = (ranked.len(), ranked.contains(&own));
         let listed = self.last_listed.len();
         let is_settled =
-            listed >= PRODUCERS || (listed > 0 && now.since(self.last_growth.1) >= SETTLED);
+            listed >= PRODUCERS || (listed > 0 && now.since(self.last_growth.1) >= SETTLE_TIME);
         // Control assumes that a process which it can't reach is gone, and the others replace it as a
         // producer once it has expired from their lists. By then it must have stopped producing: in a
         // partition of half a minute, two fifths of 73 processes produced two fifths of a quota on top of
         // the whole.
-        let is_listed = now.since(self.control_heard_at) <= LISTED;
+        let is_listed = now.since(self.control_heard_at) <= LISTING_TIMEOUT;
         let yields = yields && is_settled && is_listed;
-        let Some(terms) = self.terms(of).filter(|_| yields) else {
+        let Some(limit) = self.limit(of).filter(|_| yields) else {
             return 0.0;
         };
         let share = self.shares.entry(of).or_default();
-        share.take(now, &terms, count)
+        share.take(now, &limit, count)
     }
 
     /// Replies, as a producer, to a collection.
-    pub fn give(&mut self, now: time::Instant, pull: &CollectRequest) -> CollectReply {
-        for (of, named) in &pull.named {
-            self.named.learn(now, *of, named);
+    pub fn release_share(&mut self, now: time::Instant, request: &CollectRequest) -> CollectReply {
+        for (of, reported) in &request.reported {
+            self.reported.learn(now, *of, reported);
         }
-        let units = pull.of.iter();
+        let units = request.of.iter();
         let units = units.map(|of| (*of, self.take_own_share(now, *of)));
         CollectReply {
             units: units.collect(),
-            id: pull.id,
+            id: request.id,
         }
     }
 
     /// Adds the units that `from` gave to a collection.
-    pub fn take(&mut self, now: time::Instant, from: net::Ipv4Addr, given: &CollectReply) {
-        for (of, units) in &given.units {
+    pub fn add_collected(&mut self, now: time::Instant, from: net::Ipv4Addr, reply: &CollectReply) {
+        for (of, units) in &reply.units {
             let producers = self.producers(*of).len();
-            if let (Some(terms), Some(pot)) = (self.terms(*of), self.pots.get_mut(of)) {
-                pot.take(now, &terms, producers, (from, given.id, *units));
+            if let (Some(limit), Some(bucket)) = (self.limit(*of), self.buckets.get_mut(of)) {
+                bucket.add_collected(now, &limit, producers, (from, reply.id, *units));
             }
         }
     }
 
     /// The allowances that this process coordinates, with the units in the bucket of each.
-    pub fn pots(&self) -> impl Iterator<Item = (Key, f64)> {
-        self.pots.iter().map(|(key, pot)| (*key, pot.units()))
+    pub fn buckets(&self) -> impl Iterator<Item = (Key, f64)> {
+        self.buckets
+            .iter()
+            .map(|(key, bucket)| (*key, bucket.units()))
     }
 }
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -159,7 +159,7 @@
     ) -> Option<allowance::ReportedLimit> {
         let limit = self.backpressure.limit(id)?;
         Some(allowance::ReportedLimit {
-            terms: allowance::RateLimit {
+            limit: allowance::RateLimit {
                 per_s: limit.per_s.max(MIN_RATE_PER_S),
                 burst: BURST,
             },
--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -298,7 +298,7 @@
     let mut world = World::new(4, ENTRIES, vec![(key(), high)]);
     world.run(3_000);
     for (times, set) in [(3.0, high), (30.0, low), (3.0, high)] {
-        world.set_terms(vec![(key(), set)]);
+        world.set_limits(vec![(key(), set)]);
         let began = world.now();
         demand(&mut world, &set, times, 20, |it| it.rng.usize(0..ENTRIES));
         world.run(20_000);
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -152,14 +152,14 @@
             amount: 1.0,
             returned: 0.0,
             rank: 0,
-            named: Some(allowance::ReportedLimit {
+            reported: Some(allowance::ReportedLimit {
                 terms: terms(bad),
                 age: Millis(0),
             }),
         };
-        coordinator.draw(Instant(1_000), entries[0], &draw);
-        assert_eq!(coordinator.terms(key()), None, "{bad}");
-        assert_eq!(coordinator.pots().count(), 0, "{bad}");
+        coordinator.acquire(Instant(1_000), entries[0], &draw);
+        assert_eq!(coordinator.limit(key()), None, "{bad}");
+        assert_eq!(coordinator.buckets().count(), 0, "{bad}");
     }
 }
 
@@ -175,16 +175,16 @@
         amount: 1.0,
         returned: 0.0,
         rank: 0,
-        named: Some(allowance::ReportedLimit {
+        reported: Some(allowance::ReportedLimit {
             terms: terms(1.0),
             age: Millis(0),
         }),
     };
-    coordinator.draw(Instant(1_000), entries[0], &draw);
+    coordinator.acquire(Instant(1_000), entries[0], &draw);
     assert!(coordinator.has_any());
     coordinator.tick(Instant(60_000));
     assert!(!coordinator.has_any());
-    assert_eq!(coordinator.pots().count(), 0);
+    assert_eq!(coordinator.buckets().count(), 0);
 }
 
 const MODEL: &str = "m1";
@@ -275,7 +275,7 @@
     chooser.remove_instance(id);
     chooser.update_instance(&engines[0]);
     let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
-    assert_eq!(named.terms, terms(1.5));
+    assert_eq!(named.limit, terms(1.5));
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
     assert_eq!(chooser.limit(now, &other), None);
@@ -290,7 +290,7 @@
     let (mut chooser, engines) = chooser(&["e1"]);
     chooser.set_limit(Instant(0), &engines[0].id, 0.0);
     let named = chooser.limit(Instant(0), &engines[0].id);
-    assert!(named.is_some_and(|it| it.terms.per_s > 0.0));
+    assert!(named.is_some_and(|it| it.limit.per_s > 0.0));
 }
 
 /// An engine has turned a request away and wants rest. A shorter word, or the end of its limit, takes nothing back.
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -46,7 +46,7 @@
             per_s: PER_S,
             burst: PER_S,
         };
-        coordinator.set_terms([(key(), terms)]);
+        coordinator.set_limits([(key(), terms)]);
         coordinator.set_entries(at(0), &entries);
         Self {
             coordinator,
@@ -62,18 +62,21 @@
     fn draw_all(&mut self, now: time::Instant) {
         if let Some(pull) = self.pull(now) {
             for other in self.others.clone() {
-                self.coordinator
-                    .take(now, other, &given(&pull, PER_S / 10.0 / 15.0 * 2.5));
+                self.coordinator.add_collected(
+                    now,
+                    other,
+                    &given(&pull, PER_S / 10.0 / 15.0 * 2.5),
+                );
             }
         }
     }
 
     fn asked(&mut self, now: time::Instant, draw: AcquireRequest) -> AcquireReply {
-        self.coordinator.draw(now, ip(99), &draw).answer
+        self.coordinator.acquire(now, ip(99), &draw).reply
     }
 
     fn units(&self) -> f64 {
-        self.coordinator.pots().map(|(_, units)| units).sum()
+        self.coordinator.buckets().map(|(_, units)| units).sum()
     }
 }
 
@@ -91,7 +94,7 @@
         amount,
         returned: 0.0,
         rank: 0,
-        named: None,
+        reported: None,
     }
 }
 
@@ -106,8 +109,8 @@
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
     // Another's question of the same number is another question.
-    let reply = world.coordinator.draw(now, ip(98), &draw(7, 15.0));
-    assert_eq!(reply.answer, AcquireReply::Granted);
+    let reply = world.coordinator.acquire(now, ip(98), &draw(7, 15.0));
+    assert_eq!(reply.reply, AcquireReply::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
 }
@@ -120,21 +123,25 @@
     let first = world.pull(at(0)).expect("a new home draws");
     let from = world.others[0];
     let before = world.units();
-    world.coordinator.take(at(1), from, &given(&first, 1.0));
+    world
+        .coordinator
+        .add_collected(at(1), from, &given(&first, 1.0));
     let once = world.units();
     assert!(once > before);
-    world.coordinator.take(at(2), from, &given(&first, 1.0));
+    world
+        .coordinator
+        .add_collected(at(2), from, &given(&first, 1.0));
     assert!((world.units() - once).abs() < 1e-9, "delivered twice");
     let second = world.pull(at(400)).expect("it draws again");
     assert_ne!(first.id, second.id);
     let then = world.units();
     world
         .coordinator
-        .take(at(401), world.others[1], &given(&first, 1.0));
+        .add_collected(at(401), world.others[1], &given(&first, 1.0));
     assert!((world.units() - then).abs() < 1e-9, "of an earlier drawing");
     world
         .coordinator
-        .take(at(402), ip(77), &given(&second, 1.0));
+        .add_collected(at(402), ip(77), &given(&second, 1.0));
     assert!(
         (world.units() - then).abs() < 1e-9,
         "of one that was not asked"
@@ -213,14 +220,16 @@
             AcquireReply::Granted => assert_eq!(told, 0),
             AcquireReply::Soon(_) => {
                 // The producers have nothing either.
-                world.coordinator.draw(now, ip(99), &draw(id, 0.0));
+                world.coordinator.acquire(now, ip(99), &draw(id, 0.0));
                 for other in world.others.clone() {
                     let pull = CollectRequest {
                         id,
                         of: vec![key()],
-                        named: Vec::new(),
+                        reported: Vec::new(),
                     };
-                    world.coordinator.take(now, other, &given(&pull, 0.0));
+                    world
+                        .coordinator
+                        .add_collected(now, other, &given(&pull, 0.0));
                 }
                 if id > 1_000 {
                     return;
@@ -259,7 +268,7 @@
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut producer = AllowanceTable::new(producers[3], 1);
-    producer.set_terms([(
+    producer.set_limits([(
         key(),
         RateLimit {
             per_s: PER_S,
@@ -272,10 +281,10 @@
         let pull = CollectRequest {
             id: ms,
             of: vec![key()],
-            named: Vec::new(),
+            reported: Vec::new(),
         };
-        all += producer.give(at(ms), &pull).units[0].1;
-        all += producer.give(at(ms), &pull).units[0].1;
+        all += producer.release_share(at(ms), &pull).units[0].1;
+        all += producer.release_share(at(ms), &pull).units[0].1;
     }
     let yields = PER_S * (10.0 + 0.6) / 15.0;
     assert!(all <= yields + 1e-6, "{all} of {yields}");
@@ -289,7 +298,7 @@
         per_s: PER_S,
         burst: PER_S,
     };
-    book.set_terms([(key(), terms)]);
+    book.set_limits([(key(), terms)]);
     book.set_entries(at(0), entries);
     book
 }
@@ -298,9 +307,9 @@
     let pull = CollectRequest {
         id: now.0,
         of: vec![key()],
-        named: Vec::new(),
+        reported: Vec::new(),
     };
-    book.give(now, &pull).units[0].1
+    book.release_share(now, &pull).units[0].1
 }
 
 /// A producer stood still for ten seconds, or its home was away. It does not come back with the units of all that
@@ -351,14 +360,14 @@
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut book = producer(&entries, 9);
-    let first = |book: &mut AllowanceTable, now| book.question(now, key()).begin();
+    let first = |book: &mut AllowanceTable, now| book.acquisition(now, key()).begin();
     let to = |coordinator| Next::Ask(coordinator, time::Millis(0));
     assert_eq!(first(&mut book, at(0)), to(producers[0]));
-    book.passed_over(at(0), producers[0]);
+    book.mark_unresponsive(at(0), producers[0]);
     assert_eq!(first(&mut book, at(500)), to(producers[1]));
     assert_eq!(first(&mut book, at(1_500)), to(producers[0]));
     for coordinator in &producers[..3] {
-        book.passed_over(at(2_000), *coordinator);
+        book.mark_unresponsive(at(2_000), *coordinator);
     }
     assert_eq!(first(&mut book, at(2_100)), Next::Unreachable);
 }
@@ -375,7 +384,7 @@
         burst: PER_S,
     };
     let mut coordinator = AllowanceTable::new(entries[0], 1);
-    coordinator.set_terms(keys.iter().map(|key| (*key, terms)));
+    coordinator.set_limits(keys.iter().map(|key| (*key, terms)));
     coordinator.set_entries(at(0), &entries);
     let pulls = coordinator.tick(at(1));
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
@@ -385,15 +394,15 @@
         pulls.len()
     );
     let mut other = AllowanceTable::new(entries[1], 1);
-    other.set_terms(keys.iter().map(|key| (*key, terms)));
+    other.set_limits(keys.iter().map(|key| (*key, terms)));
     other.set_entries(at(0), &entries);
     for (pull, to) in &pulls {
         assert_eq!(to, &vec![entries[1]]);
         assert!(pull.of.len() <= 40, "{}", pull.of.len());
-        coordinator.take(at(1_000), entries[1], &other.give(at(1_000), pull));
+        coordinator.add_collected(at(1_000), entries[1], &other.release_share(at(1_000), pull));
     }
     let empty = coordinator
-        .pots()
+        .buckets()
         .filter(|(_, units)| *units <= 0.0)
         .count();
     assert_eq!(empty, 0, "each was filled");
@@ -409,21 +418,21 @@
             returned: bad,
             ..draw(1, bad)
         };
-        world.coordinator.draw(now, ip(99), &spoiled);
+        world.coordinator.acquire(now, ip(99), &spoiled);
         let pull = CollectRequest {
             id: 3,
             of: vec![key()],
-            named: Vec::new(),
+            reported: Vec::new(),
         };
         world
             .coordinator
-            .take(now, world.others[0], &given(&pull, bad));
+            .add_collected(now, world.others[0], &given(&pull, bad));
         for round in 12..20 {
             let now = at(100 * round);
             if let Some(pull) = world.pull(now) {
                 world
                     .coordinator
-                    .take(now, world.others[0], &given(&pull, bad));
+                    .add_collected(now, world.others[0], &given(&pull, bad));
             }
         }
         world.draw_all(at(2_100));
@@ -468,6 +477,6 @@
         .filter(|it| !gone.contains(it))
         .collect();
     book.set_entries(at(1_000), &left);
-    let first = book.question(at(1_010), key()).begin();
+    let first = book.acquisition(at(1_010), key()).begin();
     assert_eq!(first, Next::Ask(producers[4], time::Millis(0)));
 }
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -147,7 +147,7 @@
 
     fn start(&mut self, at: usize) -> AllowanceTable {
         let mut book = AllowanceTable::new(ip(at), self.rng.u64(..) >> 8);
-        book.set_terms(self.terms.clone());
+        book.set_limits(self.terms.clone());
         book
     }
 
@@ -174,10 +174,10 @@
     }
 
     /// Another configuration is in force at all of them.
-    pub fn set_terms(&mut self, terms: Vec<(Key, RateLimit)>) {
+    pub fn set_limits(&mut self, terms: Vec<(Key, RateLimit)>) {
         self.terms = terms;
         for book in &mut self.books {
-            book.set_terms(self.terms.clone());
+            book.set_limits(self.terms.clone());
         }
     }
 
@@ -213,7 +213,7 @@
         let mut fresh = self.start(0);
         let everybody: Vec<_> = (0..self.books.len()).map(ip).collect();
         fresh.set_entries(now, &everybody);
-        match fresh.question(now, of).begin() {
+        match fresh.acquisition(now, of).begin() {
             Next::Ask(coordinator, _) => entry(coordinator),
             other => panic!("a home: {other:?}"),
         }
@@ -274,10 +274,10 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let bytes = match &message {
-            Message::Acquire(draw) if draw.named.is_some() => 140,
+            Message::Acquire(draw) if draw.reported.is_some() => 140,
             Message::Acquire(_) => 110,
             Message::Acquired(..) => 70,
-            Message::Collect(pull) => 50 + 9 * pull.of.len() + 36 * pull.named.len(),
+            Message::Collect(pull) => 50 + 9 * pull.of.len() + 36 * pull.reported.len(),
             Message::Collected(given) => 50 + 19 * given.units.len(),
         };
         self.sent[from].0 += 1;
@@ -311,7 +311,7 @@
         let now = Instant(self.now);
         let outcome = self.outcomes.entry(of).or_default();
         outcome.asked.push((self.now, amount));
-        let mut question = self.books[entry].question(now, of);
+        let mut question = self.books[entry].acquisition(now, of);
         let next = question.begin();
         let id = self.books[entry].next_id();
         self.requests.push(Request {
@@ -360,14 +360,14 @@
             amount: asked.amount,
             returned: 0.0,
             rank: 0,
-            named: named.map(|(terms, heard)| ReportedLimit {
-                terms: *terms,
+            reported: named.map(|(terms, heard)| ReportedLimit {
+                limit: *terms,
                 age: Millis(self.now - heard),
             }),
         };
         if coordinator == from {
             let answer = self.answer(from, from, &draw);
-            let next = self.requests[request].question.answered(answer);
+            let next = self.requests[request].question.replied(answer);
             return self.go_on(request, next);
         }
         self.waiting.insert((from, draw.id), request);
@@ -382,9 +382,9 @@
         draw: &AcquireRequest,
     ) -> sageshed_fleet::allowance::AcquireReply {
         let now = Instant(self.now);
-        let reply = self.books[at].draw(now, ip(from), draw);
-        self.pull(at, reply.pull.into_iter().collect());
-        reply.answer
+        let reply = self.books[at].acquire(now, ip(from), draw);
+        self.pull(at, reply.collection.into_iter().collect());
+        reply.reply
     }
 
     fn late(&mut self, request: usize, round: u32) {
@@ -393,9 +393,9 @@
             return;
         }
         let entry = asked.entry;
-        let (next, lost) = asked.question.unanswered();
+        let (next, lost) = asked.question.timed_out();
         if let Some(lost) = lost {
-            self.books[entry].passed_over(Instant(self.now), lost);
+            self.books[entry].mark_unresponsive(Instant(self.now), lost);
         }
         self.go_on(request, next);
     }
@@ -411,14 +411,14 @@
                 let Some(request) = self.waiting.remove(&(to, id)) else {
                     return;
                 };
-                let next = self.requests[request].question.answered(answer);
+                let next = self.requests[request].question.replied(answer);
                 self.go_on(request, next);
             }
             Message::Collect(pull) => {
-                let given = self.books[to].give(now, &pull);
+                let given = self.books[to].release_share(now, &pull);
                 self.send(to, from, Message::Collected(given));
             }
-            Message::Collected(given) => self.books[to].take(now, ip(from), &given),
+            Message::Collected(given) => self.books[to].add_collected(now, ip(from), &given),
         }
     }
 }
@@ -444,7 +444,7 @@
     pub fn against_one_bucket(&self, terms: &RateLimit, since: u64) -> (f64, f64) {
         let (mut level, mut at, mut ideal) = (terms.burst, 0, 0.0);
         for (now, amount) in &self.asked {
-            level = (level + terms.grown(Millis(now - at))).min(terms.burst.max(0.0));
+            level = (level + terms.accrued(Millis(now - at))).min(terms.burst.max(0.0));
             at = *now;
             // As the pot does: what is larger than the bucket is granted by a full one.
             if level > 0.0 && level >= amount.min(terms.burst) {
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -6,7 +6,7 @@
 
 use super::state;
 
-/// Between two looks at the pots of this process: a part of [`allowance::DRAW_EVERY`].
+/// Between two looks at the pots of this process: a part of [`allowance::COLLECT_INTERVAL`].
 const TICK: time::Duration = time::Duration::from_millis(100);
 
 /// The same where the configuration has no allowance.
@@ -32,7 +32,7 @@
         return Vec::new();
     };
     let pots: collections::HashMap<_, _> =
-        shared.with_core(|core| core.allowances.pots().collect());
+        shared.with_core(|core| core.allowances.buckets().collect());
     let all = routing
         .workspaces
         .iter()
@@ -52,14 +52,14 @@
     let now = shared.clock.now();
     let (mut question, id) = shared.with_core(|core| {
         let book = &mut core.allowances;
-        (book.question(now, draw.of), book.next_id())
+        (book.acquisition(now, draw.of), book.next_id())
     });
     let draw = allowance::AcquireRequest { id, ..draw };
     let mut next = question.begin();
     while let allowance::Next::Ask(home, after) = next {
         thread::sleep(after.into());
         next = match put(shared, home, draw) {
-            Some(answer) => question.answered(answer),
+            Some(answer) => question.replied(answer),
             None => unanswered(shared, &mut question),
         };
     }
@@ -70,11 +70,11 @@
     shared: &state::Shared<D>,
     question: &mut allowance::Acquisition,
 ) -> allowance::Next {
-    let (next, lost) = question.unanswered();
+    let (next, lost) = question.timed_out();
     if let Some(home) = lost {
         ::log::debug!(home:% = home; "gateway: home of an allowance does not answer");
         let now = shared.clock.now();
-        shared.with_core(|core| core.allowances.passed_over(now, home));
+        shared.with_core(|core| core.allowances.mark_unresponsive(now, home));
     }
     next
 }
@@ -98,11 +98,11 @@
     question: &allowance::AcquireRequest,
 ) -> allowance::AcquireReply {
     let now = shared.clock.now();
-    let reply = shared.with_core(|core| core.allowances.draw(now, from, question));
+    let reply = shared.with_core(|core| core.allowances.acquire(now, from, question));
     if let Some(neighbours) = &shared.neighbours {
-        neighbours.pull(reply.pull.into_iter().collect());
+        neighbours.pull(reply.collection.into_iter().collect());
     }
-    reply.answer
+    reply.reply
 }
 
 /// Gives units back that were taken and not used. A lost word costs them.
@@ -114,7 +114,7 @@
     let now = shared.clock.now();
     let (mut question, id) = shared.with_core(|core| {
         let book = &mut core.allowances;
-        (book.question(now, of), book.next_id())
+        (book.acquisition(now, of), book.next_id())
     });
     let word = allowance::AcquireRequest {
         id,
@@ -122,7 +122,7 @@
         amount: 0.0,
         returned: units,
         rank: 0,
-        named: None,
+        reported: None,
     };
     let allowance::Next::Ask(home, _) = question.begin() else {
         return;
--- a/src/sageshed/gateway/neighbours.rs
+++ b/src/sageshed/gateway/neighbours.rs
@@ -184,14 +184,14 @@
         }
         Ok(words::Datagram::Collect(pull)) => {
             let now = shared.clock.now();
-            let given = shared.with_core(|core| core.allowances.give(now, &pull));
+            let given = shared.with_core(|core| core.allowances.release_share(now, &pull));
             if let Some(neighbours) = &shared.neighbours {
                 neighbours.send(&words::Datagram::Collected(given), &[*from.ip()]);
             }
         }
         Ok(words::Datagram::Collected(given)) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.allowances.take(now, *from.ip(), &given));
+            shared.with_core(|core| core.allowances.add_collected(now, *from.ip(), &given));
         }
         Err(e) => {
             // Anybody can send datagrams without end.
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/pass/backpressure.rs
@@ -45,7 +45,7 @@
             amount: 1.0,
             returned: 0.0,
             rank: self.priority(),
-            named: Some(named),
+            reported: Some(named),
         };
         let span = match allowances::ask(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
--- a/src/sageshed/gateway/pass/quota.rs
+++ b/src/sageshed/gateway/pass/quota.rs
@@ -50,7 +50,7 @@
             amount: units,
             returned: held.map_or(0.0, |it| it.units),
             rank: self.route.priority,
-            named: None,
+            reported: None,
         };
         match allowances::ask(self.shared, draw) {
             allowance::Next::Over(after) => {
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -95,7 +95,7 @@
         }
         let count = routing.table.len();
         let terms = allowances::terms(&routing.config);
-        self.with_core(|core| core.allowances.set_terms(terms));
+        self.with_core(|core| core.allowances.set_limits(terms));
         *current = Some(routing);
         drop(current);
         // Requests that came before the first one wait for it.
--- a/tests/datagrams.rs
+++ b/tests/datagrams.rs
@@ -24,8 +24,8 @@
             amount: 1.0,
             returned: 0.0,
             rank: 9,
-            named: Some(allowance::ReportedLimit {
-                terms: allowance::RateLimit {
+            reported: Some(allowance::ReportedLimit {
+                limit: allowance::RateLimit {
                     per_s: 1.1,
                     burst: 2.0,
                 },
@@ -34,7 +34,7 @@
         };
         let question = entry_peers::Datagram::Acquire(draw);
         assert!(encoded(&question).len() <= LARGEST);
-        let reply = coordinator.draw(time::Instant(1), entries[1], &draw);
+        let reply = coordinator.acquire(time::Instant(1), entries[1], &draw);
         pulls.extend(reply.pull);
     }
     pulls.extend(coordinator.tick(time::Instant(5_000)));
