--- a/tests/datagrams.rs
+++ b/tests/datagrams.rs
@@ -35,7 +35,7 @@
         let question = entry_peers::Datagram::Acquire(draw);
         assert!(encoded(&question).len() <= LARGEST);
         let reply = coordinator.acquire(time::Instant(1), entries[1], &draw);
-        pulls.extend(reply.pull);
+        pulls.extend(reply.collection);
     }
     pulls.extend(coordinator.tick(time::Instant(5_000)));
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
