--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -32,7 +32,7 @@
 
 /// A waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiter {
+pub struct QueuedRequest {
     /// Tokens of its prompt.
     pub tokens: u64,
     /// Priority of its route; zero is the most urgent.
@@ -52,7 +52,7 @@
     ticket: u64,
 }
 
-impl Waiter {
+impl QueuedRequest {
     fn rank(&self, now: time::Instant, ticket: u64) -> Rank {
         Rank {
             is_late: now + MIN_RESPONSE_TIME > self.on_time_until,
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 struct Queue {
     /// Waiting requests by ticket.
-    waiting: collections::BTreeMap<u64, Waiter>,
+    waiting: collections::BTreeMap<u64, QueuedRequest>,
     /// Recently prefilled prompts, with their tokens.
     prefilled: collections::VecDeque<(time::Instant, u64)>,
     /// Since when at least one request has been waiting; none while none waits.
@@ -87,34 +87,34 @@
 
 impl Backlog {
     /// Adds a waiting request. Returns its ticket.
-    pub fn enter(&mut self, now: time::Instant, model: &str, waiter: Waiter) -> u64 {
+    pub fn push(&mut self, now: time::Instant, model: &str, request: QueuedRequest) -> u64 {
         self.last_ticket += 1;
         let queue = self.queues.entry(model.to_owned()).or_default();
         queue.busy_since.get_or_insert(now);
-        queue.waiting.insert(self.last_ticket, waiter);
+        queue.waiting.insert(self.last_ticket, request);
         self.last_ticket
     }
 
-    /// Whether another request that waits for the model goes before `waiter`. A request that has just
+    /// Whether another request that waits for the model goes before `request`. A request that has just
     /// arrived has no ticket.
     #[must_use]
     pub fn is_preceded(
         &self,
         now: time::Instant,
         model: &str,
-        waiter: &Waiter,
+        request: &QueuedRequest,
         ticket: Option<u64>,
     ) -> bool {
         let Some(queue) = self.queues.get(model) else {
             return false;
         };
-        let own = waiter.rank(now, ticket.unwrap_or(u64::MAX));
+        let own = request.rank(now, ticket.unwrap_or(u64::MAX));
         let mut others = queue.waiting.iter();
-        others.any(|(at, it)| it.can_run_wherever(waiter) && it.rank(now, *at) < own)
+        others.any(|(at, it)| it.can_run_wherever(request) && it.rank(now, *at) < own)
     }
 
     /// Removes a request. Returns whether others still wait for the model.
-    pub fn leave(&mut self, model: &str, ticket: u64) -> bool {
+    pub fn remove(&mut self, model: &str, ticket: u64) -> bool {
         let Some(queue) = self.queues.get_mut(model) else {
             return false;
         };
@@ -127,7 +127,7 @@
     }
 
     /// Records that an engine has prefilled a prompt that was sent from here.
-    pub fn read(&mut self, now: time::Instant, model: &str, tokens: u64) {
+    pub fn record_prefill(&mut self, now: time::Instant, model: &str, tokens: u64) {
         let queue = self.queues.entry(model.to_owned()).or_default();
         queue.prefilled.push_back((now, tokens));
         while queue
@@ -146,7 +146,12 @@
     /// a start, or when demand has moved to a model, that was next to nothing: six waiting requests were
     /// given estimates of 44 and 59 seconds, and refused.
     #[must_use]
-    pub fn expected(&self, now: time::Instant, model: &str, ticket: u64) -> Option<time::Millis> {
+    pub fn expected_wait(
+        &self,
+        now: time::Instant,
+        model: &str,
+        ticket: u64,
+    ) -> Option<time::Millis> {
         let queue = self.queues.get(model)?;
         let span = now.since(queue.busy_since?).min(RATE_WINDOW);
         if span < MIN_BUSY_TIME {
--- a/crates/sageshed-fleet/tests/backlog.rs
+++ b/crates/sageshed-fleet/tests/backlog.rs
@@ -1,12 +1,12 @@
 //! How long requests wait for an engine.
 
-use sageshed_fleet::backlog::{Backlog, Waiter};
+use sageshed_fleet::backlog::{Backlog, QueuedRequest};
 use sageshed_types::time;
 
 const T0: time::Instant = time::Instant(50_000);
 
 /// Waits for the bare model, and is late in ten seconds.
-const PLAIN: Waiter = Waiter {
+const PLAIN: QueuedRequest = QueuedRequest {
     tokens: 2_000,
     priority: 1,
     on_time_until: time::Instant(60_000),
@@ -18,22 +18,22 @@
 #[test]
 fn a_request_knows_how_long_those_before_it_take() {
     let mut backlog = Backlog::default();
-    let tickets: Vec<u64> = (0..10).map(|_| backlog.enter(T0, "m0", PLAIN)).collect();
+    let tickets: Vec<u64> = (0..10).map(|_| backlog.push(T0, "m0", PLAIN)).collect();
     for n in 0..4 {
-        backlog.read(T0 + time::Millis(n * 500), "m0", 2_000);
+        backlog.record_prefill(T0 + time::Millis(n * 500), "m0", 2_000);
     }
     let now = T0 + time::Millis(2_000);
     assert_eq!(
-        backlog.expected(now, "m0", tickets[0]),
+        backlog.expected_wait(now, "m0", tickets[0]),
         Some(time::Millis(500))
     );
     assert_eq!(
-        backlog.expected(now, "m0", tickets[9]),
+        backlog.expected_wait(now, "m0", tickets[9]),
         Some(time::Millis(5_000))
     );
-    backlog.leave("m0", tickets[0]);
+    backlog.remove("m0", tickets[0]);
     assert_eq!(
-        backlog.expected(now, "m0", tickets[9]),
+        backlog.expected_wait(now, "m0", tickets[9]),
         Some(time::Millis(4_500))
     );
     assert_eq!(backlog.waiting(), 9);
@@ -42,16 +42,16 @@
 #[test]
 fn nothing_is_said_where_nothing_was_read_lately() {
     let mut backlog = Backlog::default();
-    let ticket = backlog.enter(T0, "m0", PLAIN);
+    let ticket = backlog.push(T0, "m0", PLAIN);
     let soon = T0 + time::Millis(500);
-    assert_eq!(backlog.expected(soon, "m0", ticket), None);
-    backlog.read(T0, "m0", 2_000);
-    assert!(backlog.expected(soon, "m0", ticket).is_some());
+    assert_eq!(backlog.expected_wait(soon, "m0", ticket), None);
+    backlog.record_prefill(T0, "m0", 2_000);
+    assert!(backlog.expected_wait(soon, "m0", ticket).is_some());
     assert_eq!(
-        backlog.expected(T0 + time::Millis(9_000), "m0", ticket),
+        backlog.expected_wait(T0 + time::Millis(9_000), "m0", ticket),
         None
     );
-    assert_eq!(backlog.expected(soon, "m1", ticket), None);
+    assert_eq!(backlog.expected_wait(soon, "m1", ticket), None);
 }
 
 /// One small prompt was read in the last two seconds, since no more came. Now six come at once. By that
@@ -60,16 +60,16 @@
 #[test]
 fn what_is_read_while_none_waits_tells_no_speed() {
     let mut backlog = Backlog::default();
-    backlog.read(T0, "m0", 1_000);
+    backlog.record_prefill(T0, "m0", 1_000);
     let come = T0 + time::Millis(1_000);
-    let tickets: Vec<u64> = (0..6).map(|_| backlog.enter(come, "m0", PLAIN)).collect();
-    assert_eq!(backlog.expected(come, "m0", tickets[5]), None);
+    let tickets: Vec<u64> = (0..6).map(|_| backlog.push(come, "m0", PLAIN)).collect();
+    assert_eq!(backlog.expected_wait(come, "m0", tickets[5]), None);
     for (ms, ticket) in [(100, tickets[0]), (200, tickets[1]), (300, tickets[2])] {
-        backlog.read(come + time::Millis(ms), "m0", 2_000);
-        backlog.leave("m0", ticket);
+        backlog.record_prefill(come + time::Millis(ms), "m0", 2_000);
+        backlog.remove("m0", ticket);
     }
     let later = come + time::Millis(300);
-    let expected = backlog.expected(later, "m0", tickets[5]);
+    let expected = backlog.expected_wait(later, "m0", tickets[5]);
     assert_eq!(expected, Some(time::Millis(300)));
 }
 
@@ -79,18 +79,18 @@
 fn those_that_can_be_on_time_go_first_and_the_urgent_ones_before_others() {
     struct Case {
         name: &'static str,
-        first: Waiter,
-        second: Waiter,
+        first: QueuedRequest,
+        second: QueuedRequest,
     }
-    let late = Waiter {
+    let late = QueuedRequest {
         on_time_until: T0,
         ..PLAIN
     };
-    let urgent = Waiter {
+    let urgent = QueuedRequest {
         priority: 0,
         ..PLAIN
     };
-    let soon_late = Waiter {
+    let soon_late = QueuedRequest {
         on_time_until: T0 + time::Millis(500),
         ..PLAIN
     };
@@ -103,7 +103,7 @@
         Case {
             name: "on time before late, though less urgent",
             first: PLAIN,
-            second: Waiter {
+            second: QueuedRequest {
                 priority: 0,
                 ..late.clone()
             },
@@ -126,9 +126,9 @@
     } in cases
     {
         let mut backlog = Backlog::default();
-        let of_second = backlog.enter(T0, "m0", second.clone());
+        let of_second = backlog.push(T0, "m0", second.clone());
         assert!(!backlog.is_preceded(T0, "m0", &first, None), "{name}");
-        let of_first = backlog.enter(T0, "m0", first.clone());
+        let of_first = backlog.push(T0, "m0", first.clone());
         assert!(
             !backlog.is_preceded(T0, "m0", &first, Some(of_first)),
             "{name}"
@@ -137,15 +137,15 @@
             backlog.is_preceded(T0, "m0", &second, Some(of_second)),
             "{name}"
         );
-        backlog.read(T0, "m0", 2_000);
+        backlog.record_prefill(T0, "m0", 2_000);
         let soon = T0 + time::Millis(300);
         let time_of = |ticket| {
             backlog
-                .expected(soon, "m0", ticket)
+                .expected_wait(soon, "m0", ticket)
                 .expect("a speed is known")
         };
         assert!(time_of(of_first) < time_of(of_second), "{name}");
-        assert!(backlog.leave("m0", of_first), "{name}");
+        assert!(backlog.remove("m0", of_first), "{name}");
         assert!(
             !backlog.is_preceded(T0, "m0", &second, Some(of_second)),
             "{name}"
@@ -157,13 +157,13 @@
 /// the bare model must not wait for the adapter's engine.
 #[test]
 fn a_request_for_an_adapter_holds_back_only_its_like() {
-    let with = |name: &str| Waiter {
+    let with = |name: &str| QueuedRequest {
         priority: 0,
         adapter: Some(name.to_owned()),
         ..PLAIN
     };
     let mut backlog = Backlog::default();
-    backlog.enter(T0, "m0", with("a1"));
+    backlog.push(T0, "m0", with("a1"));
     assert!(!backlog.is_preceded(T0, "m0", &PLAIN, None));
     assert!(!backlog.is_preceded(T0, "m0", &with("a2"), None));
     assert!(backlog.is_preceded(T0, "m0", &with("a1"), None));
@@ -173,9 +173,9 @@
 #[test]
 fn one_that_has_just_come_goes_behind_its_equals() {
     let mut backlog = Backlog::default();
-    let ticket = backlog.enter(T0, "m0", PLAIN);
+    let ticket = backlog.push(T0, "m0", PLAIN);
     assert!(backlog.is_preceded(T0, "m0", &PLAIN, None));
-    assert!(!backlog.leave("m0", ticket));
+    assert!(!backlog.remove("m0", ticket));
     assert!(!backlog.is_preceded(T0, "m0", &PLAIN, None));
 }
 
@@ -185,17 +185,17 @@
 #[test]
 fn requests_that_wait_past_their_time_do_not_wait_for_each_other() {
     let mut backlog = Backlog::default();
-    let waiter = |on_time_until| Waiter {
+    let request = |on_time_until| QueuedRequest {
         tokens: 100,
         priority: 1,
         on_time_until: time::Instant(on_time_until),
         adapter: None,
     };
-    let first = backlog.enter(time::Instant(1_000), "m0", waiter(2_000));
-    let second = backlog.enter(time::Instant(1_100), "m0", waiter(2_100));
+    let first = backlog.push(time::Instant(1_000), "m0", request(2_000));
+    let second = backlog.push(time::Instant(1_100), "m0", request(2_100));
     for now in [1_500, 2_500, 5_000] {
         // As a request reckons it at that moment: once it is late, its time ends now.
-        let of = |until: u64| waiter(until.max(now));
+        let of = |until: u64| request(until.max(now));
         let now = time::Instant(now);
         assert!(
             !backlog.is_preceded(now, "m0", &of(2_000), Some(first)),
@@ -206,7 +206,7 @@
             "{now:?}"
         );
     }
-    backlog.leave("m0", first);
+    backlog.remove("m0", first);
     let now = time::Instant(5_000);
-    assert!(!backlog.is_preceded(now, "m0", &waiter(5_000), Some(second)));
+    assert!(!backlog.is_preceded(now, "m0", &request(5_000), Some(second)));
 }
--- a/src/sageshed/gateway/pass/attempt.rs
+++ b/src/sageshed/gateway/pass/attempt.rs
@@ -251,7 +251,7 @@
                 .record_response_start(now, pick, read, took, load);
             if let Some(wanted) = self.wanted {
                 let tokens = self.passing.prompt_tokens;
-                core.backlog.read(now, &wanted.model, tokens);
+                core.backlog.record_prefill(now, &wanted.model, tokens);
             }
         });
         match read {
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -53,7 +53,7 @@
             let model = self.model_name();
             let others_wait = self
                 .shared
-                .with_core(|core| core.backlog.leave(model, ticket));
+                .with_core(|core| core.backlog.remove(model, ticket));
             if others_wait {
                 self.shared.place_freed();
             }
@@ -252,7 +252,7 @@
     fn hopeless_here(
         &self,
         now: time::Instant,
-        waiter: backlog::Waiter,
+        waiter: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<refusal::Refusal> {
@@ -271,22 +271,22 @@
     fn hopeless(
         &self,
         now: time::Instant,
-        waiter: backlog::Waiter,
+        waiter: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<time::Millis> {
         let model = self.model_name();
         let expected = self.shared.with_core(|core| {
-            let ticket = ticket.get_or_insert_with(|| core.backlog.enter(now, model, waiter));
-            core.backlog.expected(now, model, *ticket)
+            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, waiter));
+            core.backlog.expected_wait(now, model, *ticket)
         })?;
         (expected + READ_RESERVE > left).then_some(expected)
     }
 
     /// This request among those that wait for an engine; none where it needs no model.
-    fn waiter(&self, now: time::Instant) -> Option<backlog::Waiter> {
+    fn waiter(&self, now: time::Instant) -> Option<backlog::QueuedRequest> {
         let wanted = self.wanted?;
-        Some(backlog::Waiter {
+        Some(backlog::QueuedRequest {
             tokens: self.passing.prompt_tokens,
             priority: self.priority(),
             on_time_until: now + self.on_time(),
