--- a/crates/sageshed-fleet/src/budget.rs
+++ b/crates/sageshed-fleet/src/budget.rs
@@ -15,7 +15,7 @@
 
 /// The retries that all entry processes may send together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allowance {
+pub struct RetryAllowance {
     /// Retries per request.
     pub ratio: f64,
     /// Retries on top of that.
@@ -27,7 +27,7 @@
 /// The recent requests and retries of one entry process, for each service.
 #[derive(Debug)]
 pub struct RetryBudget {
-    allowance: Allowance,
+    allowance: RetryAllowance,
     services: collections::HashMap<String, Window>,
 }
 
@@ -40,7 +40,7 @@
 impl RetryBudget {
     /// Creates an unused budget.
     #[must_use]
-    pub fn new(allowance: Allowance) -> Self {
+    pub fn new(allowance: RetryAllowance) -> Self {
         Self {
             allowance,
             services: collections::HashMap::new(),
@@ -54,14 +54,14 @@
     }
 
     /// Whether a retry is left, as one of `entries` processes.
-    pub fn has_one(&mut self, now: time::Instant, service: &str, entries: usize) -> bool {
+    pub fn has_token(&mut self, now: time::Instant, service: &str, entries: usize) -> bool {
         self.left_for(now, service, entries) >= 1.0
     }
 
     /// Takes one retry from the budget, as one of `entries` processes. Returns false and takes nothing if
     /// none is left.
     pub fn spend(&mut self, now: time::Instant, service: &str, entries: usize) -> bool {
-        if !self.has_one(now, service, entries) {
+        if !self.has_token(now, service, entries) {
             return false;
         }
         self.window(now, service).repeats.push_back(now);
@@ -79,7 +79,7 @@
     }
 
     fn left_for(&mut self, now: time::Instant, service: &str, entries: usize) -> f64 {
-        let Allowance { ratio, slack, .. } = self.allowance;
+        let RetryAllowance { ratio, slack, .. } = self.allowance;
         let window = self.window(now, service);
         let own_slack = slack / entries.max(1) as f64;
         let most = (window.requests.len() as f64 * ratio + own_slack) * USED_SHARE;
--- a/crates/sageshed-fleet/tests/budget.rs
+++ b/crates/sageshed-fleet/tests/budget.rs
@@ -6,7 +6,7 @@
 const WINDOW: time::Millis = time::Millis(10_000);
 
 fn budget() -> budget::RetryBudget {
-    budget::RetryBudget::new(budget::Allowance {
+    budget::RetryBudget::new(budget::RetryAllowance {
         ratio: 0.2,
         slack: 54.0,
         window: WINDOW,
--- a/src/sageshed/gateway/pass/waiting.rs
+++ b/src/sageshed/gateway/pass/waiting.rs
@@ -242,7 +242,7 @@
         let is_left = || {
             self.shared.with_core(|core| {
                 let entries = core.entries.len();
-                core.budget.has_one(now, self.service, entries)
+                core.budget.has_token(now, self.service, entries)
             })
         };
         self.repeat_in_hand || is_left()
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -134,7 +134,7 @@
                 .with_policy(settings.routing),
             backlog: backlog::Backlog::default(),
             allowances: allowance::AllowanceTable::new(settings.discovery.ip, start),
-            budget: budget::RetryBudget::new(budget::Allowance {
+            budget: budget::RetryBudget::new(budget::RetryAllowance {
                 ratio: retries.ratio,
                 slack: retries.slack,
                 window: retries.window_ms,
