--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -17,7 +17,7 @@
 use crate::{directory, messages};
 
 /// Number of links.
-pub const LINKS: usize = 3;
+pub const LINK_COUNT: usize = 3;
 
 /// How long an unreachable control process is avoided while there are others.
 const RETRY_DELAY: time::Millis = time::Millis(2_000);
@@ -36,7 +36,7 @@
 
 /// The response of a control process to a watch request.
 #[derive(Debug, Clone, Copy)]
-pub struct Answer<'a> {
+pub struct SyncReply<'a> {
     /// Whether its digest differs from that of this process.
     pub differs: bool,
     /// Whether it has more endpoint records to send.
@@ -102,7 +102,7 @@
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
-    links: [Link; LINKS],
+    links: [Link; LINK_COUNT],
     /// Up to where the control process that delivers endpoint records knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Mark>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
@@ -163,7 +163,7 @@
     pub fn wants(&self, now: time::Instant, number: usize) -> messages::Wants {
         let differs = self.links[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
-        if lags || self.source().is_none_or(|source| source == number) {
+        if lags || self.endpoint_source().is_none_or(|source| source == number) {
             messages::Wants::News
         } else {
             messages::Wants::Digest
@@ -172,25 +172,25 @@
 
     /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
-    pub fn source(&self) -> Option<usize> {
+    pub fn endpoint_source(&self) -> Option<usize> {
         self.links.iter().position(|it| it.has_answered)
     }
 
     /// Handles the response of a control process. While it has more endpoint records to send, what makes
     /// digests differ is still on its way, and need not come over other links.
-    pub fn answered(&mut self, now: time::Instant, number: usize, answer: &Answer<'_>) {
+    pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
         self.links[number].has_answered = true;
-        if answer.has_more {
+        if reply.has_more {
             self.links.iter_mut().for_each(Link::clear_difference);
             return;
         }
-        if self.source() == Some(number) {
-            self.set_peers(answer.peers);
+        if self.endpoint_source() == Some(number) {
+            self.set_peers(reply.peers);
         }
         let link = &mut self.links[number];
         let known = link.target.and_then(|ip| self.peers.get(&ip)).copied();
-        if answer.differs {
-            link.record_difference(now, answer.news, known);
+        if reply.differs {
+            link.record_difference(now, reply.news, known);
         } else {
             link.clear_difference();
         }
@@ -208,13 +208,13 @@
     }
 
     /// Records that a control process could not be reached.
-    pub fn avoid(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
+    pub fn mark_unreachable(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
         self.unreachable_since.insert(ip, now);
         self.links[number] = Link::default();
     }
 
     /// Adds control processes and their availability zones.
-    pub fn know(&mut self, control: Vec<messages::ControlVm>) {
+    pub fn add_control_vms(&mut self, control: Vec<messages::ControlVm>) {
         for vm in control {
             let zone = self.zones.entry(vm.ip).or_default();
             if vm.availability_zone.is_some() {
--- a/crates/sageshed-fleet/src/workspaces.rs
+++ b/crates/sageshed-fleet/src/workspaces.rs
@@ -19,7 +19,7 @@
 
 /// Why a request fails authentication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Stranger {
+pub enum AuthError {
     /// It carries no key.
     #[display("send the workspace's key as `Authorization: Bearer KEY`")]
     NoKey,
@@ -32,12 +32,12 @@
 }
 
 /// A workspace without its keys, shared by the requests that it sends.
-pub type Known = sync::Arc<config::Workspace>;
+pub type WorkspaceRef = sync::Arc<config::Workspace>;
 
 /// The workspaces of one configuration, indexed by their keys.
 #[derive(Debug, Clone)]
 pub struct Workspaces {
-    all: Vec<Known>,
+    all: Vec<WorkspaceRef>,
     holders: collections::HashMap<secret::KeyDigest, usize>,
 }
 
@@ -53,7 +53,7 @@
 
     /// The workspace that holds the key with this digest.
     #[must_use]
-    pub fn holder(&self, key: secret::KeyDigest) -> Option<&Known> {
+    pub fn holder(&self, key: secret::KeyDigest) -> Option<&WorkspaceRef> {
         self.all.get(*self.holders.get(&key)?)
     }
 
@@ -67,21 +67,21 @@
         &self,
         shown: secret::Credential,
         is_open: bool,
-    ) -> Result<Option<&Known>, Stranger> {
+    ) -> Result<Option<&WorkspaceRef>, AuthError> {
         let found = match shown {
-            secret::Credential::Missing => Err(Stranger::NoKey),
-            secret::Credential::Malformed(why) => Err(Stranger::Malformed(why)),
-            secret::Credential::Bearer(key) => self.holder(key).ok_or(Stranger::UnknownKey),
+            secret::Credential::Missing => Err(AuthError::NoKey),
+            secret::Credential::Malformed(why) => Err(AuthError::Malformed(why)),
+            secret::Credential::Bearer(key) => self.holder(key).ok_or(AuthError::UnknownKey),
         };
         match found {
             Ok(workspace) => Ok(Some(workspace)),
             Err(_) if is_open => Ok(None),
-            Err(stranger) => Err(stranger),
+            Err(error) => Err(error),
         }
     }
 
     /// All workspaces.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &WorkspaceRef> {
         self.all.iter()
     }
 }
@@ -95,7 +95,7 @@
     workspaces: Option<&Workspaces>,
     shown: secret::Credential,
     is_open: bool,
-) -> Result<Option<Known>, Stranger> {
+) -> Result<Option<WorkspaceRef>, AuthError> {
     match workspaces {
         None => Ok(None),
         Some(workspaces) => Ok(workspaces.identify(shown, is_open)?.cloned()),
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -153,7 +153,7 @@
             returned: 0.0,
             rank: 0,
             reported: Some(allowance::ReportedLimit {
-                terms: terms(bad),
+                limit: terms(bad),
                 age: Millis(0),
             }),
         };
@@ -176,7 +176,7 @@
         returned: 0.0,
         rank: 0,
         reported: Some(allowance::ReportedLimit {
-            terms: terms(1.0),
+            limit: terms(1.0),
             age: Millis(0),
         }),
     };
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -4,7 +4,7 @@
 
 use sageshed_fleet::{
     directory::Mark,
-    links::{Answer, LINKS, Links},
+    links::{LINK_COUNT, Links, SyncReply},
     messages::{ControlVm, Wants},
 };
 use sageshed_types::time;
@@ -19,8 +19,8 @@
     net::Ipv4Addr::new(10, 0, 0, last)
 }
 
-fn answer(differs: bool, has_more: bool) -> Answer<'static> {
-    Answer {
+fn answer(differs: bool, has_more: bool) -> SyncReply<'static> {
+    SyncReply {
         differs,
         has_more,
         news: None,
@@ -40,18 +40,20 @@
 /// Links of a process in `zone` that all go somewhere, and the addresses.
 fn linked(zone: &str) -> (Links, Vec<net::Ipv4Addr>) {
     let mut links = Links::new(zone, (1..=3).map(ip).collect());
-    links.know(control());
+    links.add_control_vms(control());
     let held = pick_all(&mut links, T0);
     (links, held)
 }
 
 fn pick_all(links: &mut Links, now: time::Instant) -> Vec<net::Ipv4Addr> {
-    let picks = (0..LINKS).map(|number| links.pick(now, number, 7 + number as u64));
+    let picks = (0..LINK_COUNT).map(|number| links.pick(now, number, 7 + number as u64));
     picks.map(|it| it.expect("some are known")).collect()
 }
 
 fn wants(links: &Links, now: time::Instant) -> Vec<Wants> {
-    (0..LINKS).map(|number| links.wants(now, number)).collect()
+    (0..LINK_COUNT)
+        .map(|number| links.wants(now, number))
+        .collect()
 }
 
 /// The group may be cut in two with three in the larger part: three links to different control processes
@@ -61,7 +63,7 @@
     for (zone, near) in [("z4", Some(ip(4))), ("z1", Some(ip(1))), ("z6", None)] {
         let (_, held) = linked(zone);
         let different: collections::BTreeSet<_> = held.iter().collect();
-        assert_eq!(different.len(), LINKS, "{zone}: {held:?}");
+        assert_eq!(different.len(), LINK_COUNT, "{zone}: {held:?}");
         assert!(near.is_none_or(|it| held[0] == it), "{zone}: {held:?}");
     }
 }
@@ -72,7 +74,7 @@
 fn the_first_link_takes_the_near_control_process_from_another() {
     let mut links = Links::new("z2", vec![ip(2)]);
     assert_eq!(links.pick(T0, 1, 0), Some(ip(2)));
-    links.know(control());
+    links.add_control_vms(control());
     let held = pick_all(&mut links, T0);
     assert_eq!(held[0], ip(2));
     assert!(held[1] != ip(2) && held[1] != held[2], "{held:?}");
@@ -83,13 +85,13 @@
 #[test]
 fn one_link_brings_endpoints_once_one_has_answered() {
     let (mut links, _) = linked("z4");
-    assert_eq!(wants(&links, T0), [Wants::News; LINKS]);
-    links.answered(at(5), 2, &answer(false, false));
+    assert_eq!(wants(&links, T0), [Wants::News; LINK_COUNT]);
+    links.record_reply(at(5), 2, &answer(false, false));
     assert_eq!(
         wants(&links, at(5)),
         [Wants::Digest, Wants::Digest, Wants::News]
     );
-    links.answered(at(9), 0, &answer(false, false));
+    links.record_reply(at(9), 0, &answer(false, false));
     assert_eq!(
         wants(&links, at(9)),
         [Wants::News, Wants::Digest, Wants::Digest]
@@ -102,10 +104,10 @@
 #[test]
 fn a_lost_control_process_is_replaced_and_tried_again_later() {
     let (mut links, held) = linked("z4");
-    for number in 0..LINKS {
-        links.answered(T0, number, &answer(false, false));
+    for number in 0..LINK_COUNT {
+        links.record_reply(T0, number, &answer(false, false));
     }
-    links.avoid(at(100), 0, held[0]);
+    links.mark_unreachable(at(100), 0, held[0]);
     assert_eq!(
         wants(&links, at(100)),
         [Wants::Digest, Wants::News, Wants::Digest]
@@ -123,15 +125,15 @@
 #[test]
 fn links_whose_digest_differs_bring_endpoints_too() {
     let (mut links, _) = linked("z4");
-    for number in 0..LINKS {
-        links.answered(T0, number, &answer(false, false));
+    for number in 0..LINK_COUNT {
+        links.record_reply(T0, number, &answer(false, false));
     }
-    links.answered(at(100), 1, &answer(true, false));
+    links.record_reply(at(100), 1, &answer(true, false));
     assert_eq!(links.wants(at(150), 1), Wants::Digest);
-    links.answered(at(300), 1, &answer(true, false));
+    links.record_reply(at(300), 1, &answer(true, false));
     assert_eq!(links.wants(at(300), 1), Wants::News);
     assert_eq!(links.wants(at(300), 2), Wants::Digest);
-    links.answered(at(400), 1, &answer(false, false));
+    links.record_reply(at(400), 1, &answer(false, false));
     assert_eq!(links.wants(at(400), 1), Wants::Digest);
 }
 
@@ -140,7 +142,7 @@
 fn links_try_again_where_nobody_answers() {
     let (mut links, _) = linked("z4");
     for last in 1..=5 {
-        links.avoid(at(10), usize::from(last) % LINKS, ip(last));
+        links.mark_unreachable(at(10), usize::from(last) % LINK_COUNT, ip(last));
     }
     assert!(links.pick(at(40), 1, 2).is_some());
     let mut none = Links::new("z4", Vec::new());
@@ -153,24 +155,24 @@
 #[test]
 fn links_stay_quiet_while_the_near_control_process_keeps_up() {
     let (mut links, held) = linked("z4");
-    for number in 0..LINKS {
-        links.answered(T0, number, &answer(false, false));
+    for number in 0..LINK_COUNT {
+        links.record_reply(T0, number, &answer(false, false));
     }
     let mark = |change| Mark { start: 9, change };
     let near = |links: &mut Links, ms, change| {
         let peers = [(held[1], mark(change)), (held[2], mark(change))];
-        let told = Answer {
+        let told = SyncReply {
             peers: &peers,
             ..answer(false, false)
         };
-        links.answered(at(ms), 0, &told);
+        links.record_reply(at(ms), 0, &told);
     };
     let other = |links: &mut Links, ms, change| {
-        let told = Answer {
+        let told = SyncReply {
             news: Some(mark(change)),
             ..answer(true, false)
         };
-        links.answered(at(ms), 1, &told);
+        links.record_reply(at(ms), 1, &told);
     };
     near(&mut links, 10, 100);
     for step in 0..100 {
@@ -188,14 +190,14 @@
     near(&mut links, 4_300, 300);
     assert_eq!(links.wants(at(4_300), 1), Wants::Digest);
     // Another start of the other one counts anew.
-    let restarted = Answer {
+    let restarted = SyncReply {
         news: Some(Mark {
             start: 10,
             change: 5,
         }),
         ..answer(true, false)
     };
-    links.answered(at(5_000), 1, &restarted);
+    links.record_reply(at(5_000), 1, &restarted);
     near(&mut links, 5_100, 300);
     assert_eq!(links.wants(at(5_200), 1), Wants::News);
 }
--- a/crates/sageshed-fleet/tests/workspaces.rs
+++ b/crates/sageshed-fleet/tests/workspaces.rs
@@ -35,7 +35,7 @@
     name: &'static str,
     shown: secret::Credential,
     is_open: bool,
-    known: Result<Option<&'static str>, workspaces::Stranger>,
+    known: Result<Option<&'static str>, workspaces::AuthError>,
 }
 
 #[test]
@@ -56,37 +56,37 @@
             "an unknown key",
             key("x"),
             false,
-            Err(workspaces::Stranger::UnknownKey),
+            Err(workspaces::AuthError::UnknownKey),
         ),
         case(
             "an empty key",
             key(""),
             false,
-            Err(workspaces::Stranger::UnknownKey),
+            Err(workspaces::AuthError::UnknownKey),
         ),
         case(
             "a key in other case",
             key("KEY-OF-DUG"),
             false,
-            Err(workspaces::Stranger::UnknownKey),
+            Err(workspaces::AuthError::UnknownKey),
         ),
         case(
             "the beginning of a key",
             key("key-of-du"),
             false,
-            Err(workspaces::Stranger::UnknownKey),
+            Err(workspaces::AuthError::UnknownKey),
         ),
         case(
             "no key",
             secret::Credential::Missing,
             false,
-            Err(workspaces::Stranger::NoKey),
+            Err(workspaces::AuthError::NoKey),
         ),
         case(
             "what is no key",
             bad,
             false,
-            Err(workspaces::Stranger::Malformed("twice")),
+            Err(workspaces::AuthError::Malformed("twice")),
         ),
         case(
             "its key on an open route",
--- a/src/sageshed/gateway/pass/identity.rs
+++ b/src/sageshed/gateway/pass/identity.rs
@@ -15,7 +15,7 @@
     routing: &routing::Routing,
     route: &config::Route,
     credential: secret::Credential,
-) -> Result<Option<workspaces::Known>, refusal::Refusal> {
+) -> Result<Option<workspaces::WorkspaceRef>, refusal::Refusal> {
     let known = workspaces::identify(routing.workspaces.as_ref(), credential, route.is_open);
     known.map_err(|stranger| {
         let detail = stranger.to_string();
--- a/src/sageshed/gateway/pass/mod.rs
+++ b/src/sageshed/gateway/pass/mod.rs
@@ -166,7 +166,7 @@
     content: quarantine::Fingerprint,
     route: &'a config::Route,
     /// Who sends it, as far as the configuration asks.
-    workspace: Option<workspaces::Known>,
+    workspace: Option<workspaces::WorkspaceRef>,
     /// The configuration by which that was found.
     identified_by: u64,
     /// Whether that one has workspaces, so that keys are for this system.
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -49,7 +49,7 @@
         seeds_read: sync::Mutex::new(std_time::Instant::now()),
     });
     fetch::start(shared);
-    for number in 0..links::LINKS {
+    for number in 0..links::LINK_COUNT {
         let (shared, watching) = (sync::Arc::clone(shared), sync::Arc::clone(&watching));
         let spawned = thread::Builder::new()
             .name(format!("watch-{number}"))
@@ -89,7 +89,7 @@
             let links = locks::lock(&watching.links);
             (
                 links.wants(shared.clock.now(), number),
-                links.source() == Some(number),
+                links.endpoint_source() == Some(number),
             )
         };
         let telling = shared.with_core(|core| core.quarantine.mark());
@@ -108,21 +108,21 @@
                     known.mark = mark;
                 }
                 let mut links = locks::lock(&watching.links);
-                let answer = links::Answer {
+                let answer = links::SyncReply {
                     differs,
                     has_more,
                     news,
                     peers: &peers,
                 };
-                links.answered(shared.clock.now(), number, &answer);
-                if links.source() == Some(number) {
+                links.record_reply(shared.clock.now(), number, &answer);
+                if links.endpoint_source() == Some(number) {
                     shared.fetching.prefer(to);
                 }
             }
             Err(e) => {
                 ::log::warn!(link = number, control:% = to, error:% = e;
                     "gateway: control process lost");
-                locks::lock(&watching.links).avoid(shared.clock.now(), number, to);
+                locks::lock(&watching.links).mark_unreachable(shared.clock.now(), number, to);
                 at = None;
                 thread::sleep(RETRY);
             }
@@ -203,7 +203,7 @@
         shared.set_leader(resp.leader);
     }
     shared.heard_control();
-    locks::lock(&watching.links).know(resp.control);
+    locks::lock(&watching.links).add_control_vms(resp.control);
     if let Some(entries) = resp.entries {
         shared.take_entries(resp.entries_number, entries);
     }
