--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -92,7 +92,7 @@
     /// Up to where it knows of the one that it asks which requests endpoints have ended under; none if it does
     /// not take that.
     #[serde(default)]
-    pub crashes_known: Option<quarantine::Mark>,
+    pub crashes_known: Option<quarantine::Cursor>,
     /// Of an entry process: crashes that the one it asks was not told of.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
@@ -164,7 +164,7 @@
     pub has_more: bool,
     /// Up to where crashes are known with this answer; none from a process that does not tell.
     #[serde(default)]
-    pub crashes_mark: Option<quarantine::Mark>,
+    pub crashes_mark: Option<quarantine::Cursor>,
     /// What was learnt of them since the mark of the question: for an entry process those under requests that are
     /// held.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -4,15 +4,15 @@
 //! with another id and to another entry process; passed on each time, it takes down the whole pool. So
 //! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
 //! all processes together: an entry process reports what it saw to control, control processes exchange
-//! reports, and all entry processes are told of a request that [`ENDS`] instances of endpoints crashed
-//! under. It is then *held*, that is refused at once by every entry process, for [`KEPT`].
+//! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints crashed
+//! under. It is then *held*, that is refused at once by every entry process, for [`RETENTION`].
 //!
 //! # Evidence, and how it is merged
 //!
 //! A [`Crash`] says that one instance of an endpoint ended while it ran one request. Evidence only grows:
 //! that a crash happened, and that it was *cleared*, are facts that stay true. So processes may merge what
 //! they receive in any order, repeatedly or late, and arrive at the same state. A request is held while
-//! [`ENDS`] crashes under it are not cleared.
+//! [`CRASH_LIMIT`] crashes under it are not cleared.
 //!
 //! # Bystanders
 //!
@@ -34,18 +34,18 @@
 use sageshed_types::time;
 
 pub use sageshed_types::{
-    mark::Mark,
+    mark::Mark as Cursor,
     quarantine::{Crash, Fingerprint, Held},
 };
 
 /// Crashes of endpoint instances after which a request is held. A single crash may have any cause, and two
 /// happen to a bystander that is retried on the endpoint where the poison request went as well. Each
 /// further crash costs every caller an endpoint for the seconds of its restart.
-pub const ENDS: usize = 3;
+pub const CRASH_LIMIT: usize = 3;
 
 /// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers without a
 /// response retry for minutes. After this time, a poison request costs three endpoints once more.
-pub const KEPT: time::Millis = time::Millis(3_600_000);
+pub const RETENTION: time::Millis = time::Millis(3_600_000);
 
 /// Requests that are remembered. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the smallest
 /// VMs.
@@ -59,7 +59,7 @@
 
 /// Crashes that are remembered for each request: enough to keep it held if all but three were cleared
 /// elsewhere.
-const MAX_CRASHES: usize = 2 * ENDS;
+const MAX_CRASHES: usize = 2 * CRASH_LIMIT;
 
 /// How long a completed request is remembered at least; at most it is twice as long. A request that is sent
 /// so often that it runs on several endpoints at once completes many times within that.
@@ -68,12 +68,12 @@
 /// Completed requests that are remembered in one window: some 150 KB together with the window before.
 const MAX_SUCCESSES: usize = 4_096;
 
-/// Interval at which crashes older than [`KEPT`] are removed.
+/// Interval at which crashes older than [`RETENTION`] are removed.
 const SWEEP_INTERVAL: time::Millis = time::Millis(10_000);
 
 /// Which crashes a peer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
+pub enum SyncScope {
     /// All crashes, for peers that merge them with those of others.
     All,
     /// Those under requests that are or were held.
@@ -95,9 +95,9 @@
 
 /// Combined effect of several pieces of evidence.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct MergeResult {
     /// Whether any of them was new.
-    pub is_news: bool,
+    pub has_changes: bool,
     /// Requests that are now held.
     pub held: Vec<Fingerprint>,
     /// Requests that are no longer held.
@@ -106,20 +106,20 @@
 
 /// Progress of the exchange of crashes with one peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Link {
+pub struct PeerSync {
     /// Up to where the peer's crashes are known here.
-    pub read: Mark,
+    pub received: Cursor,
     /// Up to where the peer was told the crashes of this process.
-    pub told: Mark,
+    pub sent: Cursor,
 }
 
-impl Link {
+impl PeerSync {
     /// Records that the peer was told crashes up to `told` and replied with its own mark. A restarted peer
     /// has lost its state, whatever its previous start was told, and is told everything the next time.
-    pub fn answered(&mut self, told: Mark, mark: Mark) {
-        let is_known = mark.start == self.read.start;
-        self.told = if is_known { told } else { Mark::default() };
-        self.read = mark;
+    pub fn record_exchange(&mut self, sent: Cursor, cursor: Cursor) {
+        let is_known = cursor.start == self.received.start;
+        self.sent = if is_known { sent } else { Cursor::default() };
+        self.received = cursor;
     }
 }
 
@@ -197,7 +197,7 @@
         Crash {
             content,
             endpoint: self.endpoint,
-            age: time::Millis(KEPT.0.saturating_sub(self.expires_at.since(now).0)),
+            age: time::Millis(RETENTION.0.saturating_sub(self.expires_at.since(now).0)),
             is_cleared: self.is_cleared,
         }
     }
@@ -206,7 +206,7 @@
 impl Suspect {
     fn is_held(&self, now: time::Instant) -> bool {
         let counting = self.crashes.iter().filter(|it| it.is_counted(now));
-        counting.count() >= ENDS
+        counting.count() >= CRASH_LIMIT
     }
 
     /// When its last crash expires.
@@ -230,15 +230,15 @@
     }
 
     /// Merges one piece of evidence as change number `change`. Returns whether it is new.
-    fn take(&mut self, now: time::Instant, crash: &Crash, change: u64) -> bool {
+    fn merge(&mut self, now: time::Instant, crash: &Crash, change: u64) -> bool {
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|it| it.endpoint == crash.endpoint) {
-            let is_news = crash.is_cleared && !known.is_cleared;
-            if is_news {
+            let has_changes = crash.is_cleared && !known.is_cleared;
+            if has_changes {
                 known.is_cleared = true;
                 known.change = change;
             }
-            return is_news;
+            return has_changes;
         }
         if self.crashes.len() >= MAX_CRASHES {
             let cleared = self.crashes.iter().position(|it| it.is_cleared);
@@ -249,7 +249,7 @@
         }
         self.crashes.push(KnownCrash {
             endpoint: crash.endpoint,
-            expires_at: now + time::Millis(KEPT.0.saturating_sub(crash.age.0)),
+            expires_at: now + time::Millis(RETENTION.0.saturating_sub(crash.age.0)),
             is_cleared: crash.is_cleared,
             change,
         });
@@ -269,8 +269,8 @@
 
     /// The mark that a peer reaches which is told everything now.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn cursor(&self) -> Cursor {
+        Cursor {
             start: self.start,
             change: self.change,
         }
@@ -278,31 +278,31 @@
 
     /// Whether there is anything to send to a peer that knows this process's crashes up to `mark`.
     #[must_use]
-    pub fn has_news(&self, mark: Mark, telling: Telling) -> bool {
-        let newest = match telling {
-            Telling::All => self.change,
-            Telling::Held => self.held_change,
+    pub fn has_news(&self, cursor: Cursor, scope: SyncScope) -> bool {
+        let newest = match scope {
+            SyncScope::All => self.change,
+            SyncScope::Held => self.held_change,
         };
-        newest > mark.of(self.start)
+        newest > cursor.of(self.start)
     }
 
     /// The crashes to send to a peer that knows those of this process up to `mark`.
     #[must_use]
-    pub fn since(&self, now: time::Instant, mark: Mark, telling: Telling) -> Vec<Crash> {
-        if !self.has_news(mark, telling) {
+    pub fn since(&self, now: time::Instant, cursor: Cursor, scope: SyncScope) -> Vec<Crash> {
+        if !self.has_news(cursor, scope) {
             return Vec::new();
         }
-        let after = mark.of(self.start);
+        let after = cursor.of(self.start);
         let mut told = Vec::new();
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
-            match telling {
+            match scope {
                 // Includes all crashes of the request, since the peer was told none before it was held.
-                Telling::Held if suspect.was_held && suspect.last_change() > after => {
+                SyncScope::Held if suspect.was_held && suspect.last_change() > after => {
                     told.extend(crashes);
                 }
-                Telling::Held => {}
-                Telling::All => {
+                SyncScope::Held => {}
+                SyncScope::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
                     told.extend(news.map(|it| it.to_crash(now, *content)));
                 }
@@ -312,23 +312,23 @@
     }
 
     /// Merges the evidence of another process, or of this one.
-    pub fn take_all(&mut self, now: time::Instant, crashes: &[Crash]) -> Taken {
-        let mut taken = Taken::default();
+    pub fn merge_all(&mut self, now: time::Instant, crashes: &[Crash]) -> MergeResult {
+        let mut result = MergeResult::default();
         for crash in crashes {
-            let change = self.take(now, crash);
-            taken.is_news |= change != Change::None;
+            let change = self.merge(now, crash);
+            result.has_changes |= change != Change::None;
             match change {
                 Change::None | Change::Noted => {}
-                Change::Held => taken.held.push(crash.content),
-                Change::Released => taken.released.push(crash.content),
+                Change::Held => result.held.push(crash.content),
+                Change::Released => result.released.push(crash.content),
             }
         }
-        taken
+        result
     }
 
     /// Merges one piece of evidence, from this process or another one.
-    pub fn take(&mut self, now: time::Instant, crash: &Crash) -> Change {
-        if crash.age >= KEPT {
+    pub fn merge(&mut self, now: time::Instant, crash: &Crash) -> Change {
+        if crash.age >= RETENTION {
             return Change::None;
         }
         self.sweep(now);
@@ -340,7 +340,7 @@
         let change = self.change + 1;
         let suspect = self.requests.entry(crash.content).or_default();
         let was_held = suspect.is_held(now);
-        if !suspect.take(now, crash, change) {
+        if !suspect.merge(now, crash, change) {
             return Change::None;
         }
         self.change = change;
@@ -358,7 +358,7 @@
 
     /// Records that the request completed, so that it caused none of the crashes so far. Returns whether
     /// there were any to clear.
-    pub fn answered(&mut self, now: time::Instant, content: Fingerprint) -> bool {
+    pub fn record_success(&mut self, now: time::Instant, content: Fingerprint) -> bool {
         self.recent_successes.insert(now, content);
         let Some(suspect) = self.requests.get(&content) else {
             return false;
@@ -371,7 +371,7 @@
             })
             .collect();
         for crash in &cleared {
-            self.take(now, crash);
+            self.merge(now, crash);
         }
         !cleared.is_empty()
     }
@@ -385,13 +385,13 @@
         until.sort_unstable();
         until.reverse();
         // The request is held until fewer than that are left.
-        let end = until.get(ENDS - 1)?;
+        let end = until.get(CRASH_LIMIT - 1)?;
         Some(end.since(now))
     }
 
     /// Number of endpoints that crashed under a request and were not cleared.
     #[must_use]
-    pub fn ends(&self, now: time::Instant, content: Fingerprint) -> usize {
+    pub fn crash_count(&self, now: time::Instant, content: Fingerprint) -> usize {
         let suspect = self.requests.get(&content);
         suspect.map_or(0, |it| {
             it.crashes.iter().filter(|it| it.is_counted(now)).count()
@@ -432,12 +432,12 @@
                     age: time::Millis(0),
                     is_cleared: false,
                 };
-                self.take(now, &crash);
+                self.merge(now, &crash);
             }
         }
     }
 
-    /// Removes crashes that are older than [`KEPT`].
+    /// Removes crashes that are older than [`RETENTION`].
     fn sweep(&mut self, now: time::Instant) {
         if now.since(self.swept) < SWEEP_INTERVAL {
             return;
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -1,7 +1,8 @@
 //! Which requests are passed on no more.
 
 use sageshed_fleet::quarantine::{
-    Change, Crash, ENDS, Fingerprint, KEPT, Link, MAX_REQUESTS, Mark, Quarantine, Telling,
+    CRASH_LIMIT, Change, Crash, Cursor, Fingerprint, MAX_REQUESTS, PeerSync, Quarantine, RETENTION,
+    SyncScope,
 };
 use sageshed_types::time::{Instant, Millis};
 
@@ -24,7 +25,7 @@
 fn seen(start: u64, crashes: &[Crash]) -> Quarantine {
     let mut quarantine = Quarantine::new(start);
     for it in crashes {
-        quarantine.take(NOW, it);
+        quarantine.merge(NOW, it);
     }
     quarantine
 }
@@ -62,7 +63,7 @@
     ];
     let mut quarantine = Quarantine::new(1);
     for it in &steps {
-        let change = quarantine.take(it.now, &it.crash);
+        let change = quarantine.merge(it.now, &it.crash);
         assert_eq!(change, it.change, "{}", it.name);
         assert_eq!(holds(&quarantine, 1), it.is_held, "{}", it.name);
     }
@@ -78,16 +79,19 @@
     for endpoint in 0..10 {
         // So far apart that no answer is remembered.
         now = now + Millis(100_000);
-        quarantine.take(now, &crash(1, endpoint));
-        quarantine.take(now, &crash(2, endpoint));
+        quarantine.merge(now, &crash(1, endpoint));
+        quarantine.merge(now, &crash(2, endpoint));
         if endpoint % 2 == 1 {
-            assert!(quarantine.answered(now, content(1)));
+            assert!(quarantine.record_success(now, content(1)));
         }
     }
     assert!(quarantine.held_for(now, content(1)).is_none());
     let other = quarantine.held_for(now, content(2));
     assert!(other.is_some(), "the one that is never answered is held");
-    assert!(!quarantine.answered(now, content(3)), "nothing to clear");
+    assert!(
+        !quarantine.record_success(now, content(3)),
+        "nothing to clear"
+    );
 }
 
 /// A rack is lost, and with it three of the eighty endpoints at which what all callers ask was running. Each entry
@@ -102,16 +106,16 @@
         let mut entry = Quarantine::new(2);
         let then = Instant(NOW.0 + 100_000 - answered_before);
         let now = Instant(NOW.0 + 100_000);
-        entry.answered(then, content(1));
-        for it in control.since(NOW, Mark::default(), Telling::Held) {
-            entry.take(now, &it);
+        entry.record_success(then, content(1));
+        for it in control.since(NOW, Cursor::default(), SyncScope::Held) {
+            entry.merge(now, &it);
         }
         let holds = entry.held_for(now, content(1)).is_some();
         assert_eq!(holds, is_held, "answered {answered_before} ms before");
         // Control is told, and everybody by it.
         let mut told = control.clone();
-        for it in entry.since(now, Mark::default(), Telling::All) {
-            told.take(now, &it);
+        for it in entry.since(now, Cursor::default(), SyncScope::All) {
+            told.merge(now, &it);
         }
         assert_eq!(told.held_for(now, content(1)).is_some(), is_held);
     }
@@ -127,7 +131,7 @@
             let mut control: Vec<_> = (0..3)
                 .map(|at| seen(at as u64 + 1, &own[at..=at]))
                 .collect();
-            let mut known = [[Mark::default(); 3]; 3];
+            let mut known = [[Cursor::default(); 3]; 3];
             let order = [
                 (first, second),
                 (second, first),
@@ -139,15 +143,15 @@
                 (2, 1),
             ];
             for (to, from) in order.into_iter().filter(|(to, from)| to != from) {
-                let told = control[from].since(NOW, known[to][from], Telling::All);
-                known[to][from] = control[from].mark();
+                let told = control[from].since(NOW, known[to][from], SyncScope::All);
+                known[to][from] = control[from].cursor();
                 for it in told {
-                    control[to].take(NOW, &it);
+                    control[to].merge(NOW, &it);
                 }
             }
             for it in &control {
                 assert!(holds(it, 1), "{first} {second}: {it:?}");
-                let quiet = it.since(NOW, it.mark(), Telling::All);
+                let quiet = it.since(NOW, it.cursor(), SyncScope::All);
                 assert!(quiet.is_empty(), "nothing is left to tell: {quiet:?}");
             }
         }
@@ -159,34 +163,34 @@
 fn an_entry_process_is_told_what_is_held() {
     let mut control = seen(7, &[crash(1, 1), crash(1, 2), crash(2, 1)]);
     let mut entry = Quarantine::new(9);
-    let mut known = Mark::default();
-    let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Mark| {
-        let told = control.since(NOW, *known, Telling::Held);
-        *known = control.mark();
+    let mut known = Cursor::default();
+    let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
+        let told = control.since(NOW, *known, SyncScope::Held);
+        *known = control.cursor();
         for it in &told {
-            entry.take(NOW, it);
+            entry.merge(NOW, it);
         }
         told.len()
     };
-    assert!(!control.has_news(known, Telling::Held));
+    assert!(!control.has_news(known, SyncScope::Held));
     assert_eq!(tell(&control, &mut entry, &mut known), 0);
-    control.take(NOW, &crash(1, 3));
-    assert!(control.has_news(known, Telling::Held));
+    control.merge(NOW, &crash(1, 3));
+    assert!(control.has_news(known, SyncScope::Held));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
     assert!(holds(&entry, 1));
-    control.take(NOW, &crash(2, 2));
+    control.merge(NOW, &crash(2, 2));
     assert_eq!(
         tell(&control, &mut entry, &mut known),
         0,
         "not held, not told"
     );
-    control.answered(NOW, content(1));
+    control.record_success(NOW, content(1));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
     assert!(!holds(&entry, 1));
     // One that was just started knows nothing.
     let mut started = Quarantine::new(11);
-    control.take(NOW, &crash(2, 3));
-    assert_eq!(tell(&control, &mut started, &mut Mark::default()), 6);
+    control.merge(NOW, &crash(2, 3));
+    assert_eq!(tell(&control, &mut started, &mut Cursor::default()), 6);
     assert!(holds(&started, 2) && !holds(&started, 1));
 }
 
@@ -195,12 +199,12 @@
 #[test]
 fn a_control_process_that_starts_anew_is_told_all_again() {
     let mut entry = seen(9, &[crash(1, 1)]);
-    let mut link = Link::default();
-    let exchange = |entry: &Quarantine, control: &mut Quarantine, link: &mut Link| {
-        let told = entry.mark();
-        let crashes = entry.since(NOW, link.told, Telling::All);
-        control.take_all(NOW, &crashes);
-        link.answered(told, control.mark());
+    let mut link = PeerSync::default();
+    let exchange = |entry: &Quarantine, control: &mut Quarantine, link: &mut PeerSync| {
+        let told = entry.cursor();
+        let crashes = entry.since(NOW, link.sent, SyncScope::All);
+        control.merge_all(NOW, &crashes);
+        link.record_exchange(told, control.cursor());
         crashes.len()
     };
     let mut control = Quarantine::new(1);
@@ -208,12 +212,12 @@
     // It was not known before, and is told all once more.
     assert_eq!(exchange(&entry, &mut control, &mut link), 1);
     assert_eq!(exchange(&entry, &mut control, &mut link), 0, "all is told");
-    entry.take(NOW, &crash(1, 2));
+    entry.merge(NOW, &crash(1, 2));
     assert_eq!(exchange(&entry, &mut control, &mut link), 1, "what is new");
     let mut control = Quarantine::new(2);
     exchange(&entry, &mut control, &mut link);
     assert_eq!(exchange(&entry, &mut control, &mut link), 2, "all again");
-    assert_eq!(control.ends(NOW, content(1)), 2);
+    assert_eq!(control.crash_count(NOW, content(1)), 2);
 }
 
 /// A clearing that comes before the crash that it is about must not be undone by it.
@@ -225,8 +229,8 @@
             is_cleared: true,
             ..crash(1, endpoint)
         };
-        quarantine.take(NOW, &cleared);
-        quarantine.take(NOW, &crash(1, endpoint));
+        quarantine.merge(NOW, &cleared);
+        quarantine.merge(NOW, &crash(1, endpoint));
     }
     assert!(!holds(&quarantine, 1));
 }
@@ -237,20 +241,23 @@
     let mut quarantine = Quarantine::new(1);
     for endpoint in 1..=3 {
         let old = Crash {
-            age: Millis(KEPT.0 - 1_000 * endpoint),
+            age: Millis(RETENTION.0 - 1_000 * endpoint),
             ..crash(1, endpoint)
         };
-        quarantine.take(NOW, &old);
+        quarantine.merge(NOW, &old);
     }
     assert_eq!(quarantine.held_for(NOW, content(1)), Some(Millis(1_000)));
     assert_eq!(quarantine.held_for(NOW + Millis(1_000), content(1)), None);
-    let told = quarantine.since(NOW, Mark::default(), Telling::All);
-    assert!(told.iter().all(|it| it.age.0 >= KEPT.0 - 3_000), "{told:?}");
+    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    assert!(
+        told.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
+        "{told:?}"
+    );
     let too_old = Crash {
-        age: KEPT,
+        age: RETENTION,
         ..crash(2, 1)
     };
-    assert_eq!(quarantine.take(NOW, &too_old), Change::None);
+    assert_eq!(quarantine.merge(NOW, &too_old), Change::None);
 }
 
 /// A flood of requests runs at endpoints that end. What is held stays, and memory stays bounded.
@@ -258,15 +265,15 @@
 fn a_flood_of_suspects_pushes_out_none_that_is_held() {
     let mut quarantine = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3)]);
     for number in 10..10 + 2 * MAX_REQUESTS as u64 {
-        quarantine.take(NOW + Millis(number), &crash(number, 4));
+        quarantine.merge(NOW + Millis(number), &crash(number, 4));
     }
     assert!(holds(&quarantine, 1));
-    let told = quarantine.since(NOW, Mark::default(), Telling::All);
-    assert!(told.len() <= MAX_REQUESTS + ENDS, "{}", told.len());
+    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    assert!(told.len() <= MAX_REQUESTS + CRASH_LIMIT, "{}", told.len());
     for endpoint in 10..100 {
-        quarantine.take(NOW, &crash(1, endpoint));
+        quarantine.merge(NOW, &crash(1, endpoint));
     }
-    assert!(quarantine.ends(NOW, content(1)) < 10);
+    assert!(quarantine.crash_count(NOW, content(1)) < 10);
 }
 
 /// What the control group has kept is held after all processes were started anew.
@@ -279,7 +286,7 @@
     after.restore(Instant(10), &kept);
     assert!(holds(&after, 1) && !holds(&after, 2));
     assert_eq!(after.held(NOW), kept);
-    let mark = after.mark();
+    let mark = after.cursor();
     after.restore(NOW, &kept);
-    assert_eq!(after.mark(), mark, "it is nothing new");
+    assert_eq!(after.cursor(), mark, "it is nothing new");
 }
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -1,7 +1,9 @@
 //! How fast entry processes learn of a request under which endpoints end, while processes are started anew and calls
 //! between them are lost.
 
-use sageshed_fleet::quarantine::{Crash, ENDS, Fingerprint, Held, Link, Mark, Quarantine, Telling};
+use sageshed_fleet::quarantine::{
+    CRASH_LIMIT, Crash, Cursor, Fingerprint, Held, PeerSync, Quarantine, SyncScope,
+};
 use sageshed_types::time::{Instant, Millis};
 
 /// The request that ends each endpoint that runs it.
@@ -45,7 +47,7 @@
     to: usize,
     every: u64,
     next: u64,
-    link: Link,
+    link: PeerSync,
 }
 
 /// Entry processes, control processes and the log of these, in virtual time.
@@ -56,7 +58,7 @@
     entries: Vec<(Process, Vec<Watch>)>,
     control: Vec<Process>,
     /// How far each control process knows each other one.
-    known: Vec<Vec<Mark>>,
+    known: Vec<Vec<Cursor>>,
     log: Vec<Held>,
     /// Ends of endpoints, and arrivals at them by processes in touch.
     ends: Vec<u64>,
@@ -73,7 +75,7 @@
             starts: 0,
             entries: Vec::new(),
             control: Vec::new(),
-            known: vec![vec![Mark::default(); 5]; 5],
+            known: vec![vec![Cursor::default(); 5]; 5],
             log: Vec::new(),
             ends: Vec::new(),
             arrivals: Vec::new(),
@@ -117,7 +119,7 @@
             to: (first + at) % 5,
             every: if at == 0 { TELLS_EVERY } else { LISTENS_EVERY },
             next: self.now,
-            link: Link::default(),
+            link: PeerSync::default(),
         });
         (process, links.collect())
     }
@@ -141,7 +143,7 @@
                 let (process, links) = &mut self.entries[at];
                 let watch = &mut links[link];
                 let control = &mut self.control[watch.to].quarantine;
-                let has_news = control.has_news(watch.link.read, Telling::Held);
+                let has_news = control.has_news(watch.link.received, SyncScope::Held);
                 if self.now < watch.next && !has_news {
                     continue;
                 }
@@ -149,12 +151,14 @@
                 if is_lost {
                     continue;
                 }
-                let told = process.quarantine.mark();
-                let crashes = process.quarantine.since(now, watch.link.told, Telling::All);
-                control.take_all(now, &crashes);
-                let answer = control.since(now, watch.link.read, Telling::Held);
-                watch.link.answered(told, control.mark());
-                process.quarantine.take_all(now, &answer);
+                let told = process.quarantine.cursor();
+                let crashes = process
+                    .quarantine
+                    .since(now, watch.link.sent, SyncScope::All);
+                control.merge_all(now, &crashes);
+                let answer = control.since(now, watch.link.received, SyncScope::Held);
+                watch.link.record_exchange(told, control.cursor());
+                process.quarantine.merge_all(now, &answer);
             }
         }
     }
@@ -168,9 +172,9 @@
                     continue;
                 }
                 let source = &self.control[from].quarantine;
-                let news = source.since(now, self.known[to][from], Telling::All);
-                self.known[to][from] = source.mark();
-                self.control[to].quarantine.take_all(now, &news);
+                let news = source.since(now, self.known[to][from], SyncScope::All);
+                self.known[to][from] = source.cursor();
+                self.control[to].quarantine.merge_all(now, &news);
             }
         }
     }
@@ -197,7 +201,7 @@
                 age: Millis(0),
                 is_cleared: false,
             };
-            quarantine.take(now, &crash);
+            quarantine.merge(now, &crash);
             if in_touch {
                 self.arrivals.push(self.now);
             }
@@ -212,7 +216,7 @@
             let mut process = self.start();
             process.quarantine.restore(now, &self.log);
             self.control[at] = process;
-            self.known[at] = vec![Mark::default(); 5];
+            self.known[at] = vec![Cursor::default(); 5];
         } else {
             let at = self.pick(self.entries.len());
             self.entries[at] = self.start_entry();
@@ -227,7 +231,7 @@
             process.quarantine.restore(now, &self.log);
             self.control[at] = process;
         }
-        self.known = vec![vec![Mark::default(); 5]; 5];
+        self.known = vec![vec![Cursor::default(); 5]; 5];
         for at in 0..self.entries.len() {
             self.entries[at] = self.start_entry();
         }
@@ -235,7 +239,7 @@
 
     /// Arrivals by processes in touch, later than the bound after the third end.
     fn too_late(&self) -> usize {
-        let Some(third) = self.ends.get(ENDS - 1) else {
+        let Some(third) = self.ends.get(CRASH_LIMIT - 1) else {
             return 0;
         };
         let late = self.arrivals.iter();
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -321,7 +321,7 @@
             digest_mark: inner.directory.mark(),
             news_mark: inner.directory.news_mark(),
             config: inner.versions.newest(),
-            crashes_mark: inner.quarantine.mark(),
+            crashes_mark: inner.quarantine.cursor(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
                 inner.quarantine.since(now, mark, telling(req))
             }),
@@ -375,15 +375,15 @@
         if crashes.is_empty() {
             return;
         }
-        let taken = self.change(|inner| inner.quarantine.take_all(now, crashes));
+        let taken = self.change(|inner| inner.quarantine.merge_all(now, crashes));
         for content in &taken.held {
-            ::log::warn!(content:% = content, ends = quarantine::ENDS;
+            ::log::warn!(content:% = content, ends = quarantine::CRASH_LIMIT;
                 "control: request is held, endpoints ended under it");
         }
         for content in &taken.released {
             ::log::info!(content:% = content; "control: request is held no more, it was answered");
         }
-        if taken.is_news {
+        if taken.has_changes {
             self.announce_news(watchers::Urgency::Now);
         }
     }
@@ -391,9 +391,9 @@
     /// Takes which requests are held by the replicated log.
     pub fn restore_held(&self, now: time::Instant, held: &[quarantine::Held]) {
         let is_news = self.change(|inner| {
-            let before = inner.quarantine.mark();
+            let before = inner.quarantine.cursor();
             inner.quarantine.restore(now, held);
-            inner.quarantine.mark() != before
+            inner.quarantine.cursor() != before
         });
         if is_news {
             ::log::info!(requests = held.len(); "control: requests are held by the log");
@@ -543,10 +543,10 @@
 }
 
 /// What of the crashes a watcher is to be told.
-fn telling(req: &messages::WatchReq) -> quarantine::Telling {
+fn telling(req: &messages::WatchReq) -> quarantine::SyncScope {
     match req.watcher {
-        messages::Watcher::Control => quarantine::Telling::All,
-        messages::Watcher::Entry => quarantine::Telling::Held,
+        messages::Watcher::Control => quarantine::SyncScope::All,
+        messages::Watcher::Entry => quarantine::SyncScope::Held,
     }
 }
 
@@ -591,7 +591,7 @@
     /// The number of the configuration that is held.
     pub config: u64,
     /// Up to where crashes are known with it.
-    pub crashes_mark: quarantine::Mark,
+    pub crashes_mark: quarantine::Cursor,
     /// What was learnt of them.
     pub crashes: Vec<quarantine::Crash>,
 }
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -226,7 +226,7 @@
     let address = address.to_string();
     let limit = std_time::Duration::from(PATIENCE) + CALL_MARGIN;
     let mut mark = directory::Mark::default();
-    let mut crashes_known = quarantine::Mark::default();
+    let mut crashes_known = quarantine::Cursor::default();
     let mut heard = std_time::Instant::now();
     while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < LOST {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -155,8 +155,8 @@
         let now = self.shared.clock.now();
         let since = req.crashes_known.unwrap_or_default();
         let (crashes_mark, crashes) = self.shared.hub.with_quarantine(|it| {
-            let news = it.since(now, since, quarantine::Telling::Held);
-            (it.mark(), news)
+            let news = it.since(now, since, quarantine::SyncScope::Held);
+            (it.cursor(), news)
         });
         messages::SyncResp {
             from: self.shared.process.clone(),
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -62,7 +62,7 @@
 
     /// Takes crashes that another process tells of.
     pub fn take(&mut self, now: time::Instant, crashes: &[quarantine::Crash]) {
-        let taken = self.quarantine.take_all(now, crashes);
+        let taken = self.quarantine.merge_all(now, crashes);
         for content in taken.held {
             log::warn!(content:% = content; "entry: request is held, endpoints ended under it");
         }
@@ -129,7 +129,7 @@
     pub(super) fn clear_of_crashes(&self) {
         let now = self.shared.clock.now();
         let mut crashes = locks::lock(&self.shared.crashes);
-        crashes.quarantine.answered(now, self.content());
+        crashes.quarantine.record_success(now, self.content());
     }
 
     /// The refusal of a request that is held.
@@ -139,7 +139,7 @@
         let left = crashes.quarantine.held_for(now, self.content())?;
         let detail = format!(
             "{} endpoints ended while they ran this request; it is passed on no more for {} s",
-            quarantine::ENDS,
+            quarantine::CRASH_LIMIT,
             std_time::Duration::from(left).as_secs()
         );
         let refusal = refusal::Refusal::not_run(verdict::Reason::Quarantined, detail);
--- a/src/sageshed/entry/sync.rs
+++ b/src/sageshed/entry/sync.rs
@@ -38,7 +38,7 @@
     /// How far the peer has confirmed this process's directory.
     sent: messages::DirectoryMark,
     /// What each knows of the crashes that the other remembers.
-    crashes: quarantine::Link,
+    crashes: quarantine::PeerSync,
 }
 
 /// Starts a thread for each other process in the settings, and for this VM's control process.
@@ -122,9 +122,9 @@
     };
     let (crashes_mark, crashes) = {
         let known = locks::lock(&shared.crashes);
-        let all = quarantine::Telling::All;
-        let news = known.quarantine.since(sent, marks.crashes.told, all);
-        (known.quarantine.mark(), news)
+        let all = quarantine::SyncScope::All;
+        let news = known.quarantine.since(sent, marks.crashes.sent, all);
+        (known.quarantine.cursor(), news)
     };
     let req = messages::SyncReq {
         from: shared.process.clone(),
@@ -135,7 +135,7 @@
         demand,
         draining: shared.stage.leaves(),
         ready: shared.is_ready(),
-        crashes_known: Some(marks.crashes.read),
+        crashes_known: Some(marks.crashes.received),
         crashes,
     };
     let resp = client.call(&peer.address, messages::paths::SYNC, &req, CALL_LIMIT);
@@ -148,7 +148,7 @@
     };
     marks.sent = mark;
     let peer_mark = resp.crashes_mark.unwrap_or_default();
-    marks.crashes.answered(crashes_mark, peer_mark);
+    marks.crashes.record_exchange(crashes_mark, peer_mark);
     locks::lock(&shared.crashes).take(shared.clock.now(), &resp.crashes);
     marks.read = resp.directory;
     take(shared, peer, sent, resp);
--- a/src/sageshed/entry/vms.rs
+++ b/src/sageshed/entry/vms.rs
@@ -68,8 +68,10 @@
             let mut known = locks::lock(&shared.crashes);
             known.take(now, &req.crashes);
             let since = req.crashes_known.unwrap_or_default();
-            let news = known.quarantine.since(now, since, quarantine::Telling::All);
-            (known.quarantine.mark(), news)
+            let news = known
+                .quarantine
+                .since(now, since, quarantine::SyncScope::All);
+            (known.quarantine.cursor(), news)
         };
         messages::SyncResp {
             from: shared.process.clone(),
--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -12,7 +12,7 @@
             return;
         }
         let now = self.clock.now();
-        let taken = self.with_core(|core| core.quarantine.take_all(now, crashes));
+        let taken = self.with_core(|core| core.quarantine.merge_all(now, crashes));
         for content in &taken.held {
             ::log::warn!(content:% = content; "gateway: request is held, endpoints ended under it");
         }
--- a/src/sageshed/gateway/pass/held.rs
+++ b/src/sageshed/gateway/pass/held.rs
@@ -29,7 +29,7 @@
         };
         let now = shared.clock.now();
         shared.take_crashes(&[crash]);
-        let ends = shared.with_core(|core| core.quarantine.ends(now, self.content));
+        let ends = shared.with_core(|core| core.quarantine.crash_count(now, self.content));
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, ends;
             "gateway: endpoint ended under the request");
     }
@@ -38,7 +38,7 @@
     pub(super) fn clear_of_ends(&self) {
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.quarantine.answered(now, self.content));
+            .with_core(|core| core.quarantine.record_success(now, self.content));
     }
 
     /// The refusal of a request that is held.
@@ -52,7 +52,7 @@
             .with_core(|core| core.quarantine.held_for(now, self.content))?;
         let detail = format!(
             "{} endpoints ended while they ran this request; it is passed on no more for {} s",
-            quarantine::ENDS,
+            quarantine::CRASH_LIMIT,
             left.0 / 1_000
         );
         let refusal = self.give_up(verdict::Reason::Quarantined, detail);
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -66,7 +66,7 @@
     /// Up to where the directory of the control process is known here.
     mark: directory::Mark,
     /// What each knows of the crashes that the other remembers.
-    crashes: quarantine::Link,
+    crashes: quarantine::PeerSync,
 }
 
 fn run<D: dialect::Dialect>(shared: &state::Shared<D>, watching: &Watching, number: usize) {
@@ -92,13 +92,13 @@
                 links.endpoint_source() == Some(number),
             )
         };
-        let telling = shared.with_core(|core| core.quarantine.mark());
+        let telling = shared.with_core(|core| core.quarantine.cursor());
         match watch(shared, to, known, wants, is_source) {
             Ok(resp) => {
                 known.mark = resp.mark;
                 known
                     .crashes
-                    .answered(telling, resp.crashes_mark.unwrap_or_default());
+                    .record_exchange(telling, resp.crashes_mark.unwrap_or_default());
                 let (digest, digest_mark) = (resp.digest, resp.digest_mark);
                 let (has_more, news) = (resp.has_more, resp.news_mark);
                 let peers = take(shared, watching, to, resp);
@@ -160,11 +160,11 @@
         patience,
         entries: Vec::new(),
         demand,
-        crashes_known: Some(known.crashes.read),
+        crashes_known: Some(known.crashes.received),
         crashes: shared.with_core(|core| {
             let now = shared.clock.now();
-            let all = quarantine::Telling::All;
-            core.quarantine.since(now, known.crashes.told, all)
+            let all = quarantine::SyncScope::All;
+            core.quarantine.since(now, known.crashes.sent, all)
         }),
         takes_alive: false,
         leaving: shared.leaving(),
--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -26,7 +26,7 @@
 }
 
 /// A watch of one that knows all there is so far.
-fn watch(watcher: messages::Watcher, known: quarantine::Mark) -> messages::WatchReq {
+fn watch(watcher: messages::Watcher, known: quarantine::Cursor) -> messages::WatchReq {
     messages::WatchReq {
         watcher,
         ip: net::Ipv4Addr::LOCALHOST,
@@ -106,12 +106,12 @@
     hub.take_crashes(NOW, &[crash(1), crash(2)]);
     let req = messages::WatchReq {
         patience: types_time::Millis(1),
-        ..watch(messages::Watcher::Entry, quarantine::Mark::default())
+        ..watch(messages::Watcher::Entry, quarantine::Cursor::default())
     };
     assert!(hub.news(NOW, &req).crashes.is_empty());
     let other = messages::WatchReq {
         patience: types_time::Millis(1),
-        ..watch(messages::Watcher::Control, quarantine::Mark::default())
+        ..watch(messages::Watcher::Control, quarantine::Cursor::default())
     };
     assert_eq!(hub.news(NOW, &other).crashes.len(), 2);
 }
@@ -124,7 +124,7 @@
     hub.take_crashes(NOW, &[crash(1), crash(2), crash(3)]);
     let req = messages::WatchReq {
         crashes_known: None,
-        ..watch(messages::Watcher::Entry, quarantine::Mark::default())
+        ..watch(messages::Watcher::Entry, quarantine::Cursor::default())
     };
     let rx = told(&hub, req);
     // What wakes it is the configuration, which comes later.
