--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -89,7 +89,7 @@
     ];
     for case in &cases {
         let hub = sync::Arc::new(Hub::new(1));
-        let known = hub.with_quarantine(|it| it.mark());
+        let known = hub.with_quarantine(|it| it.cursor());
         let rx = told(&hub, watch(case.watcher, known));
         for endpoint in 1..=case.ends {
             hub.take_crashes(NOW, &[crash(endpoint)]);
@@ -140,7 +140,7 @@
 fn a_watcher_that_was_told_of_a_configuration_is_not_woken_by_it_again() {
     let hub = sync::Arc::new(Hub::new(1));
     hub.set_config(NOW, 7);
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     let req = messages::WatchReq {
         config: 5,
         config_told: Some(7),
@@ -159,7 +159,7 @@
 fn entry_processes_that_are_behind_are_counted() {
     let hub = Hub::new(1);
     hub.set_config(NOW, 7);
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     for (last, config) in [(1, 7), (2, 5), (3, 0)] {
         let req = messages::WatchReq {
             ip: net::Ipv4Addr::new(127, 0, 0, last),
@@ -212,7 +212,7 @@
     }
     let mut req = watch(
         messages::Watcher::Entry,
-        hub.with_quarantine(|it| it.mark()),
+        hub.with_quarantine(|it| it.cursor()),
     );
     req.wants = messages::Wants::News;
     let mut known = directory::Directory::new(2);
@@ -258,7 +258,7 @@
         };
         hub.announce(NOW, engine);
     }
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     let mut req = watch(messages::Watcher::Entry, known);
     req.wants = messages::Wants::News;
     let mut told = 0;
@@ -286,7 +286,7 @@
     }
     let mut req = watch(
         messages::Watcher::Control,
-        hub.with_quarantine(|it| it.mark()),
+        hub.with_quarantine(|it| it.cursor()),
     );
     req.wants = messages::Wants::All;
     req.patience = types_time::Millis(1);
