--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -21,10 +21,10 @@
 
 use crate::{budget, demand, event, fleet, limits, names, queue, request, router, rules, settings};
 
-pub use crate::account::{AccountPart, Gauges};
+pub use crate::request_trace::{Gauges, RequestTracePart};
 
 /// Ended requests whose account is still known.
-const KEPT_ACCOUNTS: usize = 1_024;
+const KEPT_ENDED_REQUESTS: usize = 1_024;
 
 /// Decides for one entry process.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
 }
 
 /// What a step has to say so far.
-type Out = Vec<event::Action>;
+type Actions = Vec<event::Action>;
 
 /// Why a request is refused, before the request's own part is added.
 #[derive(Debug, Clone, PartialEq)]
-struct Cause {
+struct RefusalCause {
     reason: verdict::Reason,
     detail: String,
     retry_after: Option<time::Millis>,
@@ -103,17 +103,17 @@
 
     /// Takes one event and says what to do.
     pub fn step(&mut self, now: time::Instant, event: event::Event) -> Vec<event::Action> {
-        let mut out = Out::new();
+        let mut out = Actions::new();
         self.now = now;
         match event {
-            event::Event::Arrived(facts) => self.arrived(now, facts, &mut out),
-            event::Event::Claimed(req) => self.claimed(now, req, &mut out),
-            event::Event::ClaimDenied(req) => self.forget(now, req),
-            event::Event::Ended { req, outcome } => self.ended(now, req, outcome, &mut out),
+            event::Event::Arrived(info) => self.arrived(now, info, &mut out),
+            event::Event::ClaimGranted(req) => self.claimed(now, req, &mut out),
+            event::Event::ClaimDenied(req) => self.end_request(now, req),
+            event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.answer_began(req);
             }
-            event::Event::AskedToRest { req, span } => self.asked_to_rest(now, req, span),
+            event::Event::BackoffRequested { req, span } => self.asked_to_rest(now, req, span),
             event::Event::CallerGone(req) => self.caller_gone(now, req, &mut out),
             event::Event::Report(report, age) => self.report(now, &report, age, &mut out),
             event::Event::EndpointSilent(endpoint) => {
@@ -131,7 +131,7 @@
         now: time::Instant,
         report: &sageshed_types::endpoints::Report,
         age: time::Millis,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let router = &mut self.router;
         let taken = router
@@ -143,7 +143,13 @@
     }
 
     /// Refuses an open request, with the verdict over all its tries, and forgets it.
-    fn refuse(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Out) {
+    fn refuse(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        cause: RefusalCause,
+        out: &mut Actions,
+    ) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -153,13 +159,13 @@
         }
         refusal.revision = request.revision;
         refusal.retry_after = cause.retry_after;
-        self.forget(now, req);
+        self.end_request(now, req);
         out.push(event::Action::Refuse { req, refusal });
     }
 
     /// Ends an open request: gives back its slot or its place in the queue. Its account stays known
     /// for a while.
-    fn forget(&mut self, now: time::Instant, req: event::ReqId) {
+    fn end_request(&mut self, now: time::Instant, req: event::ReqId) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -168,7 +174,7 @@
         match state {
             request::State::Ended => return,
             request::State::Queued => self.queues.remove(lane, &place),
-            request::State::Sent(sent) => self.give_back(now, sent),
+            request::State::Sent(sent) => self.release_slot(now, sent),
             request::State::Deciding | request::State::Claiming => {}
         }
         let expiry = self.expiry(req);
@@ -177,7 +183,7 @@
     }
 
     fn keep_account(&mut self, req: event::ReqId) {
-        if self.ended.len() == KEPT_ACCOUNTS
+        if self.ended.len() == KEPT_ENDED_REQUESTS
             && let Some(oldest) = self.ended.pop_front()
         {
             self.requests.remove(&oldest);
@@ -186,7 +192,7 @@
     }
 
     /// Gives back the slot of a try. One that went to an earlier start of the endpoint holds none.
-    fn give_back(&mut self, now: time::Instant, sent: request::Sent) {
+    fn release_slot(&mut self, now: time::Instant, sent: request::Sent) {
         let endpoint = self.router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation == sent.incarnation {
             endpoint.set_own(now, endpoint.own.saturating_sub(1));
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -6,16 +6,16 @@
 
 use crate::{event, queue, request, router};
 
-use super::{Cause, Decider, Out};
+use super::{Actions, Decider, RefusalCause};
 
 /// Requests of a lane that are tried when its first cannot be sent: a retry may be waiting for
 /// another endpoint than the one with room.
-const LOOK_PAST: usize = 4;
+const LANE_LOOKAHEAD: usize = 4;
 
 /// What came of trying to send from a lane.
-enum Progress {
+enum DequeueResult {
     /// One left the queue.
-    Moved,
+    Dequeued,
     /// None can be sent now.
     Blocked,
 }
@@ -33,9 +33,9 @@
         now: time::Instant,
         req: event::ReqId,
         pick: router::Pick,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
-        self.weigh(now, req, Some(pick.endpoint));
+        self.record_candidates(now, req, Some(pick.endpoint));
         let limit = self.first_byte_limit(now, req, pick);
         let left = self.expiry(req).since(now);
         let endpoint = self.router.fleet.get_mut(pick.endpoint);
@@ -78,28 +78,28 @@
         req: event::ReqId,
         pick: router::Pick,
     ) -> time::Millis {
-        let Some(stretch) = self.stretch(req) else {
+        let Some(max_length_ratio) = self.max_length_ratio(req) else {
             return self.expiry(req).since(now);
         };
-        let usual = (pick.wait + pick.service * stretch) * self.policy.first_byte_factor;
+        let usual = (pick.wait + pick.service * max_length_ratio) * self.policy.first_byte_factor;
         time::Millis::rounded_up(usual).max(self.policy.first_byte_min_ms)
     }
 
     /// How much longer than the estimate the wait for the first byte may be, by the length of the
     /// answer.
-    fn stretch(&self, req: event::ReqId) -> Option<f64> {
+    fn max_length_ratio(&self, req: event::ReqId) -> Option<f64> {
         let request = self.requests.get(&req)?;
         match request.lane.target {
-            event::Target::Model(_) if !request.facts.streaming => {
+            event::Target::Model(_) if !request.info.streaming => {
                 let learned = self.router.learned(request.lane.target);
-                learned.stretch(request.facts.max_tokens)
+                learned.max_length_ratio(request.info.max_tokens)
             }
             event::Target::Model(_) | event::Target::Service(_) => Some(1.0),
         }
     }
 
     /// Notes the endpoints weighed for the first try.
-    pub(super) fn weigh(
+    pub(super) fn record_candidates(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
@@ -111,30 +111,30 @@
         if request.attempts > 0 {
             return;
         }
-        let ask = request.ask();
+        let requirements = request.requirements();
         let router = &self.router;
-        let holders = router.fleet.holders(ask.target).iter();
-        let weighed = holders.map(|key| request::Weighed {
+        let holders = router.fleet.holders(requirements.target).iter();
+        let considered = holders.map(|key| request::ConsideredEndpoint {
             endpoint: *key,
-            estimate: router::estimate(router.pick(&ask, *key)),
-            room: router.has_room(now, *key, ask.urgent),
+            estimate: router::estimate(router.pick(&requirements, *key)),
+            room: router.has_room(now, *key, requirements.urgent),
             taken: taken == Some(*key),
-            standing: router.standing(now, &ask, *key),
+            standing: router.standing(now, &requirements, *key),
         });
-        request.candidates = weighed.collect();
+        request.candidates = considered.collect();
     }
 
     /// Puts a request in the queue. If its class is full, another one gives way to it.
-    pub(super) fn enqueue(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    pub(super) fn enqueue(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
         let (lane, place) = (request.lane, request.place());
         let bound = self.names.class_row(place.class).queue;
         if self.queues.class_len(place.class) >= bound
-            && let Some(other) = self.queues.gives_way(place.class, place.caller)
+            && let Some(other) = self.queues.displaced_by(place.class, place.caller)
         {
-            self.refuse_for_another(now, other, out);
+            self.refuse_displaced(now, other, out);
         }
         if self.router.is_cold(now, lane) {
             self.cold.entry(lane).or_insert(now);
@@ -142,10 +142,10 @@
         self.set_state(req, request::State::Queued);
         self.queues.push(lane, place);
         out.push(event::Action::Queue { req });
-        while let Progress::Moved = self.send_from(now, lane, out) {}
+        while let DequeueResult::Dequeued = self.send_from(now, lane, out) {}
     }
 
-    fn refuse_for_another(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn refuse_displaced(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -159,7 +159,7 @@
         &mut self,
         now: time::Instant,
         endpoint: Option<arena::EndpointKey>,
-        out: &mut Out,
+        out: &mut Actions,
     ) {
         let mut heads = collections::BinaryHeap::new();
         for (lane, places) in self.queues.lanes() {
@@ -168,37 +168,43 @@
             heads.extend(first.map(|place| cmp::Reverse((*place, lane))));
         }
         while let Some(cmp::Reverse((_, lane))) = heads.pop() {
-            if let Progress::Moved = self.send_from(now, lane, out) {
+            if let DequeueResult::Dequeued = self.send_from(now, lane, out) {
                 let next = self.queues.first(lane, 1).next();
                 heads.extend(next.map(|place| cmp::Reverse((place, lane))));
             }
         }
     }
 
-    fn send_from(&mut self, now: time::Instant, lane: queue::Lane, out: &mut Out) -> Progress {
-        let first = self.queues.first(lane, LOOK_PAST).collect::<Vec<_>>();
+    fn send_from(
+        &mut self,
+        now: time::Instant,
+        lane: queue::Lane,
+        out: &mut Actions,
+    ) -> DequeueResult {
+        let first = self.queues.first(lane, LANE_LOOKAHEAD).collect::<Vec<_>>();
         for place in first {
             let Some(request) = self.requests.get(&place.req) else {
                 continue;
             };
-            let router::Choice::Pick(pick) = self.router.choose(now, &request.ask()) else {
+            let router::Choice::Pick(pick) = self.router.choose(now, &request.requirements())
+            else {
                 continue;
             };
             self.cold.remove(&lane);
             if let Some(cause) = self.too_late(now, request, pick.wait) {
                 self.refuse(now, place.req, cause, out);
-                return Progress::Moved;
+                return DequeueResult::Dequeued;
             }
             self.queues.remove(lane, &place);
             self.send(now, place.req, pick, out);
-            return Progress::Moved;
+            return DequeueResult::Dequeued;
         }
-        Progress::Blocked
+        DequeueResult::Blocked
     }
 
     /// Time went on: gives up on what is long past its deadline, sends what can be sent, and refuses
     /// what waits and can no longer be on time.
-    pub(super) fn tick(&mut self, now: time::Instant, out: &mut Out) {
+    pub(super) fn tick(&mut self, now: time::Instant, out: &mut Actions) {
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
         self.cold.retain(|lane, _| router.is_cold(now, *lane));
@@ -207,7 +213,7 @@
         self.shed_waiting(now, out);
     }
 
-    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Out) {
+    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Actions) {
         while let Some((at, req)) = self.expiries.first().copied() {
             if at > now {
                 return;
@@ -217,7 +223,7 @@
         }
     }
 
-    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Out) {
+    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -237,7 +243,7 @@
             ),
             _ => (verdict::Reason::DeadlineUnmeetable, "it was still waiting"),
         };
-        let cause = Cause {
+        let cause = RefusalCause {
             reason,
             detail: format!("{what} after its deadline of {deadline} ms"),
             retry_after: None,
@@ -245,7 +251,7 @@
         self.refuse(now, req, cause, out);
     }
 
-    fn shed_waiting(&mut self, now: time::Instant, out: &mut Out) {
+    fn shed_waiting(&mut self, now: time::Instant, out: &mut Actions) {
         if !self.policy.shed {
             return;
         }
@@ -259,7 +265,7 @@
 
     /// The requests of a lane that can no longer be on time. Each is counted as gone for those after
     /// it.
-    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, Cause)> {
+    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, RefusalCause)> {
         let mut found = Vec::new();
         let cold = self.router.is_cold(now, lane);
         let mut first_wait = None;
@@ -269,7 +275,7 @@
                 continue;
             };
             let cause = if cold {
-                self.too_cold(now, request)
+                self.cold_start_too_late(now, request)
             } else {
                 let first = *first_wait.get_or_insert_with(|| self.queue_wait(now, request));
                 self.too_late(now, request, first * (1.0 + kept))
@@ -282,7 +288,13 @@
         found
     }
 
-    fn refuse_late(&mut self, now: time::Instant, req: event::ReqId, cause: Cause, out: &mut Out) {
+    fn refuse_late(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        cause: RefusalCause,
+        out: &mut Actions,
+    ) {
         let request = self.requests.get(&req);
         if let Some(request) = request.filter(|_| cause.reason == verdict::Reason::NoRoute) {
             self.demand.unserved(request.lane.target);
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -2,7 +2,7 @@
 
 use sageshed_types::{account as types_account, arena, messages, rules, secret, time};
 
-use crate::{account, event, fleet, health, names, request, router};
+use crate::{event, fleet, health, names, request, request_trace, router};
 
 use super::Decider;
 
@@ -71,35 +71,37 @@
 
     /// What was decided about a request: while it is open, and for a while after its end.
     #[must_use]
-    pub fn account(&self, req: event::ReqId) -> Option<account::AccountPart> {
+    pub fn request_trace(&self, req: event::ReqId) -> Option<request_trace::RequestTracePart> {
         let request = self.requests.get(&req)?;
         let candidates = request.candidates.iter();
-        Some(account::AccountPart {
+        Some(request_trace::RequestTracePart {
             rule: request.rule.as_deref().map(str::to_owned),
             revision: request.revision,
             class: self.names.classes.name(request.class).to_owned(),
             not_repeatable: request.not_repeatable,
             deadline: request.deadline,
             queued: request.queued,
-            candidates: candidates.map(|weighed| self.candidate(weighed)).collect(),
+            candidates: candidates
+                .map(|considered| self.candidate(considered))
+                .collect(),
         })
     }
 
-    fn candidate(&self, weighed: &request::Weighed) -> types_account::Candidate {
-        let why = match weighed.standing {
-            _ if weighed.taken => None,
-            router::Standing::OtherPool => Some("the rule names another pool"),
-            router::Standing::Leaving => Some("it is leaving"),
-            router::Standing::Failed => Some("the request failed there"),
-            router::Standing::Ejected => Some("it fails too often"),
-            router::Standing::Silent => Some("it has not been heard"),
-            router::Standing::Gone => Some("it fails and has not been heard"),
-            router::Standing::Able if !weighed.room => Some("it is full"),
-            router::Standing::Able => Some("another was drawn or scored better"),
+    fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
+        let why = match considered.standing {
+            _ if considered.taken => None,
+            router::Eligibility::OtherPool => Some("the rule names another pool"),
+            router::Eligibility::Leaving => Some("it is leaving"),
+            router::Eligibility::Failed => Some("the request failed there"),
+            router::Eligibility::Ejected => Some("it fails too often"),
+            router::Eligibility::Silent => Some("it has not been heard"),
+            router::Eligibility::Gone => Some("it fails and has not been heard"),
+            router::Eligibility::Eligible if !considered.room => Some("it is full"),
+            router::Eligibility::Eligible => Some("another was drawn or scored better"),
         };
         types_account::Candidate {
-            endpoint: self.names.endpoints.name(weighed.endpoint).to_owned(),
-            estimate: weighed.estimate,
+            endpoint: self.names.endpoints.name(considered.endpoint).to_owned(),
+            estimate: considered.estimate,
             passed_over: why.map(str::to_owned),
         }
     }
@@ -140,7 +142,7 @@
 
     /// Figures for metrics, as of the last step.
     #[must_use]
-    pub fn gauges(&self) -> account::Gauges {
+    pub fn gauges(&self) -> request_trace::Gauges {
         let now = self.now;
         let is_ejected = |e: &&fleet::Endpoint| {
             e.health.allowance(now, &self.policy) == health::Allowance::Ejected
@@ -148,7 +150,7 @@
         let open = self.requests.len() - self.ended.len();
         let fleet = &self.router.fleet;
         let in_flight = fleet.iter().map(|e| e.own as usize).sum();
-        account::Gauges {
+        request_trace::Gauges {
             open,
             in_flight,
             queued: self.queued_by_class(),
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -160,8 +160,8 @@
             self.engines[engine].running.pop_first();
             self.start(engine);
             self.settle(req, true);
-            let outcome = event::TryOutcome::Done { tokens: 0 };
-            self.step(entry, event::Event::Ended { req, outcome });
+            let outcome = event::AttemptOutcome::Done { tokens: 0 };
+            self.step(entry, event::Event::AttemptEnded { req, outcome });
         }
     }
 
--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -200,7 +200,7 @@
         let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
             let found = models.find(|it| entry_peers::name_key(&it.model) == model);
-            found.map(|it| dialect::Wanted {
+            found.map(|it| dialect::ModelRef {
                 model: it.model.clone(),
                 adapter: None,
             })
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -106,7 +106,7 @@
     failed_at: time::Instant,
     pub(super) ejection: time::Millis,
     pub(super) ejected_until: time::Instant,
-    pub(super) denied_models: collections::HashMap<dialect::Wanted, time::Instant>,
+    pub(super) denied_models: collections::HashMap<dialect::ModelRef, time::Instant>,
     /// Models for which it rejected requests, and until when it is not selected for them.
     rejected_models: collections::HashMap<String, time::Instant>,
     pub(super) prefix_cache: prefix_cache::PrefixCache,
@@ -145,7 +145,7 @@
         }
     }
 
-    pub(super) fn holds(&self, now: time::Instant, wanted: &dialect::Wanted) -> bool {
+    pub(super) fn holds(&self, now: time::Instant, wanted: &dialect::ModelRef) -> bool {
         let is_before = |until: &time::Instant| now < *until;
         let is_denied = self.denied_models.get(wanted).is_some_and(is_before);
         let is_rejected = self
@@ -203,7 +203,7 @@
     pub(super) fn record_rejection(
         &mut self,
         now: time::Instant,
-        wanted: Option<&dialect::Wanted>,
+        wanted: Option<&dialect::ModelRef>,
     ) {
         match wanted {
             Some(wanted) => drop(
@@ -215,7 +215,7 @@
     }
 
     /// Records that the engine accepts requests for this model.
-    pub(super) fn clear_rejection(&mut self, wanted: &dialect::Wanted) {
+    pub(super) fn clear_rejection(&mut self, wanted: &dialect::ModelRef) {
         self.rejected_models.remove(&wanted.model);
     }
 
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -235,7 +235,7 @@
         &mut self,
         now: time::Instant,
         query: &EndpointQuery<'_>,
-        wanted: &dialect::Wanted,
+        wanted: &dialect::ModelRef,
     ) -> Choice {
         let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
         if !with_adapter.is_empty() || !without_adapter.is_empty() {
@@ -342,9 +342,9 @@
         &self,
         now: time::Instant,
         query: &EndpointQuery<'_>,
-        wanted: &dialect::Wanted,
+        wanted: &dialect::ModelRef,
     ) -> (Vec<arena::EndpointKey>, Vec<arena::EndpointKey>) {
-        let base = dialect::Wanted {
+        let base = dialect::ModelRef {
             model: wanted.model.clone(),
             adapter: None,
         };
@@ -445,7 +445,12 @@
         !query.tried.contains(&key) && self.get(key).is_some_and(takes)
     }
 
-    fn holds(&self, now: time::Instant, key: arena::EndpointKey, wanted: &dialect::Wanted) -> bool {
+    fn holds(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        wanted: &dialect::ModelRef,
+    ) -> bool {
         self.get(key).is_some_and(|it| it.holds(now, wanted))
     }
 
@@ -479,8 +484,8 @@
     pub fn prefill_us(
         &self,
         service: &str,
-        wanted: &dialect::Wanted,
-        passing: &dialect::Passing,
+        wanted: &dialect::ModelRef,
+        passing: &dialect::RequestMetadata,
         advised: Option<u64>,
     ) -> u64 {
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -24,7 +24,7 @@
     /// prefilled again.
     pub(super) fn cached_tokens(
         &self,
-        wanted: &dialect::Wanted,
+        wanted: &dialect::ModelRef,
         parts: &[dialect::PromptPart],
     ) -> u64 {
         let scope = CacheScope::of(wanted);
@@ -33,7 +33,7 @@
     }
 
     /// Records that the engine prefilled a prompt of these parts.
-    pub(super) fn insert(&mut self, wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) {
+    pub(super) fn insert(&mut self, wanted: &dialect::ModelRef, parts: &[dialect::PromptPart]) {
         self.insert_parts(CacheScope::of(wanted), parts.iter().map(|part| part.id));
     }
 
--- a/crates/sageshed-fleet/src/chooser/query.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -47,7 +47,7 @@
     /// Service that the request is for.
     pub service: &'a str,
     /// Model and adapter, for a service of engines.
-    pub wanted: Option<&'a dialect::Wanted>,
+    pub wanted: Option<&'a dialect::ModelRef>,
     /// Prompt parts by which the prefix cache is looked up.
     pub parts: &'a [dialect::PromptPart],
     /// Tokens of the whole prompt.
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Prefill<'a> {
     /// Model and adapter that it was prefilled for.
-    pub wanted: &'a dialect::Wanted,
+    pub wanted: &'a dialect::ModelRef,
     /// Its parts.
     pub parts: &'a [dialect::PromptPart],
 }
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -204,7 +204,7 @@
 impl CacheScope {
     /// The scope of `wanted`.
     #[must_use]
-    pub fn of(wanted: &dialect::Wanted) -> Self {
+    pub fn of(wanted: &dialect::ModelRef) -> Self {
         Self {
             model: name_key(&wanted.model),
             whole: hash(wanted),
@@ -216,7 +216,7 @@
     /// The prefix of a prompt that other prompts may share: all parts but the last, which belongs to this
     /// request or its session. None if that is empty.
     #[must_use]
-    pub fn of(wanted: &dialect::Wanted, parts: &[dialect::PromptPart]) -> Option<Self> {
+    pub fn of(wanted: &dialect::ModelRef, parts: &[dialect::PromptPart]) -> Option<Self> {
         let (_, shared) = parts.split_last()?;
         let shared = &shared[..shared.len().min(MAX_PREFIX_PARTS)];
         (!shared.is_empty()).then(|| Self {
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -42,9 +42,9 @@
     /// Whether it has more endpoint records to send.
     pub has_more: bool,
     /// Its last change of the directory; none from an earlier version.
-    pub news: Option<directory::Mark>,
+    pub news: Option<directory::Cursor>,
     /// Up to where it knows the changes of other control processes.
-    pub peers: &'a [(net::Ipv4Addr, directory::Mark)],
+    pub peers: &'a [(net::Ipv4Addr, directory::Cursor)],
 }
 
 /// One link.
@@ -57,7 +57,7 @@
     differs_since: Option<time::Instant>,
     /// Its marks, with the time of each, that arrived with a differing digest and that the local one is not
     /// known to have.
-    unconfirmed: collections::VecDeque<(time::Instant, directory::Mark)>,
+    unconfirmed: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
 impl Link {
@@ -71,8 +71,8 @@
     fn record_difference(
         &mut self,
         now: time::Instant,
-        news: Option<directory::Mark>,
-        known: Option<directory::Mark>,
+        news: Option<directory::Cursor>,
+        known: Option<directory::Cursor>,
     ) {
         let (Some(news), Some(known)) = (news, known) else {
             self.differs_since.get_or_insert(now);
@@ -89,7 +89,7 @@
     }
 
     /// Drops the marks that the local one has caught up with.
-    fn confirm(&mut self, known: directory::Mark) {
+    fn confirm(&mut self, known: directory::Cursor) {
         self.unconfirmed
             .retain(|(_, mark)| mark.start != known.start || mark.change > known.change);
         self.differs_since = self.unconfirmed.front().map(|(at, _)| *at);
@@ -104,7 +104,7 @@
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
     links: [Link; LINK_COUNT],
     /// Up to where the control process that delivers endpoint records knows the others.
-    peers: collections::HashMap<net::Ipv4Addr, directory::Mark>,
+    peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
 
@@ -160,13 +160,13 @@
 
     /// What link `number` requests: endpoint records or a digest.
     #[must_use]
-    pub fn wants(&self, now: time::Instant, number: usize) -> messages::Wants {
+    pub fn wants(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
         let differs = self.links[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
         if lags || self.endpoint_source().is_none_or(|source| source == number) {
-            messages::Wants::News
+            messages::DirectoryDetail::News
         } else {
-            messages::Wants::Digest
+            messages::DirectoryDetail::Digest
         }
     }
 
@@ -196,7 +196,7 @@
         }
     }
 
-    fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Mark)]) {
+    fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
         for link in &mut self.links {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -104,7 +104,7 @@
 }
 
 /// A request that waits 300 ms for an engine that reads little.
-fn waiting_ask(wanted: &dialect::Wanted, tokens: u64) -> EndpointQuery<'_> {
+fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
     EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
@@ -130,7 +130,7 @@
         pauses: None,
         fault: None,
     };
-    let m0 = dialect::Wanted {
+    let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
@@ -168,7 +168,7 @@
         fault: None,
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
-    let m0 = dialect::Wanted {
+    let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
@@ -201,7 +201,7 @@
         fault: None,
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
-    let tokens = |chooser: &mut Chooser, wanted: &dialect::Wanted| {
+    let tokens = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
         let ask = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 6_500)
@@ -215,8 +215,8 @@
     assert_eq!(tokens(&mut chooser, &m1).1, 6_500);
 }
 
-fn wanted(model: &str) -> dialect::Wanted {
-    dialect::Wanted {
+fn wanted(model: &str) -> dialect::ModelRef {
+    dialect::ModelRef {
         model: model.to_owned(),
         adapter: None,
     }
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -6,7 +6,7 @@
     time as std_time,
 };
 
-use sageshed_fleet::{directory, messages, quarantine, tally, versions};
+use sageshed_fleet::{demand_counter, directory, messages, quarantine, versions};
 use sageshed_types::time;
 
 use super::{planning, watchers};
@@ -14,7 +14,7 @@
 
 /// How long an entry process counts as there after it was heard. It watches without a pause, and a
 /// watch lasts a second at the most.
-const ENTRY_KEPT: time::Millis = time::Millis(3_000);
+const ENTRY_TIMEOUT: time::Millis = time::Millis(3_000);
 
 /// What is known, and who waits for a change of it. A watcher is answered by a `W`.
 #[derive(Debug)]
@@ -33,19 +33,19 @@
     watchers: watchers::Watchers<W>,
     directory: directory::Directory,
     /// Records of the directory as they travel.
-    packed: collections::HashMap<directory::InstanceId, Packed>,
+    packed: collections::HashMap<directory::InstanceId, EncodedRecord>,
     /// Configurations that were held here.
-    versions: versions::Versions,
+    versions: versions::VersionHistory,
     /// Entry processes that this process hears itself.
     entries: collections::BTreeMap<net::Ipv4Addr, Entry>,
     /// Entry processes that another control process hears.
     entries_elsewhere: collections::BTreeMap<net::Ipv4Addr, time::Instant>,
     /// Up to where the directories of the other control processes are known here.
-    peers: collections::BTreeMap<net::Ipv4Addr, directory::Mark>,
+    peers: collections::BTreeMap<net::Ipv4Addr, directory::Cursor>,
     /// Where the other control processes are, as they said.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// What callers asked for and the leader was not told yet.
-    tally: tally::Tally,
+    tally: demand_counter::DemandCounter,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
@@ -56,13 +56,13 @@
     at: time::Instant,
     /// The version of the configuration in force there.
     config: u64,
-    /// Whether it was behind for [`LAGGING`] when it was heard last.
+    /// Whether it was behind for [`LAGGING_AFTER`] when it was heard last.
     is_lagging: bool,
 }
 
 /// Entry processes whose configuration is not the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Behind {
+pub struct OutdatedEntries {
     /// How many.
     pub count: usize,
     /// For how long the one that is behind most has been.
@@ -70,30 +70,30 @@
 }
 
 /// An entry process whose configuration is older than the newest for this long is logged.
-const LAGGING: time::Millis = time::Millis(1_000);
+const LAGGING_AFTER: time::Millis = time::Millis(1_000);
 
 /// Records in one answer to an entry process. The answers to all watchers that know nothing yet, after a start, have to
 /// fit into the memory of the smallest VMs at once, and each into the time that its watcher waits.
-const MOST_RECORDS: usize = 200;
+const MAX_RECORDS: usize = 200;
 
 /// Bytes of these records, if it is more than one. That of an engine with copies of hundreds of models has 15 KB.
-const MOST_RECORD_BYTES: usize = 64 * 1024;
+const MAX_RECORD_BYTES: usize = 64 * 1024;
 
 /// How long a record is passed on as it was encoded. It tells how old the word of its endpoint was at that moment; the
 /// shortest time that is judged by that is several times as long.
-const PACKED_KEPT: time::Millis = time::Millis(500);
+const ENCODED_LIFETIME: time::Millis = time::Millis(500);
 
 /// A record as it travels.
 #[derive(Debug)]
-struct Packed {
+struct EncodedRecord {
     /// The change that it tells of.
     number: u64,
     at: time::Instant,
-    record: messages::Packed,
+    record: messages::EncodedRecord,
 }
 
 /// Lines a second on words that could not be read.
-const MISREAD_LOGGED: u64 = 5;
+const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
 /// Inputs for planning that may wait. What entry processes report comes again.
 const PLANNING_QUEUE: usize = 4_096;
@@ -104,17 +104,17 @@
     pub fn new(start: u64) -> Self {
         let (planning_tx, planning_rx) = mpsc::sync_channel(PLANNING_QUEUE);
         Self {
-            misread: sampler::Sampler::new(MISREAD_LOGGED),
+            misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             inner: sync::Mutex::new(Inner {
                 watchers: watchers::Watchers::default(),
                 directory: directory::Directory::new(start),
                 packed: collections::HashMap::new(),
-                versions: versions::Versions::default(),
+                versions: versions::VersionHistory::default(),
                 entries: collections::BTreeMap::new(),
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
                 control_zones: collections::BTreeMap::new(),
-                tally: tally::Tally::default(),
+                tally: demand_counter::DemandCounter::default(),
                 quarantine: quarantine::Quarantine::new(start),
                 is_stopping: false,
             }),
@@ -130,23 +130,27 @@
     }
 
     /// Takes the word of an endpoint.
-    pub fn announce(&self, now: time::Instant, instance: directory::Instance) -> directory::Offer {
+    pub fn announce(
+        &self,
+        now: time::Instant,
+        instance: directory::Instance,
+    ) -> directory::MergeOutcome {
         self.change_directory(|it| it.announce(now, instance))
     }
 
     /// Takes an endpoint's word that it goes.
     pub fn leave(&self, now: time::Instant, id: &directory::InstanceId) {
-        self.change_directory(|it| it.leave(now, id));
+        self.change_directory(|it| it.deregister(now, id));
     }
 
     /// Takes what entry processes were told in answers: that these endpoints leave.
-    pub fn leaves(&self, now: time::Instant, ids: &[directory::InstanceId]) {
+    pub fn mark_leaving(&self, now: time::Instant, ids: &[directory::InstanceId]) {
         if ids.is_empty() {
             return;
         }
         self.change_directory(|it| {
             for id in ids {
-                if it.leaves(now, id) {
+                if it.mark_leaving(now, id) {
                     ::log::info!(endpoint:% = id; "control: endpoint leaves, by its answers");
                 }
             }
@@ -173,7 +177,7 @@
     }
 
     /// Takes another control process's word of which endpoints live.
-    pub fn confirm(&self, now: time::Instant, alive: &[directory::Alive]) {
+    pub fn confirm(&self, now: time::Instant, alive: &[directory::LivenessRefresh]) {
         if alive.is_empty() {
             return;
         }
@@ -192,18 +196,20 @@
             is_news
         });
         if is_news {
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
     /// Takes those for gone that were silent for too long. Returns their ids.
     pub fn expire(&self, now: time::Instant) -> Vec<directory::InstanceId> {
         self.change(|inner| {
-            let recent = |at: &time::Instant| now.since(*at) < ENTRY_KEPT;
+            let recent = |at: &time::Instant| now.since(*at) < ENTRY_TIMEOUT;
             inner.entries.retain(|_, entry| recent(&entry.at));
             inner.entries_elsewhere.retain(|_, at| recent(at));
             let directory = &inner.directory;
-            inner.packed.retain(|id, _| directory.start(id).is_some());
+            inner
+                .packed
+                .retain(|id, _| directory.instance(id).is_some());
         });
         self.change_directory(|it| it.expire(now))
     }
@@ -211,21 +217,21 @@
     /// The process stops: nobody is kept waiting.
     pub fn stop(&self) {
         self.change(|inner| inner.is_stopping = true);
-        self.announce_news(watchers::Urgency::Now);
+        self.notify_watchers(watchers::Urgency::Immediate);
     }
 
-    fn announce_news(&self, urgency: watchers::Urgency) {
-        if self.change(|inner| inner.watchers.note_news(urgency)) {
+    fn notify_watchers(&self, urgency: watchers::Urgency) {
+        if self.change(|inner| inner.watchers.note_change(urgency)) {
             self.due.notify_one();
         }
     }
 
     /// Has `to` answered once something is newer than what `req` knows, or its patience is over.
-    pub fn watch(&self, req: messages::WatchReq, to: W) {
+    pub fn watch(&self, req: messages::WatchReq, responder: W) {
         let is_due_sooner = self.change(|inner| {
-            let has_news = inner.is_newer(&req);
-            let was_noted = has_news && inner.watchers.note_news(watchers::Urgency::Collect);
-            inner.watchers.add(std_time::Instant::now(), req, to) || was_noted
+            let has_news = inner.has_updates_for(&req);
+            let was_noted = has_news && inner.watchers.note_change(watchers::Urgency::Batched);
+            inner.watchers.add(std_time::Instant::now(), req, responder) || was_noted
         });
         if is_due_sooner {
             self.due.notify_one();
@@ -253,9 +259,9 @@
     }
 
     /// Takes note of who watches.
-    pub fn heard(&self, now: time::Instant, req: &messages::WatchReq) {
+    pub fn note_watcher(&self, now: time::Instant, req: &messages::WatchReq) {
         self.change(|inner| match req.watcher {
-            messages::Watcher::Entry => inner.hear_entry(now, req),
+            messages::Watcher::Entry => inner.record_entry(now, req),
             messages::Watcher::Control => {
                 let zone = req.availability_zone.clone();
                 inner.control_zones.insert(req.ip, zone);
@@ -273,11 +279,11 @@
 
     /// The entry processes heard here whose configuration is not the newest.
     #[must_use]
-    pub fn behind(&self, now: time::Instant) -> Behind {
+    pub fn outdated_entries(&self, now: time::Instant) -> OutdatedEntries {
         let inner = locks::lock(&self.inner);
         let entries = inner.entries.values();
         let behind = entries.filter_map(|it| inner.versions.behind(now, it.config));
-        behind.fold(Behind::default(), |all, one| Behind {
+        behind.fold(OutdatedEntries::default(), |all, one| OutdatedEntries {
             count: all.count + 1,
             longest: all.longest.max(one),
         })
@@ -294,48 +300,48 @@
 
     /// What is newer than what `req` knows.
     #[must_use]
-    pub fn news(&self, now: time::Instant, req: &messages::WatchReq) -> News {
+    pub fn updates(&self, now: time::Instant, req: &messages::WatchReq) -> Updates {
         let mut inner = locks::lock(&self.inner);
         let passing = match req.wants {
-            messages::Wants::All => Some(directory::Passing::All),
-            messages::Wants::News => Some(directory::Passing::News),
-            messages::Wants::Digest => None,
+            messages::DirectoryDetail::All => Some(directory::ChangeFilter::All),
+            messages::DirectoryDetail::News => Some(directory::ChangeFilter::Updates),
+            messages::DirectoryDetail::Digest => None,
         };
         let (most, most_bytes) = match req.watcher {
-            messages::Watcher::Entry => (MOST_RECORDS, MOST_RECORD_BYTES),
+            messages::Watcher::Entry => (MAX_RECORDS, MAX_RECORD_BYTES),
             // Few, and each needs every sign of life in time: by half of them endpoints seem silent.
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
-        let portion = passing.map(|it| inner.directory.portion(req.mark, it, most));
+        let portion = passing.map(|it| inner.directory.changes_after(req.mark, it, most));
         let told = portion.map_or_else(
             // Without the records nothing more is known than before.
-            || Told::nothing(req.mark),
-            |it| inner.pack(now, req, it, most_bytes),
+            || DirectoryUpdate::nothing(req.mark),
+            |it| inner.encode_portion(now, req, it, most_bytes),
         );
-        News {
+        Updates {
             mark: told.mark,
             records: told.records,
             alive: told.alive,
             has_more: told.has_more,
             digest: inner.directory.digest(),
-            digest_mark: inner.directory.mark(),
-            news_mark: inner.directory.news_mark(),
+            digest_mark: inner.directory.cursor(),
+            news_mark: inner.directory.update_cursor(),
             config: inner.versions.newest(),
             crashes_mark: inner.quarantine.cursor(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
-                inner.quarantine.since(now, mark, telling(req))
+                inner.quarantine.since(now, mark, sync_scope(req))
             }),
         }
     }
 
     /// The directory of another control process is known up to `mark`.
-    pub fn know_peer(&self, ip: net::Ipv4Addr, mark: directory::Mark) {
+    pub fn set_peer_cursor(&self, ip: net::Ipv4Addr, mark: directory::Cursor) {
         self.change(|inner| inner.peers.insert(ip, mark));
     }
 
     /// Up to where the directories of the other control processes are known.
     #[must_use]
-    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Mark)> {
+    pub fn peers(&self) -> Vec<(net::Ipv4Addr, directory::Cursor)> {
         let inner = locks::lock(&self.inner);
         inner.peers.iter().map(|(ip, mark)| (*ip, *mark)).collect()
     }
@@ -366,12 +372,12 @@
     }
 
     /// What callers asked for and the leader was not told yet.
-    pub fn with_tally<T>(&self, tell: impl FnOnce(&mut tally::Tally) -> T) -> T {
+    pub fn with_demand<T>(&self, tell: impl FnOnce(&mut demand_counter::DemandCounter) -> T) -> T {
         self.change(|inner| tell(&mut inner.tally))
     }
 
     /// Takes crashes that another process tells of, and wakes those who are to know.
-    pub fn take_crashes(&self, now: time::Instant, crashes: &[quarantine::Crash]) {
+    pub fn merge_crashes(&self, now: time::Instant, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
         }
@@ -384,7 +390,7 @@
             ::log::info!(content:% = content; "control: request is held no more, it was answered");
         }
         if taken.has_changes {
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
@@ -397,7 +403,7 @@
         });
         if is_news {
             ::log::info!(requests = held.len(); "control: requests are held by the log");
-            self.announce_news(watchers::Urgency::Now);
+            self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
 
@@ -407,7 +413,7 @@
     }
 
     /// Hands a want to the planning thread.
-    pub fn want(&self, want: messages::WantReq) {
+    pub fn request_adapter(&self, want: messages::AdapterReq) {
         self.plan(planning::Input::Want(want));
     }
 
@@ -423,12 +429,12 @@
     /// Signs of life are no news: each would cost an answer to each watcher, mostly with nothing to use.
     fn change_directory<T>(&self, change: impl FnOnce(&mut directory::Directory) -> T) -> T {
         let (made, is_news) = self.change(|inner| {
-            let before = inner.directory.mark();
+            let before = inner.directory.cursor();
             let made = change(&mut inner.directory);
-            (made, inner.directory.has_news(before))
+            (made, inner.directory.has_updates(before))
         });
         if is_news {
-            self.announce_news(watchers::Urgency::Collect);
+            self.notify_watchers(watchers::Urgency::Batched);
         }
         made
     }
@@ -442,20 +448,20 @@
     /// Takes the watchers that are to be answered now.
     fn take_due(&mut self, now: std_time::Instant) -> Vec<watchers::Watcher<W>> {
         let mut watchers = std::mem::take(&mut self.watchers);
-        let due = watchers.take_due(now, |req| self.is_newer(req));
+        let due = watchers.take_due(now, |req| self.has_updates_for(req));
         self.watchers = watchers;
         due
     }
 
     /// The records of a portion as they travel, as many as so many bytes hold, and one at least.
-    fn pack(
+    fn encode_portion(
         &mut self,
         now: time::Instant,
         req: &messages::WatchReq,
-        portion: directory::Portion,
+        portion: directory::ChangeBatch,
         most_bytes: usize,
-    ) -> Told {
-        let mut told = Told::nothing(portion.mark);
+    ) -> DirectoryUpdate {
+        let mut told = DirectoryUpdate::nothing(portion.cursor);
         told.has_more = !portion.is_last;
         let mut bytes = 0;
         let mut last = None;
@@ -466,7 +472,7 @@
                 told.alive.push(alive);
                 continue;
             }
-            let record = self.pack_one(now, &change);
+            let record = self.encode_record(now, &change);
             bytes += record.as_ref().map_or(0, |it| it.0.len());
             if let Some(number) = last.filter(|_| bytes > most_bytes) {
                 told.mark.change = number;
@@ -483,19 +489,20 @@
     ///
     /// Encoded for each of some hundred watchers anew, the records of a fleet took all of the processor, and the watchers
     /// were answered too late.
-    fn pack_one(
+    fn encode_record(
         &mut self,
         now: time::Instant,
         change: &directory::Change,
-    ) -> Option<messages::Packed> {
+    ) -> Option<messages::EncodedRecord> {
         let known = self.packed.get(&change.id);
-        let is_fresh = |it: &&Packed| it.number == change.number && now.since(it.at) < PACKED_KEPT;
+        let is_fresh =
+            |it: &&EncodedRecord| it.number == change.number && now.since(it.at) < ENCODED_LIFETIME;
         if let Some(packed) = known.filter(is_fresh) {
             return Some(packed.record.clone());
         }
         let record = self.directory.record(now, &change.id);
         let record = record.and_then(|it| records::pack(&it))?;
-        let packed = Packed {
+        let packed = EncodedRecord {
             number: change.number,
             at: now,
             record: record.clone(),
@@ -505,9 +512,9 @@
     }
 
     /// Takes note of an entry process, and logs when its configuration becomes or no longer is out of date.
-    fn hear_entry(&mut self, now: time::Instant, req: &messages::WatchReq) {
+    fn record_entry(&mut self, now: time::Instant, req: &messages::WatchReq) {
         let behind = self.versions.behind(now, req.config);
-        let is_lagging = behind.is_some_and(|it| it >= LAGGING);
+        let is_lagging = behind.is_some_and(|it| it >= LAGGING_AFTER);
         let entry = Entry {
             at: now,
             config: req.config,
@@ -533,17 +540,18 @@
     }
 
     /// Whether there is something for a watcher.
-    fn is_newer(&self, req: &messages::WatchReq) -> bool {
-        let has_news = req.wants != messages::Wants::Digest && self.directory.has_news(req.mark);
+    fn has_updates_for(&self, req: &messages::WatchReq) -> bool {
+        let has_news =
+            req.wants != messages::DirectoryDetail::Digest && self.directory.has_updates(req.mark);
         let crashes_known = req.crashes_known;
         let has_crashes =
-            crashes_known.is_some_and(|it| self.quarantine.has_news(it, telling(req)));
+            crashes_known.is_some_and(|it| self.quarantine.has_news(it, sync_scope(req)));
         has_news || has_crashes || self.has_config_for(req) || self.is_stopping
     }
 }
 
 /// What of the crashes a watcher is to be told.
-fn telling(req: &messages::WatchReq) -> quarantine::SyncScope {
+fn sync_scope(req: &messages::WatchReq) -> quarantine::SyncScope {
     match req.watcher {
         messages::Watcher::Control => quarantine::SyncScope::All,
         messages::Watcher::Entry => quarantine::SyncScope::Held,
@@ -552,16 +560,16 @@
 
 /// What a watcher is told of the directory.
 #[derive(Debug)]
-struct Told {
+struct DirectoryUpdate {
     /// Up to where it knows the directory then.
-    mark: directory::Mark,
-    records: Vec<messages::Packed>,
-    alive: Vec<directory::Alive>,
+    mark: directory::Cursor,
+    records: Vec<messages::EncodedRecord>,
+    alive: Vec<directory::LivenessRefresh>,
     has_more: bool,
 }
 
-impl Told {
-    fn nothing(mark: directory::Mark) -> Self {
+impl DirectoryUpdate {
+    fn nothing(mark: directory::Cursor) -> Self {
         Self {
             mark,
             records: Vec::new(),
@@ -573,21 +581,21 @@
 
 /// What is newer than what a watcher knows.
 #[derive(Debug)]
-pub struct News {
+pub struct Updates {
     /// Up to where the directory is known with it.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// What changed in the directory, as far as it goes into one answer.
-    pub records: Vec<messages::Packed>,
+    pub records: Vec<messages::EncodedRecord>,
     /// Of which instances nothing changed but that they were heard.
-    pub alive: Vec<directory::Alive>,
+    pub alive: Vec<directory::LivenessRefresh>,
     /// Whether there is more.
     pub has_more: bool,
     /// The digest of the directory.
     pub digest: u64,
     /// Up to where the directory has that digest.
-    pub digest_mark: directory::Mark,
+    pub digest_mark: directory::Cursor,
     /// Its last change that was news.
-    pub news_mark: directory::Mark,
+    pub news_mark: directory::Cursor,
     /// The number of the configuration that is held.
     pub config: u64,
     /// Up to where crashes are known with it.
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -82,7 +82,7 @@
     pub request_id: String,
     /// The idempotency key, if the caller gave one.
     pub idempotency_key: Option<String>,
-    pub(super) facts: event::Facts,
+    pub(super) facts: event::RequestInfo,
     pub(super) meta: Meta,
     rx: mpsc::Receiver<event::Action>,
     pub(super) account: account::Account,
@@ -104,7 +104,7 @@
     #[must_use]
     pub fn new(
         shared: &'s shared::Shared,
-        facts: event::Facts,
+        facts: event::RequestInfo,
         caller: String,
         target: String,
         meta: Meta,
@@ -150,7 +150,7 @@
         loop {
             match self.next(&reply) {
                 Next::Claim => match self.ask_claim() {
-                    Ok(()) => self.shared.step(event::Event::Claimed(self.req)),
+                    Ok(()) => self.shared.step(event::Event::ClaimGranted(self.req)),
                     Err(denied) => return self.deny(reply, denied),
                 },
                 Next::Send(order) => {
@@ -255,7 +255,7 @@
     /// An endpoint that turned a request away gets the rest that it asks for.
     pub fn note_rest(&self, status: u16, retry_after: Option<types_time::Millis>) {
         if let Some(span) = retry_after.filter(|_| matches!(status, 429 | 503)) {
-            self.shared.step(event::Event::AskedToRest {
+            self.shared.step(event::Event::BackoffRequested {
                 req: self.req,
                 span,
             });
@@ -268,11 +268,11 @@
         }
         self.note_try(order, e.verdict, &e.to_string());
         self.note_break(order, e.fault, e.verdict);
-        let outcome = event::TryOutcome::Failed {
+        let outcome = event::AttemptOutcome::Failed {
             verdict: e.verdict,
             fault: e.fault,
         };
-        self.shared.step(event::Event::Ended {
+        self.shared.step(event::Event::AttemptEnded {
             req: self.req,
             outcome,
         });
@@ -289,11 +289,11 @@
     }
 
     /// Tells the decider that a try ended with an answer.
-    pub fn done(&self, outcome: event::TryOutcome) {
-        if matches!(outcome, event::TryOutcome::Done { .. }) {
+    pub fn done(&self, outcome: event::AttemptOutcome) {
+        if matches!(outcome, event::AttemptOutcome::Done { .. }) {
             self.clear_of_crashes();
         }
-        self.shared.step(event::Event::Ended {
+        self.shared.step(event::Event::AttemptEnded {
             req: self.req,
             outcome,
         });
@@ -309,7 +309,7 @@
     }
 
     pub(super) fn note_decision(&mut self) {
-        let part = locks::lock(&self.shared.decider).account(self.req);
+        let part = locks::lock(&self.shared.decider).request_trace(self.req);
         if let Some(part) = part {
             self.account.rule = part.rule;
             self.account.revision = part.revision;
--- a/src/sageshed/gateway/pass/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -3,22 +3,26 @@
 use sageshed_fleet::{allowance, chooser, dialect};
 use sageshed_types::time;
 
-use super::Life;
+use super::ProxiedRequest;
 use crate::gateway::allowances;
 
 /// How long an endpoint with a limit is left alone where no process answers that keeps it.
-const NOBODY_KEEPS_IT: time::Millis = time::Millis(1_000);
+const UNKNOWN_LIMIT_PAUSE: time::Millis = time::Millis(1_000);
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Takes note of what the endpoint of `pick` says of itself in an answer.
-    pub(super) fn heed(&self, pick: &chooser::Pick, answered: &dialect::Answered<'_>) {
+    pub(super) fn apply_notice(
+        &self,
+        pick: &chooser::Pick,
+        answered: &dialect::ResponseMetadata<'_>,
+    ) {
         if !answered.is_of(&pick.instance) {
             return;
         }
-        if answered.notice.leaves {
-            self.shared.leaves(&pick.instance);
+        if answered.notice.is_leaving {
+            self.shared.mark_leaving(&pick.instance);
         }
-        if let Some(span) = answered.notice.rest {
+        if let Some(span) = answered.notice.retry_after {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
                 "gateway: endpoint asks for rest");
         }
@@ -50,7 +54,7 @@
         let span = match allowances::ask(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
-            allowance::Next::Unreachable => NOBODY_KEEPS_IT,
+            allowance::Next::Unreachable => UNKNOWN_LIMIT_PAUSE,
         };
         ::log::debug!(request = self.id(), endpoint:% = pick.instance, span_ms = span.0;
             "gateway: endpoint is left alone");
@@ -61,7 +65,7 @@
     }
 
     /// Counts a request that goes to an endpoint with a limit.
-    pub(super) fn count_sending(&self, pick: &chooser::Pick) {
+    pub(super) fn count_send(&self, pick: &chooser::Pick) {
         let now = self.shared.clock.now();
         let change = self
             .shared
--- a/src/sageshed/gateway/pass/held.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -4,14 +4,14 @@
 use sageshed_types::{refusal, time, verdict};
 use sageshed_upstream::{failure, probe};
 
-use super::Life;
+use super::ProxiedRequest;
 
-impl<D: dialect::Dialect> Life<'_, D> {
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Remembers that the endpoint of `pick` has ended under this request, if it has.
     ///
     /// A connection that is closed inside an answer says little: links break, and endpoints spoil answers. An
     /// endpoint at whose port nobody listens any more, and which did not say that it stops, has crashed.
-    pub(super) fn note_end(&self, pick: &chooser::Pick, cause: failure::Cause) {
+    pub(super) fn note_crash(&self, pick: &chooser::Pick, cause: failure::Cause) {
         let is_closed = matches!(
             cause,
             failure::Cause::ClosedBeforeAnswer | failure::Cause::ClosedInAnswer
@@ -28,14 +28,14 @@
             is_cleared: false,
         };
         let now = shared.clock.now();
-        shared.take_crashes(&[crash]);
+        shared.merge_crashes(&[crash]);
         let ends = shared.with_core(|core| core.quarantine.crash_count(now, self.content));
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, ends;
             "gateway: endpoint ended under the request");
     }
 
     /// The request was answered whole: it is not what has ended endpoints that it ran at.
-    pub(super) fn clear_of_ends(&self) {
+    pub(super) fn clear_crash_suspicion(&self) {
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.quarantine.record_success(now, self.content));
@@ -45,7 +45,7 @@
     ///
     /// Looked at before each sending, not only when the request comes: what waits here or goes on elsewhere may
     /// be held by what was learnt meanwhile.
-    pub(super) fn refuse_held(&self) -> Option<refusal::Refusal> {
+    pub(super) fn refuse_quarantined(&self) -> Option<refusal::Refusal> {
         let now = self.shared.clock.now();
         let left = self
             .shared
@@ -55,7 +55,7 @@
             quarantine::CRASH_LIMIT,
             left.0 / 1_000
         );
-        let refusal = self.give_up(verdict::Reason::Quarantined, detail);
+        let refusal = self.final_refusal(verdict::Reason::Quarantined, detail);
         // One that has run here is told nothing of when to come back: it may have run.
         Some(match refusal.retry_after {
             Some(_) => refusal.retry_after(left),
