--- a/crates/sageshed-fleet/src/allowance/bucket.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Replies to the acquisition `request` of the process `from`. `producers` is the number of producers of
-    /// the allowance.
+    /// Replies to the acquisition `request` of the process `from`. `producers` is the number of producers
+    /// of the allowance.
     pub fn acquire(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -13,9 +13,9 @@
 //!
 //! An allowance is a stream of units. Its source is a small set of producers among the entry processes
 //! ([`producers`], chosen by hashing, the same on every process). Each of them produces an equal share of
-//! the rate and stores at most what accrues in [`SHARE_WINDOW`] ([`Share`]). The first of them that responds is the
-//! coordinator of the allowance: it collects the producers' units into a [`Bucket`], a token bucket, from
-//! which every process acquires units before it sends.
+//! the rate and stores at most what accrues in [`SHARE_WINDOW`] ([`Share`]). The first of them that
+//! responds is the coordinator of the allowance: it collects the producers' units into a [`Bucket`], a
+//! token bucket, from which every process acquires units before it sends.
 //!
 //! Units are moved and never copied; those in a lost message are lost. So whichever way the processes are
 //! partitioned, and whichever of them they take for the coordinator, no unit can be spent that was not
@@ -28,8 +28,8 @@
 //! bucket of a coordinator that becomes unreachable are spent beside those of the next one, at most one
 //! burst. Two processes with different lists of entry processes may each count a sixteenth as a producer
 //! for as long as the lists differ. And a producer that restarts immediately yields what accrues in
-//! [`SHARE_WINDOW`], which it may have yielded before: if all of them are killed at once, they yield that much
-//! extra, and spend nothing while they are down.
+//! [`SHARE_WINDOW`], which it may have yielded before: if all of them are killed at once, they yield that
+//! much extra, and spend nothing while they are down.
 
 mod acquisition;
 mod bucket;
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -49,7 +49,7 @@
 struct Limit {
     /// Requests per second.
     per_s: f64,
-    heard: time::Instant,
+    heard_at: time::Instant,
     /// Requests sent since `counted_from`.
     sent: u64,
     counted_from: time::Instant,
@@ -63,7 +63,7 @@
     closed_until: time::Instant,
     /// The endpoint asked this process to pause until this time.
     rests_until: time::Instant,
-    heard: time::Instant,
+    heard_at: time::Instant,
 }
 
 /// Limits and pauses of all instances that requested any.
@@ -127,16 +127,16 @@
     ) -> Option<Change> {
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
-        state.heard = now;
+        state.heard_at = now;
         let before = state.limit.map(|it| it.per_s);
         let limit = state.limit.get_or_insert(Limit {
             per_s,
-            heard: now,
+            heard_at: now,
             sent: 0,
             counted_from: now,
         });
         limit.per_s = per_s;
-        limit.heard = now;
+        limit.heard_at = now;
         (before != Some(per_s)).then_some(Change::Named(per_s))
     }
 
@@ -163,7 +163,7 @@
                 per_s: limit.per_s.max(MIN_RATE_PER_S),
                 burst: BURST,
             },
-            age: now.since(limit.heard),
+            age: now.since(limit.heard_at),
         })
     }
 
@@ -171,7 +171,7 @@
     /// several turns counts.
     pub fn close(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
-        state.heard = now;
+        state.heard_at = now;
         let is_closed = now < state.closed_until;
         let until = now + span;
         state.closed_until = if is_closed {
@@ -186,7 +186,7 @@
     pub fn rest(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
-        state.heard = now;
+        state.heard_at = now;
         state.rests_until = state.rests_until.max(now + span);
     }
 
@@ -259,6 +259,6 @@
         let known = &self.by_id;
         self.backpressure
             .by_instance
-            .retain(|id, it| known.contains_key(id) || now.since(it.heard) < RETENTION);
+            .retain(|id, it| known.contains_key(id) || now.since(it.heard_at) < RETENTION);
     }
 }
--- a/crates/sageshed-fleet/src/chooser/coordinators.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -40,7 +40,7 @@
         entries.sort_unstable();
         entries.dedup();
         let before = std::mem::replace(&mut self.entries, entries);
-        if !self.exist() {
+        if !self.are_used() {
             self.by_model.values_mut().for_each(Vec::clear);
             return 0;
         }
@@ -71,12 +71,12 @@
     }
 
     /// Adds the models that an engine holds.
-    pub fn know(&mut self, instance: &directory::Instance) {
+    pub fn add_models(&mut self, instance: &directory::Instance) {
         for resident in &instance.models {
             if self.by_model.contains_key(&resident.model) {
                 continue;
             }
-            let coordinators = if self.exist() {
+            let coordinators = if self.are_used() {
                 let key = entry_peers::name_key(&resident.model);
                 entry_peers::ranked_with_hashes(key, &self.entries, entry_peers::COORDINATORS)
             } else {
@@ -88,12 +88,12 @@
 
     /// Whether there are so many entry processes that models have coordinators.
     #[must_use]
-    pub fn exist(&self) -> bool {
+    pub fn are_used(&self) -> bool {
         entry_peers::uses_coordinators(&self.entries)
     }
 
-    /// The coordinators of a model, in the order in which they are queried; none if all processes report to
-    /// each other.
+    /// The coordinators of a model, in the order in which they are queried; none if all processes exchange
+    /// observations directly.
     #[must_use]
     pub fn of(&self, model: &str) -> Vec<net::Ipv4Addr> {
         match self.by_model.get(model) {
@@ -102,26 +102,26 @@
         }
     }
 
-    /// The recipients of reports on an engine: the coordinators of the models that it holds, or all
-    /// processes if these all report to each other.
+    /// The other processes that receive observations of an engine: the coordinators of the models that it
+    /// holds, or all processes if there are no coordinators.
     #[must_use]
-    pub fn told(&self, instance: &directory::Instance) -> Vec<net::Ipv4Addr> {
-        let mut told = if self.exist() {
+    pub fn observers(&self, instance: &directory::Instance) -> Vec<net::Ipv4Addr> {
+        let mut observers = if self.are_used() {
             let models = instance.models.iter();
             models.flat_map(|it| self.of(&it.model)).collect()
         } else {
             self.entries.clone()
         };
-        told.sort_unstable();
-        told.dedup();
-        told.retain(|it| *it != self.own);
-        told
+        observers.sort_unstable();
+        observers.dedup();
+        observers.retain(|it| *it != self.own);
+        observers
     }
 
-    /// Whether this process receives reports on an engine.
+    /// Whether this process receives observations of an engine.
     #[must_use]
-    pub fn is_told(&self, instance: &directory::Instance) -> bool {
-        if !self.exist() {
+    pub fn is_observer(&self, instance: &directory::Instance) -> bool {
+        if !self.are_used() {
             return self.entries.is_empty() || self.entries.binary_search(&self.own).is_ok();
         }
         let mut models = instance.models.iter();
@@ -138,7 +138,7 @@
     /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
     /// itself.
     #[must_use]
-    pub fn asked(&self, model: &str) -> Vec<net::Ipv4Addr> {
+    pub fn to_query(&self, model: &str) -> Vec<net::Ipv4Addr> {
         let mut coordinators = self.of(model);
         if coordinators.first() == Some(&self.own) {
             return Vec::new();
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -36,16 +36,16 @@
 /// Penalty on the estimate for each further millisecond of silence.
 const SILENCE_PENALTY_FACTOR: f64 = 3.0;
 
-/// Added for an engine whose load is not reported to this process, in milliseconds: what others send there
-/// is unknown here, and they don't expect this process to send there.
+/// Added for an engine of which this process receives no observations, in milliseconds: what others send
+/// there is unknown here, and they don't expect this process to send there.
 const UNREPORTED_LOAD_MS: f64 = 40.0;
 
-/// How long the pending prefill that another process reported counts. All but the largest prompts are
-/// prefilled within that time.
+/// How long another process's pending prefill counts. All but the largest prompts are prefilled
+/// within that time.
 const PENDING_PREFILL_TTL: time::Millis = time::Millis(900);
 
-/// How long a request that was routed for another process counts before that process reports sending it.
-/// The report arrives within milliseconds, unless its datagram is lost.
+/// How long a request that was routed for another process counts before that process sends an observation
+/// of it. This arrives within milliseconds, unless its datagram is lost.
 const ROUTED_TTL: time::Millis = time::Millis(150);
 
 /// Share of the allowed pause of streams that a prefill may take without penalty. The step in progress and
@@ -110,9 +110,9 @@
     /// Models for which it rejected requests, and until when it is not selected for them.
     rejected_models: collections::HashMap<String, time::Instant>,
     pub(super) prefix_cache: prefix_cache::PrefixCache,
-    /// Pending prefill in microseconds that other processes reported, and when they did.
+    /// Pending prefill of other processes in microseconds, by their observations, and when these arrived.
     pub(super) reported_prefill: collections::HashMap<net::Ipv4Addr, (u64, time::Instant)>,
-    /// Requests routed there for other processes that these have not yet reported as sent.
+    /// Requests routed there for other processes of which these have not yet sent an observation.
     pub(super) routed: Vec<RoutedRequest>,
     /// The last other process that could not reach it, and when that was.
     pub(super) unreachable_from: Option<(net::Ipv4Addr, time::Instant)>,
@@ -198,8 +198,8 @@
     /// Records that the endpoint rejected a request without running it: it is full, or it is loading or
     /// unloading the model.
     ///
-    /// A new directory record doesn't lift this, since an engine that unloads a model keeps announcing it until
-    /// the requests for it are done.
+    /// A new directory record doesn't lift this, since an engine that unloads a model keeps announcing it
+    /// until the requests for it are done.
     pub(super) fn record_rejection(
         &mut self,
         now: time::Instant,
@@ -235,7 +235,7 @@
         });
     }
 
-    /// Replaces the pending prefill that the process `from` reported. Returns whether it has shrunk.
+    /// Replaces the pending prefill of the process `from`. Returns whether it has shrunk.
     pub(super) fn set_reported_prefill(
         &mut self,
         now: time::Instant,
@@ -250,7 +250,7 @@
         before.is_some_and(|(before, _)| before > prefill_us)
     }
 
-    /// Pending prefill in milliseconds, of this process and of all others that report to it.
+    /// Pending prefill in milliseconds, of this process and of all others whose observations it receives.
     pub(super) fn total_pending_prefill_ms(&self, now: time::Instant) -> f64 {
         let fresh = self
             .reported_prefill
@@ -299,14 +299,15 @@
     }
 
     /// Estimated milliseconds until an engine has finished a prefill that takes `prefill_ms` by itself. If
-    /// its load is not reported to this process (`is_told`), other processes may have sent more there.
+    /// this process receives no observations of it (`is_observer`), other processes may have sent more
+    /// there.
     pub(super) fn engine_estimate_ms(
         &self,
         now: time::Instant,
         prefill_ms: f64,
-        is_told: bool,
+        is_observer: bool,
     ) -> f64 {
-        let unreported = if is_told { 0.0 } else { UNREPORTED_LOAD_MS };
+        let unreported = if is_observer { 0.0 } else { UNREPORTED_LOAD_MS };
         self.total_pending_prefill_ms(now) + prefill_ms + BATCH_STEP_MS + unreported
     }
 
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -18,7 +18,6 @@
 //! that an endpoint that fails some of its requests gets fewer of them and recovers its share as the score
 //! decays. An endpoint that can't be reached is ejected for a time that grows with each failure.
 
-mod advice;
 mod backpressure;
 pub mod coordinators;
 mod endpoint;
@@ -27,6 +26,7 @@
 mod prefill_speed;
 mod prefix_cache;
 mod query;
+mod routing;
 mod wait_estimates;
 
 use std::{collections, net};
@@ -52,8 +52,8 @@
 /// still silent costs its caller the full timeout.
 const SILENT_EJECTION_TIME: time::Millis = time::Millis(5_000);
 
-/// How long an engine that denied holding a model is not selected for it, unless a new directory record of it
-/// arrives.
+/// How long an engine that denied holding a model is not selected for it, unless a new directory record of
+/// it arrives.
 const MODEL_DENIAL_TTL: time::Millis = time::Millis(500);
 
 /// Upper bound of an estimate in milliseconds, for endpoints that never respond.
@@ -144,7 +144,7 @@
         if !instance.is_present() {
             return self.remove_instance(&instance.id);
         }
-        self.coordinators.know(instance);
+        self.coordinators.add_models(instance);
         if let Some(key) = self.by_id.get(&instance.id).copied() {
             if let Some(endpoint) = &mut self.endpoints[key.index()] {
                 let before = std::mem::replace(&mut endpoint.instance, instance.clone());
@@ -464,8 +464,8 @@
             return f64::INFINITY;
         };
         let work = if query.wanted.is_some() {
-            let is_told = self.coordinators.is_told(&endpoint.instance);
-            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, query), is_told)
+            let is_observer = self.coordinators.is_observer(&endpoint.instance);
+            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, query), is_observer)
         } else {
             endpoint.service_estimate_ms(now)
         };
--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -1,4 +1,5 @@
-//! Exchange between the choosers of entry processes that share engines: reports, queries and decisions.
+//! Exchange between the choosers of entry processes that share engines: observations, queries and
+//! decisions.
 
 use std::net;
 
@@ -14,12 +15,12 @@
 /// is mostly network round trip and the step that was in progress.
 const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
-/// How long the report of one process that an engine is unreachable waits for confirmation by a second one.
+/// How long one process's observation that an engine is unreachable waits for confirmation by a second one.
 const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
-    /// Applies another process's report on an engine. Returns whether the engine has less pending prefill
-    /// by it.
+    /// Applies another process's observation of an engine. Returns whether the engine has less pending
+    /// prefill by it.
     pub fn apply_observation(
         &mut self,
         now: time::Instant,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The report to send on an engine that this process sends to, with its recipients.
+    /// This process's observation of the engine of `pick`, with the processes to send it to.
     #[must_use]
     pub fn observation_of(
         &self,
@@ -89,7 +90,7 @@
             pauses: None,
             fault: None,
         };
-        Some((observation, self.coordinators.told(&endpoint.instance)))
+        Some((observation, self.coordinators.observers(&endpoint.instance)))
     }
 
     /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
@@ -99,14 +100,14 @@
     /// with an engine would count against that engine for all.
     #[must_use]
     pub fn uses_coordinators(&self) -> bool {
-        self.coordinators.exist()
+        self.coordinators.are_used()
     }
 
     /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
     /// itself.
     #[must_use]
     pub fn coordinators(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        self.coordinators.asked(model)
+        self.coordinators.to_query(model)
     }
 
     /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
@@ -187,9 +188,9 @@
 }
 
 impl endpoint::Endpoint {
-    /// Applies a fault that the process `from` reported.
+    /// Applies a fault that the process `from` observed.
     ///
-    /// A partitioned process reaches no engine, so that its report alone ejects none. The reports of two
+    /// A partitioned process reaches no engine, so that its observation alone ejects none. Those of two
     /// processes do.
     fn apply_fault(
         &mut self,
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -4,13 +4,13 @@
 //! that selects an engine has to know what the others have just sent there; the engine's own report comes
 //! with a response, when it is too late.
 //!
-//! A small number of entry processes ([`MAX_BROADCAST_ENTRIES`]) all report to each other, and each selects engines by
-//! itself. With more processes, that takes a quadratic number of messages, and each process has a request
-//! for a model so seldom that its view is stale. Then each model has coordinators among them ([`coordinators`]),
-//! chosen by hashing. The coordinator receives reports on all engines that hold the model, is queried for
-//! each request, and decides where that goes, so a request costs the same few datagrams however many
-//! processes there are. If no reply arrives within milliseconds, the process that asked selects an engine
-//! by its own view, and queries the next coordinator from then on.
+//! A small number of entry processes ([`MAX_BROADCAST_ENTRIES`]) send their observations to all others, and
+//! each selects engines by itself. With more processes, that takes a quadratic number of messages, and each
+//! process has a request for a model so seldom that its view is stale. Then each model has coordinators
+//! among them ([`coordinators`]), chosen by hashing. The coordinator receives the observations of all
+//! engines that hold the model, is queried for each request, and decides where that goes, so a request
+//! costs the same few datagrams however many processes there are. If no reply arrives within milliseconds,
+//! the process that asked selects an engine by its own view, and queries the next coordinator from then on.
 
 use std::{
     collections::hash_map,
@@ -23,17 +23,18 @@
 
 use crate::{allowance, dialect, directory};
 
-/// Up to this many entry processes all report to each other. Among more, models have coordinators.
+/// Up to this many entry processes send their observations to all others. Among more, models have
+/// coordinators.
 pub const MAX_BROADCAST_ENTRIES: usize = 12;
 
 /// Coordinators of a model: the one that is queried, and the one that takes over when the first is lost.
-/// Both receive reports.
+/// Both receive observations.
 pub(crate) const COORDINATORS: usize = 2;
 
 /// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Report on an engine.
+    /// Observation of an engine.
     #[serde(rename = "Word")]
     Observation(EngineObservation),
     /// Query for where to send a request.
@@ -143,8 +144,8 @@
     Silent,
 }
 
-/// One process's report on an engine, sent by datagram whenever it changes. A lost report is made up for by
-/// the next one, and reports expire after a while.
+/// One process's observation of an engine, sent by datagram whenever it changes. A lost one is made up for
+/// by the next, and observations expire after a while.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
     /// Key of the engine, by [`instance_key`].
@@ -152,9 +153,9 @@
     /// Pending prefill of the sender's requests at the engine, in microseconds.
     #[serde(rename = "micros")]
     pub pending_prefill_us: u64,
-    /// A prompt prefix that the engine has just prefilled for the sender and now caches. Without reports,
-    /// each of seven processes would know a seventh of what engines cache, and engines would prefill again
-    /// what they already have.
+    /// A prompt prefix that the engine has just prefilled for the sender and now caches. Without
+    /// observations, each of seven processes would know a seventh of what engines cache, and engines would
+    /// prefill again what they already have.
     #[serde(default, rename = "kept")]
     pub cached_prefix: Option<PromptPrefix>,
     /// Time to first token of the response that has just begun.
@@ -226,7 +227,7 @@
     }
 }
 
-/// Parts of a prefix that are reported, to bound the size of a datagram.
+/// Parts of a prefix that are sent, to bound the size of a datagram.
 const MAX_PREFIX_PARTS: usize = 8;
 
 /// The hash that identifies a model in datagrams.
@@ -248,8 +249,8 @@
     entries.len() > MAX_BROADCAST_ENTRIES
 }
 
-/// The coordinators of a model among `entries`, in the order in which they are queried; none if all
-/// processes report to each other.
+/// The coordinators of a model among `entries`, in the order in which they are queried; none if there are
+/// few enough to exchange observations directly.
 #[must_use]
 pub fn coordinators(model: u64, entries: &[net::Ipv4Addr]) -> Vec<net::Ipv4Addr> {
     if !uses_coordinators(entries) {
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -31,8 +31,8 @@
 /// processes within the time that changes are gathered for one response.
 const MAX_DIGEST_LAG: time::Millis = time::Millis(200);
 
-/// Marks of one control process that are kept until the local one is known to have caught up with them.
-const MAX_MARKS: usize = 64;
+/// Cursors of one control process that are kept until the local one is known to have caught up with them.
+const MAX_CURSORS: usize = 64;
 
 /// The response of a control process to a watch request.
 #[derive(Debug, Clone, Copy)]
@@ -55,8 +55,8 @@
     has_answered: bool,
     /// Since when it is known to have changes that the local one was not told.
     differs_since: Option<time::Instant>,
-    /// Its marks, with the time of each, that arrived with a differing digest and that the local one is not
-    /// known to have.
+    /// Its cursors, with the time of each, that arrived with a differing digest and that the local one is
+    /// not known to have.
     unconfirmed: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
@@ -66,8 +66,8 @@
         self.unconfirmed.clear();
     }
 
-    /// Records that its digest differs. `news` is its mark, and `known` is up to where the local one knows
-    /// it.
+    /// Records that its digest differs. `news` is its cursor, and `known` is up to where the local one
+    /// knows it.
     fn record_difference(
         &mut self,
         now: time::Instant,
@@ -82,16 +82,16 @@
             .unconfirmed
             .back()
             .is_none_or(|(_, last)| *last != news);
-        if is_new && self.unconfirmed.len() < MAX_MARKS {
+        if is_new && self.unconfirmed.len() < MAX_CURSORS {
             self.unconfirmed.push_back((now, news));
         }
         self.confirm(known);
     }
 
-    /// Drops the marks that the local one has caught up with.
+    /// Drops the cursors that the local one has caught up with.
     fn confirm(&mut self, known: directory::Cursor) {
         self.unconfirmed
-            .retain(|(_, mark)| mark.start != known.start || mark.change > known.change);
+            .retain(|(_, cursor)| cursor.start != known.start || cursor.change > known.change);
         self.differs_since = self.unconfirmed.front().map(|(at, _)| *at);
     }
 }
@@ -200,7 +200,7 @@
         self.peers = peers.iter().copied().collect();
         for link in &mut self.links {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
-            // A difference that was recorded without marks lasts until the digests agree.
+            // A difference that was recorded without cursors lasts until the digests agree.
             if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
                 link.confirm(*known);
             }
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -4,8 +4,8 @@
 //! with another id and to another entry process; passed on each time, it takes down the whole pool. So
 //! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
 //! all processes together: an entry process reports what it saw to control, control processes exchange
-//! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints crashed
-//! under. It is then *held*, that is refused at once by every entry process, for [`RETENTION`].
+//! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints
+//! crashed under. It is then *held*, that is refused at once by every entry process, for [`RETENTION`].
 //!
 //! # Evidence, and how it is merged
 //!
@@ -109,13 +109,13 @@
 pub struct PeerSync {
     /// Up to where the peer's crashes are known here.
     pub received: Cursor,
-    /// Up to where the peer was told the crashes of this process.
+    /// Up to where the peer was sent the crashes of this process.
     pub sent: Cursor,
 }
 
 impl PeerSync {
-    /// Records that the peer was told crashes up to `told` and replied with its own mark. A restarted peer
-    /// has lost its state, whatever its previous start was told, and is told everything the next time.
+    /// Records that the peer was sent crashes up to `sent` and replied with its own cursor. A restarted
+    /// peer has lost its state, whatever its previous start was sent, and is sent everything the next time.
     pub fn record_exchange(&mut self, sent: Cursor, cursor: Cursor) {
         let is_known = cursor.start == self.received.start;
         self.sent = if is_known { sent } else { Cursor::default() };
@@ -267,7 +267,7 @@
         }
     }
 
-    /// The mark that a peer reaches which is told everything now.
+    /// The cursor that a peer reaches which is sent everything now.
     #[must_use]
     pub fn cursor(&self) -> Cursor {
         Cursor {
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Whether there is anything to send to a peer that knows this process's crashes up to `mark`.
+    /// Whether there is anything to send to a peer that knows this process's crashes up to `cursor`.
     #[must_use]
     pub fn has_news(&self, cursor: Cursor, scope: SyncScope) -> bool {
         let newest = match scope {
@@ -286,29 +286,29 @@
         newest > cursor.of(self.start)
     }
 
-    /// The crashes to send to a peer that knows those of this process up to `mark`.
+    /// The crashes to send to a peer that knows those of this process up to `cursor`.
     #[must_use]
     pub fn since(&self, now: time::Instant, cursor: Cursor, scope: SyncScope) -> Vec<Crash> {
         if !self.has_news(cursor, scope) {
             return Vec::new();
         }
         let after = cursor.of(self.start);
-        let mut told = Vec::new();
+        let mut to_send = Vec::new();
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
             match scope {
                 // Includes all crashes of the request, since the peer was told none before it was held.
                 SyncScope::Held if suspect.was_held && suspect.last_change() > after => {
-                    told.extend(crashes);
+                    to_send.extend(crashes);
                 }
                 SyncScope::Held => {}
                 SyncScope::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
-                    told.extend(news.map(|it| it.to_crash(now, *content)));
+                    to_send.extend(news.map(|it| it.to_crash(now, *content)));
                 }
             }
         }
-        told
+        to_send
     }
 
     /// Merges the evidence of another process, or of this one.
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -41,9 +41,9 @@
     let many = entries(195);
     let engine = support::engine("e1", &["m0", "m1", "m2"]);
     let mut coordinators = coordinators::Coordinators::default();
-    coordinators.know(&engine);
+    coordinators.add_models(&engine);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
-    let told = coordinators.told(&engine);
+    let told = coordinators.observers(&engine);
     assert!(told.len() <= 6, "{told:?}");
     for model in ["m0", "m1", "m2"] {
         let coordinators = entry_peers::coordinators(entry_peers::name_key(model), &many);
@@ -51,7 +51,7 @@
     }
     let few = entries(7);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
-    assert_eq!(coordinators.told(&engine), few);
+    assert_eq!(coordinators.observers(&engine), few);
     assert!(entry_peers::coordinators(entry_peers::name_key("m0"), &few).is_empty());
 }
 
@@ -66,7 +66,7 @@
         let models: Vec<&str> = (0..3)
             .map(|it| names[(engine * 7 + it * 31) % names.len()].as_str())
             .collect();
-        known.know(&support::engine(&format!("e{engine}"), &models));
+        known.add_models(&support::engine(&format!("e{engine}"), &models));
     }
     let own = all[3];
     assert_eq!(known.set_entries(own, &all), names.len());
