--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -1,58 +1,60 @@
-//! What a chooser learns from the requests that it has sent.
+//! Learning from the outcomes of sent requests.
 
 use sageshed_types::{arena, time};
 
 use super::{
-    Chooser, DENIAL, Ended, Pauses, Pick, Read, SILENT_EJECTION, STEP_MS, endpoint, reading,
+    AttemptOutcome, BATCH_STEP_MS, Chooser, MODEL_DENIAL_TTL, Pauses, Pick, Prefill,
+    SILENT_EJECTION_TIME, endpoint, prefill_speed,
 };
 use crate::dialect;
 
-/// The part that a new measurement has in the learned time of a plain service.
-const ANSWER_GAIN: f64 = 0.1;
+/// Weight of a new measurement in the moving average of a plain service's response time.
+const RESPONSE_TIME_GAIN: f64 = 0.1;
 
 impl Chooser {
-    /// The answer of a request that was sent to `pick` has begun, `took` after it was sent.
-    pub fn began(
+    /// Records that the response to a request sent to `pick` began `took` after it was sent.
+    pub fn record_response_start(
         &mut self,
         now: time::Instant,
         pick: &Pick,
-        read: Option<Read<'_>>,
+        prefill: Option<Prefill<'_>>,
         took: time::Millis,
         load: Option<dialect::Load>,
     ) {
         let Some(endpoint) = self.get_mut(pick.key) else {
             return;
         };
-        endpoint.owed = endpoint.owed.saturating_sub(1);
-        endpoint.word_at = now;
-        let ahead = endpoint.unread;
-        endpoint.unread = endpoint.unread.saturating_sub(pick.reading);
+        endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
+        endpoint.last_activity = now;
+        let pending_us = endpoint.pending_prefill_us;
+        endpoint.pending_prefill_us = endpoint.pending_prefill_us.saturating_sub(pick.prefill_us);
         if let Some(load) = load {
             endpoint.load = Some((load, now));
-            endpoint.crowd = Some((load.running, now));
+            endpoint.reported_running = Some((load.running, now));
         }
         endpoint.ejection = time::Millis(0);
-        let Some(read) = read else {
+        let Some(prefill) = prefill else {
             let ms = took.0 as f64;
-            endpoint.answer_ms += ANSWER_GAIN * (ms.min(1_000.0) - endpoint.answer_ms);
+            endpoint.response_ms += RESPONSE_TIME_GAIN * (ms.min(1_000.0) - endpoint.response_ms);
             return;
         };
-        endpoint.accept(read.wanted);
-        endpoint.kept.remember(read.wanted, read.parts);
-        let reading = took.0 as f64 - STEP_MS;
-        if reading > STEP_MS && pick.reading > 0 {
-            let factor = reading * endpoint::MICROS / ahead.max(pick.reading) as f64;
-            endpoint.slowness = reading::learn_slowness(endpoint.slowness, factor);
-            self.paces.learn(&read.wanted.model, factor);
+        endpoint.clear_rejection(prefill.wanted);
+        endpoint.prefix_cache.insert(prefill.wanted, prefill.parts);
+        let prefill_ms = took.0 as f64 - BATCH_STEP_MS;
+        if prefill_ms > BATCH_STEP_MS && pick.prefill_us > 0 {
+            let factor =
+                prefill_ms * endpoint::MICROS_PER_MS / pending_us.max(pick.prefill_us) as f64;
+            endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
+            self.prefill_speeds.learn(&prefill.wanted.model, factor);
         }
     }
 
-    /// A stream from `pick` has ended whole.
-    pub fn paused(&mut self, now: time::Instant, pick: &Pick, pauses: Pauses) {
+    /// Records the pauses of a stream from `pick` that ended normally.
+    pub fn record_pauses(&mut self, now: time::Instant, pick: &Pick, pauses: Pauses) {
         self.learn_pauses(now, pick.key, pauses);
     }
 
-    /// Learns how much may wait at engines from a stream of the engine `key`.
+    /// Adjusts the prefill limit by a stream of the engine `key`.
     pub(super) fn learn_pauses(
         &mut self,
         now: time::Instant,
@@ -62,65 +64,69 @@
         let Some(endpoint) = self.get(key) else {
             return;
         };
-        let strained = endpoint.strained_at;
-        let is_strained = strained.is_some_and(|at| now.since(at) <= pauses.lasted);
+        let near_limit_at = endpoint.near_limit_at;
+        let was_near_limit = near_limit_at.is_some_and(|at| now.since(at) <= pauses.lasted);
         let service = endpoint.instance.service.clone();
-        self.bounds.learn(&service, pauses, is_strained);
+        self.prefill_limits.learn(&service, pauses, was_near_limit);
     }
 
-    /// Whether the endpoint of `pick` owes answers and has said nothing for too long.
+    /// Whether the endpoint of `pick` has outstanding responses and has been silent for too long.
     #[must_use]
     pub fn is_suspected(&self, now: time::Instant, pick: &Pick) -> bool {
         let endpoint = self.get(pick.key);
-        endpoint.is_none_or(|it| it.silence_ms(now) > 0.0)
+        endpoint.is_none_or(|it| it.silence_penalty_ms(now) > 0.0)
     }
 
-    /// Something came from the endpoint of `pick`.
-    pub fn heard_from(&mut self, now: time::Instant, pick: &Pick) {
+    /// Records that the endpoint of `pick` sent something.
+    pub fn record_activity(&mut self, now: time::Instant, pick: &Pick) {
         if let Some(endpoint) = self.get_mut(pick.key) {
-            endpoint.word_at = now;
+            endpoint.last_activity = now;
         }
     }
 
-    /// A request that was sent to `pick` is over. `began` says whether its answer had begun.
-    pub fn ended(
+    /// Records the end of a request that was sent to `pick`. `began` tells whether its response had begun.
+    pub fn record_end(
         &mut self,
         now: time::Instant,
         pick: &Pick,
         wanted: Option<&dialect::ModelRef>,
         began: bool,
-        how: Ended,
+        outcome: AttemptOutcome,
     ) {
         let Some(endpoint) = self.get_mut(pick.key) else {
             return;
         };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         if !began {
-            endpoint.unread = endpoint.unread.saturating_sub(pick.reading);
-            endpoint.owed = endpoint.owed.saturating_sub(1);
+            endpoint.pending_prefill_us =
+                endpoint.pending_prefill_us.saturating_sub(pick.prefill_us);
+            endpoint.awaiting = endpoint.awaiting.saturating_sub(1);
         }
-        if matches!(how, Ended::Answered | Ended::Refused | Ended::Misdirected) {
-            endpoint.word_at = now;
+        if matches!(
+            outcome,
+            AttemptOutcome::Answered | AttemptOutcome::Refused | AttemptOutcome::Misdirected
+        ) {
+            endpoint.last_activity = now;
         }
-        match how {
-            Ended::Answered | Ended::GivenUp => {}
-            Ended::Failed => endpoint.fail(now),
-            Ended::Refused => endpoint.reject(now, wanted),
-            Ended::Unreachable => {
-                endpoint.fail(now);
+        match outcome {
+            AttemptOutcome::Answered | AttemptOutcome::GivenUp => {}
+            AttemptOutcome::Failed => endpoint.record_failure(now),
+            AttemptOutcome::Refused => endpoint.record_rejection(now, wanted),
+            AttemptOutcome::Unreachable => {
+                endpoint.record_failure(now);
                 endpoint.eject(now);
             }
-            Ended::Silent => {
-                endpoint.fail(now);
-                let lately = now.since(endpoint.word_at) < SILENT_EJECTION;
-                if !lately {
-                    endpoint.ejected_until = now + SILENT_EJECTION;
+            AttemptOutcome::Silent => {
+                endpoint.record_failure(now);
+                let was_active = now.since(endpoint.last_activity) < SILENT_EJECTION_TIME;
+                if !was_active {
+                    endpoint.ejected_until = now + SILENT_EJECTION_TIME;
                 }
             }
-            Ended::Misdirected => {
-                let until = now + DENIAL;
+            AttemptOutcome::Misdirected => {
+                let until = now + MODEL_DENIAL_TTL;
                 match wanted {
-                    Some(wanted) => drop(endpoint.denied.insert(wanted.clone(), until)),
+                    Some(wanted) => drop(endpoint.denied_models.insert(wanted.clone(), until)),
                     None => endpoint.eject(now),
                 }
             }
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -332,7 +332,7 @@
             digest_mark: inner.directory.cursor(),
             news_mark: inner.directory.update_cursor(),
             config: inner.versions.newest(),
-            crashes_mark: inner.quarantine.mark(),
+            crashes_mark: inner.quarantine.cursor(),
             crashes: req.crashes_known.map_or_else(Vec::new, |mark| {
                 inner.quarantine.since(now, mark, sync_scope(req))
             }),
@@ -386,15 +386,15 @@
         if crashes.is_empty() {
             return;
         }
-        let taken = self.change(|inner| inner.quarantine.take_all(now, crashes));
+        let taken = self.change(|inner| inner.quarantine.merge_all(now, crashes));
         for content in &taken.held {
-            ::log::warn!(content:% = content, ends = quarantine::ENDS;
+            ::log::warn!(content:% = content, ends = quarantine::CRASH_LIMIT;
                 "control: request is quarantined, endpoints crashed while running it");
         }
         for content in &taken.released {
             ::log::info!(content:% = content; "control: request is no longer quarantined, it was answered");
         }
-        if taken.is_news {
+        if taken.has_changes {
             self.notify_watchers(watchers::Urgency::Immediate);
         }
     }
@@ -402,9 +402,9 @@
     /// Applies the quarantined requests that the replicated log has stored.
     pub fn restore_held(&self, now: time::Instant, held: &[quarantine::QuarantinedRequest]) {
         let is_news = self.change(|inner| {
-            let before = inner.quarantine.mark();
+            let before = inner.quarantine.cursor();
             inner.quarantine.restore(now, held);
-            inner.quarantine.mark() != before
+            inner.quarantine.cursor() != before
         });
         if is_news {
             ::log::info!(requests = held.len(); "control: quarantined requests restored from the log");
@@ -556,10 +556,10 @@
 }
 
 /// Which crashes a watcher is sent.
-fn sync_scope(req: &messages::WatchReq) -> quarantine::Telling {
+fn sync_scope(req: &messages::WatchReq) -> quarantine::SyncScope {
     match req.watcher {
-        messages::Watcher::Control => quarantine::Telling::All,
-        messages::Watcher::Entry => quarantine::Telling::Held,
+        messages::Watcher::Control => quarantine::SyncScope::All,
+        messages::Watcher::Entry => quarantine::SyncScope::Held,
     }
 }
 
@@ -604,7 +604,7 @@
     /// The version of the configuration that this process holds.
     pub config: u64,
     /// Up to which change the watcher knows the crashes with them.
-    pub crashes_mark: quarantine::Mark,
+    pub crashes_mark: quarantine::Cursor,
     /// The crashes that are new to the watcher.
     pub crashes: Vec<quarantine::Crash>,
 }
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -3,7 +3,7 @@
 
 use std::time as std_time;
 
-use sageshed_fleet::{chooser, config, dialect, neighbours as words};
+use sageshed_fleet::{chooser, config, dialect, entry_peers as words};
 use sageshed_http::reply;
 use sageshed_types::{headers, time, verdict};
 use sageshed_upstream::{exchange, failure};
@@ -230,9 +230,9 @@
                 self.record_start(pick, sent_at, answered.load);
                 let failed = head.status >= 500;
                 let how = if failed {
-                    chooser::Ended::Failed
+                    chooser::AttemptOutcome::Failed
                 } else {
-                    chooser::Ended::Answered
+                    chooser::AttemptOutcome::Answered
                 };
                 self.end_attempt(pick, true, how);
                 self.shared.pool.keep(pick.address, exchange);
@@ -252,12 +252,13 @@
         let now = self.shared.clock.now();
         let took = sent_at.elapsed().into();
         let parts = &self.passing.parts;
-        let read = self.wanted.map(|wanted| chooser::Read { wanted, parts });
+        let read = self.wanted.map(|wanted| chooser::Prefill { wanted, parts });
         self.shared.with_core(|core| {
-            core.chooser.began(now, pick, read, took, load);
+            core.chooser
+                .record_response_start(now, pick, read, took, load);
             if let Some(wanted) = self.wanted {
                 let tokens = self.passing.prompt_tokens;
-                core.backlog.read(now, &wanted.model, tokens);
+                core.backlog.record_prefill(now, &wanted.model, tokens);
             }
         });
         match read {
@@ -267,25 +268,30 @@
         self.shared.wake_waiting();
     }
 
-    pub(super) fn end_attempt(&self, pick: &chooser::Pick, began: bool, how: chooser::Ended) {
+    pub(super) fn end_attempt(
+        &self,
+        pick: &chooser::Pick,
+        began: bool,
+        how: chooser::AttemptOutcome,
+    ) {
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
+            .with_core(|core| core.chooser.record_end(now, pick, self.wanted, began, how));
         entry_peers::tell_ended(self.shared, pick, began, self.fault_to_report(how));
         self.shared.wake_waiting();
     }
 
     /// The fault of the engine that entry peers are told of after an attempt that ended `how`.
-    fn fault_to_report(&self, how: chooser::Ended) -> Option<words::Trouble> {
-        let model = self.wanted.map(|it| words::key(&it.model))?;
+    fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<words::EngineFault> {
+        let model = self.wanted.map(|it| words::name_key(&it.model))?;
         match how {
-            chooser::Ended::Answered | chooser::Ended::GivenUp => None,
-            chooser::Ended::Refused => Some(words::Trouble::Rejects(model)),
-            chooser::Ended::Misdirected if self.is_adapter() => None,
-            chooser::Ended::Misdirected => Some(words::Trouble::Lacks(model)),
-            chooser::Ended::Failed => Some(words::Trouble::Fails),
-            chooser::Ended::Unreachable => Some(words::Trouble::Unreachable),
-            chooser::Ended::Silent => Some(words::Trouble::Silent),
+            chooser::AttemptOutcome::Answered | chooser::AttemptOutcome::GivenUp => None,
+            chooser::AttemptOutcome::Refused => Some(words::EngineFault::Rejects(model)),
+            chooser::AttemptOutcome::Misdirected if self.is_adapter() => None,
+            chooser::AttemptOutcome::Misdirected => Some(words::EngineFault::Lacks(model)),
+            chooser::AttemptOutcome::Failed => Some(words::EngineFault::Fails),
+            chooser::AttemptOutcome::Unreachable => Some(words::EngineFault::Unreachable),
+            chooser::AttemptOutcome::Silent => Some(words::EngineFault::Silent),
         }
     }
 
@@ -312,12 +318,12 @@
         self.restore_charge();
         let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
         if answered.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
-            self.end_attempt(pick, false, chooser::Ended::GivenUp);
+            self.end_attempt(pick, false, chooser::AttemptOutcome::GivenUp);
             self.shared.mark_replaced(&pick.instance);
         } else if answered.execution == dialect::ExecutionStatus::Misdirected {
-            self.end_attempt(pick, false, chooser::Ended::Misdirected);
+            self.end_attempt(pick, false, chooser::AttemptOutcome::Misdirected);
         } else {
-            self.end_attempt(pick, false, chooser::Ended::Refused);
+            self.end_attempt(pick, false, chooser::AttemptOutcome::Refused);
             self.tried_endpoints.push(pick.key);
             std::thread::sleep(REJECTION_DELAY);
         }
@@ -350,7 +356,7 @@
         let began = false;
         let is_interrupted = failure.cause == failure::Cause::Interrupted;
         if is_interrupted && watch.caller_gone() {
-            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            self.end_attempt(pick, began, chooser::AttemptOutcome::GivenUp);
             return AttemptResult::CallerGone(sink);
         }
         if is_interrupted {
@@ -364,7 +370,7 @@
             self.attempt_log
                 .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
             self.restore_charge();
-            self.end_attempt(pick, began, chooser::Ended::Unreachable);
+            self.end_attempt(pick, began, chooser::AttemptOutcome::Unreachable);
             self.shared.pool.forget(pick.address);
             self.tried_endpoints.push(pick.key);
             return AttemptResult::Retry(sink);
@@ -383,7 +389,7 @@
         failure: &failure::Failure,
     ) -> AttemptResult<'c> {
         if failure.cause == failure::Cause::Interrupted {
-            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            self.end_attempt(pick, began, chooser::AttemptOutcome::GivenUp);
             return AttemptResult::CallerGone(sink);
         }
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, error:% = failure,
@@ -395,8 +401,8 @@
         self.note_crash(pick, failure.cause);
         let is_over = self.time_left() == time::Millis(0);
         let how = match failure.cause {
-            failure::Cause::Silent if !began => chooser::Ended::Silent,
-            _ => chooser::Ended::Failed,
+            failure::Cause::Silent if !began => chooser::AttemptOutcome::Silent,
+            _ => chooser::AttemptOutcome::Failed,
         };
         self.end_attempt(pick, began, how);
         self.tried_endpoints.push(pick.key);
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -2,7 +2,7 @@
 
 use std::time as std_time;
 
-use sageshed_fleet::{chooser, dialect, neighbours};
+use sageshed_fleet::{chooser, dialect, entry_peers};
 use sageshed_types::{refusal, time, verdict};
 
 use super::{DEFAULT_RETRY_AFTER, ProxiedRequest, waiting::PREFILL_RESERVE};
@@ -15,17 +15,17 @@
 pub(super) fn decide(
     core: &mut state::Core,
     now: time::Instant,
-    ask: &chooser::Ask<'_>,
-    place: Option<neighbours::Place>,
+    ask: &chooser::EndpointQuery<'_>,
+    place: Option<entry_peers::RoutingDecision>,
 ) -> chooser::Choice {
     let advised = match place {
-        Some(neighbours::Place::Engine {
+        Some(entry_peers::RoutingDecision::Engine {
             engine, estimate, ..
-        }) => core.chooser.follow(now, engine, estimate, ask),
-        Some(neighbours::Place::Wait { .. }) => {
-            Some(chooser::Choice::Wait(chooser::Missing::Place))
+        }) => core.chooser.follow_decision(now, engine, estimate, ask),
+        Some(entry_peers::RoutingDecision::Wait { .. }) => {
+            Some(chooser::Choice::Wait(chooser::WaitReason::Place))
         }
-        Some(neighbours::Place::Unknown) | None => None,
+        Some(entry_peers::RoutingDecision::Unknown) | None => None,
     };
     advised.unwrap_or_else(|| core.chooser.choose(now, ask))
 }
@@ -34,20 +34,20 @@
     /// Asks the coordinator of the model where to send the request, at most once per [`QUERY_INTERVAL`].
     pub(super) fn query_coordinator(
         &self,
-        ask: &chooser::Ask<'_>,
+        ask: &chooser::EndpointQuery<'_>,
         queried_at: &mut Option<std_time::Instant>,
-    ) -> Option<neighbours::Place> {
+    ) -> Option<entry_peers::RoutingDecision> {
         if queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
-            return Some(neighbours::Place::Wait { expected: None });
+            return Some(entry_peers::RoutingDecision::Wait { expected: None });
         }
-        let request = neighbours::key(self.id());
+        let request = entry_peers::name_key(self.id());
         let place = gateway::entry_peers::ask(self.shared, request, ask);
         *queried_at = place.map(|_| std_time::Instant::now());
         place
     }
 
     /// Counts the request in the demand reported to the leader, once.
-    pub(super) fn count_demand(&self, place: Option<neighbours::Place>) {
+    pub(super) fn count_demand(&self, place: Option<entry_peers::RoutingDecision>) {
         let Some(wanted) = self
             .wanted
             .filter(|_| !self.is_demand_counted.replace(true))
@@ -55,7 +55,7 @@
             return;
         };
         let kept = match place {
-            Some(neighbours::Place::Engine { kept_tokens, .. }) => Some(kept_tokens),
+            Some(entry_peers::RoutingDecision::Engine { cached_tokens, .. }) => Some(cached_tokens),
             _ => None,
         };
         self.shared
@@ -66,10 +66,10 @@
     /// entry process.
     pub(super) fn refuse_by_coordinator(
         &self,
-        place: Option<neighbours::Place>,
+        place: Option<entry_peers::RoutingDecision>,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let Some(neighbours::Place::Wait { expected }) = place else {
+        let Some(entry_peers::RoutingDecision::Wait { expected }) = place else {
             return None;
         };
         let expected = expected.unwrap_or_default();
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -174,7 +174,7 @@
     content: quarantine::Fingerprint,
     route: &'a config::Route,
     /// The workspace that sends it; none where the configuration does not ask for one.
-    workspace: Option<workspaces::Known>,
+    workspace: Option<workspaces::WorkspaceRef>,
     /// The version of the configuration by which `workspace` was determined.
     identified_by: u64,
     /// Whether that configuration has workspaces, so that API keys are meant for this system.
@@ -203,7 +203,7 @@
     /// Whether it could have been retried, but the retry budget was spent.
     is_retry_budget_spent: bool,
     /// What it waits for in this process, or waited for last.
-    waited_for: Option<chooser::Missing>,
+    waited_for: Option<chooser::WaitReason>,
     timings: StreamTimings,
     attempt_log: attempt_log::AttemptLog,
 }
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -45,13 +45,13 @@
             return None;
         }
         let held = self.next_charge.take();
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: 0,
             of,
             amount: units,
             returned: held.map_or(0.0, |it| it.units),
             rank: self.route.priority,
-            named: None,
+            reported: None,
         };
         match allowances::ask(self.shared, draw) {
             allowance::Next::Over(after) => {
@@ -62,7 +62,7 @@
                 let refusal = self.final_refusal(verdict::Reason::CallerLimit, detail);
                 Some(with_quota_delay(refusal, after))
             }
-            allowance::Next::Nobody => {
+            allowance::Next::Unreachable => {
                 let detail = format!(
                     "no process answers that keeps the quota of workspace {}",
                     workspace.name
