--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: in force everywhere, never back, read back as it was sent.
+//! The operator's configuration: it comes into force everywhere, is never replaced by an older one, and is read back
+//! as it was sent.
 
 use std::sync::{Arc, atomic};
 use std::thread;
@@ -19,8 +20,7 @@
     answer.map_or(0, |it| it.status())
 }
 
-/// Callers come before the operator's first configuration. They must not be told that there is no
-/// route: nobody knows that yet.
+/// Guards against a 404 before the operator's first configuration, when no process knows yet which routes there are.
 #[test]
 fn without_a_configuration_callers_are_told_to_come_back() {
     let fleet = Fleet::start(3, 1);
@@ -50,8 +50,8 @@
     }
 }
 
-/// An operator's call is answered late and sent again, behind a later change. It is acknowledged and
-/// changes nothing.
+/// Guards against an old configuration that replaces a newer one, when the operator's tool repeats a call after a later
+/// change. The call is acknowledged and changes nothing.
 #[test]
 fn an_overtaken_configuration_is_acknowledged_and_changes_nothing() {
     let (fleet, _engines) = Fleet::ready();
@@ -103,8 +103,7 @@
     assert_eq!(status(&fleet, 0, "/new/x"), 404);
 }
 
-/// Changes come one on the other while requests run. None of the requests may be cut or refused by a
-/// change that does not touch its route.
+/// Guards against requests that are interrupted or refused by frequent changes of other routes.
 #[test]
 fn a_storm_of_changes_cuts_no_request() {
     let (fleet, _engines) = Fleet::ready();
@@ -135,12 +134,12 @@
     }
 }
 
-/// A configuration has the keys of many callers, and one of them is added. Entry processes are told what is new and
-/// not all of it; one that starts knows nothing and is told the whole.
+/// Guards against sending a large configuration completely after each small change. Entry processes receive a delta,
+/// and only one that starts receives the complete configuration.
 #[test]
 fn an_entry_process_is_told_what_changed_and_the_whole_at_its_start() {
     let (mut fleet, _engines) = Fleet::ready();
-    let came = "received a configuration as a delta";
+    let received = "received a configuration as a delta";
     for (version, name) in [(20, "first"), (30, "second")] {
         fleet.replace(&operator::config_with(version, &route(name)));
         for entry in 0..2 {
@@ -151,7 +150,7 @@
         }
     }
     for entry in &fleet.entries {
-        assert!(entry.log().contains(came), "{}", entry.log());
+        assert!(entry.log().contains(received), "{}", entry.log());
     }
     fleet.entries[0].kill();
     let before = fleet.entries[0].log().len();
@@ -160,7 +159,8 @@
         status(&fleet, 0, "/second/x") == 200
     });
     assert_eq!(status(&fleet, 0, "/first/x"), 404);
-    // A control process that is behind by a heartbeat may send the one before first, and the newest as a change of it.
+    // A control process that is one heartbeat behind may send the previous configuration first, and then the newest as
+    // a delta.
     let log = fleet.entries[0].log().split_off(before);
     let first = log
         .lines()
--- a/tests/fleet/control.rs
+++ b/tests/fleet/control.rs
@@ -1,4 +1,4 @@
-//! Control processes that are killed, lose their disks or are replaced.
+//! Control processes that are killed, lose their disks or are replaced, and the changes they have acknowledged.
 
 use crate::{
     fleet::{Fleet, Process},
@@ -10,8 +10,8 @@
     answer.is_some_and(|it| it.status() == 200)
 }
 
-/// All control processes are killed in the same moment, right after a change was acknowledged, and
-/// come back. The change is still there, and further ones are accepted.
+/// Guards against the loss of an acknowledged change when all control processes are killed at the same moment right
+/// after it and restarted.
 #[test]
 fn what_was_acknowledged_outlives_the_kill_of_all_control_processes() {
     let (mut fleet, _engines) = Fleet::ready();
@@ -28,9 +28,8 @@
     }
 }
 
-/// A control process loses its disk and comes back empty, then another one is lost for good. The
-/// group has taken the first back as a voter by itself, so changes are still accepted, and nothing
-/// acknowledged is gone.
+/// Guards against a group that does not take a control process back as a voter after it has lost its disk. Once another
+/// one is killed, the group could accept no changes, or would have lost acknowledged ones.
 #[test]
 fn a_control_process_that_lost_its_disk_becomes_a_voter_again() {
     let (mut fleet, _engines) = Fleet::ready();
@@ -42,7 +41,7 @@
         fleet.until("it votes again", || back.votes());
         let next = usize::from((lost + 1) % 3);
         let version = 200 + u64::from(lost) * 10;
-        // With one more killed, the one that came back is needed for a majority.
+        // With another one killed, the restored process is needed for a majority.
         fleet.control[next].kill();
         fleet.replace(&operator::config(version));
         fleet.control[next].start();
@@ -50,8 +49,8 @@
     }
 }
 
-/// A control VM goes for good, and an empty one comes at another address. It takes the place of the
-/// lost one without an operator, and then another VM may be lost.
+/// Guards against a lost control VM that needs an operator to be replaced. An empty control process on a new VM
+/// becomes a voter in its place, and then another VM may be lost.
 #[test]
 fn a_control_process_on_a_new_vm_takes_the_place_of_a_lost_one() {
     let (mut fleet, _engines) = Fleet::ready();
@@ -64,7 +63,7 @@
     fleet.control[2].kill();
     fleet.replace(&operator::config(310));
     assert_eq!(fleet.read_back(), operator::config(310));
-    // The lost one is no voter any more and must not disturb if it comes back after all.
+    // The replaced process is no longer a voter and must not disturb the group if it returns.
     lost.start();
     fleet.control[2].start();
     fleet.until("three vote", || fleet.control[2].votes());
@@ -73,8 +72,8 @@
     lost.kill();
 }
 
-/// Too few control processes have joined to keep a change through the loss of one disk. It must not
-/// be acknowledged.
+/// Guards against acknowledging a change while too few control processes have joined to keep it through the loss of one
+/// disk.
 #[test]
 fn nothing_is_acknowledged_while_too_few_could_keep_it() {
     let mut fleet = Fleet::start(3, 0);
@@ -90,13 +89,13 @@
     fleet.replace(&config);
 }
 
-/// A group that is to bear the loss of two disks has four of its five voters when the first
-/// configuration comes. Two disks lost right after an acknowledgement would leave two of four, which
-/// elect nobody, and the configuration could never be read again. So it is acknowledged only once
-/// the fifth votes; from then on four are enough while one is being replaced.
+/// Guards against acknowledging the first configuration too early. A group that tolerates the loss of two disks has
+/// four of its five voters: if two disks were lost right after an acknowledgement, the remaining two of four could
+/// elect no leader, and the configuration could never be read again. It is acknowledged once the fifth process votes;
+/// from then on, four voters are enough while one is being replaced.
 #[test]
 fn nothing_is_acknowledged_before_the_group_has_all_its_voters() {
-    let mut fleet = Fleet::bearing(2, 4, 0);
+    let mut fleet = Fleet::tolerating(2, 4, 0);
     for at in 0..4 {
         fleet.until("four vote", || fleet.control[at].votes());
     }
@@ -118,7 +117,7 @@
     assert_eq!(fleet.read_back(), operator::config(20));
 }
 
-/// The leader is killed again and again while changes come. Each that was acknowledged holds.
+/// Guards against the loss of acknowledged changes while one control process after the other is killed.
 #[test]
 fn changes_hold_while_one_control_process_after_the_other_is_killed() {
     let (mut fleet, _engines) = Fleet::ready();
--- a/tests/fleet/crashing.rs
+++ b/tests/fleet/crashing.rs
@@ -1,4 +1,4 @@
-//! A request that ends each endpoint that runs it.
+//! A request that crashes each endpoint that runs it.
 
 use std::{thread, time};
 
@@ -10,11 +10,11 @@
     },
 };
 
-/// Within this time of the third end all entry processes know of it.
-const KNOWN_WITHIN: time::Duration = time::Duration::from_secs(3);
+/// The time in which all entry processes learn of the third crash.
+const PROPAGATION_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// How often such a request may reach an endpoint after that, over all entry processes.
-const MOST_AFTER: usize = 3;
+/// The endpoints that the request may still crash after that, over all entry processes.
+const MAX_FURTHER_CRASHES: usize = 3;
 
 fn deadly(id: &str) -> Ask<'_> {
     Ask {
@@ -23,35 +23,35 @@
     }
 }
 
-/// How often an endpoint was ended so far.
-fn ends(engines: &[Engine]) -> usize {
+/// The number of crashes of endpoints so far.
+fn crash_count(engines: &[Engine]) -> usize {
     engines.iter().map(|it| it.seen(|seen| seen.ends)).sum()
 }
 
-/// Sends such a request to one entry process after the other until it has ended three endpoints.
-fn end_three(fleet: &Fleet, engines: &[Engine]) {
+/// Sends the request to both entry processes in turn until it has caused three crashes.
+fn crash_three(fleet: &Fleet, engines: &[Engine]) {
     let mut number = 0;
     fleet.until("it has ended three endpoints", || {
         number += 1;
         let id = format!("first-{number}");
         drop(fleet.ask(number % 2, &deadly(&id)));
-        ends(engines) >= 3
+        crash_count(engines) >= 3
     });
 }
 
-/// Sends it so many times more, in turn to these entry processes. Returns how many endpoints that ended.
-fn ends_by(fleet: &Fleet, engines: &[Engine], entries: &[usize], tries: usize) -> usize {
-    let before = ends(engines);
+/// Sends the request `tries` more times, in turn to these entry processes. Returns the number of crashes it caused.
+fn crashes_caused(fleet: &Fleet, engines: &[Engine], entries: &[usize], tries: usize) -> usize {
+    let before = crash_count(engines);
     for number in 0..tries {
         let id = format!("again-{number}");
         drop(fleet.ask(entries[number % entries.len()], &deadly(&id)));
-        // Those that were ended are back.
+        // Wait until crashed endpoints have restarted.
         thread::sleep(time::Duration::from_millis(500));
     }
-    ends(engines) - before
+    crash_count(engines) - before
 }
 
-/// Waits until an entry process answers requests.
+/// Waits until an entry process serves requests.
 fn serves(fleet: &Fleet, entry: usize) {
     fleet.until("it serves", || {
         let answer = fleet.ask(entry, &Ask::new("GET", "/stream/x", "first"));
@@ -59,42 +59,40 @@
     });
 }
 
-/// A request made each engine crash that began to run it. Its caller sent it again under other ids, other entry
-/// processes took it, and each passed it on to as many engines as one try may have: 34 engines were lost in a
-/// day of nine, and for seconds few were left for everybody. The processes counted the engines of one try and
-/// forgot them with it. What settled it, in the lines of two processes on the engines that it ended here:
-/// `content="3b8ed2632894eb26" .. request="first-2" runs="2"` and `content="3b8ed2632894eb26" .. request="again-5"
-/// runs="1"`, one content under all 20 ends, however little ran there.
+/// Guards against a request that crashes engine after engine. Its caller retried it with new ids at other entry
+/// processes, and each sent it to as many engines as one request may use: it caused 34 crashes in a day with nine
+/// engines, and for seconds few were left for all other requests. Crashes were counted per attempt of the caller; they
+/// have to be counted by the content of the request, over all entry processes.
 #[test]
 fn a_request_that_ends_endpoints_is_not_sent_on_and_on() {
     let (fleet, engines) = Fleet::ready();
-    end_three(&fleet, &engines);
-    thread::sleep(KNOWN_WITHIN);
-    let after = ends_by(&fleet, &engines, &[0, 1], 8);
-    assert!(after <= MOST_AFTER, "it ended {after} more");
+    crash_three(&fleet, &engines);
+    thread::sleep(PROPAGATION_TIME);
+    let after = crashes_caused(&fleet, &engines, &[0, 1], 8);
+    assert!(after <= MAX_FURTHER_CRASHES, "it ended {after} more");
 }
 
-/// The same, and an entry process starts only after the third engine has crashed. It has seen nothing of that,
-/// and would learn it at the cost of three engines of its own.
+/// The same for an entry process that starts after the third crash. Without the knowledge of the others, it would crash
+/// three more engines to learn it.
 #[test]
 fn an_entry_process_that_starts_knows_what_has_ended_endpoints() {
     let (mut fleet, engines) = Fleet::ready();
-    end_three(&fleet, &engines);
-    thread::sleep(KNOWN_WITHIN);
+    crash_three(&fleet, &engines);
+    thread::sleep(PROPAGATION_TIME);
     fleet.entries[0].kill();
     fleet.entries[0].start();
     serves(&fleet, 0);
-    let after = ends_by(&fleet, &engines, &[0], 6);
-    assert!(after <= MOST_AFTER, "it ended {after} more");
+    let after = crashes_caused(&fleet, &engines, &[0], 6);
+    assert!(after <= MAX_FURTHER_CRASHES, "it ended {after} more");
 }
 
-/// The same, and all processes lose their power at once. What was learnt at the cost of three engines must not
-/// be learnt again at that cost after each such loss.
+/// The same after all processes have lost power at once: the quarantine has to be restored, or each such loss would
+/// cost three more engines.
 #[test]
 fn what_has_ended_endpoints_is_known_after_all_processes_were_killed() {
     let (mut fleet, engines) = Fleet::ready();
-    end_three(&fleet, &engines);
-    thread::sleep(KNOWN_WITHIN);
+    crash_three(&fleet, &engines);
+    thread::sleep(PROPAGATION_TIME);
     for process in fleet.control.iter_mut().chain(&mut fleet.entries) {
         process.kill();
     }
@@ -104,18 +102,18 @@
     for entry in 0..2 {
         serves(&fleet, entry);
     }
-    thread::sleep(KNOWN_WITHIN);
-    let after = ends_by(&fleet, &engines, &[0, 1], 6);
-    assert!(after <= MOST_AFTER, "it ended {after} more");
+    thread::sleep(PROPAGATION_TIME);
+    let after = crashes_caused(&fleet, &engines, &[0, 1], 6);
+    assert!(after <= MAX_FURTHER_CRASHES, "it ended {after} more");
 }
 
-/// The caller of such a request has waited for an answer that never comes. It is told that this try was not run,
-/// why, and when it may come back; an engineer on call finds the endpoints that ended in the log.
+/// Guards against quarantined requests that get no explanation. The caller is told that the request was not run, why,
+/// and when to retry, and the log names the crashed endpoints.
 #[test]
 fn the_caller_of_a_held_request_is_told_why() {
     let (fleet, engines) = Fleet::ready();
-    end_three(&fleet, &engines);
-    thread::sleep(KNOWN_WITHIN);
+    crash_three(&fleet, &engines);
+    thread::sleep(PROPAGATION_TIME);
     for entry in 0..2 {
         let id = format!("told-{entry}");
         let answer = fleet.ask(entry, &deadly(&id)).expect("an answer");
@@ -144,8 +142,8 @@
     assert_eq!(answer.status(), 200, "{}", answer.text());
 }
 
-/// A request that many callers send runs at three engines that crash by something else, one after the other.
-/// Each time it goes on elsewhere and is answered whole. Taken for the cause, it would be refused to all of them.
+/// Guards against quarantining a request that was only running when engines crashed for another reason. Many callers
+/// send it, it is retried and answered each time, and a quarantine would refuse it to all of them.
 #[test]
 fn a_request_that_ran_beside_the_cause_is_served() {
     let (fleet, engines) = Fleet::ready();
@@ -172,7 +170,7 @@
         });
         let answer = answer.expect("an answer");
         assert_eq!(answer.status(), 200, "{round}: {}", answer.text());
-        // The one that crashed is back.
+        // Wait until the crashed engine has restarted.
         thread::sleep(time::Duration::from_millis(700));
     }
     let logs = fleet.entries.iter().map(crate::fleet::Process::log);
@@ -185,8 +183,8 @@
     assert!(ends >= 3, "seen to end: {ends}");
 }
 
-/// Engines fail a request again and again for a reason of their own, and live: more of them than may end before a
-/// request is held. It may be served next time.
+/// Guards against quarantining a request that engines fail without crashing, more often than the crash limit. It may
+/// succeed next time.
 #[test]
 fn a_request_that_fails_otherwise_is_not_held() {
     let (fleet, mut engines) = Fleet::ready();
@@ -223,8 +221,8 @@
     });
 }
 
-/// An engine says that it stops, and is gone before a long request there is done. That is how engines are replaced,
-/// one after the other, and no fault of the request.
+/// Guards against counting an announced stop of an engine as a crash: engines are replaced one after the other, and may
+/// stop before a long request is done.
 #[test]
 fn an_engine_that_stops_as_it_said_is_no_crash() {
     let (fleet, engines) = Fleet::ready();
--- a/tests/fleet/endpoints.rs
+++ b/tests/fleet/endpoints.rs
@@ -1,17 +1,16 @@
-//! Endpoints that come, leave and go.
+//! Endpoints that start, leave and restart.
 
 use std::time;
 
 use crate::{fleet::Fleet, standin::caller::Ask};
 
-/// An engine says that it will stop. No entry process sends it new work any more, whichever control
-/// process took its word.
+/// Guards against new requests to an engine that has announced to any control process that it will stop.
 #[test]
 fn a_leaving_endpoint_gets_no_new_work() {
     let (fleet, engines) = Fleet::ready();
     let announced = engines[0].announced();
     engines[0].leave();
-    // A round may be quiet by chance, so none counts before the engine has said it.
+    // A round may pass without a request by chance, so rounds count only after the announcement.
     fleet.until("the engine has said that it leaves", || {
         engines[0].announced() >= announced + 2
     });
@@ -34,8 +33,7 @@
     }
 }
 
-/// An engine comes while the others are gone, and an entry process that has just been told serves by
-/// it.
+/// Guards against a new engine that is not used although all others are gone.
 #[test]
 fn a_new_endpoint_is_used() {
     let (fleet, mut engines) = Fleet::ready();
@@ -50,9 +48,10 @@
     assert!(new.runs("new") >= 2);
 }
 
-/// The only engine of a model has run for hours, crashes and is back a second later under the name that
-/// it had, holding nothing. Its words count from one again. Taken for late words of before, it would be
-/// believed to hold its model: each request would be sent there and sent back, and nobody would load it.
+/// Guards against stale state of an engine that crashes after hours and restarts a second later with the same name and
+/// no model. The sequence numbers of its announcements restart at one. If they were taken for late announcements of the
+/// former instance, the engine would still count as holding its model: each request would be sent there and rejected,
+/// and the model would never be loaded.
 #[test]
 fn an_engine_that_starts_again_under_its_name_is_loaded_anew() {
     let (fleet, mut engines) = Fleet::ready();
--- a/tests/fleet/explaining.rs
+++ b/tests/fleet/explaining.rs
@@ -1,4 +1,4 @@
-//! A failure can be explained afterwards, by the logs alone.
+//! The logs and request traces explain what happened to a request.
 
 use std::process;
 
@@ -7,7 +7,7 @@
     standin::{caller::Ask, engine::Does},
 };
 
-/// How a request fails, and what its lines must say.
+/// The behaviour of the endpoints, and the texts that the log of a request must contain.
 struct Case {
     name: &'static str,
     does: Does,
@@ -17,9 +17,9 @@
     says: &'static [&'static str],
 }
 
-/// An engineer on call has the id of a failed request and the logs, and nothing else. The lines must
-/// name what decided: the route, the configuration, the endpoint, what it did, and whether the
-/// request may have run.
+/// Guards against failures that can't be explained from the id of a request and the logs alone. The records must name
+/// what decided the result: the route, the configuration, the endpoint and its behaviour, and whether the request may
+/// have run.
 #[test]
 fn each_failed_request_is_explained_by_its_lines() {
     let (fleet, engines) = Fleet::ready();
@@ -52,7 +52,11 @@
             "/once/x",
             None,
             503,
-            &["without running it", "status=\"503\"", "verdict=\"not_run\""],
+            &[
+                "without running it",
+                "status=\"503\"",
+                "verdict=\"not_run\"",
+            ],
         ),
         case(
             "failed",
@@ -107,19 +111,18 @@
         };
         let answer = fleet.ask(0, &ask).expect(case.name);
         assert_eq!(answer.status(), case.status, "{}", case.name);
-        let account = account_of(&fleet, &id);
+        let trace = trace_of(&fleet, &id);
         for part in ["rule ", "deadline ", "took ", "end "] {
-            assert!(account.contains(part), "{}: {account}", case.name);
+            assert!(trace.contains(part), "{}: {trace}", case.name);
         }
-        let text = || explain(&fleet, &id);
+        let text = || logs_of(&fleet, &id);
         let tells = |text: &str| case.says.iter().all(|it| text.contains(it));
         fleet.until("its lines are written", || tells(&text()));
     }
 }
 
-/// A request fails, and its caller sends it again with another id, which another entry process takes. An
-/// engineer on call sees endpoints fail and asks whether it is one request under all of them: the lines on both
-/// tries say so, and those on another request do not.
+/// Guards against retries that can't be recognized in the logs. A caller retries a failed request with another id at
+/// another entry process: the records of both have the same fingerprint, and those of another request have not.
 #[test]
 fn the_lines_tell_which_tries_are_one_request() {
     let (fleet, engines) = Fleet::ready();
@@ -140,7 +143,7 @@
         assert_eq!(answer.status(), 502, "{id}");
         let mut content = None;
         fleet.until("its lines are written", || {
-            let text = explain(&fleet, id);
+            let text = logs_of(&fleet, id);
             content = content_in(&text);
             content.is_some()
         });
@@ -150,7 +153,7 @@
     assert_ne!(contents[0], contents[2]);
 }
 
-/// The fingerprint that the line on a failed request names.
+/// The fingerprint in the log record of a failed request.
 fn content_in(text: &str) -> Option<String> {
     let line = text.lines().find(|it| it.contains("may have run"))?;
     let (_, rest) = line.split_once("content=\"")?;
@@ -158,8 +161,8 @@
     Some(content.to_owned())
 }
 
-/// What `sageshed explain` prints of a request when it asks the live entry processes.
-fn account_of(fleet: &Fleet, id: &str) -> String {
+/// The request trace that `sageshed explain` prints, asking all entry processes.
+fn trace_of(fleet: &Fleet, id: &str) -> String {
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_sageshed"));
     command.args(["explain", id]);
     for entry in &fleet.entries {
@@ -169,9 +172,9 @@
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
-/// An operator asks for the account of a request while it is still known to the entry process, which
-/// one of them it was being unknown. The account names the route, each endpoint it was sent to with
-/// what came of it, and how it ended. One that nobody has taken is said to be unknown.
+/// Guards against request traces that are not found or incomplete. The operator need not know which entry process
+/// served the request; the trace names the route, each attempt with its result, and how the request ended. For an
+/// unknown request nothing is printed.
 #[test]
 fn an_entry_process_tells_what_happened_to_a_request() {
     let (fleet, engines) = Fleet::ready();
@@ -185,16 +188,16 @@
     }
     let answer = fleet.ask(0, &Ask::new("GET", "/again/x", "answered-1"));
     assert_eq!(answer.expect("an answer").status(), 200);
-    let failed = account_of(&fleet, "failed-1");
+    let failed = trace_of(&fleet, "failed-1");
     assert_eq!(failed.matches("\nsent ").count(), 2, "{failed}");
     assert!(failed.contains("failed with status 500"), "{failed}");
-    let answered = account_of(&fleet, "answered-1");
+    let answered = trace_of(&fleet, "answered-1");
     assert!(answered.contains("answered with status 200"), "{answered}");
-    assert_eq!(account_of(&fleet, "never-came"), "");
+    assert_eq!(trace_of(&fleet, "never-came"), "");
 }
 
-/// What `sageshed logs` prints of a request.
-fn explain(fleet: &Fleet, id: &str) -> String {
+/// The records of a request that `sageshed logs` prints.
+fn logs_of(fleet: &Fleet, id: &str) -> String {
     let out = process::Command::new(env!("CARGO_BIN_EXE_sageshed"))
         .args(["logs", id])
         .args(fleet.entries.iter().map(crate::fleet::Process::log_file))
@@ -203,20 +206,20 @@
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
-/// Whoever collects the logs stops to read, and the pipe is full after some hundred lines. Requests
-/// must go on.
+/// Guards against requests that block when the log collector stops reading and the pipe is full, after some hundred
+/// lines.
 #[test]
 fn a_reader_of_the_logs_who_stops_costs_no_request() {
     let (mut fleet, _engines) = Fleet::ready();
     fleet.entries[0].kill();
-    fleet.entries[0].start_unread();
+    fleet.entries[0].start_with_unread_log();
     fleet.until("it serves", || {
         let answer = fleet.ask(0, &Ask::new("GET", "/again/x", "first"));
         answer.is_some_and(|it| it.status() == 200)
     });
     for number in 0..1_500 {
         let id = format!("unread-{number}");
-        // A path without a route is logged each time.
+        // Each request without a route is logged.
         let ask = Ask::new("GET", "/nowhere/x", &id);
         assert_eq!(fleet.ask(0, &ask).expect("an answer").status(), 404);
     }
--- a/tests/fleet/fleet.rs
+++ b/tests/fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts processes on loopback addresses of their own, and stops them.
+//! Starts the processes of a fleet on loopback addresses of their own, and stops them.
 
 use std::{
     env, fs, net, path, process,
@@ -10,23 +10,23 @@
 
 use crate::standin::{Message, caller, engine, operator};
 
-/// How long anything that is waited for may take. A test that reaches it has failed.
-const PATIENCE: time::Duration = time::Duration::from_secs(40);
+/// The timeout for everything that a test waits for.
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(40);
 
-/// Between two looks.
-const LOOK: time::Duration = time::Duration::from_millis(30);
+/// The interval between two checks of a condition.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(30);
 
-/// The fleets of this test binary so far.
+/// The number of fleets that this test binary has started, from which each gets its loopback network.
 static FLEETS: atomic::AtomicU32 = atomic::AtomicU32::new(0);
 
-/// One process.
+/// An entry or control process.
 pub struct Process {
     pub ip: net::Ipv4Addr,
-    /// Callers or the operator.
+    /// The port for callers, or for the operator and endpoints.
     pub port: u16,
-    /// The balancer's question, or the metrics of a control process.
+    /// The port for health checks, or for the metrics of a control process.
     ready: u16,
-    /// Its figures and accounts.
+    /// The port for metrics and request traces.
     metrics: u16,
     settings: path::PathBuf,
     role: &'static str,
@@ -38,18 +38,18 @@
         net::SocketAddrV4::new(self.ip, self.port)
     }
 
-    /// The status of the answer to the balancer; zero if there is none.
+    /// The status of the response to a health check; zero if there is none.
     pub fn ready(&self) -> u16 {
         let to = net::SocketAddrV4::new(self.ip, self.ready);
         operator::call(to, "GET", "/ready", "").map_or(0, |it| it.status())
     }
 
-    /// Where its figures and accounts are shown.
+    /// The address of its metrics and request traces.
     pub fn metrics(&self) -> net::SocketAddrV4 {
         net::SocketAddrV4::new(self.ip, self.metrics)
     }
 
-    /// Whether a control process is a voter by its own figures.
+    /// Whether a control process is a voter, according to its metrics.
     pub fn votes(&self) -> bool {
         let to = net::SocketAddrV4::new(self.ip, self.ready);
         let figures = operator::call(to, "GET", "/metrics", "");
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Sends a signal by name.
+    /// Sends it a signal by name.
     pub fn signal(&self, name: &str) {
         let child = self.child.as_ref().expect("it runs");
         let status = process::Command::new("kill")
@@ -77,11 +77,11 @@
 
     /// Waits until the process has ended by itself.
     pub fn wait(&mut self) -> process::ExitStatus {
-        let until = time::Instant::now() + PATIENCE;
+        let until = time::Instant::now() + WAIT_TIMEOUT;
         while self.runs() {
             let late = time::Instant::now() >= until;
             assert!(!late, "{} on {} does not end", self.role, self.ip);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         let mut child = self.child.take().expect("it ran");
         child.wait().expect("it has ended")
@@ -92,7 +92,7 @@
         child.try_wait().expect("it can be waited for").is_none()
     }
 
-    /// The text of its log so far.
+    /// Its log so far.
     pub fn log(&self) -> String {
         fs::read_to_string(self.log_file()).unwrap_or_default()
     }
@@ -101,8 +101,8 @@
         self.settings.with_extension("log")
     }
 
-    /// Starts it with its log going to somebody who does not read.
-    pub fn start_unread(&mut self) {
+    /// Starts it with its log written to a pipe that nobody reads.
+    pub fn start_with_unread_log(&mut self) {
         let child = process::Command::new(env!("CARGO_BIN_EXE_sageshed"))
             .args([self.role, "--config"])
             .arg(&self.settings)
@@ -136,13 +136,13 @@
     net: [u8; 3],
     vms_port: u16,
     control_port: u16,
-    /// Control VMs that may be lost at once with their disks.
+    /// The number of control VMs that may be lost at once with their disks.
     tolerates: u8,
-    /// Further settings of its entry processes.
+    /// Additional settings of its entry processes.
     entry_settings: &'static str,
     /// The port on which entry processes reach control processes.
     watch_port: u16,
-    /// What they reach them through, where that is not directly.
+    /// The relays through which they reach them; empty if they connect directly.
     relays: Vec<relay::Relay>,
     pub control: Vec<Process>,
     pub entries: Vec<Process>,
@@ -151,21 +151,21 @@
 impl Fleet {
     /// Starts control and entry processes, and waits until a leader answers the operator.
     pub fn start(control: u8, entries: u8) -> Self {
-        Self::bearing(1, control, entries)
+        Self::tolerating(1, control, entries)
     }
 
-    /// As [`Self::ready`], with further settings of the entry processes.
+    /// Like [`Self::ready`], with additional settings of the entry processes.
     pub fn ready_with(entry_settings: &'static str) -> (Self, Vec<engine::Engine>) {
         Self::start_with(1, 3, 2, entry_settings).served()
     }
 
-    /// As [`Self::start`], with the loss of `tolerates` control VMs to be borne at once. Three are
-    /// seeds, and found the group.
-    pub fn bearing(tolerates: u8, control: u8, entries: u8) -> Self {
+    /// Like [`Self::start`], for a group that tolerates the loss of `tolerates` control VMs at once. The first three
+    /// are seeds and form the group.
+    pub fn tolerating(tolerates: u8, control: u8, entries: u8) -> Self {
         Self::start_with(tolerates, control, entries, "")
     }
 
-    /// As [`Self::ready_with`], with one entry process, whose calls to control processes all go over `link`.
+    /// Like [`Self::ready_with`], with one entry process, whose calls to control processes all go over `link`.
     pub fn ready_over(
         link: &sync::Arc<relay::Link>,
         entry_settings: &'static str,
@@ -269,10 +269,12 @@
         )
     }
 
-    /// A control process on a VM that was not there before. Nobody asks its operators' port, so the system
-    /// chooses that when it is opened: one chosen before was taken by another process of the machine once. It is
-    /// at an address of its own: at that of the VM the system once chose the port on which the endpoints' calls
-    /// were to be taken next, which is the same on all VMs and was chosen at another's address.
+    /// A control process on a new VM.
+    ///
+    /// No test uses its port for operators, so the operating system chooses it when the listener is opened: a port
+    /// that was chosen earlier could be taken by another process of the machine. That port is on an address of its
+    /// own: on the VM's address, the system could choose the fleet port, which is the same on all VMs, was chosen on
+    /// the address of another one and is opened later.
     pub fn new_control(&self, at: u8, bootstrap: bool) -> Process {
         let ip = self.ip(11 + at);
         let operators = self.ip(111 + at);
@@ -322,13 +324,13 @@
         }
     }
 
-    /// All that its processes have written to their logs.
+    /// The logs of all its processes.
     pub fn logs(&self) -> String {
         let all = self.control.iter().chain(&self.entries);
         all.map(Process::log).collect()
     }
 
-    /// Takes the disk of a control process that does not run, and lets it start anew.
+    /// Replaces a stopped control process by one with an empty disk.
     pub fn wipe(&mut self, at: u8) {
         let data = self.folder.join(format!("data-{at}"));
         fs::remove_dir_all(&data).expect("its data folder was there");
@@ -340,7 +342,7 @@
         engine::Engine::start(id, service, self.ip(last), models, control)
     }
 
-    /// One request on a connection of its own. None where no answer came.
+    /// Sends one request on a connection of its own. None if no response arrives.
     pub fn ask(&self, entry: usize, ask: &caller::Ask<'_>) -> Option<Message> {
         let mut caller = caller::Caller::connect(self.entries[entry].address()).ok()?;
         caller.ask(ask).ok().flatten()
@@ -355,13 +357,13 @@
         });
     }
 
-    /// The status of one try; zero if there is none.
+    /// The status of one attempt to replace the configuration; zero if there is no response.
     pub fn try_replace(control: &Process, config: &str) -> u16 {
         let answer = operator::call(control.address(), "POST", "/config/replace", config);
         answer.map_or(0, |it| it.status())
     }
 
-    /// The configuration that some control process reads back.
+    /// The configuration that a control process returns.
     pub fn read_back(&self) -> String {
         let mut text = String::new();
         self.until("the configuration is read back", || {
@@ -377,15 +379,18 @@
         text
     }
 
-    /// Waits until `holds`.
+    /// Waits until `holds` returns true; fails the test after [`WAIT_TIMEOUT`].
     pub fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
-        let until = time::Instant::now() + PATIENCE;
+        let until = time::Instant::now() + WAIT_TIMEOUT;
         while !holds() {
             if time::Instant::now() >= until {
                 self.print_logs();
-                panic!("waited in vain until {what}; see {}", self.folder.display());
+                panic!(
+                    "timed out waiting until {what}; see {}",
+                    self.folder.display()
+                );
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -406,7 +411,7 @@
     fn drop(&mut self) {
         for process in self.control.iter_mut().chain(&mut self.entries) {
             if let Some(mut child) = process.child.take() {
-                // One that has ended already needs no kill.
+                // The process may have exited by itself.
                 if child.kill().is_ok() {
                     drop(child.wait());
                 }
@@ -418,8 +423,8 @@
     }
 }
 
-/// Ports that the system chooses, none of them among `taken`; nobody else uses addresses of this test.
-/// Each is held until the last is chosen, or the system could give one out twice.
+/// Ports chosen by the operating system, none of them among `taken`. Only this test uses its addresses. Each port stays
+/// bound until the last one is chosen, since the system could otherwise return the same one twice.
 fn free_ports<const N: usize>(ip: net::Ipv4Addr, taken: &[u16]) -> [u16; N] {
     let mut held = Vec::new();
     let mut chosen = Vec::new();
--- a/tests/fleet/identity.rs
+++ b/tests/fleet/identity.rs
@@ -1,5 +1,5 @@
-//! Who asks: keys are asked for before anything is sent, stay inside the system, and hold as the newest
-//! configuration says.
+//! Authentication: API keys are checked before anything is sent, never leave the system, and are valid as the newest
+//! configuration states.
 
 use std::{net, thread, time};
 
@@ -13,13 +13,13 @@
     },
 };
 
-/// Keys that nothing of the system may show.
+/// API keys, which must not appear in any response, log or forwarded request.
 const DUG: &str = "kdug5f1a0c77";
 const DUG_TWO: &str = "kdug9e22b4d1";
 const PIPE: &str = "kpipe83c6ab0";
 const NOBODY: &str = "knobody41f9e";
 
-/// A route that is open to all and one whose requests wait for long.
+/// A public route, and one whose requests may wait for a long time.
 const ROUTES: &str = r#"{"name":"open","host":"a.example","path_prefix":"/open/","kind":"idempotent","timeout_ms":3000,"latency_target_ms":300,"priority":2,"public":true,"service":"plain","attempts":1},
 {"name":"patient","host":"a.example","path_prefix":"/patient/stream/","kind":"streaming","timeout_ms":60000,"latency_target_ms":30000,"priority":1,"service":"engines","attempts":1,"resumable":false},"#;
 
@@ -62,13 +62,13 @@
     let (fleet, engines) = Fleet::ready();
     fleet.replace(&two(20));
     for entry in 0..2 {
-        // The configuration before asks nobody, and serves every key.
+        // The previous configuration requires no key and serves any.
         until_status(&fleet, entry, NOBODY, 401);
     }
     (fleet, engines)
 }
 
-/// The request with this id as an endpoint got it.
+/// The request with this id as an endpoint received it.
 fn ran(engines: &[Engine], id: &str) -> Option<Message> {
     engines.iter().find_map(|engine| {
         engine.seen(|seen| {
@@ -78,7 +78,7 @@
     })
 }
 
-/// What a request shows, and whether it is served.
+/// The credentials of a request, and the expected status.
 struct Case {
     name: &'static str,
     lines: String,
@@ -86,7 +86,7 @@
     status: u16,
 }
 
-/// All that strangers try, and three that are none.
+/// Requests with missing, unknown or malformed credentials, and three that need none or that no route matches.
 fn strangers() -> Vec<Case> {
     let case = |name, lines: String, path, status| Case {
         name,
@@ -173,8 +173,8 @@
     ]
 }
 
-/// Strangers try the door in all the ways they know. None gets past it, each is told at once what is asked for,
-/// and nothing that the processes write helps the next one: not what they showed, nor a key that is known.
+/// Guards against unauthenticated requests that reach an endpoint, and against keys that are written to logs. Each such
+/// request is refused at once with a challenge, and neither the presented nor the valid keys are logged.
 #[test]
 fn strangers_are_refused_before_anything_is_sent_and_no_key_is_written_down() {
     let (fleet, engines) = with_workspaces();
@@ -236,8 +236,8 @@
     String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr)
 }
 
-/// A caller writes its key in its own way, and claims to be somebody else in all the ways it knows. The endpoint
-/// gets the name of the workspace that holds the key, once, and no key.
+/// Guards against forged workspace headers and forwarded keys. However the caller formats its key, the endpoint
+/// receives the name of the workspace that holds it, exactly once, and no key.
 #[test]
 fn an_endpoint_gets_the_workspace_and_never_the_key() {
     let (fleet, engines) = with_workspaces();
@@ -273,7 +273,8 @@
     assert!(fleet.entries[1].log().contains("\"workspace\":\"dug\""));
 }
 
-/// Without workspaces the system asks nobody, and what a caller shows is between it and the endpoint.
+/// Guards against changed credentials in a configuration without workspaces: nobody is authenticated, and the caller's
+/// `Authorization` header is forwarded.
 #[test]
 fn without_workspaces_nobody_is_asked() {
     let (fleet, engines) = Fleet::ready();
@@ -287,9 +288,9 @@
     assert_eq!(got.header("tenant"), None);
 }
 
-/// A key is taken away while its holder has a connection open, streams an answer, and has a request waiting
-/// here. The stream comes whole, since the work is done; what waits is refused and has not run; and the next
-/// request on the same connection is refused.
+/// Guards against a revoked key that still admits requests. Its holder has an open connection, a request that runs and
+/// one that waits: the running one is not interrupted, the waiting one is refused without having run, and the next one
+/// on the same connection is refused.
 #[test]
 fn a_key_that_is_taken_away_ends_what_has_not_begun_and_cuts_nothing() {
     let fleet = Fleet::start(3, 1);
@@ -297,7 +298,7 @@
     let engine = fleet.engine("p1", "plain", 33, &[]);
     until_status(&fleet, 0, DUG, 200);
     let address = fleet.entries[0].address();
-    // No engine is there: the request waits for one.
+    // There is no engine, so the request waits for one.
     let waiting = thread::spawn(move || kept(address).ask(&patient()).expect("an answer"));
     fleet.until("the request waits", || {
         let text = operator::call(fleet.entries[0].metrics(), "GET", "/metrics", "");
@@ -323,7 +324,7 @@
         "{}",
         answer.text()
     );
-    // What an endpoint runs is waited for: the route's time ends it, not the change.
+    // A request that runs is ended by the timeout of its route, not by the change.
     let answer = open.answer().expect("an answer").expect("an answer");
     assert_ne!(answer.status(), 401, "{}", answer.text());
     let late = Ask {
@@ -338,7 +339,7 @@
     assert_eq!(status(&fleet, 0, DUG), 401);
 }
 
-/// A stream runs while its key is taken away: it comes whole.
+/// Guards against a stream that is interrupted when its key is revoked.
 #[test]
 fn a_stream_outlives_its_key() {
     let (fleet, engines) = with_workspaces();
@@ -372,17 +373,19 @@
     }
 }
 
-/// A step of an operator's, and what a key is worth after it.
+/// A change by the operator, and the expected result of a request with a key after it.
 struct Step {
     name: &'static str,
     workspaces: Vec<String>,
-    /// The status that a request with [`DUG`] gets, and the workspace that it runs for.
+    /// The status of a request with [`DUG`].
     status: u16,
+    /// The workspace that the request runs for.
     runs_for: Option<&'static str>,
 }
 
-/// Keys are taken away, moved and given again, and whole workspaces go and come back. Each entry process follows
-/// and none goes back, also those that were killed and know nothing, and those that stood still meanwhile.
+/// Guards against entry processes that accept keys by an old configuration. Keys are revoked, moved and granted
+/// again, and workspaces are removed and restored; entry processes that were killed or suspended meanwhile follow as
+/// well.
 #[test]
 fn keys_follow_the_newest_configuration_through_restarts_and_freezes() {
     let (mut fleet, engines) = with_workspaces();
@@ -431,7 +434,7 @@
         fleet.entries[0].kill();
         fleet.entries[0].start();
         if step.status == 401 {
-            // It knows no key at first, and asks to come back then: never does it serve.
+            // A restarted process knows no keys at first. It may refuse with 503, but must never serve.
             fleet.until("it has a configuration", || {
                 let status = status(&fleet, 0, DUG);
                 assert!(matches!(status, 0 | 401 | 503), "{}: {status}", step.name);
@@ -439,7 +442,7 @@
             });
         }
         until_status(&fleet, 0, DUG, step.status);
-        // A key that has moved is taken by both configurations: the newer one is in force a moment later.
+        // Both configurations accept a key that has moved, so wait until the newer one is in force.
         let mut tries = 0;
         fleet.until("the key's holder is known", || {
             tries += 1;
@@ -453,8 +456,8 @@
     }
 }
 
-/// All processes of the system lose power at once, right after a key was taken away. They come up with nothing
-/// but the control processes' disks, and the key stays unknown.
+/// Guards against a revoked key that is valid again after all processes have lost power at once and restarted from the
+/// disks of the control processes.
 #[test]
 fn a_key_that_was_taken_away_stays_so_after_a_full_restart() {
     let (mut fleet, _engines) = with_workspaces();
@@ -475,8 +478,8 @@
     }
 }
 
-/// Two operators change who holds a key at the same time, through two control processes. One of them is the last:
-/// every entry process ends with the same holder, the one that is read back.
+/// Guards against entry processes that disagree on the holder of a key after two operators have changed it at the same
+/// time. All end with the configuration that is read back.
 #[test]
 fn of_two_operators_at_once_one_is_the_last_everywhere() {
     let (fleet, engines) = with_workspaces();
--- a/tests/fleet/limits.rs
+++ b/tests/fleet/limits.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name in their answers how many requests a second they take from all VMs together.
+//! Endpoints that report in their responses how many requests per second they accept from all VMs together.
 
 use std::time;
 
@@ -8,20 +8,20 @@
     standin::{engine::Arrival, operator},
 };
 
-/// Requests a second that the endpoint in need names.
+/// The rate limit that the overloaded endpoint reports, in requests per second.
 const LIMIT: f64 = 1.0;
 
-/// The span over which its requests are counted.
+/// The window over which its requests are counted.
 const SPAN: time::Duration = time::Duration::from_secs(4);
 
-/// What an endpoint may get in [`SPAN`]: one and a half times what its limit allows, and five for what is under way
-/// when it speaks.
+/// The requests that the endpoint may get in [`SPAN`]: one and a half times what its limit allows, and five that are in
+/// flight when it reports the limit.
 const MOST: usize = 11;
 
-/// From when on requests count, once each process was told.
+/// The time after the last entry process has learned of the limit before requests are counted.
 const TOLD: time::Duration = time::Duration::from_millis(500);
 
-/// The most that arrived within [`SPAN`], of what arrived at or after `from`.
+/// The most requests that arrived within [`SPAN`], of those that arrived at or after `from`.
 fn most(arrived: &[Arrival], from: time::Instant) -> usize {
     let arrived: Vec<_> = arrived.iter().map(|it| it.at).collect();
     let arrived: Vec<_> = arrived.into_iter().filter(|at| *at >= from).collect();
@@ -36,16 +36,15 @@
 /// One kind of endpoint.
 struct Case {
     load: Load,
-    /// Of the endpoints of a fleet that is ready, the one in need and the one beside it.
+    /// The index, among the endpoints of [`Fleet::ready`], of the one with the limit.
     endpoint: usize,
+    /// The index of the other endpoint of its service.
     beside: usize,
 }
 
-/// An endpoint in need named in its answers how many requests it takes from all VMs together, and went on getting as many
-/// as those beside it: 20 in four seconds where 13 were allowed. Every entry process passed the answers on and none read
-/// the limit, nor is there one that sees all requests. What settled it here, in the lines of both processes:
-/// `endpoint names a limit .. endpoint="e1" per_s="1"`, and four seconds later `requests sent to an endpoint that
-/// names a limit .. sent="32" span_ms="4014"` by the one, `sent="40"` by the other.
+/// Guards against an endpoint that gets more requests than the limit that it reports for all VMs together: 20 in four
+/// seconds where 13 were allowed. The entry processes ignored the limit, and none of them sees all requests, so they
+/// have to share it.
 #[test]
 fn an_endpoint_that_names_a_limit_gets_no_more_from_all_processes_together() {
     let cases = [
@@ -79,15 +78,14 @@
             "{most} in 4 s at {}, {MOST} allowed",
             case.load.path
         );
-        // The endpoint beside it takes what it does not.
+        // The other endpoint takes the remaining requests.
         for answer in answers {
             assert_eq!(answer.status(), 200, "{}: {}", case.load.path, answer.head);
         }
     }
 }
 
-/// The same where no other endpoint holds the model. Callers of what the endpoint can't take are told so, and when to
-/// come back.
+/// The same if no other endpoint holds the model: callers above the limit are refused with a `Retry-After`.
 #[test]
 fn callers_of_an_endpoint_with_a_limit_are_told_when_to_come_back() {
     let fleet = Fleet::start(3, 2);
--- a/tests/fleet/load.rs
+++ b/tests/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Callers that ask all entry processes at once, with prompts that no endpoint keeps.
+//! Callers that send requests to all entry processes at once, with prompts that no endpoint has cached.
 
 use std::{thread, time};
 
@@ -11,16 +11,16 @@
     },
 };
 
-/// For how long callers ask.
+/// How long the callers send requests.
 const LOAD: time::Duration = time::Duration::from_secs(9);
 
-/// What callers ask for.
+/// The requests that the callers send.
 pub struct Load {
     pub path: &'static str,
     pub deadline_ms: u32,
 }
 
-/// Asks with a prompt that no endpoint keeps, so that all are as good.
+/// Sends a request with a prompt that no endpoint has cached, so that no endpoint is preferred.
 pub fn ask(fleet: &Fleet, entry: usize, load: &Load, id: &str, number: usize) -> Option<Message> {
     let lines = format!("Model: m1\r\nToken-Usage: 100,10\r\nPrompt-Prefix: {number:x}:100\r\n");
     let plain = Ask::new("GET", load.path, id);
@@ -33,7 +33,7 @@
     fleet.ask(entry, &ask)
 }
 
-/// Asks until each entry process has passed on an answer of `endpoint`, while the one beside it takes nothing.
+/// Sends requests until each entry process has received a response of `endpoint`, while `beside` rejects all.
 pub fn tell_all(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
     for entry in 0..fleet.entries.len() {
         tell(fleet, entry, endpoint, beside, load);
@@ -53,7 +53,7 @@
     beside.does(Does::Answers);
 }
 
-/// Some 30 requests a second, from two callers an entry process. Returns the answers.
+/// Sends about 30 requests per second, from two callers per entry process. Returns the responses.
 pub fn answers(fleet: &Fleet, load: &Load) -> Vec<Message> {
     let begin = time::Instant::now();
     thread::scope(|scope| {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Whole processes in front of a fleet: real `sageshed entry` and `sageshed control`, with stand-ins
-//! for callers, endpoints and the operator.
+//! End-to-end tests of a fleet: real `sageshed entry` and `sageshed control` processes, with stand-ins for callers,
+//! endpoints and the operator.
 
 #[path = "../../platform/tests/standin/mod.rs"]
 mod standin;
@@ -13,8 +13,8 @@
 mod identity;
 mod limits;
 mod load;
+mod notices;
 mod quota;
 mod requests;
-mod said;
 mod slow_link;
 mod stopping;
--- a/tests/fleet/said.rs
+++ b/tests/fleet/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers: that they leave, that they want rest.
+//! Backpressure notices in the responses of endpoints: that they are leaving, and that they ask for a back-off.
 
 use std::time;
 
@@ -11,21 +11,21 @@
     },
 };
 
-/// From when on nothing more may come, once each process was told; half a second later than an answer, for what
-/// was on its way.
+/// The time for requests that are in flight when an entry process receives a notice; later ones count.
 const TOLD: time::Duration = time::Duration::from_millis(500);
 
-/// Seconds of rest that an endpoint asks for.
+/// The back-off that an endpoint asks for, in seconds.
 const REST: f64 = 3.0;
 
-/// Requests that may come from one process in that time.
+/// The requests that one entry process may send during the back-off.
 const MOST: usize = 2;
 
 /// One kind of endpoint.
 struct Case {
     path: &'static str,
-    /// Of the endpoints of a fleet that is ready, the one that speaks and the one beside it.
+    /// The index, among the endpoints of [`Fleet::ready`], of the one that sends the notice.
     endpoint: usize,
+    /// The index of the other endpoint of its service.
     beside: usize,
 }
 
@@ -49,24 +49,22 @@
     }
 }
 
-/// Whether an entry process knows that the endpoint leaves, by control or by an answer of its own.
+/// Whether an entry process knows that the endpoint is leaving, by control or by a response that it received.
 fn knows(entry: &Process) -> bool {
     let log = entry.log();
     log.contains("\"state\":\"Leaving\"")
         || log.contains("endpoint reports in a response that it is leaving")
 }
 
-/// Requests that arrived at or after `from`.
+/// The number of requests that arrived at or after `from`.
 fn since(endpoint: &Engine, from: time::Instant) -> usize {
     let arrived = endpoint.seen(|seen| seen.arrived.clone());
     arrived.iter().filter(|it| it.at >= from).count()
 }
 
-/// An endpoint said in its answers that it leaves, and an entry process that had passed one on sent it requests seven
-/// seconds later. Control processes were cut from each other, those that this process heard did not know, and it read the
-/// word of control alone. Here they go on saying that it is ready. What settled it, in one process's lines: `endpoint says
-/// that it leaves .. request="tell-0-1"`, the same for `load-0-0`, `load-0-1` and on for nine seconds, and none between
-/// by which control had said that it is ready.
+/// Guards against requests to an endpoint after it has reported in a response that it is leaving. An entry process sent
+/// it requests seven seconds later: it relied on control alone, and the control processes that it watched were
+/// partitioned from those that knew. Here, control keeps reporting that the endpoint is ready.
 #[test]
 fn nothing_goes_to_an_endpoint_that_has_said_in_an_answer_that_it_leaves() {
     for case in CASES {
@@ -88,8 +86,9 @@
     }
 }
 
-/// One entry process was told in an answer that an endpoint leaves, and control has nothing of it, as it calls no plain
-/// endpoint. The others hear it from control, also one that starts only now: nothing goes there from any of them.
+/// Guards against requests of other entry processes to an endpoint that has reported to only one of them that it is
+/// leaving. Control calls no plain endpoint and learns of it from that entry process; it has to tell all others, also
+/// one that starts later.
 #[test]
 fn all_entry_processes_know_what_one_was_told_in_an_answer() {
     let (mut fleet, engines) = Fleet::ready();
@@ -109,8 +108,9 @@
     assert!(answers.iter().all(|it| it.status() == 200));
 }
 
-/// The most requests that came from one of so many entry processes between half a second after the endpoint had turned
-/// one of its requests away and the end of the rest that it had asked for. Callers name the process in their ids.
+/// The most requests that one of the entry processes sent between [`TOLD`] after a rejection by the endpoint and the
+/// end of the back-off that it asked for. The ids of requests contain the number of the caller, which determines the
+/// entry process.
 fn most_in_rest(arrived: &[Arrival], entries: usize) -> usize {
     let rest = time::Duration::from_secs_f64(REST);
     let counts = (0..entries).flat_map(|entry| {
@@ -131,8 +131,8 @@
     counts.max().unwrap_or(0)
 }
 
-/// Asks until the endpoint has turned a request of each entry process away, while the one beside it takes nothing: one
-/// that answers faster might be chosen each time.
+/// Sends requests until the endpoint has rejected one of each entry process. The other endpoint rejects all meanwhile:
+/// if it responded faster, it might be chosen each time.
 fn turn_all_away(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
     beside.does(Does::Rejects);
     for entry in 0..fleet.entries.len() {
@@ -148,10 +148,9 @@
     beside.does(Does::Answers);
 }
 
-/// An endpoint turned a request away and asked the process that had sent it for rest. It got three from that process in
-/// the time: after a rejection the process left it alone for half a second, and did not read for how long it was asked
-/// to. What settled it: `endpoint asks for rest .. request="load-0-0" rest_ms="3000"`, and 1.3 s later the same of
-/// `load-0-1`.
+/// Guards against a back-off that is cut short. An endpoint rejected a request and asked for a back-off of 3 s, and the
+/// entry process sent it three more requests in that time: it ignored the duration, and paused for half a second as
+/// after any rejection.
 #[test]
 fn an_endpoint_gets_the_rest_that_it_asks_for() {
     for case in CASES {
@@ -170,7 +169,8 @@
     }
 }
 
-/// The same where no other endpoint holds the model: callers are told so at once, and when the rest is over.
+/// The same if no other endpoint holds the model: callers are refused at once, with the end of the back-off in
+/// `Retry-After`.
 #[test]
 fn callers_are_told_when_the_rest_of_the_only_endpoint_is_over() {
     let fleet = Fleet::start(3, 2);
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -1,4 +1,4 @@
-//! What a workspace may use, counted over all entry processes: never more, and the others are not made to pay.
+//! Quotas of workspaces, which hold over all entry processes together and do not affect other workspaces.
 
 use std::{net, thread, time};
 
@@ -11,11 +11,11 @@
     },
 };
 
-/// The key of the workspace with a quota, and of the one without.
+/// The headers with the API keys of the workspace with a quota (`dug`) and of the one without (`pipe`).
 const DUG: &str = "Authorization: Bearer kdug5f1a0c77\r\n";
 const PIPE: &str = "Authorization: Bearer kpipe83c6ab0\r\n";
 
-/// What the quota of `dug` allows in a second and at once.
+/// The quota of `dug`.
 struct Quota {
     per_s: u32,
     burst: u32,
@@ -28,7 +28,7 @@
     unit: "request",
 };
 
-/// A request of the stand-in's for a model counts 110 tokens; one that names none counts 50.
+/// A request of the stand-in for a model declares 110 tokens; one that declares none counts as 50.
 const IN_TOKENS: Quota = Quota {
     per_s: 440,
     burst: 440,
@@ -47,7 +47,7 @@
     operator::with_workspaces(&operator::config(version), &list)
 }
 
-/// Three entry processes with the quota in force, and the endpoints.
+/// Starts a fleet of three entry processes with the quota in force, and its endpoints.
 fn fleet(quota: &Quota) -> (Fleet, Vec<Engine>) {
     let fleet = Fleet::start(3, 3);
     fleet.replace(&config(20, quota));
@@ -89,11 +89,10 @@
     runs.sum()
 }
 
-/// Between two requests of a caller that asks for too much.
-const BETWEEN: time::Duration = time::Duration::from_millis(40);
+/// The interval between two requests of a caller that exceeds the quota.
+const REQUEST_INTERVAL: time::Duration = time::Duration::from_millis(40);
 
-/// Asks all entry processes at once for a while. Returns the statuses and how long it
-/// took.
+/// Sends `each` requests to every entry process, to all of them at once. Returns the statuses and the time taken.
 fn flood(fleet: &Fleet, path: &str, prefix: &str, each: usize) -> (Vec<u16>, time::Duration) {
     let began = time::Instant::now();
     let statuses = thread::scope(|scope| {
@@ -101,7 +100,7 @@
             .map(|entry| {
                 scope.spawn(move || {
                     let ask = |at| {
-                        thread::sleep(BETWEEN);
+                        thread::sleep(REQUEST_INTERVAL);
                         status(fleet, entry, path, &format!("{prefix}-{entry}-{at}"), DUG)
                     };
                     (0..each).map(ask).collect::<Vec<_>>()
@@ -116,15 +115,15 @@
     (statuses, began.elapsed())
 }
 
-/// The most that may have been allowed in a time: what grew, what was there at once, and what a restart brings.
+/// The most requests that may have been admitted in a time: by the rate, with one more second for what a restart grants,
+/// and by the burst.
 fn most(quota: &Quota, per_request: f64, took: time::Duration) -> f64 {
     let grown = f64::from(quota.per_s) * (took.as_secs_f64() + 1.0);
     ((grown + f64::from(quota.burst)) / per_request).ceil()
 }
 
-/// One workspace asks for many times its quota at all entry processes at once. It gets its quota, whatever process
-/// it asks; what is over is told so at once and when to come back, and has not run; the other workspace notices
-/// nothing.
+/// Guards against a workspace that gets more than its quota by sending to all entry processes at once. The excess is
+/// refused with a `Retry-After` and has not run, and the other workspace is not affected.
 #[test]
 fn a_workspace_gets_its_quota_over_all_entry_processes_together() {
     for (quota, path, per_request) in [
@@ -165,8 +164,8 @@
     }
 }
 
-/// The processes that keep the count are killed one after the other, and one stands still, while a workspace asks
-/// for more than its quota. The count is lost with each, and what is allowed is not counted twice.
+/// Guards against a quota that is granted several times when the entry processes that keep its state are killed or
+/// suspended one after the other while a workspace exceeds it.
 #[test]
 fn a_quota_holds_while_entry_processes_are_killed_and_stand_still() {
     let (mut fleet, engines) = fleet(&IN_REQUESTS);
@@ -191,7 +190,7 @@
     }
     let took = began.elapsed();
     let runs = runs_of(&engines, "dug-");
-    // Each of the kills may bring what a producer yields at its start.
+    // A process that starts may grant what one second yields, and three are killed.
     let allowed = most(&IN_REQUESTS, 1.0, took) + 3.0 * f64::from(IN_REQUESTS.per_s);
     assert!(runs as f64 <= allowed, "{runs} ran in {took:?}");
     fleet.until("the workspace is served again", || {
@@ -199,8 +198,8 @@
     });
 }
 
-/// An endpoint says that it has not run the request, or its caller leaves before it is sent: nothing of the quota
-/// is used. An endpoint that fails has used it.
+/// Guards against charging the quota for requests that an endpoint has rejected without running them. A request that
+/// failed after it may have run is charged.
 #[test]
 fn what_has_not_run_is_given_back() {
     let (fleet, engines) = fleet(&Quota {
@@ -208,7 +207,7 @@
         burst: 20,
         unit: "request",
     });
-    thread::sleep(FILLED);
+    thread::sleep(REFILL_TIME);
     engines[1].does(Does::Rejects);
     for at in 0..60 {
         let status = status(&fleet, at % 3, "/once/x", &format!("rejected-{at}"), DUG);
@@ -231,7 +230,7 @@
     );
 }
 
-/// A caller leaves while its request waits for an engine that is not there.
+/// Guards against charging the quota for a request whose caller disconnects while it waits for an engine.
 #[test]
 fn a_caller_that_leaves_while_it_waits_is_not_charged() {
     let fleet = Fleet::start(3, 1);
@@ -247,7 +246,7 @@
     fleet.until("it serves", || {
         status(&fleet, 0, "/again/x", "look", DUG) == 200
     });
-    thread::sleep(FILLED);
+    thread::sleep(REFILL_TIME);
     let address = fleet.entries[0].address();
     for at in 0..40 {
         let id = format!("left-{at}");
@@ -277,19 +276,18 @@
     assert_eq!(plain.runs("after"), 1);
 }
 
-/// After this a quota of one request a second allows a few at once.
-const FILLED: time::Duration = time::Duration::from_secs(5);
+/// The time in which a quota of one request per second accumulates a few requests.
+const REFILL_TIME: time::Duration = time::Duration::from_secs(5);
 
 fn connect(address: net::SocketAddrV4) -> Caller {
     Caller::connect(address).expect("a connection")
 }
 
-/// A caller declares numbers of tokens that no request has, to be counted as none or to use up what others of its
-/// workspace need.
+/// Guards against absurd token declarations that overflow to a free request, or that use up the quota of the workspace.
 #[test]
 fn a_caller_that_declares_absurd_numbers_is_refused_and_costs_nobody() {
     let (fleet, engines) = fleet(&IN_TOKENS);
-    thread::sleep(FILLED);
+    thread::sleep(REFILL_TIME);
     for tokens in [
         "18446744073709551615,1",
         "18446744073709551615,18446744073709551615",
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -1,5 +1,5 @@
-//! Requests and answers pass byte for byte, and a request that ends without an answer is told the
-//! truth.
+//! Requests and responses are forwarded byte for byte, and the status of a failed request states whether it may have
+//! run.
 
 use std::{net, thread, time};
 
@@ -15,14 +15,13 @@
     engines.iter().map(|it| it.runs(id)).sum()
 }
 
-/// The text of this many events.
+/// The text of a stream with this many events.
 fn events(count: u32) -> String {
     let event = |n| format!("id: {n}\ndata: event {n}\n\n");
     (1..=count).map(event).collect::<Vec<_>>().concat()
 }
 
-/// Asks for a stream that may be resumed, and sees that it comes whole with so many events. Returns
-/// the id.
+/// Requests a resumable stream, and checks that it is complete, with `count` events. Returns the id.
 fn stream_whole(fleet: &Fleet, id: String, count: u32) -> String {
     let answer = fleet.ask(0, &Ask::new("POST", "/resumable/x", &id));
     let answer = answer.expect("an answer");
@@ -100,18 +99,18 @@
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
 }
 
-/// What the endpoints do with a request, and how it ends.
+/// The behaviour of the endpoints, and the expected result of a request.
 struct Case {
     name: &'static str,
     does: Does,
     path: &'static str,
     status: u16,
-    /// How often it runs in all.
+    /// How often the request runs in total.
     runs: usize,
 }
 
-/// A back end fails in some way. A submission that may run once must never run twice, and 503 is a
-/// promise that it has not run and never will: the caller sends it again by that word.
+/// Guards against wrong statuses of failed requests: a request that may run once must never run twice, and callers
+/// retry after a 503, which promises that the request has not run and never will.
 #[test]
 fn a_request_that_ends_without_an_answer_is_told_the_truth() {
     let (fleet, engines) = Fleet::ready();
@@ -202,13 +201,14 @@
         );
         let comes_back = answer.header("retry-after").is_some();
         assert_eq!(comes_back, case.status == 503, "{}", case.name);
-        // Failures are forgiven after a while, so that the next case finds endpoints to choose from.
+        // Failed endpoints are used again after a while, so that the next case finds some to choose from.
         all_do(&engines, Does::Answers);
         thread::sleep(time::Duration::from_millis(700));
     }
 }
 
-/// An engine breaks off inside an event. The caller sees each event once, in order, and the end.
+/// Guards against lost, repeated or truncated events when an engine fails inside an event and another one resumes the
+/// stream.
 #[test]
 fn a_stream_that_breaks_off_goes_on_at_another_engine() {
     let (fleet, engines) = Fleet::ready();
@@ -221,8 +221,8 @@
     let mut broken = None;
     for _ in 0..2 {
         all_do(engines, Does::Streams(6));
-        // The engine that keeps the beginning of the prompt takes them all. Once it has broken one off
-        // the other keeps it too, and is taken since it has not failed.
+        // The engine with the cached prefix of the prompt gets all streams. Once it has broken one off, the other
+        // one has the prefix cached too, and is chosen since it has not failed.
         fleet.until("an engine takes streams that has broken off none", || {
             let id = ask();
             let at = engines.iter().position(|it| it.runs(&id) == 1);
@@ -241,9 +241,8 @@
     }
 }
 
-/// An engine has many prompts to read, and its streams pause for longer than one that may go on elsewhere
-/// waits. The budget for repeats is spent. Left then, the stream could go on nowhere, and its caller would
-/// lose an answer of which the rest was to come.
+/// Guards against abandoning a stalled stream while the retry budget is spent. Its engine is busy with the prefill of
+/// other prompts and will continue; no other engine could resume the stream, and its caller would lose the rest.
 #[test]
 fn a_stream_that_pauses_is_not_left_without_a_repeat() {
     let (fleet, engines) = Fleet::ready_with("[retries]\nratio = 0.0\nslack = 0.0\n");
@@ -252,8 +251,8 @@
     assert_eq!(total_runs(&engines, &id), 1);
 }
 
-/// Guards against a stream that is left for a pause while the only other engine leaves: a repeat was in the budget, and
-/// its caller lost an answer of which the rest was to come.
+/// Guards against abandoning a stalled stream while the only other engine is leaving: the retry budget had a retry
+/// left, and the caller lost the rest of the response.
 #[test]
 fn a_stream_that_pauses_is_not_left_while_no_other_engine_is_free() {
     let (fleet, engines) = Fleet::ready();
@@ -272,7 +271,7 @@
     assert_eq!(total_runs(&engines, &id), 1);
 }
 
-/// The same where the route does not allow it: what has come must not look complete.
+/// Guards against a partial stream that looks complete, on a route that does not allow resuming it.
 #[test]
 fn a_stream_that_may_not_go_on_is_cut() {
     let (fleet, engines) = Fleet::ready();
@@ -286,8 +285,7 @@
     assert_eq!(total_runs(&engines, "cut"), 1);
 }
 
-/// A caller closes its connection, in each state of its request. The engine must not go on working
-/// for nobody.
+/// Guards against engines that keep working on a request whose caller has disconnected, in each state of the request.
 #[test]
 fn the_work_for_a_caller_who_left_ends() {
     let (fleet, engines) = Fleet::ready();
@@ -309,8 +307,8 @@
     }
 }
 
-/// An address was given to another endpoint. Its new owner refuses what is not meant for it, and the
-/// request goes to one that can serve it.
+/// Guards against a request for an adapter that no engine holds being refused instead of having the adapter loaded
+/// once.
 #[test]
 fn a_request_for_an_adapter_that_nobody_holds_has_it_loaded() {
     let (fleet, engines) = Fleet::ready();
@@ -331,7 +329,7 @@
     assert_eq!(loads, 1, "{orders:?}");
 }
 
-/// Nobody listens at an engine's address any more. Requests go to the other one, and none is lost.
+/// Guards against requests lost because no process listens on the address of an engine any more.
 #[test]
 fn an_engine_that_cannot_be_reached_costs_no_request() {
     let (fleet, mut engines) = Fleet::ready();
@@ -345,8 +343,8 @@
     }
 }
 
-/// An engine goes dark: it takes requests and says nothing. A stream that may run again leaves it long
-/// before its time is over, and the caller gets its answer from the other engine.
+/// Guards against a stream that waits until its deadline for an engine that accepts requests and sends nothing. Another
+/// engine has to serve it.
 #[test]
 fn a_stream_leaves_an_engine_that_says_nothing() {
     let (fleet, engines) = Fleet::ready();
@@ -357,13 +355,13 @@
         stream_whole(&fleet, format!("dark-{number:05}"), 3)
     };
     all_do(engines, Does::Streams(3));
-    // The engine that keeps the beginning of the prompt takes them all, and goes dark.
+    // The engine with the cached prefix of the prompt gets all requests; it becomes silent.
     let id = ask();
-    let dark = engines.iter().find(|it| it.runs(&id) == 1);
-    let dark = dark.expect("an engine has run it");
-    dark.does(Does::Hangs);
-    fleet.until("a request was sent to the dark engine", || {
+    let silent = engines.iter().find(|it| it.runs(&id) == 1);
+    let silent = silent.expect("an engine has run it");
+    silent.does(Does::Hangs);
+    fleet.until("a request was sent to the silent engine", || {
         let id = ask();
-        dark.runs(&id) == 1
+        silent.runs(&id) == 1
     });
 }
--- a/tests/fleet/slow_link.rs
+++ b/tests/fleet/slow_link.rs
@@ -1,4 +1,4 @@
-//! Configurations that are large beside what the link of an entry process's VM carries.
+//! Configurations that are large for the bandwidth of the link to an entry process's VM.
 
 use std::{sync, thread};
 
@@ -9,22 +9,23 @@
     standin::{caller::Ask, operator},
 };
 
-/// A link of 10 Mbit/s.
+/// The bandwidth of a link of 10 Mbit/s.
 const BYTES_PER_S: f64 = 1_250_000.0;
 
-/// A link on which half as many routes take several seconds, however they are sent.
+/// The bandwidth of a link on which half of [`ROUTES`] takes several seconds, however it is sent.
 const SLOW_BYTES_PER_S: f64 = 20_000.0;
 
-/// Routes whose text takes longer on that link than a call may take.
+/// The number of routes whose text takes longer on that link than a call may take.
 const ROUTES: u64 = 12_000;
 
-/// Changes that are made one after the other.
+/// The number of changes that are made one after the other.
 const CHANGES: u64 = 5;
 
-/// Bytes that one of them may take: with 44,000 a day one every two seconds, at 3 KB a second for each VM.
-const MOST_BYTES: usize = 6_000;
+/// The most bytes of one change: 44,000 changes a day are one every two seconds, and each VM is granted 3 KB per
+/// second.
+const MAX_CHANGE_BYTES: usize = 6_000;
 
-/// A name that has little in common with those of other numbers.
+/// A name that shares little text with the names of other numbers, so that compression can't exploit the similarity.
 fn name(number: u64) -> String {
     let mixed = (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     format!("r{:016x}", mixed ^ (mixed >> 29))
@@ -64,14 +65,14 @@
     });
 }
 
-/// Guards against news of endpoints that waits for a configuration which is still on its way.
+/// Guards against updates of endpoints that wait for a configuration whose transfer is in progress.
 #[test]
 fn an_endpoint_that_leaves_is_known_before_a_large_configuration_has_come() {
     let link = sync::Arc::new(relay::Link::new(SLOW_BYTES_PER_S));
     let (fleet, engines) = Fleet::ready_over(&link, "");
     let entry = &fleet.entries[0];
     thread::scope(|scope| {
-        // An acknowledgement may come later than the configuration on a busy machine.
+        // On a busy machine the acknowledgement may arrive later than the configuration.
         scope.spawn(|| fleet.replace(&config(20, 0..ROUTES / 2)));
         fleet.until("the configuration is on its way", || {
             fleet
@@ -103,7 +104,7 @@
         });
     }
     for change in 0..CHANGES {
-        // Far from the version, which stands at the beginning.
+        // In the middle of the text, far from the version at its beginning.
         let gone = ROUTES / 4 + change;
         let others = (0..ROUTES / 2).filter(|it| *it != gone);
         fleet.replace(&config(30 + change, others));
@@ -114,15 +115,15 @@
         }
     }
     for entry in &fleet.entries {
-        let sizes = change_sizes(&entry.log());
+        let sizes = delta_sizes(&entry.log());
         assert_eq!(sizes.len() as u64, 1 + CHANGES, "one came whole: {sizes:?}");
         let small = &sizes[1..];
-        assert!(small.iter().all(|it| *it <= MOST_BYTES), "{sizes:?}");
+        assert!(small.iter().all(|it| *it <= MAX_CHANGE_BYTES), "{sizes:?}");
     }
 }
 
-/// Bytes of each configuration that came as a change, by the log of an entry process.
-fn change_sizes(log: &str) -> Vec<usize> {
+/// The sizes of the configurations that were received as deltas, according to the log of an entry process.
+fn delta_sizes(log: &str) -> Vec<usize> {
     let lines = log.lines();
     let came = lines.filter(|it| it.contains("received a configuration as a delta"));
     let bytes = came.map(|line| {
@@ -133,7 +134,7 @@
     bytes.collect()
 }
 
-/// Guards against callers that are served by an old configuration while the new one takes long to come.
+/// Guards against callers that are served by an old configuration while the transfer of the new one takes too long.
 #[test]
 fn callers_are_not_served_without_a_change_that_takes_too_long() {
     let link = sync::Arc::new(relay::Link::new(SLOW_BYTES_PER_S));
--- a/tests/fleet/stopping.rs
+++ b/tests/fleet/stopping.rs
@@ -1,4 +1,4 @@
-//! Signals.
+//! Shutdown of entry processes, and signals.
 
 use std::sync::{Arc, atomic};
 use std::thread;
@@ -12,9 +12,8 @@
     },
 };
 
-/// An entry process is told to stop while callers ask on kept connections. Each request that it takes
-/// is answered whole, and those that are sent elsewhere are told so by a closed connection, never by
-/// silence.
+/// Guards against responses that are cut off when an entry process stops while callers use keep-alive connections. Each
+/// accepted request gets a complete response, and callers are moved elsewhere by `Connection: close`.
 #[test]
 fn a_stopping_entry_process_cuts_nothing() {
     let (mut fleet, engines) = Fleet::ready();
@@ -67,7 +66,7 @@
         assert_eq!(caller.join().expect("it asked"), Vec::<String>::new());
     }
     assert!(status.success());
-    // The last word of a process must reach its log: without it nobody can tell an end from a crash.
+    // The last record must reach the log, which otherwise would not distinguish a stop from a crash.
     let log = fleet.entries[0].log();
     assert!(
         log.contains("\"stopped\""),
@@ -75,8 +74,8 @@
     );
 }
 
-/// A stream that began before the stop ends long after it, and its caller sends the next request on
-/// the same connection in the last moment. It gets a whole answer: that it has not run.
+/// Guards against cutting off a request that follows on the connection of a stream which started before the stop and
+/// ends after the notice period. It gets a complete response that states that it has not run.
 #[test]
 fn a_request_behind_a_stream_that_outlives_the_notice_is_answered() {
     let (mut fleet, engines) = Fleet::ready();
@@ -87,7 +86,7 @@
     caller
         .send(&Ask::new("POST", "/stream/x", "long"))
         .expect("sent");
-    // With the head comes the promise to keep the connection.
+    // The head of the response announces keep-alive.
     assert!(caller.stream.peek(&mut [0]).expect("its head") > 0);
     fleet.entries[0].signal("TERM");
     caller
@@ -102,7 +101,7 @@
     assert!(fleet.entries[0].wait().success());
 }
 
-/// The settings file changes and each process is told by SIGHUP. Nobody ends by it.
+/// Guards against a process that ends on SIGHUP, which operators send after a change of the settings file.
 #[test]
 fn a_hangup_ends_no_process() {
     let (mut fleet, _engines) = Fleet::ready();
@@ -115,9 +114,9 @@
     assert!(processes.all(Process::runs));
 }
 
-/// A request waits here for a model that no engine has room for, and has much time left. The process is
-/// told to stop. It would end with the request's connection, and its caller would know nothing: it
-/// has to be told that the request was not run and may go elsewhere.
+/// Guards against a waiting request whose connection is cut when the process stops. It waits for a model that no engine
+/// has room for, with much time left; before the process exits, its caller has to be told that the request was not run
+/// and may be retried elsewhere.
 #[test]
 fn a_request_that_waits_is_sent_elsewhere_before_the_process_ends() {
     let (mut fleet, _engines) = Fleet::ready();
