--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -22,7 +22,7 @@
 const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
 
 /// An idempotent request is sent to another endpoint after silence for this many times its latency target.
-const SILENCE_PER_OBJECTIVE: u64 = 3;
+const SILENCE_PER_LATENCY_TARGET: u64 = 3;
 
 /// The shortest silence after which an idempotent request is sent to another endpoint.
 const MIN_SILENCE: std_time::Duration = std_time::Duration::from_millis(300);
@@ -77,8 +77,8 @@
 
     /// Whether the request may be sent to a second endpoint now, while it may be running at the first.
     fn may_switch_endpoint(&self) -> bool {
-        let may_run_again = self.route.kind.is_retryable();
-        may_run_again && self.possible_runs + 1 < self.route.attempts && self.can_retry()
+        let is_retryable = self.route.kind.is_retryable();
+        is_retryable && self.possible_runs + 1 < self.route.attempts && self.can_retry()
     }
 
     /// How long an endpoint may be silent before the request is sent to another one; none if it is not idempotent.
@@ -86,9 +86,9 @@
         if self.route.kind != config::RequestKind::Idempotent {
             return None;
         }
-        let objective = std_time::Duration::from(self.route.latency_target);
-        let factor = u32::try_from(SILENCE_PER_OBJECTIVE).unwrap_or(1);
-        Some((objective * factor).max(MIN_SILENCE))
+        let latency_target = std_time::Duration::from(self.route.latency_target);
+        let factor = u32::try_from(SILENCE_PER_LATENCY_TARGET).unwrap_or(1);
+        Some((latency_target * factor).max(MIN_SILENCE))
     }
 
     fn exchange<S: Fn() -> bool>(
@@ -97,21 +97,21 @@
         resume_after: Option<&str>,
         patience: &exchange::Patience<'_, S>,
     ) -> Result<exchange::Exchange, failure::Failure> {
-        let onward = dialect::UpstreamMetadata {
+        let metadata = dialect::UpstreamMetadata {
             instance: &pick.instance,
             time_left: self.time_left(),
             urgency: Some(self.priority().min(9)),
             resume_after,
             workspace: self.workspace.as_ref().map(|it| it.name.as_str()),
         };
-        let set = self.shared.dialect.upstream_headers(&onward);
+        let set = self.shared.dialect.upstream_headers(&metadata);
         let mut list: Vec<(&str, &[u8])> = Vec::with_capacity(self.req.headers.len() + set.len());
         for header in &self.req.headers {
             let is_set = set
                 .iter()
                 .any(|(name, _)| header.name.eq_ignore_ascii_case(name));
             // Not forwarded: an endpoint that receives an API key could use it to act as its holder.
-            let is_key = self.asks_for_keys && header.is_credential();
+            let is_key = self.requires_api_keys && header.is_credential();
             if !is_set && !is_key && self.forwards_header(&header.name) {
                 list.push((&header.name, &header.value));
             }
@@ -154,12 +154,12 @@
     ) -> Result<exchange::Exchange, failure::Failure> {
         loop {
             let head = &exchange.head;
-            let answered = self
+            let response = self
                 .shared
                 .dialect
                 .response_metadata(head.status, |it| head.get(it));
-            self.apply_notice(pick, &answered);
-            if !self.is_for_another_request(&answered) {
+            self.apply_notice(pick, &response);
+            if !self.is_for_another_request(&response) {
                 return Ok(exchange);
             }
             ::log::warn!(request = self.id(); "gateway: discarded a response to another request");
@@ -167,9 +167,9 @@
         }
     }
 
-    fn is_for_another_request(&self, answered: &dialect::ResponseMetadata<'_>) -> bool {
-        let id = answered.id;
-        id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
+    fn is_for_another_request(&self, response: &dialect::ResponseMetadata<'_>) -> bool {
+        let id = response.id;
+        id.is_some_and(|id| Some(id) != self.metadata.id.as_deref())
     }
 
     /// Decides by the head of a response whether it is passed on, retried elsewhere or replaced by a refusal.
@@ -183,7 +183,7 @@
     ) -> AttemptResult<'c> {
         let stop = &|| watch.caller_gone();
         let head = exchange.head.clone();
-        let answered = self
+        let response = self
             .shared
             .dialect
             .response_metadata(head.status, |it| head.get(it));
@@ -192,26 +192,26 @@
             stop,
         };
         let is_rejected = matches!(
-            answered.execution,
+            response.execution,
             dialect::ExecutionStatus::NotRun | dialect::ExecutionStatus::Misdirected
         );
         if is_rejected {
             if exchange.read_whole(MAX_RESPONSE_BYTES, &patience).is_ok() {
                 self.shared.pool.keep(pick.address, exchange);
             }
-            return self.handle_rejection(pick, sink, &answered, head.status);
+            return self.handle_rejection(pick, sink, &response, head.status);
         }
         self.possible_runs += 1;
         let is_success = (200..300).contains(&head.status);
-        let is_vouched = answered.execution == dialect::ExecutionStatus::Verified;
-        if is_success && !is_vouched {
+        let is_verified = response.execution == dialect::ExecutionStatus::Verified;
+        if is_success && !is_verified {
             let detail = "a success that the endpoint does not vouch for";
             return self.handle_unusable_response(pick, sink, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
         let may_go_elsewhere =
             self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
-        if !is_success && (claims_not_run || !is_vouched) {
+        if !is_success && (claims_not_run || !is_verified) {
             let detail = format!("the endpoint answered with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
         }
@@ -223,11 +223,11 @@
             .get("content-type")
             .is_some_and(|it| it.starts_with("text/event-stream"));
         if is_success && is_events {
-            return self.stream(pick, exchange, sink, sent_at, stop, answered.load);
+            return self.stream(pick, exchange, sink, sent_at, stop, response.load);
         }
         match exchange.read_whole(MAX_RESPONSE_BYTES, &patience) {
             Ok(body) => {
-                self.record_start(pick, sent_at, answered.load);
+                self.record_start(pick, sent_at, response.load);
                 let failed = head.status >= 500;
                 let how = if failed {
                     chooser::Ended::Failed
@@ -251,12 +251,12 @@
     ) {
         let now = self.shared.clock.now();
         let took = sent_at.elapsed().into();
-        let parts = &self.passing.parts;
+        let parts = &self.metadata.parts;
         let read = self.wanted.map(|wanted| chooser::Read { wanted, parts });
         self.shared.with_core(|core| {
             core.chooser.began(now, pick, read, took, load);
             if let Some(wanted) = self.wanted {
-                let tokens = self.passing.prompt_tokens;
+                let tokens = self.metadata.prompt_tokens;
                 core.backlog.read(now, &wanted.model, tokens);
             }
         });
@@ -298,7 +298,7 @@
         &mut self,
         pick: &chooser::Pick,
         sink: ResponseSink<'c>,
-        answered: &dialect::ResponseMetadata<'_>,
+        response: &dialect::ResponseMetadata<'_>,
         status: u16,
     ) -> AttemptResult<'c> {
         ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
@@ -310,11 +310,11 @@
         self.attempt_log
             .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
         self.restore_charge();
-        let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
-        if answered.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
+        let is_replaced = response.endpoint.is_some_and(|it| it != pick.instance.name);
+        if response.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
             self.end_attempt(pick, false, chooser::Ended::GivenUp);
             self.shared.mark_replaced(&pick.instance);
-        } else if answered.execution == dialect::ExecutionStatus::Misdirected {
+        } else if response.execution == dialect::ExecutionStatus::Misdirected {
             self.end_attempt(pick, false, chooser::Ended::Misdirected);
         } else {
             self.end_attempt(pick, false, chooser::Ended::Refused);
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -14,22 +14,22 @@
     pub(super) fn apply_notice(
         &self,
         pick: &chooser::Pick,
-        answered: &dialect::ResponseMetadata<'_>,
+        response: &dialect::ResponseMetadata<'_>,
     ) {
-        if !answered.is_of(&pick.instance) {
+        if !response.is_of(&pick.instance) {
             return;
         }
-        if answered.notice.is_leaving {
+        if response.notice.is_leaving {
             self.shared.mark_leaving(&pick.instance);
         }
-        if let Some(span) = answered.notice.retry_after {
+        if let Some(span) = response.notice.retry_after {
             ::log::info!(request = self.id(), endpoint:% = pick.instance, rest_ms = span.0;
                 "gateway: endpoint asks for a back-off");
         }
         let now = self.shared.clock.now();
         let change = self
             .shared
-            .with_core(|core| core.chooser.heed(now, &pick.instance, answered));
+            .with_core(|core| core.chooser.heed(now, &pick.instance, response));
         self.log_limit(pick, change);
     }
 
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -59,7 +59,7 @@
             _ => None,
         };
         self.shared
-            .with_core(|core| core.count_demand(self.service, wanted, self.passing, kept));
+            .with_core(|core| core.count_demand(self.service, wanted, self.metadata, kept));
     }
 
     /// Refuses a request that can't start before its deadline because of all those that wait for its model at any
--- a/src/sageshed/gateway/proxy/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -32,13 +32,13 @@
     /// or be accounted to the previous holder of a key that has moved.
     pub(super) fn refuse_revoked_key(&mut self) -> Option<refusal::Refusal> {
         let routing = self.shared.routing()?;
-        if routing.config.version == self.identified_by {
+        if routing.config.version == self.identified_by_version {
             return None;
         }
-        self.identified_by = routing.config.version;
+        self.identified_by_version = routing.config.version;
         match identify(&routing, self.route, self.req.credential) {
             Ok(workspace) => {
-                self.asks_for_keys = routing.workspaces.is_some();
+                self.requires_api_keys = routing.workspaces.is_some();
                 self.workspace = workspace;
                 None
             }
--- a/src/sageshed/gateway/proxy/mod.rs
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -46,11 +46,11 @@
 impl<D: dialect::Dialect> handler::Handler for RequestHandler<D> {
     fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
         let watch = reply.watch();
-        let passing = self
+        let metadata = self
             .shared
             .dialect
             .request_metadata(|name| req.header(name));
-        let deadline = passing.as_ref().ok().and_then(|it| it.deadline);
+        let deadline = metadata.as_ref().ok().and_then(|it| it.deadline);
         let routing = self
             .shared
             .wait_for_routing(req.received, deadline, || watch.caller_gone());
@@ -73,8 +73,8 @@
             let refusal = refuse::not_run(verdict::Reason::Draining, detail, time::Millis(0));
             return self.refuse_unrouted(&req, reply, &refusal);
         }
-        let passing = match passing {
-            Ok(passing) => passing,
+        let metadata = match metadata {
+            Ok(metadata) => metadata,
             Err(e) => {
                 let refusal = refusal::Refusal::not_run(verdict::Reason::BadRequest, e.to_string());
                 return self.refuse_unrouted(&req, reply, &refusal);
@@ -84,7 +84,7 @@
         let Some(route) = routing.table.find(host, &req.path) else {
             let version = routing.config.version;
             let detail = format!("no route of configuration {version} takes this host and path");
-            ::log::info!(request = passing.id.as_deref().unwrap_or_default(), config = version, host,
+            ::log::info!(request = metadata.id.as_deref().unwrap_or_default(), config = version, host,
                 path = req.path.as_str(), status = 404; "gateway: request refused, no route takes it");
             let refusal = refusal::Refusal::not_run(verdict::Reason::NotFound, detail);
             return refuse::send(reply, "", &refusal);
@@ -99,7 +99,7 @@
         let mut proxied = ProxiedRequest::new(
             &self.shared,
             &req,
-            &passing,
+            &metadata,
             &routing,
             route,
             service,
@@ -132,11 +132,11 @@
         reply: reply::Reply<'_>,
         refusal: &refusal::Refusal,
     ) -> reply::Sent {
-        let passing = self
+        let metadata = self
             .shared
             .dialect
             .request_metadata(|name| req.header(name));
-        let id = passing.ok().and_then(|it| it.id).unwrap_or_default();
+        let id = metadata.ok().and_then(|it| it.id).unwrap_or_default();
         ::log::info!(request = id.as_str(), status = refusal.status, reason:% = refusal.reason,
             detail = refusal.detail.as_str(); "gateway: request refused before it was routed");
         refuse::send(reply, "", refusal)
@@ -169,16 +169,16 @@
 struct ProxiedRequest<'a, D> {
     shared: &'a state::Shared<D>,
     req: &'a request::Request,
-    passing: &'a dialect::RequestMetadata,
+    metadata: &'a dialect::RequestMetadata,
     /// Identifies the content of the request, which stays the same when its caller retries it.
     content: quarantine::Fingerprint,
     route: &'a config::Route,
     /// The workspace that sends it; none where the configuration does not ask for one.
     workspace: Option<workspaces::Known>,
     /// The version of the configuration by which `workspace` was determined.
-    identified_by: u64,
+    identified_by_version: u64,
     /// Whether that configuration has workspaces, so that API keys are meant for this system.
-    asks_for_keys: bool,
+    requires_api_keys: bool,
     service: &'a str,
     wanted: Option<&'a dialect::ModelRef>,
     /// The configured model that it asks for.
@@ -254,27 +254,27 @@
     fn new(
         shared: &'a state::Shared<D>,
         req: &'a request::Request,
-        passing: &'a dialect::RequestMetadata,
+        metadata: &'a dialect::RequestMetadata,
         routing: &'a routing::Routing,
         route: &'a config::Route,
         service: &'a str,
         engines: Option<&'a config::EnginePool>,
     ) -> Self {
-        let span = passing
+        let span = metadata
             .deadline
             .map_or(route.timeout, |it| it.min(route.timeout));
-        let wanted = passing.model.as_ref().filter(|_| engines.is_some());
+        let wanted = metadata.model.as_ref().filter(|_| engines.is_some());
         let offered = engines.into_iter().flat_map(|it| &it.models);
         let mut named = offered.filter(|it| wanted.is_some_and(|wanted| wanted.model == it.name));
         Self {
             shared,
             req,
-            passing,
+            metadata,
             content: content_of(req),
             route,
             workspace: None,
-            identified_by: routing.config.version,
-            asks_for_keys: routing.workspaces.is_some(),
+            identified_by_version: routing.config.version,
+            requires_api_keys: routing.workspaces.is_some(),
             service,
             wanted,
             model: named.next(),
@@ -320,7 +320,7 @@
     }
 
     fn id(&self) -> &str {
-        self.passing.id.as_deref().unwrap_or_default()
+        self.metadata.id.as_deref().unwrap_or_default()
     }
 
     fn time_left(&self) -> time::Millis {
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -79,7 +79,7 @@
 
     /// The units of a quota that the request is charged.
     fn quota_units(&self, unit: config::Unit) -> f64 {
-        let (prompt, output) = (self.passing.prompt_tokens, self.passing.output_tokens);
+        let (prompt, output) = (self.metadata.prompt_tokens, self.metadata.output_tokens);
         // A caller may declare any number; a wrapping sum could make the largest requests free.
         let declared = prompt.saturating_add(output);
         match unit {
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -113,8 +113,8 @@
         let ask = chooser::Ask {
             service: self.service,
             wanted: self.wanted,
-            parts: &self.passing.parts,
-            prompt_tokens: self.passing.prompt_tokens,
+            parts: &self.metadata.parts,
+            prompt_tokens: self.metadata.prompt_tokens,
             tried: &tried,
             left: self.time_left(),
             patience: time::Millis(0),
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -81,8 +81,8 @@
             let ask = chooser::Ask {
                 service: self.service,
                 wanted: self.wanted,
-                parts: &self.passing.parts,
-                prompt_tokens: self.passing.prompt_tokens,
+                parts: &self.metadata.parts,
+                prompt_tokens: self.metadata.prompt_tokens,
                 tried: &self.tried_endpoints,
                 left,
                 patience: time::Millis::from(
@@ -295,7 +295,7 @@
     fn queued_request(&self, now: time::Instant) -> Option<backlog::Waiter> {
         let wanted = self.wanted?;
         Some(backlog::Waiter {
-            tokens: self.passing.prompt_tokens,
+            tokens: self.metadata.prompt_tokens,
             priority: self.priority(),
             on_time_until: now + self.on_time(),
             adapter: wanted.adapter.clone(),
@@ -304,14 +304,14 @@
 
     /// How long the request may wait for what is missing.
     fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
-        let objective = self.route.latency_target.0;
+        let latency_target = self.route.latency_target.0;
         match missing {
             chooser::Missing::Model => (load + LOAD_MARGIN).into(),
             chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
             // Engines finish their prefill steadily, so the request may wait until its deadline.
             chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
             chooser::Missing::Place | chooser::Missing::Endpoint => {
-                std_time::Duration::from_millis(objective * SLOT_WAIT_PERCENT / 100)
+                std_time::Duration::from_millis(latency_target * SLOT_WAIT_PERCENT / 100)
             }
         }
     }
@@ -328,8 +328,10 @@
 
     /// The time left until the response would miss the latency target.
     fn on_time(&self) -> time::Millis {
-        let objective = std_time::Duration::from(self.route.latency_target);
-        objective.saturating_sub(self.req.received.elapsed()).into()
+        let latency_target = std_time::Duration::from(self.route.latency_target);
+        latency_target
+            .saturating_sub(self.req.received.elapsed())
+            .into()
     }
 
     /// How long a request waits for an engine with little pending prefill before it accepts any engine.
@@ -370,7 +372,7 @@
         }
         // The preferred control process forwards it to the leader. The leader is asked directly if that one
         // can't be reached or knows no leader.
-        let preferred = self.shared.fetching.preferred();
+        let preferred = self.shared.config_fetcher.preferred();
         let leader = self.shared.leader().filter(|it| Some(*it) != preferred);
         for control in preferred.into_iter().chain(leader) {
             match self.send_adapter_request(control, &want) {
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -72,7 +72,7 @@
     /// How long a newer configuration than the one in force has been known; none if there is no newer one.
     #[must_use]
     pub fn behind(&self) -> Option<time::Millis> {
-        self.fetching.behind(self.clock.now(), self.version())
+        self.config_fetcher.behind(self.clock.now(), self.version())
     }
 
     /// Whether a newer configuration has been known for so long that callers must not be served by the current one.
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -44,7 +44,7 @@
     pub(super) routing: sync::RwLock<Option<sync::Arc<routing::Routing>>>,
     /// The newest configuration as the operator sent it, the base of the deltas that control sends.
     pub(super) document: sync::Mutex<document::Document>,
-    pub(super) fetching: fetch::ConfigFetcher,
+    pub(super) config_fetcher: fetch::ConfigFetcher,
     core: sync::Mutex<Core>,
     changed: sync::Condvar,
     /// The IP address of the leading control process as a number; zero if none is known.
@@ -86,7 +86,7 @@
     /// The demand of callers that was not reported to the leader yet.
     pub tally: demand_counter::DemandCounter,
     /// The adapters requested from control lately, and when.
-    wanted: collections::HashMap<messages::AdapterReq, time::Instant>,
+    requested_adapters: collections::HashMap<messages::AdapterReq, time::Instant>,
     /// Counts the changes that may let a waiting request proceed.
     changes: u64,
 }
@@ -147,7 +147,7 @@
             entries: vec![settings.discovery.ip],
             entries_number: 0,
             tally: demand_counter::DemandCounter::default(),
-            wanted: collections::HashMap::new(),
+            requested_adapters: collections::HashMap::new(),
             changes: 0,
         };
         Self {
@@ -164,7 +164,7 @@
             endpoint_changes: sampler::Sampler::new(ENDPOINT_CHANGES_LOGGED_PER_SECOND),
             routing: sync::RwLock::new(None),
             document: sync::Mutex::default(),
-            fetching: fetch::ConfigFetcher::default(),
+            config_fetcher: fetch::ConfigFetcher::default(),
             core: sync::Mutex::new(core),
             changed: sync::Condvar::new(),
             leader: atomic::AtomicU32::new(0),
@@ -394,13 +394,13 @@
         &mut self,
         service: &str,
         wanted: &dialect::ModelRef,
-        passing: &dialect::RequestMetadata,
+        metadata: &dialect::RequestMetadata,
         kept: Option<u64>,
     ) {
-        let prefill_us = self.chooser.reading_us(service, wanted, passing, kept);
+        let prefill_us = self.chooser.reading_us(service, wanted, metadata, kept);
         let request = demand_counter::RequestDemand {
             prefill_us,
-            output_tokens: passing.output_tokens,
+            output_tokens: metadata.output_tokens,
             adapter: wanted.adapter.as_deref(),
         };
         self.tally.add_request(service, &wanted.model, &request);
@@ -412,12 +412,12 @@
         now: time::Instant,
         want: &messages::AdapterReq,
     ) -> bool {
-        self.wanted
+        self.requested_adapters
             .retain(|_, at| now.since(*at) < ADAPTER_REQUEST_RESEND_INTERVAL);
-        if self.wanted.contains_key(want) {
+        if self.requested_adapters.contains_key(want) {
             return false;
         }
-        self.wanted.insert(want.clone(), now);
+        self.requested_adapters.insert(want.clone(), now);
         true
     }
 }
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -117,7 +117,7 @@
                 };
                 links.answered(shared.clock.now(), number, &answer);
                 if links.source() == Some(number) {
-                    shared.fetching.prefer(to);
+                    shared.config_fetcher.prefer(to);
                 }
             }
             Err(e) => {
@@ -155,7 +155,7 @@
         availability_zone: shared.settings.availability_zone.clone(),
         wants,
         config: shared.version(),
-        config_told: Some(shared.fetching.newest()),
+        config_told: Some(shared.config_fetcher.newest()),
         mark: known.mark,
         entries_known: shared.entries_known(),
         patience,
@@ -197,7 +197,7 @@
         // The control process runs an earlier version and does not serve chunks.
         Some(document) => fetch::apply_document(shared, document),
         None => shared
-            .fetching
+            .config_fetcher
             .announce(shared.clock.now(), from, resp.newest_config),
     }
     if resp.leader.is_some() {
