--- a/crates/sageshed-fleet/src/chooser/advice.rs
+++ b/crates/sageshed-fleet/src/chooser/advice.rs
@@ -1,197 +1,224 @@
-//! What a chooser tells others and hears from them, where many entry processes share the engines.
+//! Exchange between the choosers of entry processes that share engines: reports, queries and decisions.
 
 use std::net;
 
 use sageshed_types::{arena, time};
 
-use super::{Ask, Choice, Chooser, Found, Missing, Pick, STEP_MS, endpoint, reading};
-use crate::{dialect, neighbours};
+use super::{
+    BATCH_STEP_MS, Choice, Chooser, EndpointQuery, EngineSelection, Pick, WaitReason, endpoint,
+    prefill_speed,
+};
+use crate::{dialect, entry_peers};
 
-/// The shortest estimate that teaches something, in milliseconds. Below, what came is mostly the way there and
-/// back and the step that was under way.
-const LEAST_LEARNT_MS: f64 = 30.0;
+/// The lowest estimate in milliseconds from which prefill speed is learned. Below, the time to first token
+/// is mostly network round trip and the step that was in progress.
+const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
-/// How long one process's word that an engine can't be reached is kept for a second one.
-const MISSED_KEPT: time::Millis = time::Millis(1_000);
+/// How long the report of one process that an engine is unreachable waits for confirmation by a second one.
+const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
-    /// Takes another process's word on an engine. Returns whether the engine has less to read by it.
-    pub fn hear(
+    /// Applies another process's report on an engine. Returns whether the engine has less pending prefill
+    /// by it.
+    pub fn apply_observation(
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
-        word: &neighbours::Unread,
+        observation: &entry_peers::EngineObservation,
     ) -> bool {
-        let Some(key) = self.by_short_name(word.engine) else {
+        let Some(key) = self.by_instance_key(observation.engine) else {
             return false;
         };
         let Some(endpoint) = self.get_mut(key) else {
             return false;
         };
-        if let Some(beginning) = &word.kept {
-            endpoint.kept.learn(beginning);
+        if let Some(prefix) = &observation.cached_prefix {
+            endpoint.prefix_cache.insert_reported(prefix);
         }
-        if word.pace.is_some() {
-            endpoint.word_at = now;
+        if observation.ttft.is_some() {
+            endpoint.last_activity = now;
             endpoint.ejection = time::Millis(0);
         }
-        if let Some(running) = word.running {
-            endpoint.crowd = Some((running, now));
+        if let Some(running) = observation.running {
+            endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.hear(now, from, word.micros);
-        if let Some(trouble) = word.trouble {
-            endpoint.hear_of(now, from, trouble);
+        let has_less = endpoint.set_reported_prefill(now, from, observation.pending_prefill_us);
+        if let Some(fault) = observation.fault {
+            endpoint.apply_fault(now, from, fault);
         }
-        if let Some(pace) = word.pace {
-            self.learn_pace(key, pace);
+        if let Some(sample) = observation.ttft {
+            self.learn_ttft(key, sample);
         }
-        if let Some(pauses) = word.pauses {
+        if let Some(pauses) = observation.pauses {
             self.learn_pauses(now, key, pauses);
         }
         has_less
     }
 
-    /// Learns how fast an engine reads from a request of another process.
-    fn learn_pace(&mut self, key: arena::EndpointKey, pace: neighbours::Pace) {
-        let estimated = f64::from(pace.estimated) - STEP_MS;
-        if estimated < LEAST_LEARNT_MS {
+    /// Learns the prefill speed of an engine from a request of another process.
+    fn learn_ttft(&mut self, key: arena::EndpointKey, sample: entry_peers::TtftSample) {
+        let estimated = f64::from(sample.estimated) - BATCH_STEP_MS;
+        if estimated < MIN_LEARNABLE_ESTIMATE_MS {
             return;
         }
-        let factor = (f64::from(pace.took) - STEP_MS).max(1.0) / estimated;
+        let factor = (f64::from(sample.took) - BATCH_STEP_MS).max(1.0) / estimated;
         let Some(endpoint) = self.get_mut(key) else {
             return;
         };
-        endpoint.slowness = reading::learn_slowness(endpoint.slowness, factor);
+        endpoint.slowdown = prefill_speed::update_slowdown(endpoint.slowdown, factor);
         let models = endpoint.instance.models.iter();
-        let mut named = models.filter(|it| neighbours::key(&it.model) == pace.model);
-        if let Some(model) = named.next().map(|it| it.model.clone()) {
-            self.paces.learn(&model, factor);
+        let mut matching = models.filter(|it| entry_peers::name_key(&it.model) == sample.model);
+        if let Some(model) = matching.next().map(|it| it.model.clone()) {
+            self.prefill_speeds.learn(&model, factor);
         }
     }
 
-    /// What to tell whom of an engine to which this process sends.
+    /// The report to send on an engine that this process sends to, with its recipients.
     #[must_use]
-    pub fn word_on(&self, pick: &Pick) -> Option<(neighbours::Unread, Vec<net::Ipv4Addr>)> {
+    pub fn observation_of(
+        &self,
+        pick: &Pick,
+    ) -> Option<(entry_peers::EngineObservation, Vec<net::Ipv4Addr>)> {
         let endpoint = self.get(pick.key)?;
-        let word = neighbours::Unread {
-            engine: neighbours::instance_key(&endpoint.instance.id),
-            micros: endpoint.unread,
-            kept: None,
-            pace: None,
+        let observation = entry_peers::EngineObservation {
+            engine: entry_peers::instance_key(&endpoint.instance.id),
+            pending_prefill_us: endpoint.pending_prefill_us,
+            cached_prefix: None,
+            ttft: None,
             running: None,
             pauses: None,
-            trouble: None,
+            fault: None,
         };
-        Some((word, self.homes.told(&endpoint.instance)))
+        Some((observation, self.coordinators.told(&endpoint.instance)))
     }
 
-    /// Whether there are so many entry processes that models have homes. Homes alone hear of paces, pauses and
-    /// trouble.
+    /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
+    /// timings, pauses and faults.
     ///
-    /// Few processes have enough requests to learn from themselves, and one's bad luck with an engine would be held
-    /// against it by all.
+    /// A small number of processes has enough requests to learn from their own, and one process's bad luck
+    /// with an engine would count against that engine for all.
     #[must_use]
-    pub fn has_homes(&self) -> bool {
-        self.homes.exist()
+    pub fn uses_coordinators(&self) -> bool {
+        self.coordinators.exist()
     }
 
-    /// Whom to ask where requests for `model` go, the first of them first; nobody where this process is to
-    /// choose by itself.
+    /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
+    /// itself.
     #[must_use]
-    pub fn homes(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        self.homes.asked(model)
+    pub fn coordinators(&self, model: &str) -> Vec<net::Ipv4Addr> {
+        self.coordinators.asked(model)
     }
 
-    /// Says where a request that another process has taken is to go, and counts it as sent there.
-    pub fn advise(
+    /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
+    /// there.
+    pub fn route_for(
         &mut self,
         now: time::Instant,
         to: net::Ipv4Addr,
         request: u64,
-        ask: &Ask<'_>,
-    ) -> neighbours::Place {
-        let Some(wanted) = ask.wanted else {
-            return neighbours::Place::Unknown;
+        query: &EndpointQuery<'_>,
+    ) -> entry_peers::RoutingDecision {
+        let Some(wanted) = query.wanted else {
+            return entry_peers::RoutingDecision::Unknown;
         };
-        let (with, without) = self.holders(now, ask, wanted);
-        if with.is_empty() && without.is_empty() && self.open(now, ask).next().is_none() {
-            return neighbours::Place::Unknown;
+        let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
+        if with_adapter.is_empty()
+            && without_adapter.is_empty()
+            && self.open_endpoints(now, query).next().is_none()
+        {
+            return entry_peers::RoutingDecision::Unknown;
         }
-        let key = match self.find_engine(now, ask, &with, &without) {
-            Found::Engine(key) => key,
-            Found::Missing(Missing::Place) => {
-                let expected = self.lines.waits(now, &wanted.model, request);
-                return neighbours::Place::Wait { expected };
+        let key = match self.select_engine(now, query, &with_adapter, &without_adapter) {
+            EngineSelection::Engine(key) => key,
+            EngineSelection::Wait(WaitReason::Place) => {
+                let expected = self
+                    .wait_estimates
+                    .record_waiting(now, &wanted.model, request);
+                return entry_peers::RoutingDecision::Wait { expected };
+            }
+            EngineSelection::Wait(_) | EngineSelection::Fetch(_) => {
+                return entry_peers::RoutingDecision::Unknown;
             }
-            Found::Missing(_) | Found::Fetch(_) => return neighbours::Place::Unknown,
         };
-        let estimate = super::span(self.estimate(now, key, ask));
-        let Some((endpoint, reading)) = self.burden(now, key, ask) else {
-            return neighbours::Place::Unknown;
+        let estimate = super::to_millis(self.estimate_ms(now, key, query));
+        let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
+            return entry_peers::RoutingDecision::Unknown;
         };
-        endpoint.advise(now, to, reading);
-        let place = neighbours::Place::Engine {
-            engine: neighbours::instance_key(&endpoint.instance.id),
+        endpoint.add_routed(now, to, prefill_us);
+        let decision = entry_peers::RoutingDecision::Engine {
+            engine: entry_peers::instance_key(&endpoint.instance.id),
             estimate,
-            kept_tokens: ask.prompt_tokens.saturating_sub(endpoint.unkept(ask)),
+            cached_tokens: query
+                .prompt_tokens
+                .saturating_sub(endpoint.uncached_tokens(query)),
         };
-        self.lines.sent(now, &wanted.model, request);
-        place
+        self.wait_estimates
+            .record_routed(now, &wanted.model, request);
+        decision
     }
 
-    /// Follows an advice, where the engine is known here and takes the request as far as is known.
-    pub fn follow(
+    /// Follows a coordinator's decision, if the engine is known here and accepts the request as far as this
+    /// process knows.
+    pub fn follow_decision(
         &mut self,
         now: time::Instant,
         engine: u64,
         estimate: time::Millis,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> Option<Choice> {
-        let key = self.by_short_name(engine)?;
-        let is_open = self.is_of(key, ask.service) && self.is_open(now, key, ask);
-        let holds = ask.wanted.is_some_and(|it| self.holds(now, key, it));
-        (is_open && holds).then(|| self.send_by(now, key, ask, estimate))
+        let key = self.by_instance_key(engine)?;
+        let is_open = self.is_in_service(key, query.service) && self.is_open(now, key, query);
+        let holds = query.wanted.is_some_and(|it| self.holds(now, key, it));
+        (is_open && holds).then(|| self.dispatch_with_estimate(now, key, query, estimate))
     }
 
-    /// The endpoint of this short name.
+    /// Looks up an endpoint by its [`entry_peers::instance_key`].
     #[must_use]
-    pub fn by_short_name(&self, name: u64) -> Option<arena::EndpointKey> {
+    pub fn by_instance_key(&self, name: u64) -> Option<arena::EndpointKey> {
         self.by_key.get(&name).copied()
     }
 
-    /// The short name of an endpoint.
+    /// The [`entry_peers::instance_key`] of an endpoint.
     #[must_use]
-    pub fn short_name(&self, key: arena::EndpointKey) -> Option<u64> {
+    pub fn instance_key(&self, key: arena::EndpointKey) -> Option<u64> {
         let endpoint = self.get(key)?;
-        Some(neighbours::instance_key(&endpoint.instance.id))
+        Some(entry_peers::instance_key(&endpoint.instance.id))
     }
 }
 
 impl endpoint::Endpoint {
-    /// The process `from` has met with this trouble here.
+    /// Applies a fault that the process `from` reported.
     ///
-    /// One that is cut off finds no engine: its word alone leaves none out. The word of two does.
-    fn hear_of(&mut self, now: time::Instant, from: net::Ipv4Addr, trouble: neighbours::Trouble) {
-        let named = |model: u64| {
+    /// A partitioned process reaches no engine, so that its report alone ejects none. The reports of two
+    /// processes do.
+    fn apply_fault(
+        &mut self,
+        now: time::Instant,
+        from: net::Ipv4Addr,
+        fault: entry_peers::EngineFault,
+    ) {
+        let find_model = |model: u64| {
             let mut models = self.instance.models.iter();
-            let found = models.find(|it| neighbours::key(&it.model) == model);
+            let found = models.find(|it| entry_peers::name_key(&it.model) == model);
             found.map(|it| dialect::ModelRef {
                 model: it.model.clone(),
                 adapter: None,
             })
         };
-        match trouble {
-            neighbours::Trouble::Rejects(model) | neighbours::Trouble::Lacks(model) => {
-                if let Some(wanted) = named(model) {
-                    self.reject(now, Some(&wanted));
+        match fault {
+            entry_peers::EngineFault::Rejects(model) | entry_peers::EngineFault::Lacks(model) => {
+                if let Some(wanted) = find_model(model) {
+                    self.record_rejection(now, Some(&wanted));
                 }
             }
-            neighbours::Trouble::Fails | neighbours::Trouble::Silent => self.fail(now),
-            neighbours::Trouble::Unreachable => {
-                self.fail(now);
-                let before = self.missed_by.replace((from, now));
-                let is_second =
-                    before.is_some_and(|(it, at)| it != from && now.since(at) < MISSED_KEPT);
+            entry_peers::EngineFault::Fails | entry_peers::EngineFault::Silent => {
+                self.record_failure(now)
+            }
+            entry_peers::EngineFault::Unreachable => {
+                self.record_failure(now);
+                let before = self.unreachable_from.replace((from, now));
+                let is_second = before
+                    .is_some_and(|(it, at)| it != from && now.since(at) < UNREACHABLE_REPORT_TTL);
                 if is_second {
                     self.eject(now);
                 }
--- a/crates/sageshed-fleet/src/fingerprint.rs
+++ b/crates/sageshed-fleet/src/fingerprint.rs
@@ -1,12 +1,12 @@
-//! Tells whether two requests are the same but for the id of the try.
+//! Identifies requests with the same content.
 //!
-//! A caller that sends a request again gives the new try another id, and the balancer another entry process.
-//! What stays is what it asks: method, host, path, query and body. Headers are left out, since the id and what
-//! is left of the time are among them.
+//! A caller that retries a request gives the new attempt another id, and the load balancer may send it to
+//! another entry process. What stays the same is the content: method, host, path, query and body. Headers
+//! are left out, since they include the id and the remaining time.
 
 use sageshed_types::quarantine;
 
-use crate::neighbours;
+use crate::entry_peers;
 
 /// The fingerprint of a request for `path`, still percent-encoded, at `host`.
 #[must_use]
@@ -17,5 +17,5 @@
     query: Option<&str>,
     body: &[u8],
 ) -> quarantine::Fingerprint {
-    quarantine::Fingerprint(neighbours::hash(&(method, host, path, query, body)))
+    quarantine::Fingerprint(entry_peers::hash(&(method, host, path, query, body)))
 }
--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use sageshed_fleet::allowance::{Key, Terms};
+use sageshed_fleet::allowance::{Key, RateLimit};
 use support::allowances::{Outcome, World, some};
 
 /// Quotas are judged over any span of this length, in milliseconds.
@@ -19,15 +19,15 @@
 }
 
 /// So many requests in a window, and an eighth of that at once.
-fn terms(in_window: f64) -> Terms {
+fn terms(in_window: f64) -> RateLimit {
     let per_s = in_window * 1_000.0 / WINDOW as f64;
-    Terms {
+    RateLimit {
         per_s,
         burst: per_s,
     }
 }
 
-fn bound(terms: &Terms) -> f64 {
+fn bound(terms: &RateLimit) -> f64 {
     let within = terms.per_s * WINDOW as f64 / 1_000.0 + terms.burst;
     within * (1.0 + OVERAGE) + SLACK
 }
@@ -35,7 +35,7 @@
 /// Asks for `times` the rate over so many seconds, at entry processes that `pick` chooses.
 fn demand(
     world: &mut World,
-    terms: &Terms,
+    terms: &RateLimit,
     times: f64,
     seconds: u64,
     mut pick: impl FnMut(&mut World) -> usize,
@@ -158,8 +158,8 @@
     served: f64,
 }
 
-fn home(world: &mut World) -> usize {
-    world.home(key())
+fn coordinator(world: &mut World) -> usize {
+    world.coordinator(key())
 }
 
 const ENTRIES: usize = 73;
@@ -172,8 +172,8 @@
             "the home is killed again and again",
             |it, second| {
                 if second % 3 == 0 {
-                    let home = home(it);
-                    it.restart(home);
+                    let coordinator = coordinator(it);
+                    it.restart(coordinator);
                 }
             },
             0.75,
@@ -181,10 +181,10 @@
         trouble(
             "the home stands still for five seconds",
             |it, second| {
-                let home = home(it);
+                let coordinator = coordinator(it);
                 match second % 10 {
-                    0 => it.freeze(home),
-                    5 => it.thaw(home),
+                    0 => it.freeze(coordinator),
+                    5 => it.thaw(coordinator),
                     _ => {}
                 }
             },
@@ -209,8 +209,8 @@
         trouble(
             "the home is cut off",
             |it, second| {
-                let home = home(it);
-                it.side[home] = u8::from(second % 10 >= 3);
+                let coordinator = coordinator(it);
+                it.side[coordinator] = u8::from(second % 10 >= 3);
             },
             0.75,
         ),
@@ -298,7 +298,7 @@
     let mut world = World::new(4, ENTRIES, vec![(key(), high)]);
     world.run(3_000);
     for (times, set) in [(3.0, high), (30.0, low), (3.0, high)] {
-        world.set_terms(vec![(key(), set)]);
+        world.set_limits(vec![(key(), set)]);
         let began = world.now();
         demand(&mut world, &set, times, 20, |it| it.rng.usize(0..ENTRIES));
         world.run(20_000);
@@ -357,13 +357,13 @@
     match world.rng.u32(0..8) {
         0 => picked.iter().for_each(|at| world.restart(*at)),
         1 => {
-            let home = world.home(key());
-            world.restart(home);
+            let coordinator = world.coordinator(key());
+            world.restart(coordinator);
         }
         2 => picked.iter().for_each(|at| world.freeze(*at)),
         3 => {
-            let home = world.home(key());
-            world.freeze(home);
+            let coordinator = world.coordinator(key());
+            world.freeze(coordinator);
         }
         4 => {
             let side = world.rng.u8(1..4);
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -5,8 +5,8 @@
 use std::net;
 
 use sageshed_fleet::{
-    allowance::{self, Key, Terms},
-    chooser::{Ask, Change, Choice, Chooser, Missing},
+    allowance::{self, Key, RateLimit},
+    chooser::{Change, Choice, Chooser, EndpointQuery, WaitReason},
     dialect, directory,
 };
 use sageshed_types::time::{Instant, Millis};
@@ -24,8 +24,8 @@
 }
 
 /// As the chooser reckons them from a limit.
-fn terms(per_s: f64) -> Terms {
-    Terms { per_s, burst: 2.0 }
+fn terms(per_s: f64) -> RateLimit {
+    RateLimit { per_s, burst: 2.0 }
 }
 
 /// One and a half times what the limit allows in the window, and five.
@@ -101,15 +101,15 @@
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             for round in 0..12 {
                 world.run(3_000);
-                let home = world.home(key());
+                let coordinator = world.coordinator(key());
                 match (seed, round % 3) {
-                    (0 | 3, _) => world.restart(home),
+                    (0 | 3, _) => world.restart(coordinator),
                     (1 | 4, 0) => {
                         world.side = (0..entries).map(|it| u8::from(it % 2 == 0)).collect();
                     }
                     (1 | 4, _) => world.side = vec![0; entries],
-                    (_, 0) => world.freeze(home),
-                    (_, _) => world.thaw(home),
+                    (_, 0) => world.freeze(coordinator),
+                    (_, _) => world.thaw(coordinator),
                 }
             }
             world.run(4_000);
@@ -144,22 +144,22 @@
 fn terms_that_are_no_numbers_are_not_taken() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let entries = [net::Ipv4Addr::LOCALHOST];
-        let mut home = allowance::Book::new(entries[0], 1);
-        home.set_entries(Instant(0), &entries);
-        let draw = allowance::Draw {
+        let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
+        coordinator.set_entries(Instant(0), &entries);
+        let draw = allowance::AcquireRequest {
             id: 1,
             of: key(),
             amount: 1.0,
             returned: 0.0,
             rank: 0,
-            named: Some(allowance::Named {
-                terms: terms(bad),
+            reported: Some(allowance::ReportedLimit {
+                limit: terms(bad),
                 age: Millis(0),
             }),
         };
-        home.draw(Instant(1_000), entries[0], &draw);
-        assert_eq!(home.terms(key()), None, "{bad}");
-        assert_eq!(home.pots().count(), 0, "{bad}");
+        coordinator.acquire(Instant(1_000), entries[0], &draw);
+        assert_eq!(coordinator.limit(key()), None, "{bad}");
+        assert_eq!(coordinator.buckets().count(), 0, "{bad}");
     }
 }
 
@@ -167,24 +167,24 @@
 #[test]
 fn terms_are_forgotten_when_nobody_asks_by_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
-    let mut home = allowance::Book::new(entries[0], 1);
-    home.set_entries(Instant(0), &entries);
-    let draw = allowance::Draw {
+    let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
+    coordinator.set_entries(Instant(0), &entries);
+    let draw = allowance::AcquireRequest {
         id: 1,
         of: key(),
         amount: 1.0,
         returned: 0.0,
         rank: 0,
-        named: Some(allowance::Named {
-            terms: terms(1.0),
+        reported: Some(allowance::ReportedLimit {
+            limit: terms(1.0),
             age: Millis(0),
         }),
     };
-    home.draw(Instant(1_000), entries[0], &draw);
-    assert!(home.has_any());
-    home.tick(Instant(60_000));
-    assert!(!home.has_any());
-    assert_eq!(home.pots().count(), 0);
+    coordinator.acquire(Instant(1_000), entries[0], &draw);
+    assert!(coordinator.has_any());
+    coordinator.tick(Instant(60_000));
+    assert!(!coordinator.has_any());
+    assert_eq!(coordinator.buckets().count(), 0);
 }
 
 const MODEL: &str = "m1";
@@ -196,8 +196,8 @@
     }
 }
 
-fn ask(wanted: &dialect::ModelRef) -> Ask<'_> {
-    Ask {
+fn ask(wanted: &dialect::ModelRef) -> EndpointQuery<'_> {
+    EndpointQuery {
         service: "engines",
         wanted: Some(wanted),
         parts: &[],
@@ -218,7 +218,7 @@
         .map(|id| support::engine(id, &[MODEL]))
         .collect();
     for engine in &engines {
-        chooser.know(engine);
+        chooser.update_instance(engine);
     }
     (chooser, engines)
 }
@@ -237,7 +237,7 @@
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let wanted = wanted();
     let now = Instant(10_000);
-    chooser.limited(now, &engines[0].id, 1.0);
+    chooser.set_limit(now, &engines[0].id, 1.0);
     chooser.close(now, &engines[0].id, Millis(900));
     for _ in 0..8 {
         let choice = chooser.choose(now, &ask(&wanted));
@@ -247,7 +247,7 @@
     chooser.close(now, &engines[1].id, Millis(2_000));
     let later = Instant(10_300);
     let none = chooser.choose(later, &ask(&wanted));
-    assert_eq!(none, Choice::Wait(Missing::Allowance(Millis(600))));
+    assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(600))));
     let opened = chooser.choose(Instant(10_900), &ask(&wanted));
     assert_eq!(goes_to(&opened), Some("e1"));
 }
@@ -270,29 +270,27 @@
     let (mut chooser, engines) = chooser(&["e1"]);
     let now = Instant(10_000);
     let id = &engines[0].id;
-    assert_eq!(chooser.limited(now, id, 1.5), Some(Change::Named(1.5)));
-    assert_eq!(chooser.limited(now, id, 1.5), None);
-    chooser.forget(id);
-    chooser.know(&engines[0]);
-    let named = chooser
-        .limit_of(Instant(11_000), id)
-        .expect("it has a limit");
-    assert_eq!(named.terms, terms(1.5));
+    assert_eq!(chooser.set_limit(now, id, 1.5), Some(Change::Named(1.5)));
+    assert_eq!(chooser.set_limit(now, id, 1.5), None);
+    chooser.remove_instance(id);
+    chooser.update_instance(&engines[0]);
+    let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
+    assert_eq!(named.limit, terms(1.5));
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
-    assert_eq!(chooser.limit_of(now, &other), None);
-    assert_eq!(chooser.unlimited(id), Some(Change::Lifted));
-    assert_eq!(chooser.unlimited(id), None);
-    assert_eq!(chooser.limit_of(now, id), None);
+    assert_eq!(chooser.limit(now, &other), None);
+    assert_eq!(chooser.clear_limit(id), Some(Change::Lifted));
+    assert_eq!(chooser.clear_limit(id), None);
+    assert_eq!(chooser.limit(now, id), None);
 }
 
 /// An engine that names no requests at all would never be heard again if nothing went there.
 #[test]
 fn a_limit_of_none_lets_one_through_now_and_then() {
     let (mut chooser, engines) = chooser(&["e1"]);
-    chooser.limited(Instant(0), &engines[0].id, 0.0);
-    let named = chooser.limit_of(Instant(0), &engines[0].id);
-    assert!(named.is_some_and(|it| it.terms.per_s > 0.0));
+    chooser.set_limit(Instant(0), &engines[0].id, 0.0);
+    let named = chooser.limit(Instant(0), &engines[0].id);
+    assert!(named.is_some_and(|it| it.limit.per_s > 0.0));
 }
 
 /// An engine has turned a request away and wants rest. A shorter word, or the end of its limit, takes nothing back.
@@ -302,12 +300,12 @@
     let wanted = wanted();
     let now = Instant(10_000);
     let id = &engines[0].id;
-    chooser.limited(now, id, 5.0);
+    chooser.set_limit(now, id, 5.0);
     chooser.rest(now, id, Millis(3_000));
     chooser.rest(Instant(10_100), id, Millis(200));
-    chooser.unlimited(id);
+    chooser.clear_limit(id);
     let none = chooser.choose(Instant(12_000), &ask(&wanted));
-    assert_eq!(none, Choice::Wait(Missing::Allowance(Millis(1_000))));
+    assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
     let after = chooser.choose(Instant(13_000), &ask(&wanted));
     assert_eq!(goes_to(&after), Some("e1"));
     chooser.rest(now, id, Millis(u64::MAX));
@@ -320,13 +318,13 @@
 fn engines_that_take_nothing_from_a_process_are_known_by_their_keys() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let now = Instant(10_000);
-    assert!(chooser.closed(now, "engines").is_empty());
+    assert!(chooser.closed_endpoints(now, "engines").is_empty());
     chooser.rest(now, &engines[1].id, Millis(500));
-    let closed = chooser.closed(now, "engines");
-    let names: Vec<_> = closed.iter().map(|it| chooser.short_name(*it)).collect();
-    let expected = sageshed_fleet::neighbours::instance_key(&engines[1].id);
+    let closed = chooser.closed_endpoints(now, "engines");
+    let names: Vec<_> = closed.iter().map(|it| chooser.instance_key(*it)).collect();
+    let expected = sageshed_fleet::entry_peers::instance_key(&engines[1].id);
     assert_eq!(names, [Some(expected)]);
-    assert!(chooser.closed(now, "plain").is_empty());
+    assert!(chooser.closed_endpoints(now, "plain").is_empty());
 }
 
 /// The head of an answer, and whether the engine has its limit and rests after it.
@@ -417,12 +415,12 @@
     for case in cases {
         let (mut chooser, engines) = chooser(&["e1"]);
         let (now, id) = (Instant(10_000), &engines[0].id);
-        let first = chooser.heed(now, id, &answered(vouched, limit));
+        let first = chooser.apply_notice(now, id, &answered(vouched, limit));
         assert_eq!(first, Some(Change::Named(1.0)));
-        chooser.heed(now, id, &case.answered);
-        let is_limited = chooser.limit_of(now, id).is_some();
+        chooser.apply_notice(now, id, &case.answered);
+        let is_limited = chooser.limit(now, id).is_some();
         assert_eq!(is_limited, case.is_limited, "{}", case.name);
-        let rests = !chooser.closed(now, "engines").is_empty();
+        let rests = !chooser.closed_endpoints(now, "engines").is_empty();
         assert_eq!(rests, case.rests, "{}", case.name);
     }
 }
--- a/crates/sageshed-fleet/tests/neighbours.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -5,8 +5,8 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Missing, homes},
-    dialect, neighbours,
+    chooser::{Choice, Chooser, EndpointQuery, WaitReason, coordinators},
+    dialect, entry_peers,
 };
 use sageshed_types::time;
 
@@ -26,11 +26,11 @@
     shuffled.reverse();
     let mut members = collections::BTreeSet::new();
     for model in 0..470_u64 {
-        let key = neighbours::key(&format!("m{model}"));
-        let homes = neighbours::homes(key, &entries);
-        assert_eq!(homes.len(), 2);
-        assert_eq!(homes, neighbours::homes(key, &shuffled));
-        members.extend(homes);
+        let key = entry_peers::name_key(&format!("m{model}"));
+        let coordinators = entry_peers::coordinators(key, &entries);
+        assert_eq!(coordinators.len(), 2);
+        assert_eq!(coordinators, entry_peers::coordinators(key, &shuffled));
+        members.extend(coordinators);
     }
     assert_eq!(members.len(), 90);
 }
@@ -40,19 +40,19 @@
 fn of_an_engine_the_homes_of_its_models_are_told() {
     let many = entries(195);
     let engine = support::engine("e1", &["m0", "m1", "m2"]);
-    let mut homes = homes::Homes::default();
-    homes.know(&engine);
-    homes.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
-    let told = homes.told(&engine);
+    let mut coordinators = coordinators::Coordinators::default();
+    coordinators.know(&engine);
+    coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
+    let told = coordinators.told(&engine);
     assert!(told.len() <= 6, "{told:?}");
     for model in ["m0", "m1", "m2"] {
-        let homes = neighbours::homes(neighbours::key(model), &many);
-        assert!(homes.iter().all(|it| told.contains(it)), "{model}");
+        let coordinators = entry_peers::coordinators(entry_peers::name_key(model), &many);
+        assert!(coordinators.iter().all(|it| told.contains(it)), "{model}");
     }
     let few = entries(7);
-    homes.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
-    assert_eq!(homes.told(&engine), few);
-    assert!(neighbours::homes(neighbours::key("m0"), &few).is_empty());
+    coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
+    assert_eq!(coordinators.told(&engine), few);
+    assert!(entry_peers::coordinators(entry_peers::name_key("m0"), &few).is_empty());
 }
 
 /// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
@@ -61,7 +61,7 @@
 fn a_change_of_the_list_ranks_all_processes_for_few_models() {
     let all = entries(985);
     let names: Vec<String> = (0..296).map(|it| format!("m{it}")).collect();
-    let mut known = homes::Homes::default();
+    let mut known = coordinators::Coordinators::default();
     for engine in 0..3_858 {
         let models: Vec<&str> = (0..3)
             .map(|it| names[(engine * 7 + it * 31) % names.len()].as_str())
@@ -77,14 +77,14 @@
         for name in &names {
             assert_eq!(
                 known.of(name),
-                neighbours::homes(neighbours::key(name), &left)
+                entry_peers::coordinators(entry_peers::name_key(name), &left)
             );
         }
         ranked += known.set_entries(own, &all);
         for name in &names {
             assert_eq!(
                 known.of(name),
-                neighbours::homes(neighbours::key(name), &all)
+                entry_peers::coordinators(entry_peers::name_key(name), &all)
             );
         }
     }
@@ -97,15 +97,15 @@
     let before = entries(90);
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
-        let key = neighbours::key(&format!("m{model}"));
-        neighbours::homes(key, &before) != neighbours::homes(key, &after)
+        let key = entry_peers::name_key(&format!("m{model}"));
+        entry_peers::coordinators(key, &before) != entry_peers::coordinators(key, &after)
     });
     assert!(changed.count() <= 8);
 }
 
 /// A request that waits 300 ms for an engine that reads little.
-fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> Ask<'_> {
-    Ask {
+fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
+    EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
     }
@@ -119,33 +119,36 @@
 fn a_prompt_does_not_go_on_top_of_what_a_neighbour_sent() {
     let mut chooser = Chooser::new("z1", 7);
     let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
-    chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
-    chooser.know(&support::engine("e1", &["m0"]));
-    let word = |micros| neighbours::Unread {
-        engine: neighbours::instance_key(&"e1".into()),
-        micros,
-        kept: None,
-        pace: None,
+    chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
+    let observation = |micros| entry_peers::EngineObservation {
+        engine: entry_peers::instance_key(&"e1".into()),
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
-    assert!(!chooser.hear(T0, neighbour, &word(316_000)));
-    let waits = Choice::Wait(Missing::Place);
+    assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
+    let waits = Choice::Wait(WaitReason::Place);
     assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
     // It has waited for as long as makes sense.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
     assert!(matches!(last, Choice::Send(_)), "{last:?}");
-    chooser.know(&support::engine("e2", &["m0"]));
+    chooser.update_instance(&support::engine("e2", &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &waiting_ask(&m0, 3_000)) else {
         panic!("e2 reads nothing");
     };
     assert_eq!(pick.instance.name, "e2");
-    assert!(chooser.hear(T0, neighbour, &word(0)), "there is room again");
+    assert!(
+        chooser.apply_observation(T0, neighbour, &observation(0)),
+        "there is room again"
+    );
 }
 
 /// A datagram is lost, and the last word of a neighbour that was killed was that an engine has much to
@@ -153,18 +156,18 @@
 #[test]
 fn an_old_word_of_a_neighbour_is_forgotten() {
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
-    chooser.know(&support::engine("e1", &["m0"]));
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&"e1".into()),
-        micros: 3_000_000,
-        kept: None,
-        pace: None,
+    chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
+    chooser.update_instance(&support::engine("e1", &["m0"]));
+    let observation = entry_peers::EngineObservation {
+        engine: entry_peers::instance_key(&"e1".into()),
+        pending_prefill_us: 3_000_000,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
-    chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
+    chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let m0 = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
@@ -183,28 +186,28 @@
     let parts = [part(7, 6_000), part(8, 500)];
     let (m0, m1) = (wanted("m0"), wanted("m1"));
     let mut chooser = Chooser::new("z1", 7);
-    chooser.know(&support::engine("e1", &["m0", "m1"]));
-    chooser.know(&support::engine("e2", &["m0", "m1"]));
-    let kept = neighbours::Beginning::of(&m0, &parts);
+    chooser.update_instance(&support::engine("e1", &["m0", "m1"]));
+    chooser.update_instance(&support::engine("e2", &["m0", "m1"]));
+    let kept = entry_peers::PromptPrefix::of(&m0, &parts);
     assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
-    assert_eq!(neighbours::Beginning::of(&m0, &parts[1..]), None);
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&"e2".into()),
-        micros: 0,
-        kept,
-        pace: None,
+    assert_eq!(entry_peers::PromptPrefix::of(&m0, &parts[1..]), None);
+    let observation = entry_peers::EngineObservation {
+        engine: entry_peers::instance_key(&"e2".into()),
+        pending_prefill_us: 0,
+        cached_prefix: kept,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
-    chooser.hear(T0, net::Ipv4Addr::new(10, 0, 1, 2), &word);
+    chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
-        let ask = Ask {
+        let ask = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 6_500)
         };
         match chooser.choose(T0, &ask) {
-            Choice::Send(pick) => (pick.instance.name, pick.tokens),
+            Choice::Send(pick) => (pick.instance.name, pick.uncached_tokens),
             other => panic!("not sent: {other:?}"),
         }
     };
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -5,9 +5,9 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Chooser},
+    chooser::{Chooser, EndpointQuery},
     dialect,
-    neighbours::{self, Place},
+    entry_peers::{self, RoutingDecision},
 };
 use sageshed_types::time;
 
@@ -30,42 +30,42 @@
 }
 
 fn short(id: &str) -> u64 {
-    neighbours::instance_key(&id.into())
+    entry_peers::instance_key(&id.into())
 }
 
 /// What an entry process says of an engine whose answer has just begun.
-fn began(id: &str, running: u32, micros: u64) -> neighbours::Unread {
-    neighbours::Unread {
+fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
+    entry_peers::EngineObservation {
         engine: short(id),
-        micros,
-        kept: None,
-        pace: None,
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: Some(running),
         pauses: None,
-        trouble: None,
+        fault: None,
     }
 }
 
 /// The home of m0, which was told at `T0` how many requests each of these engines runs.
-fn home(engines: &[(&str, u32)]) -> Chooser {
-    let own = neighbours::homes(neighbours::key("m0"), &entries())[0];
+fn coordinator(engines: &[(&str, u32)]) -> Chooser {
+    let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(own, &entries());
+    chooser.set_entries(own, &entries());
     for (id, running) in engines {
-        chooser.know(&support::engine(id, &["m0"]));
-        chooser.hear(T0, entries()[1], &began(id, *running, 0));
+        chooser.update_instance(&support::engine(id, &["m0"]));
+        chooser.apply_observation(T0, entries()[1], &began(id, *running, 0));
     }
     chooser
 }
 
 fn asked(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
     let wanted = m0();
-    let ask = Ask {
+    let ask = EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(&wanted, tokens)
     };
-    match chooser.advise(now, entries()[2], request, &ask) {
-        Place::Engine { engine, .. } => engine,
+    match chooser.route_for(now, entries()[2], request, &ask) {
+        RoutingDecision::Engine { engine, .. } => engine,
         other => panic!("no engine: {other:?}"),
     }
 }
@@ -111,14 +111,14 @@
         ),
     ];
     for case in cases {
-        let mut chooser = home(&[("e1", 12), ("e2", 0), ("e3", 14)]);
+        let mut chooser = coordinator(&[("e1", 12), ("e2", 0), ("e3", 14)]);
         let micros = case.ahead * 1_000;
         let now = at(case.later);
-        let told = neighbours::Unread {
+        let told = entry_peers::EngineObservation {
             running: None,
             ..began("e2", 0, micros)
         };
-        chooser.hear(now, entries()[3], &told);
+        chooser.apply_observation(now, entries()[3], &told);
         let engine = asked(&mut chooser, now, 1, case.tokens);
         assert_eq!(engine == short("e2"), case.to_the_calm, "{}", case.name);
     }
@@ -137,7 +137,7 @@
         .enumerate()
         .map(|(at, id)| (id.as_str(), crowd(at)))
         .collect();
-    let mut chooser = home(&engines);
+    let mut chooser = coordinator(&engines);
     let mut rng = fastrand::Rng::with_seed(11);
     let mut stopped = collections::BTreeMap::<bool, u32>::new();
     let (mut long, mut now) = (0, 0);
@@ -145,7 +145,7 @@
     for request in 0..1_560_u64 {
         now += rng.u64(1..77);
         for (id, running) in &engines {
-            chooser.hear(at(now), entries()[1], &began(id, *running, 0));
+            chooser.apply_observation(at(now), entries()[1], &began(id, *running, 0));
         }
         let is_long = rng.u32(0..12) == 0;
         let tokens = if is_long { 7_600 } else { 1_800 };
@@ -154,7 +154,7 @@
             .iter()
             .position(|id| short(id) == engine)
             .expect("known");
-        chooser.hear(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
+        chooser.apply_observation(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
         if is_long {
             long += 1;
             *stopped.entry(crowd(index) > 5).or_default() += 1;
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -7,7 +7,7 @@
     thread, time,
 };
 
-use sageshed_fleet::{allowance, chooser, dialect, neighbours as words};
+use sageshed_fleet::{allowance, chooser, dialect, entry_peers as words};
 use sageshed_types::time::Millis;
 
 use super::{allowances, state};
@@ -38,9 +38,9 @@
     socket: net::UdpSocket,
     port: u16,
     /// Questions that wait for their answers, by their ids.
-    asked: Asked<words::Place>,
+    asked: Asked<words::RoutingDecision>,
     /// The same of questions for units of allowances.
-    drawn: Asked<allowance::Answer>,
+    drawn: Asked<allowance::AcquireReply>,
     next_id: atomic::AtomicU64,
     /// Homes that did not answer, and when.
     lost: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
@@ -63,8 +63,8 @@
 
     /// Tells `group` what this process has at an engine. A datagram may be lost; the next one says the same
     /// anew, and old words are forgotten.
-    pub fn tell(&self, word: words::Unread, group: &[net::Ipv4Addr]) {
-        self.send(&words::Datagram::Word(word), group);
+    pub fn tell(&self, word: words::EngineObservation, group: &[net::Ipv4Addr]) {
+        self.send(&words::Datagram::Observation(word), group);
     }
 
     fn send(&self, datagram: &words::Datagram, to: &[net::Ipv4Addr]) {
@@ -80,11 +80,15 @@
     }
 
     /// Asks the first of `homes` that is not lost where a request is to go. None where no answer comes.
-    pub fn ask(&self, homes: &[net::Ipv4Addr], mut ask: words::Ask) -> Option<words::Place> {
+    pub fn ask(
+        &self,
+        homes: &[net::Ipv4Addr],
+        mut ask: words::RoutingQuery,
+    ) -> Option<words::RoutingDecision> {
         let home = self.first_there(homes)?;
         ask.id = self.next_id.fetch_add(1, atomic::Ordering::Relaxed);
         let id = ask.id;
-        let place = self.question(&self.asked, id, &words::Datagram::Ask(ask), home);
+        let place = self.question(&self.asked, id, &words::Datagram::RoutingQuery(ask), home);
         if place.is_none() {
             locks::lock(&self.lost).insert(home, time::Instant::now());
             ::log::debug!(home:% = home; "gateway: home of a model does not answer");
@@ -93,19 +97,23 @@
     }
 
     /// Asks `home` for units of an allowance. None where no answer comes.
-    pub fn draw(&self, home: net::Ipv4Addr, draw: allowance::Draw) -> Option<allowance::Answer> {
-        self.question(&self.drawn, draw.id, &words::Datagram::Draw(draw), home)
+    pub fn draw(
+        &self,
+        home: net::Ipv4Addr,
+        draw: allowance::AcquireRequest,
+    ) -> Option<allowance::AcquireReply> {
+        self.question(&self.drawn, draw.id, &words::Datagram::Acquire(draw), home)
     }
 
     /// Gives units back to `home`, and waits for no answer.
-    pub fn give_back(&self, home: net::Ipv4Addr, draw: allowance::Draw) {
-        self.send(&words::Datagram::Draw(draw), &[home]);
+    pub fn give_back(&self, home: net::Ipv4Addr, draw: allowance::AcquireRequest) {
+        self.send(&words::Datagram::Acquire(draw), &[home]);
     }
 
     /// Draws what producers of allowances have.
-    pub fn pull(&self, pulls: Vec<(allowance::Pull, Vec<net::Ipv4Addr>)>) {
+    pub fn pull(&self, pulls: Vec<(allowance::CollectRequest, Vec<net::Ipv4Addr>)>) {
         for (pull, producers) in pulls {
-            self.send(&words::Datagram::Pull(pull), &producers);
+            self.send(&words::Datagram::Collect(pull), &producers);
         }
     }
 
@@ -156,34 +164,34 @@
 
 fn take<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::SocketAddrV4, bytes: &[u8]) {
     match sageshed_vms::decode(bytes) {
-        Ok(words::Datagram::Word(word)) => shared.hear(*from.ip(), &word),
-        Ok(words::Datagram::Ask(ask)) => advise(shared, *from.ip(), ask),
-        Ok(words::Datagram::Advice(advice)) => {
+        Ok(words::Datagram::Observation(word)) => shared.hear(*from.ip(), &word),
+        Ok(words::Datagram::RoutingQuery(ask)) => advise(shared, *from.ip(), ask),
+        Ok(words::Datagram::RoutingReply(advice)) => {
             if let Some(peers) = &shared.entry_peers {
-                EntryPeers::answered(&peers.asked, advice.id, advice.place);
+                EntryPeers::answered(&peers.asked, advice.id, advice.decision);
             }
         }
-        Ok(words::Datagram::Drawn(id, answer)) => {
+        Ok(words::Datagram::Acquired(id, answer)) => {
             if let Some(peers) = &shared.entry_peers {
                 EntryPeers::answered(&peers.drawn, id, answer);
             }
         }
-        Ok(words::Datagram::Draw(draw)) => {
+        Ok(words::Datagram::Acquire(draw)) => {
             let answer = allowances::draw(shared, *from.ip(), &draw);
             if let Some(peers) = shared.entry_peers.as_ref().filter(|_| draw.amount > 0.0) {
-                peers.send(&words::Datagram::Drawn(draw.id, answer), &[*from.ip()]);
+                peers.send(&words::Datagram::Acquired(draw.id, answer), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Pull(pull)) => {
+        Ok(words::Datagram::Collect(pull)) => {
             let now = shared.clock.now();
-            let given = shared.with_core(|core| core.allowances.give(now, &pull));
+            let given = shared.with_core(|core| core.allowances.release_share(now, &pull));
             if let Some(peers) = &shared.entry_peers {
-                peers.send(&words::Datagram::Given(given), &[*from.ip()]);
+                peers.send(&words::Datagram::Collected(given), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Given(given)) => {
+        Ok(words::Datagram::Collected(given)) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.allowances.take(now, *from.ip(), &given));
+            shared.with_core(|core| core.allowances.add_collected(now, *from.ip(), &given));
         }
         Err(e) => {
             // Anybody can send datagrams without end.
@@ -196,7 +204,11 @@
 }
 
 /// Says where a request of `from` is to go.
-fn advise<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::Ipv4Addr, ask: words::Ask) {
+fn advise<D: dialect::Dialect>(
+    shared: &state::Shared<D>,
+    from: net::Ipv4Addr,
+    ask: words::RoutingQuery,
+) {
     let now = shared.clock.now();
     let (id, request) = (ask.id, ask.request);
     let wanted = dialect::ModelRef {
@@ -213,9 +225,9 @@
     let place = shared.with_core(|core| {
         let tried = ask.tried.iter();
         let tried: Vec<_> = tried
-            .filter_map(|it| core.chooser.by_short_name(*it))
+            .filter_map(|it| core.chooser.by_instance_key(*it))
             .collect();
-        let ask = chooser::Ask {
+        let ask = chooser::EndpointQuery {
             service: &ask.service,
             wanted: Some(&wanted),
             parts: &parts,
@@ -227,11 +239,14 @@
             may_be_late: ask.may_be_late,
             may_fetch: false,
         };
-        core.chooser.advise(now, from, request, &ask)
+        core.chooser.route_for(now, from, request, &ask)
     });
-    let advice = words::Advice { id, place };
+    let advice = words::RoutingReply {
+        id,
+        decision: place,
+    };
     if let Some(peers) = &shared.entry_peers {
-        peers.send(&words::Datagram::Advice(advice), &[from]);
+        peers.send(&words::Datagram::RoutingReply(advice), &[from]);
     }
 }
 
@@ -239,25 +254,25 @@
 pub(super) fn ask<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     request: u64,
-    ask: &chooser::Ask<'_>,
-) -> Option<words::Place> {
+    ask: &chooser::EndpointQuery<'_>,
+) -> Option<words::RoutingDecision> {
     let peers = shared.entry_peers.as_ref()?;
     let wanted = ask.wanted?;
     let now = shared.clock.now();
     let (homes, tried) = shared.with_core(|core| {
         // What this process was told by an engine the home was not.
-        let closed = core.chooser.closed(now, ask.service);
+        let closed = core.chooser.closed_endpoints(now, ask.service);
         let tried = ask.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
-            .filter_map(|key| core.chooser.short_name(*key))
+            .filter_map(|key| core.chooser.instance_key(*key))
             .collect();
-        (core.chooser.homes(&wanted.model), tried)
+        (core.chooser.coordinators(&wanted.model), tried)
     });
     if homes.is_empty() {
         return None;
     }
     let parts = ask.parts.iter().take(MAX_PROMPT_PARTS);
-    let question = words::Ask {
+    let question = words::RoutingQuery {
         id: 0,
         request,
         service: ask.service.to_owned(),
@@ -305,16 +320,16 @@
 pub(super) fn tell_read<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    read: chooser::Read<'_>,
+    read: chooser::Prefill<'_>,
     took: Millis,
     load: Option<dialect::Load>,
 ) {
     tell_with(shared, pick, |word, has_homes| {
         let short = |ms: Millis| u32::try_from(ms.0).unwrap_or(u32::MAX);
-        word.kept = words::Beginning::of(read.wanted, read.parts);
+        word.cached_prefix = words::PromptPrefix::of(read.wanted, read.parts);
         word.running = load.map(|it| it.running);
-        word.pace = has_homes.then(|| words::Pace {
-            model: words::key(&read.wanted.model),
+        word.ttft = has_homes.then(|| words::TtftSample {
+            model: words::name_key(&read.wanted.model),
             took: short(took),
             estimated: short(pick.estimate),
         });
@@ -340,11 +355,11 @@
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
     began: bool,
-    trouble: Option<words::Trouble>,
+    trouble: Option<words::EngineFault>,
 ) {
     tell_with(shared, pick, |word, has_homes| {
-        word.trouble = trouble.filter(|_| has_homes);
-        !began || word.trouble.is_some()
+        word.fault = trouble.filter(|_| has_homes);
+        !began || word.fault.is_some()
     });
 }
 
@@ -353,14 +368,14 @@
 fn tell_with<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    complete: impl FnOnce(&mut words::Unread, bool) -> bool,
+    complete: impl FnOnce(&mut words::EngineObservation, bool) -> bool,
 ) {
-    let Some(peers) = shared.entry_peers.as_ref().filter(|_| pick.reading > 0) else {
+    let Some(peers) = shared.entry_peers.as_ref().filter(|_| pick.prefill_us > 0) else {
         return;
     };
     let (word, has_homes) = shared.with_core(|core| {
         let chooser = &core.chooser;
-        (chooser.word_on(pick), chooser.has_homes())
+        (chooser.observation_of(pick), chooser.uses_coordinators())
     });
     if let Some((mut word, group)) = word
         && complete(&mut word, has_homes)
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -24,15 +24,17 @@
     /// The refusal of a request that has waited for `missing` for too long; `load` is the load time of its model.
     pub(super) fn not_served(
         &self,
-        missing: chooser::Missing,
+        missing: chooser::WaitReason,
         load: time::Millis,
     ) -> refusal::Refusal {
         let detail = match missing {
-            chooser::Missing::Endpoint => "no endpoint of the service can be reached now",
-            chooser::Missing::Model => "no engine holds the model, and a load would take too long",
-            chooser::Missing::Adapter => "no engine holds the adapter yet",
-            chooser::Missing::Place => "all endpoints of the service are busy",
-            chooser::Missing::Allowance(_) => {
+            chooser::WaitReason::Endpoint => "no endpoint of the service can be reached now",
+            chooser::WaitReason::Model => {
+                "no engine holds the model, and a load would take too long"
+            }
+            chooser::WaitReason::Adapter => "no engine holds the adapter yet",
+            chooser::WaitReason::Place => "all endpoints of the service are busy",
+            chooser::WaitReason::Allowance(_) => {
                 "all endpoints that could take it have asked for nothing more for now"
             }
         };
@@ -118,7 +120,7 @@
         let sent = sent_at.duration_since(self.req.received);
         ::log::info!(request = self.id(), route = self.route.name.as_str(),
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
-            model = self.model_name(), tokens = pick.tokens, estimate_ms = pick.estimate.0,
+            model = self.model_name(), tokens = pick.uncached_tokens, estimate_ms = pick.estimate.0,
             waited_for = self.waited_for_value(), objective_ms = self.route.latency_target.0,
             pause_limit_ms = self.route.max_event_gap.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
             first_ms = time::Millis::from(self.timings.first_event).0,
@@ -130,11 +132,11 @@
     fn waited_for_value(&self) -> &'static str {
         match self.waited_for {
             None => "",
-            Some(chooser::Missing::Endpoint) => "endpoint",
-            Some(chooser::Missing::Model) => "model",
-            Some(chooser::Missing::Adapter) => "adapter",
-            Some(chooser::Missing::Place) => "place",
-            Some(chooser::Missing::Allowance(_)) => "allowance",
+            Some(chooser::WaitReason::Endpoint) => "endpoint",
+            Some(chooser::WaitReason::Model) => "model",
+            Some(chooser::WaitReason::Adapter) => "adapter",
+            Some(chooser::WaitReason::Place) => "place",
+            Some(chooser::WaitReason::Allowance(_)) => "allowance",
         }
     }
 
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -53,7 +53,7 @@
             let model = self.model_name();
             let others_wait = self
                 .shared
-                .with_core(|core| core.backlog.leave(model, ticket));
+                .with_core(|core| core.backlog.remove(model, ticket));
             if others_wait {
                 self.shared.wake_waiting();
             }
@@ -78,7 +78,7 @@
                 return NextStep::Refuse(refusal);
             }
             let now = self.shared.clock.now();
-            let ask = chooser::Ask {
+            let ask = chooser::EndpointQuery {
                 service: self.service,
                 wanted: self.wanted,
                 parts: &self.metadata.parts,
@@ -101,7 +101,7 @@
                     core.backlog.is_preceded(now, model, it, *ticket)
                 });
                 let choice = if is_preceded {
-                    chooser::Choice::Wait(chooser::Missing::Place)
+                    chooser::Choice::Wait(chooser::WaitReason::Place)
                 } else {
                     coordinator::decide(core, now, &ask, place)
                 };
@@ -143,7 +143,7 @@
                 self.report_waiting();
             }
             if self.shared.settings.routing.turn_away {
-                let queued = queued_here.filter(|_| missing == chooser::Missing::Place);
+                let queued = queued_here.filter(|_| missing == chooser::WaitReason::Place);
                 let refusal = self
                     .refuse_closed_endpoints(missing, left)
                     .or_else(|| self.refuse_by_coordinator(place, left))
@@ -161,7 +161,7 @@
             waiting.fetch_add(1, atomic::Ordering::Relaxed);
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-            if missing == chooser::Missing::Adapter {
+            if missing == chooser::WaitReason::Adapter {
                 // The leader may have failed before it acted on the request for the adapter.
                 adapter_requests = 0;
             }
@@ -185,7 +185,7 @@
     fn permission_to_send(&mut self, pick: &chooser::Pick) -> Permission {
         let permission = self.acquire_permission(pick);
         if !matches!(permission, Permission::Granted) {
-            self.end_attempt(pick, false, chooser::Ended::GivenUp);
+            self.end_attempt(pick, false, chooser::AttemptOutcome::GivenUp);
         }
         permission
     }
@@ -216,16 +216,16 @@
     /// elsewhere before that.
     fn refuse_closed_endpoints(
         &self,
-        missing: chooser::Missing,
+        missing: chooser::WaitReason,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let chooser::Missing::Allowance(opens) = missing else {
+        let chooser::WaitReason::Allowance(opens) = missing else {
             return None;
         };
         let load = self
             .model
             .is_some()
-            .then(|| self.load_time(chooser::Missing::Model));
+            .then(|| self.load_time(chooser::WaitReason::Model));
         let reading = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
         if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
             return None;
@@ -251,7 +251,7 @@
         let is_left = || {
             self.shared.with_core(|core| {
                 let entries = core.entries.len();
-                core.budget.has_one(now, self.service, entries)
+                core.budget.has_token(now, self.service, entries)
             })
         };
         self.has_retry_token || is_left()
@@ -261,7 +261,7 @@
     fn refuse_by_local_queue(
         &self,
         now: time::Instant,
-        waiter: backlog::Waiter,
+        waiter: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<refusal::Refusal> {
@@ -279,22 +279,22 @@
     fn unmeetable_wait(
         &self,
         now: time::Instant,
-        waiter: backlog::Waiter,
+        waiter: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<time::Millis> {
         let model = self.model_name();
         let expected = self.shared.with_core(|core| {
-            let ticket = ticket.get_or_insert_with(|| core.backlog.enter(now, model, waiter));
-            core.backlog.expected(now, model, *ticket)
+            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, waiter));
+            core.backlog.expected_wait(now, model, *ticket)
         })?;
         (expected + PREFILL_RESERVE > left).then_some(expected)
     }
 
     /// The queue entry of this request; none if it needs no model.
-    fn queued_request(&self, now: time::Instant) -> Option<backlog::Waiter> {
+    fn queued_request(&self, now: time::Instant) -> Option<backlog::QueuedRequest> {
         let wanted = self.wanted?;
-        Some(backlog::Waiter {
+        Some(backlog::QueuedRequest {
             tokens: self.metadata.prompt_tokens,
             priority: self.priority(),
             on_time_until: now + self.on_time(),
@@ -303,23 +303,25 @@
     }
 
     /// How long the request may wait for what is missing.
-    fn wait_limit(&self, missing: chooser::Missing, load: time::Millis) -> std_time::Duration {
+    fn wait_limit(&self, missing: chooser::WaitReason, load: time::Millis) -> std_time::Duration {
         let latency_target = self.route.latency_target.0;
         match missing {
-            chooser::Missing::Model => (load + LOAD_MARGIN).into(),
-            chooser::Missing::Adapter | chooser::Missing::Allowance(_) => self.route.timeout.into(),
+            chooser::WaitReason::Model => (load + LOAD_MARGIN).into(),
+            chooser::WaitReason::Adapter | chooser::WaitReason::Allowance(_) => {
+                self.route.timeout.into()
+            }
             // Engines finish their prefill steadily, so the request may wait until its deadline.
-            chooser::Missing::Place if self.wanted.is_some() => self.route.timeout.into(),
-            chooser::Missing::Place | chooser::Missing::Endpoint => {
+            chooser::WaitReason::Place if self.wanted.is_some() => self.route.timeout.into(),
+            chooser::WaitReason::Place | chooser::WaitReason::Endpoint => {
                 std_time::Duration::from_millis(latency_target * SLOT_WAIT_PERCENT / 100)
             }
         }
     }
 
     /// The load time of the missing model; zero if no model is missing.
-    fn load_time(&self, missing: chooser::Missing) -> time::Millis {
+    fn load_time(&self, missing: chooser::WaitReason) -> time::Millis {
         match (missing, self.model) {
-            (chooser::Missing::Model, Some(model)) => self
+            (chooser::WaitReason::Model, Some(model)) => self
                 .shared
                 .with_core(|core| core.chooser.load_time(self.service, model)),
             _ => time::Millis(0),
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -7,8 +7,8 @@
 };
 
 use sageshed_fleet::{
-    allowance, backlog, budget, chooser, demand_counter, dialect, directory, messages,
-    neighbours as words, quarantine,
+    allowance, backlog, budget, chooser, demand_counter, dialect, directory, entry_peers as words,
+    messages, quarantine,
 };
 use sageshed_types::{document, time};
 use sageshed_upstream::pool;
@@ -70,7 +70,7 @@
     /// The requests that wait in this process for engines.
     pub backlog: backlog::Backlog,
     /// The allowances that all entry processes share.
-    pub allowances: allowance::Book,
+    pub allowances: allowance::AllowanceTable,
     /// The budget for retries.
     pub budget: budget::RetryBudget,
     /// The known endpoints.
@@ -135,8 +135,8 @@
             chooser: chooser::Chooser::new(&settings.availability_zone, seed)
                 .with_policy(settings.routing),
             backlog: backlog::Backlog::default(),
-            allowances: allowance::Book::new(settings.discovery.ip, start),
-            budget: budget::RetryBudget::new(budget::Allowance {
+            allowances: allowance::AllowanceTable::new(settings.discovery.ip, start),
+            budget: budget::RetryBudget::new(budget::RetryAllowance {
                 ratio: retries.ratio,
                 slack: retries.slack,
                 window: retries.window_ms,
@@ -236,9 +236,9 @@
     }
 
     /// Applies the observation of an entry peer, and wakes waiting requests if an engine has room by it.
-    pub fn hear(&self, from: net::Ipv4Addr, word: &words::Unread) {
+    pub fn hear(&self, from: net::Ipv4Addr, word: &words::EngineObservation) {
         let now = self.clock.now();
-        let has_room = self.with_core(|core| core.chooser.hear(now, from, word));
+        let has_room = self.with_core(|core| core.chooser.apply_observation(now, from, word));
         if has_room && self.waiting.load(atomic::Ordering::Relaxed) > 0 {
             self.wake_waiting();
         }
@@ -258,7 +258,7 @@
         }
         ::log::info!(count = entries.len(); "gateway: entry processes changed");
         let own = self.settings.discovery.ip;
-        core.chooser.join_groups(own, &entries);
+        core.chooser.set_entries(own, &entries);
         let now = self.clock.now();
         core.allowances.set_entries(now, &entries);
         core.entries_number = number;
@@ -270,7 +270,7 @@
     pub fn mark_replaced(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
-        core.chooser.forget(id);
+        core.chooser.remove_instance(id);
         if core.directory.mark_gone(now, id) {
             ::log::info!(endpoint:% = id; "gateway: another instance answers at the endpoint's address");
         }
@@ -284,7 +284,7 @@
             return;
         }
         if let Some(instance) = core.directory.instance(id).cloned() {
-            core.chooser.know(&instance);
+            core.chooser.update_instance(&instance);
         }
         core.leaving.push((id.clone(), now));
         core.changes += 1;
@@ -313,7 +313,7 @@
                 let Some(instance) = core.directory.instance(&id).cloned() else {
                     return false;
                 };
-                core.chooser.know(&instance);
+                core.chooser.update_instance(&instance);
                 // Pooled connections lead to an instance that has ended. If its VM lost power, requests sent on
                 // them would be lost without an error.
                 if instance.has_ended() || offer == directory::MergeOutcome::New {
@@ -377,7 +377,7 @@
         !self.is_stopping()
             && self.version() > 0
             && !self.is_out_of_date()
-            && self.with_core(|it| it.chooser.knows_any())
+            && self.with_core(|it| it.chooser.has_ready_endpoint())
     }
 }
 
@@ -397,7 +397,7 @@
         metadata: &dialect::RequestMetadata,
         kept: Option<u64>,
     ) {
-        let prefill_us = self.chooser.reading_us(service, wanted, metadata, kept);
+        let prefill_us = self.chooser.prefill_us(service, wanted, metadata, kept);
         let request = demand_counter::RequestDemand {
             prefill_us,
             output_tokens: metadata.output_tokens,
--- a/tests/watching.rs
+++ b/tests/watching.rs
@@ -26,7 +26,7 @@
 }
 
 /// A watch of one that knows all there is so far.
-fn watch(watcher: messages::Watcher, known: quarantine::Mark) -> messages::WatchReq {
+fn watch(watcher: messages::Watcher, known: quarantine::Cursor) -> messages::WatchReq {
     messages::WatchReq {
         watcher,
         ip: net::Ipv4Addr::LOCALHOST,
@@ -89,7 +89,7 @@
     ];
     for case in &cases {
         let hub = sync::Arc::new(Hub::new(1));
-        let known = hub.with_quarantine(|it| it.mark());
+        let known = hub.with_quarantine(|it| it.cursor());
         let rx = told(&hub, watch(case.watcher, known));
         for endpoint in 1..=case.ends {
             hub.merge_crashes(NOW, &[crash(endpoint)]);
@@ -106,12 +106,12 @@
     hub.merge_crashes(NOW, &[crash(1), crash(2)]);
     let req = messages::WatchReq {
         patience: types_time::Millis(1),
-        ..watch(messages::Watcher::Entry, quarantine::Mark::default())
+        ..watch(messages::Watcher::Entry, quarantine::Cursor::default())
     };
     assert!(hub.updates(NOW, &req).crashes.is_empty());
     let other = messages::WatchReq {
         patience: types_time::Millis(1),
-        ..watch(messages::Watcher::Control, quarantine::Mark::default())
+        ..watch(messages::Watcher::Control, quarantine::Cursor::default())
     };
     assert_eq!(hub.updates(NOW, &other).crashes.len(), 2);
 }
@@ -124,7 +124,7 @@
     hub.merge_crashes(NOW, &[crash(1), crash(2), crash(3)]);
     let req = messages::WatchReq {
         crashes_known: None,
-        ..watch(messages::Watcher::Entry, quarantine::Mark::default())
+        ..watch(messages::Watcher::Entry, quarantine::Cursor::default())
     };
     let rx = told(&hub, req);
     // What wakes it is the configuration, which comes later.
@@ -140,7 +140,7 @@
 fn a_watcher_that_was_told_of_a_configuration_is_not_woken_by_it_again() {
     let hub = sync::Arc::new(Hub::new(1));
     hub.set_config(NOW, 7);
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     let req = messages::WatchReq {
         config: 5,
         config_told: Some(7),
@@ -159,7 +159,7 @@
 fn entry_processes_that_are_behind_are_counted() {
     let hub = Hub::new(1);
     hub.set_config(NOW, 7);
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     for (last, config) in [(1, 7), (2, 5), (3, 0)] {
         let req = messages::WatchReq {
             ip: net::Ipv4Addr::new(127, 0, 0, last),
@@ -212,7 +212,7 @@
     }
     let mut req = watch(
         messages::Watcher::Entry,
-        hub.with_quarantine(|it| it.mark()),
+        hub.with_quarantine(|it| it.cursor()),
     );
     req.wants = messages::DirectoryDetail::News;
     let mut known = directory::Directory::new(2);
@@ -258,7 +258,7 @@
         };
         hub.announce(NOW, engine);
     }
-    let known = hub.with_quarantine(|it| it.mark());
+    let known = hub.with_quarantine(|it| it.cursor());
     let mut req = watch(messages::Watcher::Entry, known);
     req.wants = messages::DirectoryDetail::News;
     let mut told = 0;
@@ -286,7 +286,7 @@
     }
     let mut req = watch(
         messages::Watcher::Control,
-        hub.with_quarantine(|it| it.mark()),
+        hub.with_quarantine(|it| it.cursor()),
     );
     req.wants = messages::DirectoryDetail::All;
     req.patience = types_time::Millis(1);
