--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -229,9 +229,7 @@
                     ::log::info!(seeds:? = seeds; "gateway: seeds changed in the settings");
                 }
             }
-            Err(e) => {
-                ::log::warn!(error:% = e; "gateway: cannot read the settings, keeping the current seeds")
-            }
+            Err(e) => ::log::warn!(error:% = e; "gateway: cannot read settings, the seeds stay"),
         }
     }
 }
