--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -306,9 +306,9 @@
             };
             best = self.better(requirements, first, second);
         }
-        let near = self.near(requirements);
-        match near.filter(|near| room.contains(near)) {
-            Some(near) => Some(self.better(requirements, best, near)),
+        let prefix_owner = self.prefix_owner(requirements);
+        match prefix_owner.filter(|prefix_owner| room.contains(prefix_owner)) {
+            Some(prefix_owner) => Some(self.better(requirements, best, prefix_owner)),
             None => Some(best),
         }
     }
@@ -337,8 +337,8 @@
         } else {
             0.0
         };
-        let near = self.near(requirements);
-        let saved = if near == Some(key) {
+        let prefix_owner = self.prefix_owner(requirements);
+        let saved = if prefix_owner == Some(key) {
             self.policy.affinity_share
         } else {
             0.0
@@ -349,7 +349,7 @@
 
     /// The endpoint that a prefix belongs to: the holder with the greatest hash of both. When an
     /// endpoint comes or goes, only the prefixes that belong to it move.
-    fn near(&self, requirements: &Ask<'_>) -> Option<arena::EndpointKey> {
+    fn prefix_owner(&self, requirements: &Ask<'_>) -> Option<arena::EndpointKey> {
         if requirements.prefix == 0 {
             return None;
         }
