--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -261,7 +261,7 @@
 
 /// What a report changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum ReportOutcome {
     /// It is older than what is known.
     Old,
     /// It is the newest of this endpoint.
@@ -303,13 +303,13 @@
         age: time::Millis,
         names: &mut names::Names,
         random: &mut random::Random,
-    ) -> Taken {
+    ) -> ReportOutcome {
         let key = names.endpoints.intern(&report.identity.endpoint);
         let incarnation = report.identity.incarnation;
         let known = self.endpoints.get(key.index());
         let news = known.map(|e| (incarnation, report.sequence) > (e.incarnation, e.sequence));
         match news {
-            Some(false) => return Taken::Old,
+            Some(false) => return ReportOutcome::Old,
             Some(true) if self.endpoints[key.index()].incarnation == incarnation => {}
             Some(true) => {
                 self.endpoints[key.index()] = Endpoint::new(now, &report.identity, names);
@@ -326,7 +326,7 @@
         }
         endpoint.take_resident(now, &report.resident, names);
         self.index(key);
-        Taken::News(key)
+        ReportOutcome::News(key)
     }
 
     /// Brings the lists of holders up to date for one endpoint.
