--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -263,7 +263,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// It is older than what is known.
-    Old,
+    Outdated,
     /// It is the newest of this endpoint.
     News(arena::EndpointKey),
 }
@@ -309,7 +309,7 @@
         let known = self.endpoints.get(key.index());
         let news = known.map(|e| (incarnation, report.sequence) > (e.incarnation, e.sequence));
         match news {
-            Some(false) => return ReportOutcome::Old,
+            Some(false) => return ReportOutcome::Outdated,
             Some(true) if self.endpoints[key.index()].incarnation == incarnation => {}
             Some(true) => {
                 self.endpoints[key.index()] = Endpoint::new(now, &report.identity, names);
