--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -137,7 +137,7 @@
         let taken = router
             .fleet
             .report(now, report, age, &mut self.names, &mut router.random);
-        if let fleet::ReportOutcome::News(endpoint) = taken {
+        if let fleet::ReportOutcome::Applied(endpoint) = taken {
             self.send_waiting(now, Some(endpoint), out);
         }
     }
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -265,7 +265,7 @@
     /// It is older than what is known.
     Outdated,
     /// It is the newest of this endpoint.
-    News(arena::EndpointKey),
+    Applied(arena::EndpointKey),
 }
 
 /// All endpoints, by key, with the holders of each target.
@@ -326,7 +326,7 @@
         }
         endpoint.take_resident(now, &report.resident, names);
         self.index(key);
-        ReportOutcome::News(key)
+        ReportOutcome::Applied(key)
     }
 
     /// Brings the lists of holders up to date for one endpoint.
