--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -66,7 +66,7 @@
     sequence: u64,
     /// The moment that the load figures speak of.
     figures_at: time::Instant,
-    own_then: u32,
+    own_at_report: u32,
     others: u32,
     dither: f64,
     busy_until: time::Instant,
@@ -95,7 +95,7 @@
             learned: learned::Endpoint::default(),
             sequence: 0,
             figures_at: now,
-            own_then: 0,
+            own_at_report: 0,
             others: 0,
             dither: 0.0,
             busy_until: time::Instant(0),
@@ -130,7 +130,7 @@
     /// Requests there as the report showed them.
     #[must_use]
     pub fn reported_load(&self) -> u32 {
-        self.own_then + self.others
+        self.own_at_report + self.others
     }
 
     /// Requests that are taken to be there now.
@@ -165,7 +165,7 @@
     }
 
     fn proportional(&self, cap: f64, entries: f64, policy: &settings::Policy) -> f64 {
-        let own = f64::from(self.own_then);
+        let own = f64::from(self.own_at_report);
         let others = f64::from(self.others);
         let free = cap - own - others;
         if free < 0.0 {
@@ -215,8 +215,8 @@
     fn take_figures(&mut self, at: time::Instant, report: &endpoints::Report, dither: f64) {
         self.sequence = report.sequence;
         self.figures_at = at;
-        self.own_then = self.own_at(at);
-        self.others = (report.running + report.waiting).saturating_sub(self.own_then);
+        self.own_at_report = self.own_at(at);
+        self.others = (report.running + report.waiting).saturating_sub(self.own_at_report);
         self.dither = dither;
         self.slots = report.identity.slots.max(1);
         self.address.clone_from(&report.identity.address);
