--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -123,7 +123,7 @@
 
     /// Whether its newest report is fresh enough to give it new work.
     #[must_use]
-    pub fn is_heard(&self, now: time::Instant, policy: &settings::Policy) -> bool {
+    pub fn has_recent_report(&self, now: time::Instant, policy: &settings::Policy) -> bool {
         !self.silent && now.since(self.figures_at) < policy.report_silent_ms
     }
 
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -237,7 +237,7 @@
             return Eligibility::Failed;
         }
         let ejected = endpoint.health.allowance(now, &self.policy) == health::Allowance::Ejected;
-        match (ejected, endpoint.is_heard(now, &self.policy)) {
+        match (ejected, endpoint.has_recent_report(now, &self.policy)) {
             (false, true) => Eligibility::Eligible,
             (true, true) => Eligibility::Ejected,
             (false, false) => Eligibility::Silent,
