--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -212,7 +212,7 @@
             .map_or(0, |(_, own)| *own)
     }
 
-    fn take_figures(&mut self, at: time::Instant, report: &endpoints::Report, dither: f64) {
+    fn apply_load(&mut self, at: time::Instant, report: &endpoints::Report, dither: f64) {
         self.sequence = report.sequence;
         self.figures_at = at;
         self.own_at_report = self.own_at(at);
@@ -320,7 +320,7 @@
         }
         let endpoint = &mut self.endpoints[key.index()];
         let at = time::Instant(now.0.saturating_sub(age.0));
-        endpoint.take_figures(at, report, random.unit());
+        endpoint.apply_load(at, report, random.unit());
         if let endpoints::Kind::Engine { pool, .. } = &report.identity.kind {
             endpoint.kind = Kind::Engine(names.pools.intern(pool));
         }
