--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -65,7 +65,7 @@
     pub learned: learned::Endpoint,
     sequence: u64,
     /// The moment that the load figures speak of.
-    figures_at: time::Instant,
+    load_as_of: time::Instant,
     own_at_report: u32,
     others: u32,
     dither: f64,
@@ -94,7 +94,7 @@
             health: health::Health::new(now),
             learned: learned::Endpoint::default(),
             sequence: 0,
-            figures_at: now,
+            load_as_of: now,
             own_at_report: 0,
             others: 0,
             dither: 0.0,
@@ -124,7 +124,7 @@
     /// Whether its newest report is fresh enough to give it new work.
     #[must_use]
     pub fn has_recent_report(&self, now: time::Instant, policy: &settings::Policy) -> bool {
-        !self.silent && now.since(self.figures_at) < policy.report_silent_ms
+        !self.silent && now.since(self.load_as_of) < policy.report_silent_ms
     }
 
     /// Requests there as the report showed them.
@@ -158,7 +158,7 @@
         let cap = slots * (policy.in_flight_per_slot + headroom) * share;
         let entries = f64::from(entries.max(1));
         let even = (cap / entries).floor().max(1.0);
-        if now.since(self.figures_at) > policy.report_stale_ms {
+        if now.since(self.load_as_of) > policy.report_stale_ms {
             return whole(even);
         }
         whole(self.proportional(cap, entries, policy).max(even))
@@ -214,7 +214,7 @@
 
     fn apply_load(&mut self, at: time::Instant, report: &endpoints::Report, dither: f64) {
         self.sequence = report.sequence;
-        self.figures_at = at;
+        self.load_as_of = at;
         self.own_at_report = self.own_at(at);
         self.others = (report.running + report.waiting).saturating_sub(self.own_at_report);
         self.dither = dither;
