--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -224,7 +224,7 @@
         self.silent = false;
     }
 
-    fn take_resident(
+    fn apply_models(
         &mut self,
         now: time::Instant,
         resident: &[endpoints::Resident],
@@ -324,7 +324,7 @@
         if let endpoints::Kind::Engine { pool, .. } = &report.identity.kind {
             endpoint.kind = Kind::Engine(names.pools.intern(pool));
         }
-        endpoint.take_resident(now, &report.resident, names);
+        endpoint.apply_models(now, &report.resident, names);
         self.index(key);
         ReportOutcome::Applied(key)
     }
