--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -275,7 +275,7 @@
     by_model: Vec<Vec<arena::EndpointKey>>,
     by_service: Vec<Vec<arena::EndpointKey>>,
     /// What the lists of holders show of each endpoint.
-    listed: Vec<Option<(Kind, bits::Bits)>>,
+    indexed: Vec<Option<(Kind, bits::Bits)>>,
 }
 
 impl Fleet {
@@ -286,7 +286,7 @@
             endpoints: Vec::new(),
             by_model: vec![Vec::new(); names.models.len()],
             by_service: vec![Vec::new(); names.services.len()],
-            listed: Vec::new(),
+            indexed: Vec::new(),
         }
     }
 
@@ -336,14 +336,14 @@
     /// rest of it.
     fn index(&mut self, key: arena::EndpointKey) {
         let endpoint = &self.endpoints[key.index()];
-        if self.listed.len() <= key.index() {
-            self.listed.resize(key.index() + 1, None);
+        if self.indexed.len() <= key.index() {
+            self.indexed.resize(key.index() + 1, None);
         }
         let holds = Some((endpoint.kind, endpoint.ready.clone()));
-        if self.listed[key.index()] == holds {
+        if self.indexed[key.index()] == holds {
             return;
         }
-        self.listed[key.index()] = holds;
+        self.indexed[key.index()] = holds;
         for (i, holders) in self.by_model.iter_mut().enumerate() {
             let target = event::Target::Model(arena::ModelKey::from_index(i));
             set_member(holders, key, endpoint.serves(target));
