--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -159,9 +159,9 @@
         let entries = f64::from(entries.max(1));
         let even = (cap / entries).floor().max(1.0);
         if now.since(self.load_as_of) > policy.report_stale_ms {
-            return whole(even);
+            return floor_to_u32(even);
         }
-        whole(self.proportional(cap, entries, policy).max(even))
+        floor_to_u32(self.proportional(cap, entries, policy).max(even))
     }
 
     fn proportional(&self, cap: f64, entries: f64, policy: &settings::Policy) -> f64 {
@@ -249,14 +249,14 @@
     }
 }
 
-fn whole(value: f64) -> u32 {
+fn floor_to_u32(value: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "the value is clamped to what fits"
     )]
-    let whole = value.floor().clamp(1.0, f64::from(u32::MAX)) as u32;
-    whole
+    let floor_to_u32 = value.floor().clamp(1.0, f64::from(u32::MAX)) as u32;
+    floor_to_u32
 }
 
 /// What a report changed.
