--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -28,7 +28,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Good {
+    Healthy {
         since: time::Instant,
     },
     Ejected {
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
-            state: State::Good { since: now },
+            state: State::Healthy { since: now },
             in_row: 0,
             window: 0,
             tries: 0,
@@ -84,7 +84,7 @@
                 self.state = State::Returning { since: until };
             }
             State::Returning { since } if now.since(since) >= policy.return_ramp_ms => {
-                self.state = State::Good { since: now };
+                self.state = State::Healthy { since: now };
                 self.ejections = 0;
             }
             _ => {}
@@ -95,7 +95,7 @@
     #[must_use]
     pub fn allowance(&self, now: time::Instant, policy: &settings::Policy) -> Allowance {
         match self.state {
-            State::Good { .. } => Allowance::Share(1.0),
+            State::Healthy { .. } => Allowance::Share(1.0),
             State::Ejected { until, .. } if now < until => Allowance::Ejected,
             State::Ejected { until, .. } => Allowance::Share(ramp(until, now, policy)),
             State::Returning { since } => Allowance::Share(ramp(since, now, policy)),
@@ -146,7 +146,7 @@
     /// millisecond as an ejection was sent before it: after it nothing is sent for a while.
     fn is_before_state(&self, sent: time::Instant) -> bool {
         match self.state {
-            State::Good { since } => sent < since,
+            State::Healthy { since } => sent < since,
             State::Returning { since } | State::Ejected { since, .. } => sent <= since,
         }
     }
