--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -35,7 +35,7 @@
         since: time::Instant,
         until: time::Instant,
     },
-    Returning {
+    Recovering {
         since: time::Instant,
     },
 }
@@ -81,9 +81,9 @@
     pub fn advance(&mut self, now: time::Instant, policy: &settings::Policy) {
         match self.state {
             State::Ejected { until, .. } if now >= until => {
-                self.state = State::Returning { since: until };
+                self.state = State::Recovering { since: until };
             }
-            State::Returning { since } if now.since(since) >= policy.return_ramp_ms => {
+            State::Recovering { since } if now.since(since) >= policy.return_ramp_ms => {
                 self.state = State::Healthy { since: now };
                 self.ejections = 0;
             }
@@ -98,7 +98,7 @@
             State::Healthy { .. } => Allowance::Share(1.0),
             State::Ejected { until, .. } if now < until => Allowance::Ejected,
             State::Ejected { until, .. } => Allowance::Share(ramp(until, now, policy)),
-            State::Returning { since } => Allowance::Share(ramp(since, now, policy)),
+            State::Recovering { since } => Allowance::Share(ramp(since, now, policy)),
         }
     }
 
@@ -111,7 +111,7 @@
         self.record(false);
         self.in_row = 0;
         if matches!(self.state, State::Ejected { .. }) {
-            self.state = State::Returning { since: now };
+            self.state = State::Recovering { since: now };
         }
     }
 
@@ -147,7 +147,7 @@
     fn is_before_state(&self, sent: time::Instant) -> bool {
         match self.state {
             State::Healthy { since } => sent < since,
-            State::Returning { since } | State::Ejected { since, .. } => sent <= since,
+            State::Recovering { since } | State::Ejected { since, .. } => sent <= since,
         }
     }
 
@@ -157,7 +157,7 @@
     }
 
     fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
-        let returning = matches!(self.state, State::Returning { .. });
+        let returning = matches!(self.state, State::Recovering { .. });
         let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
         returning
             || fault == event::Fault::ConnectRefused
