--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -157,9 +157,9 @@
     }
 
     fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
-        let returning = matches!(self.state, State::Recovering { .. });
+        let recovering = matches!(self.state, State::Recovering { .. });
         let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
-        returning
+        recovering
             || fault == event::Fault::ConnectRefused
             || self.in_row >= policy.eject_after_failures.max(1)
             || (self.tries >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
