--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
     state: State,
-    in_row: u32,
+    consecutive_failures: u32,
     /// The last tries, newest in the lowest bit; 1 is a failure.
     window: u32,
     tries: u32,
@@ -69,7 +69,7 @@
     pub fn new(now: time::Instant) -> Self {
         Self {
             state: State::Healthy { since: now },
-            in_row: 0,
+            consecutive_failures: 0,
             window: 0,
             tries: 0,
             ejections: 0,
@@ -109,7 +109,7 @@
             return;
         }
         self.record(false);
-        self.in_row = 0;
+        self.consecutive_failures = 0;
         if matches!(self.state, State::Ejected { .. }) {
             self.state = State::Recovering { since: now };
         }
@@ -134,7 +134,7 @@
             return false;
         }
         self.record(true);
-        self.in_row = self.in_row.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if !self.must_eject(fault, policy) {
             return false;
         }
@@ -161,7 +161,7 @@
         let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
         recovering
             || fault == event::Fault::ConnectRefused
-            || self.in_row >= policy.eject_after_failures.max(1)
+            || self.consecutive_failures >= policy.eject_after_failures.max(1)
             || (self.tries >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
     }
 
@@ -178,7 +178,7 @@
             until: now + time::Millis::rounded_up(span),
         };
         self.ejections = (self.ejections + 1).min(MAX_DOUBLINGS);
-        self.in_row = 0;
+        self.consecutive_failures = 0;
         self.window = 0;
         self.tries = 0;
     }
