--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -56,7 +56,7 @@
     consecutive_failures: u32,
     /// The last tries, newest in the lowest bit; 1 is a failure.
     window: u32,
-    tries: u32,
+    recent_attempts: u32,
     /// Ejections since it was last healthy through a whole ramp.
     ejections: u32,
     /// When a try was answered last.
@@ -71,7 +71,7 @@
             state: State::Healthy { since: now },
             consecutive_failures: 0,
             window: 0,
-            tries: 0,
+            recent_attempts: 0,
             ejections: 0,
             answered: None,
         }
@@ -153,16 +153,16 @@
 
     fn record(&mut self, failure: bool) {
         self.window = (self.window << 1 | u32::from(failure)) & ((1 << WINDOW) - 1);
-        self.tries = (self.tries + 1).min(WINDOW);
+        self.recent_attempts = (self.recent_attempts + 1).min(WINDOW);
     }
 
     fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
         let recovering = matches!(self.state, State::Recovering { .. });
-        let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
+        let share = f64::from(self.window.count_ones()) / f64::from(self.recent_attempts.max(1));
         recovering
             || fault == event::Fault::ConnectRefused
             || self.consecutive_failures >= policy.eject_after_failures.max(1)
-            || (self.tries >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
+            || (self.recent_attempts >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
     }
 
     fn eject(
@@ -180,7 +180,7 @@
         self.ejections = (self.ejections + 1).min(MAX_DOUBLINGS);
         self.consecutive_failures = 0;
         self.window = 0;
-        self.tries = 0;
+        self.recent_attempts = 0;
     }
 }
 
