--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -55,7 +55,7 @@
     state: State,
     consecutive_failures: u32,
     /// The last tries, newest in the lowest bit; 1 is a failure.
-    window: u32,
+    recent_failures: u32,
     recent_attempts: u32,
     /// Ejections since it was last healthy through a whole ramp.
     ejections: u32,
@@ -70,7 +70,7 @@
         Self {
             state: State::Healthy { since: now },
             consecutive_failures: 0,
-            window: 0,
+            recent_failures: 0,
             recent_attempts: 0,
             ejections: 0,
             answered: None,
@@ -152,13 +152,15 @@
     }
 
     fn record(&mut self, failure: bool) {
-        self.window = (self.window << 1 | u32::from(failure)) & ((1 << WINDOW) - 1);
+        self.recent_failures =
+            (self.recent_failures << 1 | u32::from(failure)) & ((1 << WINDOW) - 1);
         self.recent_attempts = (self.recent_attempts + 1).min(WINDOW);
     }
 
     fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
         let recovering = matches!(self.state, State::Recovering { .. });
-        let share = f64::from(self.window.count_ones()) / f64::from(self.recent_attempts.max(1));
+        let share =
+            f64::from(self.recent_failures.count_ones()) / f64::from(self.recent_attempts.max(1));
         recovering
             || fault == event::Fault::ConnectRefused
             || self.consecutive_failures >= policy.eject_after_failures.max(1)
@@ -179,7 +181,7 @@
         };
         self.ejections = (self.ejections + 1).min(MAX_DOUBLINGS);
         self.consecutive_failures = 0;
-        self.window = 0;
+        self.recent_failures = 0;
         self.recent_attempts = 0;
     }
 }
