--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -21,7 +21,7 @@
 const MIN_ATTEMPTS: u32 = 10;
 
 /// The most that jitter adds to an ejection, as a share of it.
-const JITTER: f64 = 0.25;
+const MAX_JITTER_SHARE: f64 = 0.25;
 
 /// The most often that an ejection time is doubled.
 const MAX_DOUBLINGS: u32 = 16;
@@ -174,7 +174,8 @@
         random: &mut random::Random,
     ) {
         let doubled = policy.eject_base_ms.0 as f64 * f64::from(1_u32 << self.ejections);
-        let span = doubled.min(policy.eject_max_ms.0 as f64) * (1.0 + JITTER * random.unit());
+        let span =
+            doubled.min(policy.eject_max_ms.0 as f64) * (1.0 + MAX_JITTER_SHARE * random.unit());
         self.state = State::Ejected {
             since: now,
             until: now + time::Millis::rounded_up(span),
