--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -105,7 +105,7 @@
     /// A try sent at `sent` was answered.
     pub fn succeeded(&mut self, now: time::Instant, sent: time::Instant) {
         self.answered = Some(now);
-        if self.is_before_state(sent) {
+        if self.predates_state(sent) {
             return;
         }
         self.record(false);
@@ -130,7 +130,7 @@
         policy: &settings::Policy,
         random: &mut random::Random,
     ) -> bool {
-        if self.is_before_state(sent) {
+        if self.predates_state(sent) {
             return false;
         }
         self.record(true);
@@ -144,7 +144,7 @@
 
     /// Whether a try was sent before the last change of state. One that was sent in the same
     /// millisecond as an ejection was sent before it: after it nothing is sent for a while.
-    fn is_before_state(&self, sent: time::Instant) -> bool {
+    fn predates_state(&self, sent: time::Instant) -> bool {
         match self.state {
             State::Healthy { since } => sent < since,
             State::Recovering { since } | State::Ejected { since, .. } => sent <= since,
