--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -60,7 +60,7 @@
     /// Ejections since it was last healthy through a whole ramp.
     ejections: u32,
     /// When a try was answered last.
-    answered: Option<time::Instant>,
+    last_answer: Option<time::Instant>,
 }
 
 impl Health {
@@ -73,7 +73,7 @@
             recent_failures: 0,
             recent_attempts: 0,
             ejections: 0,
-            answered: None,
+            last_answer: None,
         }
     }
 
@@ -104,7 +104,7 @@
 
     /// A try sent at `sent` was answered.
     pub fn succeeded(&mut self, now: time::Instant, sent: time::Instant) {
-        self.answered = Some(now);
+        self.last_answer = Some(now);
         if self.predates_state(sent) {
             return;
         }
@@ -118,7 +118,8 @@
     /// Whether any try was answered since `sent`.
     #[must_use]
     pub fn answered_since(&self, sent: time::Instant) -> bool {
-        self.answered.is_some_and(|answered| answered >= sent)
+        self.last_answer
+            .is_some_and(|last_answer| last_answer >= sent)
     }
 
     /// A try sent at `sent` failed. Says whether that ejects it.
