--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -124,8 +124,8 @@
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::Pass::Passed => RuleOutcome::Continue,
-            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
+            limits::LimitOutcome::Passed => RuleOutcome::Continue,
+            limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
                     "caller `{}` is over its limit of {rate} requests a second",
@@ -150,8 +150,8 @@
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::Pass::Passed => RuleOutcome::Continue,
-            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
+            limits::LimitOutcome::Passed => RuleOutcome::Continue,
+            limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
                     "rule `{id}` allows {} requests a second over all entry processes",
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -88,7 +88,7 @@
 
 /// What a limit says to one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pass {
+pub enum LimitOutcome {
     /// Within the limit.
     Passed,
     /// Over it; the next token comes after this span, or never.
@@ -118,9 +118,9 @@
     }
 
     /// Takes a token of `owner`'s bucket.
-    pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> Pass {
+    pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> LimitOutcome {
         if !self.make_room(now, owner) {
-            return Pass::Passed;
+            return LimitOutcome::Passed;
         }
         let bucket = self.buckets.entry(owner).or_insert(Bucket {
             share,
@@ -130,9 +130,9 @@
         bucket.refill(now);
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
-            return Pass::Passed;
+            return LimitOutcome::Passed;
         }
-        Pass::Over(wait_for(1.0 - bucket.tokens, share))
+        LimitOutcome::Over(wait_for(1.0 - bucket.tokens, share))
     }
 
     /// Drops the buckets of rule limits that are no longer in force.
