--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -124,7 +124,7 @@
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::LimitOutcome::Passed => RuleOutcome::Continue,
+            limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
@@ -150,7 +150,7 @@
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::LimitOutcome::Passed => RuleOutcome::Continue,
+            limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitOutcome {
     /// Within the limit.
-    Passed,
+    Within,
     /// Over it; the next token comes after this span, or never.
     Over(Option<time::Millis>),
 }
@@ -120,7 +120,7 @@
     /// Takes a token of `owner`'s bucket.
     pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> LimitOutcome {
         if !self.make_room(now, owner) {
-            return LimitOutcome::Passed;
+            return LimitOutcome::Within;
         }
         let bucket = self.buckets.entry(owner).or_insert(Bucket {
             share,
@@ -130,7 +130,7 @@
         bucket.refill(now);
         if bucket.tokens >= 1.0 {
             bucket.tokens -= 1.0;
-            return LimitOutcome::Passed;
+            return LimitOutcome::Within;
         }
         LimitOutcome::Over(wait_for(1.0 - bucket.tokens, share))
     }
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -405,7 +405,7 @@
     let share = limits::Share::new(1.0, 1.0, 1);
     let mut take = |now, slot| {
         let pass = limits.take(time::Instant(now), limits::Owner::Rule(slot), share);
-        (pass == limits::LimitOutcome::Passed, limits.len())
+        (pass == limits::LimitOutcome::Within, limits.len())
     };
     assert_eq!(take(0, 1), (true, 1));
     assert_eq!(take(500, 2), (true, 2));
