--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -28,7 +28,7 @@
 
 /// A waiting request, ordered by when it is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueueKey {
     /// The greatest priority comes first.
     pub priority: cmp::Reverse<u8>,
     /// Then the earliest deadline.
@@ -44,14 +44,14 @@
 /// All lanes.
 #[derive(Debug, Default)]
 pub struct Queues {
-    lanes: collections::BTreeMap<Lane, collections::BTreeSet<Place>>,
+    lanes: collections::BTreeMap<Lane, collections::BTreeSet<QueueKey>>,
     by_class: Vec<u32>,
     by_caller: collections::BTreeMap<(arena::ClassKey, arena::CallerKey), u32>,
 }
 
 impl Queues {
     /// Puts a request in.
-    pub fn push(&mut self, lane: Lane, place: Place) {
+    pub fn push(&mut self, lane: Lane, place: QueueKey) {
         self.lanes.entry(lane).or_default().insert(place);
         if self.by_class.len() <= place.class.index() {
             self.by_class.resize(place.class.index() + 1, 0);
@@ -64,7 +64,7 @@
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, lane: Lane, place: &Place) {
+    pub fn remove(&mut self, lane: Lane, place: &QueueKey) {
         let Some(places) = self.lanes.get_mut(&lane) else {
             return;
         };
@@ -103,19 +103,19 @@
     }
 
     /// The lanes in which any waits, with the requests in order.
-    pub fn lanes(&self) -> impl Iterator<Item = (Lane, &collections::BTreeSet<Place>)> {
+    pub fn lanes(&self) -> impl Iterator<Item = (Lane, &collections::BTreeSet<QueueKey>)> {
         self.lanes.iter().map(|(lane, places)| (*lane, places))
     }
 
     /// The first few of a lane.
-    pub fn first(&self, lane: Lane, count: usize) -> impl Iterator<Item = Place> {
+    pub fn first(&self, lane: Lane, count: usize) -> impl Iterator<Item = QueueKey> {
         let places = self.lanes.get(&lane).into_iter().flatten();
         places.copied().take(count)
     }
 
     /// How many of a lane are sent before `place`.
     #[must_use]
-    pub fn ahead(&self, lane: Lane, place: &Place) -> usize {
+    pub fn ahead(&self, lane: Lane, place: &QueueKey) -> usize {
         let places = self.lanes.get(&lane);
         places.map_or(0, |places| places.range(..place).count())
     }
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -117,8 +117,8 @@
 
     /// Its place in its lane.
     #[must_use]
-    pub fn place(&self) -> queue::Place {
-        queue::Place {
+    pub fn place(&self) -> queue::QueueKey {
+        queue::QueueKey {
             priority: cmp::Reverse(self.priority),
             deadline: self.due(),
             req: self.info.id,
