--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -170,10 +170,10 @@
             return;
         };
         let state = std::mem::replace(&mut request.state, request::State::Ended);
-        let (lane, place) = (request.lane, request.place());
+        let (lane, queue_key) = (request.lane, request.queue_key());
         match state {
             request::State::Ended => return,
-            request::State::Queued => self.queues.remove(lane, &place),
+            request::State::Queued => self.queues.remove(lane, &queue_key),
             request::State::Sent(sent) => self.release_slot(now, sent),
             request::State::Deciding | request::State::Claiming => {}
         }
--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -89,7 +89,7 @@
             return Admission::Wait;
         };
         let choice = self.router.choose(now, &request.requirements());
-        let ahead = self.queues.ahead(request.lane, &request.place());
+        let ahead = self.queues.ahead(request.lane, &request.queue_key());
         match choice {
             router::Choice::Pick(pick) if ahead == 0 => self.assess_pick(now, request, pick),
             router::Choice::Pick(_) | router::Choice::Full => self.assess_wait(now, request),
@@ -183,10 +183,10 @@
     }
 
     fn ahead_of(&self, request: &request::Request, eligible: &[arena::EndpointKey]) -> f64 {
-        let place = request.place();
+        let queue_key = request.queue_key();
         let mut ahead = 0.0;
         for (lane, _) in self.queues.lanes() {
-            let before = self.queues.ahead(lane, &place) as f64;
+            let before = self.queues.ahead(lane, &queue_key) as f64;
             if before > 0.0 {
                 ahead += before * self.overlap(request.lane, lane, eligible);
             }
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -129,10 +129,10 @@
         let Some(request) = self.requests.get(&req) else {
             return;
         };
-        let (lane, place) = (request.lane, request.place());
-        let bound = self.names.class_row(place.class).queue;
-        if self.queues.class_len(place.class) >= bound
-            && let Some(other) = self.queues.displaced_by(place.class, place.caller)
+        let (lane, queue_key) = (request.lane, request.queue_key());
+        let bound = self.names.class_row(queue_key.class).queue;
+        if self.queues.class_len(queue_key.class) >= bound
+            && let Some(other) = self.queues.displaced_by(queue_key.class, queue_key.caller)
         {
             self.refuse_displaced(now, other, out);
         }
@@ -140,7 +140,7 @@
             self.cold.entry(lane).or_insert(now);
         }
         self.set_state(req, request::State::Queued);
-        self.queues.push(lane, place);
+        self.queues.push(lane, queue_key);
         out.push(event::Action::Queue { req });
         while let DequeueResult::Dequeued = self.send_from(now, lane, out) {}
     }
@@ -165,12 +165,12 @@
         for (lane, places) in self.queues.lanes() {
             let served = endpoint.is_none_or(|key| self.router.fleet.get(key).serves(lane.target));
             let first = places.first().filter(|_| served);
-            heads.extend(first.map(|place| cmp::Reverse((*place, lane))));
+            heads.extend(first.map(|queue_key| cmp::Reverse((*queue_key, lane))));
         }
         while let Some(cmp::Reverse((_, lane))) = heads.pop() {
             if let DequeueResult::Dequeued = self.send_from(now, lane, out) {
                 let next = self.queues.first(lane, 1).next();
-                heads.extend(next.map(|place| cmp::Reverse((place, lane))));
+                heads.extend(next.map(|queue_key| cmp::Reverse((queue_key, lane))));
             }
         }
     }
@@ -182,8 +182,8 @@
         out: &mut Actions,
     ) -> DequeueResult {
         let first = self.queues.first(lane, LANE_LOOKAHEAD).collect::<Vec<_>>();
-        for place in first {
-            let Some(request) = self.requests.get(&place.req) else {
+        for queue_key in first {
+            let Some(request) = self.requests.get(&queue_key.req) else {
                 continue;
             };
             let router::Choice::Pick(pick) = self.router.choose(now, &request.requirements())
@@ -192,11 +192,11 @@
             };
             self.cold.remove(&lane);
             if let Some(cause) = self.too_late(now, request, pick.wait) {
-                self.refuse(now, place.req, cause, out);
+                self.refuse(now, queue_key.req, cause, out);
                 return DequeueResult::Dequeued;
             }
-            self.queues.remove(lane, &place);
-            self.send(now, place.req, pick, out);
+            self.queues.remove(lane, &queue_key);
+            self.send(now, queue_key.req, pick, out);
             return DequeueResult::Dequeued;
         }
         DequeueResult::Blocked
@@ -270,8 +270,8 @@
         let cold = self.router.is_cold(now, lane);
         let mut first_wait = None;
         let mut kept = 0.0;
-        for place in self.queues.first(lane, usize::MAX) {
-            let Some(request) = self.requests.get(&place.req) else {
+        for queue_key in self.queues.first(lane, usize::MAX) {
+            let Some(request) = self.requests.get(&queue_key.req) else {
                 continue;
             };
             let cause = if cold {
@@ -281,7 +281,7 @@
                 self.too_late(now, request, first * (1.0 + kept))
             };
             match cause {
-                Some(cause) => found.push((place.req, cause)),
+                Some(cause) => found.push((queue_key.req, cause)),
                 None => kept += 1.0,
             }
         }
--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -51,31 +51,31 @@
 
 impl Queues {
     /// Puts a request in.
-    pub fn push(&mut self, lane: Lane, place: QueueKey) {
-        self.lanes.entry(lane).or_default().insert(place);
-        if self.by_class.len() <= place.class.index() {
-            self.by_class.resize(place.class.index() + 1, 0);
+    pub fn push(&mut self, lane: Lane, queue_key: QueueKey) {
+        self.lanes.entry(lane).or_default().insert(queue_key);
+        if self.by_class.len() <= queue_key.class.index() {
+            self.by_class.resize(queue_key.class.index() + 1, 0);
         }
-        self.by_class[place.class.index()] += 1;
+        self.by_class[queue_key.class.index()] += 1;
         *self
             .by_caller
-            .entry((place.class, place.caller))
+            .entry((queue_key.class, queue_key.caller))
             .or_default() += 1;
     }
 
     /// Takes a request out.
-    pub fn remove(&mut self, lane: Lane, place: &QueueKey) {
+    pub fn remove(&mut self, lane: Lane, queue_key: &QueueKey) {
         let Some(places) = self.lanes.get_mut(&lane) else {
             return;
         };
-        if !places.remove(place) {
+        if !places.remove(queue_key) {
             return;
         }
         if places.is_empty() {
             self.lanes.remove(&lane);
         }
-        self.by_class[place.class.index()] -= 1;
-        let of_caller = (place.class, place.caller);
+        self.by_class[queue_key.class.index()] -= 1;
+        let of_caller = (queue_key.class, queue_key.caller);
         if let Some(count) = self.by_caller.get_mut(&of_caller) {
             *count -= 1;
             if *count == 0 {
@@ -113,11 +113,11 @@
         places.copied().take(count)
     }
 
-    /// How many of a lane are sent before `place`.
+    /// How many of a lane are sent before `queue_key`.
     #[must_use]
-    pub fn ahead(&self, lane: Lane, place: &QueueKey) -> usize {
+    pub fn ahead(&self, lane: Lane, queue_key: &QueueKey) -> usize {
         let places = self.lanes.get(&lane);
-        places.map_or(0, |places| places.range(..place).count())
+        places.map_or(0, |places| places.range(..queue_key).count())
     }
 
     /// Who gives way in a full class for one more of `caller`: the last one of the caller that has
@@ -135,7 +135,7 @@
             return None;
         }
         let places = self.lanes.values().flatten();
-        let theirs = places.filter(|place| (place.class, place.caller) == *heaviest);
-        theirs.max().map(|place| place.req)
+        let theirs = places.filter(|queue_key| (queue_key.class, queue_key.caller) == *heaviest);
+        theirs.max().map(|queue_key| queue_key.req)
     }
 }
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -117,7 +117,7 @@
 
     /// Its place in its lane.
     #[must_use]
-    pub fn place(&self) -> queue::QueueKey {
+    pub fn queue_key(&self) -> queue::QueueKey {
         queue::QueueKey {
             priority: cmp::Reverse(self.priority),
             deadline: self.due(),
