--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -162,9 +162,9 @@
         out: &mut Actions,
     ) {
         let mut heads = collections::BinaryHeap::new();
-        for (lane, places) in self.queues.lanes() {
+        for (lane, queue_keys) in self.queues.lanes() {
             let served = endpoint.is_none_or(|key| self.router.fleet.get(key).serves(lane.target));
-            let first = places.first().filter(|_| served);
+            let first = queue_keys.first().filter(|_| served);
             heads.extend(first.map(|queue_key| cmp::Reverse((*queue_key, lane))));
         }
         while let Some(cmp::Reverse((_, lane))) = heads.pop() {
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -126,9 +126,9 @@
 
     fn waiting_cold(&self) -> std::collections::BTreeMap<event::Target, u32> {
         let mut waiting = std::collections::BTreeMap::new();
-        for (lane, places) in self.queues.lanes() {
+        for (lane, queue_keys) in self.queues.lanes() {
             if self.router.is_cold(self.now, lane) {
-                let count = u32::try_from(places.len()).unwrap_or(u32::MAX);
+                let count = u32::try_from(queue_keys.len()).unwrap_or(u32::MAX);
                 *waiting.entry(lane.target).or_insert(0) += count;
             }
         }
--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -65,13 +65,13 @@
 
     /// Takes a request out.
     pub fn remove(&mut self, lane: Lane, queue_key: &QueueKey) {
-        let Some(places) = self.lanes.get_mut(&lane) else {
+        let Some(queue_keys) = self.lanes.get_mut(&lane) else {
             return;
         };
-        if !places.remove(queue_key) {
+        if !queue_keys.remove(queue_key) {
             return;
         }
-        if places.is_empty() {
+        if queue_keys.is_empty() {
             self.lanes.remove(&lane);
         }
         self.by_class[queue_key.class.index()] -= 1;
@@ -104,20 +104,22 @@
 
     /// The lanes in which any waits, with the requests in order.
     pub fn lanes(&self) -> impl Iterator<Item = (Lane, &collections::BTreeSet<QueueKey>)> {
-        self.lanes.iter().map(|(lane, places)| (*lane, places))
+        self.lanes
+            .iter()
+            .map(|(lane, queue_keys)| (*lane, queue_keys))
     }
 
     /// The first few of a lane.
     pub fn first(&self, lane: Lane, count: usize) -> impl Iterator<Item = QueueKey> {
-        let places = self.lanes.get(&lane).into_iter().flatten();
-        places.copied().take(count)
+        let queue_keys = self.lanes.get(&lane).into_iter().flatten();
+        queue_keys.copied().take(count)
     }
 
     /// How many of a lane are sent before `queue_key`.
     #[must_use]
     pub fn ahead(&self, lane: Lane, queue_key: &QueueKey) -> usize {
-        let places = self.lanes.get(&lane);
-        places.map_or(0, |places| places.range(..queue_key).count())
+        let queue_keys = self.lanes.get(&lane);
+        queue_keys.map_or(0, |queue_keys| queue_keys.range(..queue_key).count())
     }
 
     /// Who gives way in a full class for one more of `caller`: the last one of the caller that has
@@ -134,8 +136,9 @@
         if *count < own + 2 {
             return None;
         }
-        let places = self.lanes.values().flatten();
-        let theirs = places.filter(|queue_key| (queue_key.class, queue_key.caller) == *heaviest);
+        let queue_keys = self.lanes.values().flatten();
+        let theirs =
+            queue_keys.filter(|queue_key| (queue_key.class, queue_key.caller) == *heaviest);
         theirs.max().map(|queue_key| queue_key.req)
     }
 }
