--- a/crates/sageshed-decide/src/bits.rs
+++ b/crates/sageshed-decide/src/bits.rs
@@ -2,11 +2,11 @@
 
 /// A set of numbers below a size that is fixed when the set is made.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Bits {
+pub struct BitSet {
     words: Vec<u64>,
 }
 
-impl Bits {
+impl BitSet {
     /// An empty set for numbers below `len`.
     #[must_use]
     pub fn none(len: usize) -> Self {
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -70,7 +70,7 @@
     others: u32,
     dither: f64,
     busy_until: time::Instant,
-    ready: bits::Bits,
+    ready: bits::BitSet,
     loading: Vec<(arena::ModelKey, time::Instant)>,
     history: collections::VecDeque<(time::Instant, u32)>,
 }
@@ -99,7 +99,7 @@
             others: 0,
             dither: 0.0,
             busy_until: time::Instant(0),
-            ready: bits::Bits::none(names.models.len()),
+            ready: bits::BitSet::none(names.models.len()),
             loading: Vec::new(),
             history: collections::VecDeque::new(),
         }
@@ -230,7 +230,7 @@
         resident: &[endpoints::Resident],
         names: &names::Names,
     ) {
-        let mut ready = bits::Bits::none(names.models.len());
+        let mut ready = bits::BitSet::none(names.models.len());
         let mut loading = Vec::new();
         for held in resident {
             let Some(key) = names.models.get(&held.model) else {
@@ -275,7 +275,7 @@
     by_model: Vec<Vec<arena::EndpointKey>>,
     by_service: Vec<Vec<arena::EndpointKey>>,
     /// What the lists of holders show of each endpoint.
-    indexed: Vec<Option<(Kind, bits::Bits)>>,
+    indexed: Vec<Option<(Kind, bits::BitSet)>>,
 }
 
 impl Fleet {
--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -90,11 +90,11 @@
 pub struct Compiled {
     revision: rules::Revision,
     rules: Vec<Rule>,
-    by_caller: Vec<bits::Bits>,
-    by_class: Vec<bits::Bits>,
-    by_model: Vec<bits::Bits>,
-    by_service: Vec<bits::Bits>,
-    by_flags: [bits::Bits; 4],
+    by_caller: Vec<bits::BitSet>,
+    by_class: Vec<bits::BitSet>,
+    by_model: Vec<bits::BitSet>,
+    by_service: Vec<bits::BitSet>,
+    by_flags: [bits::BitSet; 4],
     next_slot: u32,
 }
 
@@ -170,12 +170,12 @@
     }
 
     fn fill_columns(&mut self, rules: &[rules::Rule], names: &names::Names) {
-        let column = |len: usize| vec![bits::Bits::none(rules.len()); len];
+        let column = |len: usize| vec![bits::BitSet::none(rules.len()); len];
         self.by_caller = column(names.callers.len());
         self.by_class = column(names.classes.len());
         self.by_model = column(names.models.len());
         self.by_service = column(names.services.len());
-        self.by_flags = std::array::from_fn(|_| bits::Bits::none(rules.len()));
+        self.by_flags = std::array::from_fn(|_| bits::BitSet::none(rules.len()));
         for (i, rule) in rules.iter().enumerate() {
             self.fill_rule(i, &rule.when, names);
         }
@@ -258,7 +258,7 @@
     }
 }
 
-fn insert_if(column: &mut bits::Bits, index: usize, holds: bool) {
+fn insert_if(column: &mut bits::BitSet, index: usize, holds: bool) {
     if holds {
         column.insert(index);
     }
--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -218,10 +218,10 @@
 
 /// All requests that a rule matches, as a product of sets.
 struct Scope {
-    callers: bits::Bits,
-    classes: bits::Bits,
-    models: bits::Bits,
-    services: bits::Bits,
+    callers: bits::BitSet,
+    classes: bits::BitSet,
+    models: bits::BitSet,
+    services: bits::BitSet,
     zones: Option<collections::BTreeSet<String>>,
     streaming: Option<bool>,
     not_repeatable: Option<bool>,
@@ -275,8 +275,8 @@
     }
 }
 
-fn members<K: Key>(names: &arena::Names<K>, holds: impl Fn(K, &str) -> bool) -> bits::Bits {
-    let mut set = bits::Bits::none(names.len());
+fn members<K: Key>(names: &arena::Names<K>, holds: impl Fn(K, &str) -> bool) -> bits::BitSet {
+    let mut set = bits::BitSet::none(names.len());
     for (key, name) in names.iter() {
         if holds(key, name) {
             set.insert(key.index());
