--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -81,14 +81,14 @@
         self.set_rule(req, Some(&rule));
         let id = &rule.id;
         match &rule.act {
-            rules::Act::Route { .. } => self.within_caller_limit(now, req),
-            rules::Act::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
+            rules::CompiledAction::Route { .. } => self.within_caller_limit(now, req),
+            rules::CompiledAction::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
                 retry_after: None,
             }),
-            rules::Act::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
-            rules::Act::Limit { limit, slot } => {
+            rules::CompiledAction::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
+            rules::CompiledAction::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
                     RuleOutcome::Continue => self.within_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
@@ -208,7 +208,7 @@
         Some(false) if request.info.not_repeatable_by_default => request.not_repeatable = false,
         _ => {}
     }
-    if let rules::Act::Route {
+    if let rules::CompiledAction::Route {
         pool,
         model,
         priority,
--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -43,7 +43,7 @@
 
 /// What a rule does, by keys.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum CompiledAction {
     /// Sends it on.
     Route {
         /// Only to engines of this pool.
@@ -76,7 +76,7 @@
     /// Its id.
     pub id: sync::Arc<str>,
     /// What it does.
-    pub act: Act,
+    pub act: CompiledAction,
     /// Whether it sets or lifts the mark of a request that may not be repeated.
     pub not_repeatable: Option<bool>,
     /// Time the request has from its arrival.
@@ -126,7 +126,7 @@
     /// The slots of limits, by rule id and limit.
     fn limit_slots(&self) -> collections::HashMap<&str, (rules::Limit, u32)> {
         let slots = self.rules.iter().filter_map(|rule| match rule.act {
-            Act::Limit { limit, slot } => Some((&*rule.id, (limit, slot))),
+            CompiledAction::Limit { limit, slot } => Some((&*rule.id, (limit, slot))),
             _ => None,
         });
         slots.collect()
@@ -135,7 +135,8 @@
     /// Whether a rule in force keeps its buckets in `slot`.
     #[must_use]
     pub fn uses_slot(&self, slot: u32) -> bool {
-        let uses = |rule: &Rule| matches!(rule.act, Act::Limit { slot: s, .. } if s == slot);
+        let uses =
+            |rule: &Rule| matches!(rule.act, CompiledAction::Limit { slot: s, .. } if s == slot);
         self.rules.iter().any(uses)
     }
 
@@ -147,11 +148,11 @@
     ) -> Rule {
         let act = match rule.action {
             rules::Action::Route(route) => compile_route(route, names),
-            rules::Action::Refuse(refuse) => Act::Refuse(refuse),
+            rules::Action::Refuse(refuse) => CompiledAction::Refuse(refuse),
             rules::Action::Limit(limit) => {
                 let kept = slots.get(rule.id.as_str()).filter(|(old, _)| *old == limit);
                 let slot = kept.map_or_else(|| self.new_slot(), |(_, slot)| *slot);
-                Act::Limit { limit, slot }
+                CompiledAction::Limit { limit, slot }
             }
         };
         Rule {
@@ -243,15 +244,15 @@
     }
 }
 
-fn compile_route(route: rules::Route, names: &mut names::Names) -> Act {
+fn compile_route(route: rules::Route, names: &mut names::Names) -> CompiledAction {
     let model = match route.model {
         None => None,
         Some(name) => match names.models.get(&name) {
             Some(key) => Some(key),
-            None => return Act::RouteToUnknown { model: name },
+            None => return CompiledAction::RouteToUnknown { model: name },
         },
     };
-    Act::Route {
+    CompiledAction::Route {
         pool: route.pool.map(|pool| names.pools.intern(&pool)),
         model,
         priority: route.priority,
