--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -80,7 +80,7 @@
         };
         self.set_rule(req, Some(&rule));
         let id = &rule.id;
-        match &rule.act {
+        match &rule.compiled_action {
             rules::CompiledAction::Route { .. } => self.within_caller_limit(now, req),
             rules::CompiledAction::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
@@ -212,7 +212,7 @@
         pool,
         model,
         priority,
-    } = rule.act
+    } = rule.compiled_action
     {
         request.lane.pool = pool;
         request.priority = priority.unwrap_or(request.priority);
--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -76,7 +76,7 @@
     /// Its id.
     pub id: sync::Arc<str>,
     /// What it does.
-    pub act: CompiledAction,
+    pub compiled_action: CompiledAction,
     /// Whether it sets or lifts the mark of a request that may not be repeated.
     pub not_repeatable: Option<bool>,
     /// Time the request has from its arrival.
@@ -125,18 +125,20 @@
 
     /// The slots of limits, by rule id and limit.
     fn limit_slots(&self) -> collections::HashMap<&str, (rules::Limit, u32)> {
-        let slots = self.rules.iter().filter_map(|rule| match rule.act {
-            CompiledAction::Limit { limit, slot } => Some((&*rule.id, (limit, slot))),
-            _ => None,
-        });
+        let slots = self
+            .rules
+            .iter()
+            .filter_map(|rule| match rule.compiled_action {
+                CompiledAction::Limit { limit, slot } => Some((&*rule.id, (limit, slot))),
+                _ => None,
+            });
         slots.collect()
     }
 
     /// Whether a rule in force keeps its buckets in `slot`.
     #[must_use]
     pub fn uses_slot(&self, slot: u32) -> bool {
-        let uses =
-            |rule: &Rule| matches!(rule.act, CompiledAction::Limit { slot: s, .. } if s == slot);
+        let uses = |rule: &Rule| matches!(rule.compiled_action, CompiledAction::Limit { slot: s, .. } if s == slot);
         self.rules.iter().any(uses)
     }
 
@@ -146,7 +148,7 @@
         slots: &collections::HashMap<&str, (rules::Limit, u32)>,
         names: &mut names::Names,
     ) -> Rule {
-        let act = match rule.action {
+        let compiled_action = match rule.action {
             rules::Action::Route(route) => compile_route(route, names),
             rules::Action::Refuse(refuse) => CompiledAction::Refuse(refuse),
             rules::Action::Limit(limit) => {
@@ -157,7 +159,7 @@
         };
         Rule {
             id: sync::Arc::from(rule.id),
-            act,
+            compiled_action,
             not_repeatable: rule.not_repeatable,
             deadline: rule.deadline_ms,
             prompt_tokens: rule.when.prompt_tokens,
