--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -57,7 +57,7 @@
         out.check_ranges();
         out.check_action(names);
         let scope = Scope::new(&rule.when, names);
-        out.check_reach(&scope, &earlier);
+        out.check_shadowing(&scope, &earlier);
         earlier.push((rule, scope));
     }
     findings
@@ -191,7 +191,7 @@
         }
     }
 
-    fn check_reach(&mut self, scope: &Scope, earlier: &[(&rules::Rule, Scope)]) {
+    fn check_shadowing(&mut self, scope: &Scope, earlier: &[(&rules::Rule, Scope)]) {
         if scope.is_empty() {
             self.warn(
                 "no request can match",
