--- a/crates/sageshed-decide/src/names.rs
+++ b/crates/sageshed-decide/src/names.rs
@@ -44,7 +44,7 @@
 
 /// What a class that the settings do not name gets: they are checked before, so this is only met
 /// when a caller's entry names a class that is missing.
-const UNNAMED_CLASS: Class = Class {
+const FALLBACK_CLASS: Class = Class {
     priority: 0,
     deadline: time::Millis(30_000),
     queue: 64,
@@ -107,14 +107,14 @@
             deadline: class.deadline_ms,
             queue: class.queue,
         };
-        put(&mut self.class_table, key.index(), row, UNNAMED_CLASS);
+        put(&mut self.class_table, key.index(), row, FALLBACK_CLASS);
     }
 
     fn add_caller(&mut self, caller: &catalog::Caller) {
         let key = self.callers.intern(&caller.name);
         let class = self.classes.intern(&caller.class);
         if class.index() >= self.class_table.len() {
-            self.class_table.push(UNNAMED_CLASS);
+            self.class_table.push(FALLBACK_CLASS);
         }
         let row = Caller {
             class,
