--- a/crates/sageshed-decide/src/names.rs
+++ b/crates/sageshed-decide/src/names.rs
@@ -107,7 +107,7 @@
             deadline: class.deadline_ms,
             queue: class.queue,
         };
-        put(&mut self.class_table, key.index(), row, FALLBACK_CLASS);
+        set_row(&mut self.class_table, key.index(), row, FALLBACK_CLASS);
     }
 
     fn add_caller(&mut self, caller: &catalog::Caller) {
@@ -121,7 +121,7 @@
             rate: caller.rate,
             burst: caller.burst,
         };
-        put(&mut self.caller_table, key.index(), row, row);
+        set_row(&mut self.caller_table, key.index(), row, row);
         // The settings are checked before: what is no digest is met in tests alone, and is nobody's.
         if let Some(digest) = secret::KeyDigest::from_hex(&caller.token_sha256) {
             self.tokens.insert(digest, key);
@@ -135,7 +135,7 @@
             pools: model.pools.iter().map(|p| self.pools.intern(p)).collect(),
             load: model.load_ms,
         };
-        put(&mut self.model_table, key.index(), row.clone(), row);
+        set_row(&mut self.model_table, key.index(), row.clone(), row);
     }
 
     /// The caller whose token has this digest.
@@ -191,7 +191,7 @@
 }
 
 /// Writes a row at its index, filling a gap before it.
-fn put<T: Clone>(table: &mut Vec<T>, index: usize, row: T, fill: T) {
+fn set_row<T: Clone>(table: &mut Vec<T>, index: usize, row: T, fill: T) {
     if table.len() <= index {
         table.resize(index + 1, fill);
     }
