--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -62,7 +62,7 @@
             attempts: 0,
             failed_on: Vec::new(),
             verdict: verdict::Verdict::NotRun,
-            begun: false,
+            answer_started: false,
             queued: time::Millis(0),
             candidates: Vec::new(),
         }
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -31,7 +31,7 @@
 impl Decider {
     pub(super) fn answer_began(&mut self, req: event::ReqId) {
         if let Some(request) = self.requests.get_mut(&req) {
-            request.begun = true;
+            request.answer_started = true;
         }
     }
 
@@ -180,7 +180,7 @@
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
             return Next::GiveUp("it may not be repeated");
         }
-        if request.begun && request.info.streaming {
+        if request.answer_started && request.info.streaming {
             return Next::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -95,7 +95,7 @@
     /// Whether it may have run, over all tries that ended.
     pub verdict: verdict::Verdict,
     /// Whether part of the answer may have reached the caller.
-    pub begun: bool,
+    pub answer_started: bool,
     /// How long it waited before it was first sent.
     pub queued: time::Millis,
     /// The endpoints weighed for the first try.
