--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -51,7 +51,7 @@
             incarnation,
             at: now,
             wait: pick.wait,
-            cut_by_deadline: limit >= left,
+            limited_by_deadline: limit >= left,
         });
         if request.attempts == 1 {
             request.queued = now.since(request.arrived);
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -151,7 +151,7 @@
     /// eject endpoints in good order at the very moment at which all of them are needed.
     fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
-        is_timeout(fault) && sent.cut_by_deadline && endpoint.health.answered_since(sent.at)
+        is_timeout(fault) && sent.limited_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
     /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -43,7 +43,7 @@
     pub wait: f64,
     /// The limit for its first byte is what the request has left, and not what an endpoint in good
     /// order takes at most.
-    pub cut_by_deadline: bool,
+    pub limited_by_deadline: bool,
 }
 
 /// An endpoint that was weighed.
