--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -111,7 +111,7 @@
             event::Event::ClaimDenied(req) => self.end_request(now, req),
             event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
-                self.answer_began(req);
+                self.mark_answer_started(req);
             }
             event::Event::BackoffRequested { req, span } => self.asked_to_rest(now, req, span),
             event::Event::CallerGone(req) => self.caller_gone(now, req, &mut out),
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -29,7 +29,7 @@
 }
 
 impl Decider {
-    pub(super) fn answer_began(&mut self, req: event::ReqId) {
+    pub(super) fn mark_answer_started(&mut self, req: event::ReqId) {
         if let Some(request) = self.requests.get_mut(&req) {
             request.answer_started = true;
         }
