--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -107,7 +107,7 @@
         self.now = now;
         match event {
             event::Event::Arrived(info) => self.arrived(now, info, &mut out),
-            event::Event::ClaimGranted(req) => self.claimed(now, req, &mut out),
+            event::Event::ClaimGranted(req) => self.claim_granted(now, req, &mut out),
             event::Event::ClaimDenied(req) => self.end_request(now, req),
             event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -171,7 +171,12 @@
     }
 
     /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
-    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    pub(super) fn claim_granted(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        out: &mut Actions,
+    ) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
