--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -113,7 +113,7 @@
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.mark_answer_started(req);
             }
-            event::Event::BackoffRequested { req, span } => self.asked_to_rest(now, req, span),
+            event::Event::BackoffRequested { req, span } => self.backoff_requested(now, req, span),
             event::Event::CallerGone(req) => self.caller_gone(now, req, &mut out),
             event::Event::Report(report, age) => self.report(now, &report, age, &mut out),
             event::Event::EndpointSilent(endpoint) => {
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -49,7 +49,7 @@
     }
 
     /// The endpoint of a try wants rest. An earlier start of it says nothing of this one.
-    pub(super) fn asked_to_rest(
+    pub(super) fn backoff_requested(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
