--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -223,7 +223,7 @@
             detail: format!(
                 "endpoint `{endpoint}` failed on try {}: {}; {why}",
                 request.attempts,
-                describe(fault)
+                describe_fault(fault)
             ),
             retry_after: repeatable.then_some(self.policy.eject_base_ms),
         };
@@ -256,7 +256,7 @@
     }
 }
 
-fn describe(fault: event::Fault) -> String {
+fn describe_fault(fault: event::Fault) -> String {
     let words = match fault {
         event::Fault::ConnectRefused => "connection refused",
         event::Fault::ConnectTimeout => "no connection in time",
