--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -8,8 +8,8 @@
 const URGENT: Option<arena::ClassKey> = Some(arena::ClassKey(0));
 const IDLE: Option<arena::ClassKey> = Some(arena::ClassKey(2));
 
-fn one_engine() -> common::Bench {
-    common::Bench::with_engines(common::settings(), &["e1"])
+fn one_engine() -> common::Harness {
+    common::Harness::with_engines(common::settings(), &["e1"])
 }
 
 #[test]
@@ -36,7 +36,7 @@
 
 #[test]
 fn urgent_requests_have_slots_above_the_bound() {
-    let mut bench = common::Bench::new(common::settings());
+    let mut bench = common::Harness::new(common::settings());
     bench.report(common::report("e1", 1, 4, &["sort"]));
     for _ in 0..4 {
         bench.arrive(|_| {});
@@ -188,7 +188,7 @@
         (3_200, true, "no_route not_run", Some(3_500)),
         (10_000, false, "no_route not_run", Some(3_000)),
     ] {
-        let mut bench = common::Bench::new(common::settings());
+        let mut bench = common::Harness::new(common::settings());
         if known {
             bench.report(common::report("e1", 1, 1, &["draft"]));
         }
@@ -213,7 +213,7 @@
 
 #[test]
 fn load_that_is_seen_shortens_the_wait() {
-    let mut bench = common::Bench::new(common::settings());
+    let mut bench = common::Harness::new(common::settings());
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.resident[0].phase = endpoints::Phase::Loading;
     bench.report(report);
@@ -224,7 +224,7 @@
 
 #[test]
 fn adapter_is_served_where_it_is_resident() {
-    let mut bench = common::Bench::new(common::settings());
+    let mut bench = common::Harness::new(common::settings());
     bench.report(common::report("base", 1, 4, &["sort"]));
     bench.report(common::report("both", 1, 4, &["sort", "sort-leith"]));
     let target = bench.facts("sort-leith").target;
@@ -320,7 +320,7 @@
     for (silence, told) in [(0, "send"), (4_000, "queue")] {
         let mut settings = common::settings();
         settings.entries = 2;
-        let mut bench = common::Bench::new(settings);
+        let mut bench = common::Harness::new(settings);
         bench.report(common::report("e1", 1, 64, &["sort"]));
         for _ in 0..32 {
             bench.arrive(|_| {});
@@ -345,7 +345,7 @@
     reversed.reverse();
     for prefix in 1..20 {
         let chosen = [names, reversed].map(|order| {
-            let mut bench = common::Bench::with_engines(common::settings(), &order);
+            let mut bench = common::Harness::with_engines(common::settings(), &order);
             let (req, actions) = bench.arrive(|f| f.prefix = prefix);
             let endpoint = common::sent_to(&actions, req).expect("sent");
             bench.decider.endpoint_name(endpoint).to_owned()
@@ -356,7 +356,7 @@
 
 #[test]
 fn account_names_the_candidates() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let mut leaving = common::report("e2", 2, 1, &["sort"]);
     leaving.leaving = true;
     bench.report(leaving);
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -120,13 +120,13 @@
 }
 
 /// A decider with a clock, and the requests that it is given.
-pub struct Bench {
+pub struct Harness {
     pub decider: decider::Decider,
     pub now: time::Instant,
     next: u64,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: settings::Settings) -> Self {
         Self {
             decider: decider::Decider::new(settings, 7),
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -87,7 +87,7 @@
 #[test]
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let (req, mut actions) = bench.arrive(|f| {
             f.not_repeatable = case.not_repeatable;
             f.streaming = case.begun;
@@ -124,7 +124,7 @@
 /// twice. Of two tries the first may have run, and the last one's verdict alone was told.
 #[test]
 fn refusal_carries_the_worst_verdict_of_all_tries() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let (req, _) = bench.arrive(|_| {});
     bench.fail(req, MAY_HAVE_RUN, CUT);
     let actions = bench.fail(req, NOT_RUN, REFUSED);
@@ -139,7 +139,7 @@
     settings.policy.retry_burst = 3.0;
     settings.policy.eject_after_failures = 1_000;
     settings.policy.eject_failure_share = 2.0;
-    let mut bench = common::Bench::new(settings);
+    let mut bench = common::Harness::new(settings);
     for name in ["e1", "e2", "e3"] {
         bench.report(common::report(name, 1, 8, &["sort"]));
     }
@@ -165,7 +165,7 @@
 #[test]
 fn tries_of_one_request_are_bounded() {
     let names = ["e1", "e2", "e3", "e4", "e5"];
-    let mut bench = common::Bench::with_engines(common::settings(), &names);
+    let mut bench = common::Harness::with_engines(common::settings(), &names);
     let (req, mut actions) = bench.arrive(|_| {});
     let mut tries = 0;
     while common::sent_to(&actions, req).is_some() {
@@ -180,7 +180,7 @@
     for shed in [true, false] {
         let mut settings = common::settings();
         settings.policy.shed = shed;
-        let mut bench = common::Bench::with_engines(settings, &["e1", "e2"]);
+        let mut bench = common::Harness::with_engines(settings, &["e1", "e2"]);
         let (req, _) = bench.arrive(|f| f.deadline = Some(time::Millis(500)));
         bench.pass(500);
         let actions = bench.fail(req, NOT_RUN, REFUSED);
@@ -189,11 +189,11 @@
 }
 
 /// A bench in which `bad` has failed `times` times and `good` has not.
-fn with_failures(times: usize, fault: event::Fault) -> common::Bench {
+fn with_failures(times: usize, fault: event::Fault) -> common::Harness {
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
     settings.policy.retry_burst = 0.0;
-    let mut bench = common::Bench::new(settings);
+    let mut bench = common::Harness::new(settings);
     bench.report(common::report("bad", 1, 8, &["sort"]));
     let sent = (0..times)
         .map(|_| bench.arrive(|_| {}).0)
@@ -206,7 +206,7 @@
 }
 
 /// How many of ten requests now go to `bad`; they stay there.
-fn sent_to_bad(bench: &mut common::Bench) -> usize {
+fn sent_to_bad(bench: &mut common::Harness) -> usize {
     bench.report(common::report("bad", bench.now.0, 8, &["sort"]));
     bench.report(common::report("good", bench.now.0, 64, &["sort"]));
     let sent = (0..10).filter(|_| {
@@ -241,7 +241,7 @@
 #[test]
 fn instance_that_answers_errors_is_ejected() {
     for (status, ejected) in [(404, 0), (500, 1), (503, 1), (429, 0)] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..3 {
             let (req, _) = bench.arrive(|_| {});
             let outcome = event::AttemptOutcome::Refused { status };
@@ -294,7 +294,7 @@
 
 #[test]
 fn ejected_endpoint_is_used_when_no_other_is_left() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
     let (req, _) = bench.arrive(|_| {});
     bench.fail(req, NOT_RUN, REFUSED);
     assert_eq!(bench.decider.gauges().ejected, 1);
@@ -307,7 +307,7 @@
 /// model, requests were still sent there.
 #[test]
 fn model_of_a_dead_engine_waits_for_a_load_elsewhere() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["dead"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["dead"]);
     bench.report(common::report("other", 1, 1, &["draft"]));
     let (req, _) = bench.arrive(|_| {});
     bench.fail(req, NOT_RUN, REFUSED);
@@ -322,7 +322,7 @@
 
 struct Away {
     what: &'static str,
-    make: fn(&mut common::Bench),
+    make: fn(&mut common::Harness),
 }
 
 const AWAY: &[Away] = &[
@@ -373,7 +373,7 @@
 #[test]
 fn endpoint_that_is_away_gets_no_new_work() {
     for case in AWAY {
-        let mut bench = common::Bench::new(common::settings());
+        let mut bench = common::Harness::new(common::settings());
         bench.report(common::report("e1", 1, 8, &["sort"]));
         bench.report(common::report("e2", 1, 8, &["sort"]));
         (case.make)(&mut bench);
@@ -390,7 +390,7 @@
 /// taken off the count of the new ones.
 #[test]
 fn restart_frees_the_slots_of_the_earlier_start() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
     let (lost, _) = bench.arrive(|_| {});
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.identity.incarnation = endpoints::Incarnation(2);
@@ -413,7 +413,7 @@
         (0, false, 2_500),
         (200, true, 2_000),
     ] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
             let (req, _) = bench.arrive(|f| f.max_tokens = 2);
             bench.pass(100);
@@ -444,7 +444,7 @@
     for (answers_others, ejected) in [(true, 0), (false, 1)] {
         let mut settings = common::settings();
         settings.policy.shed = false;
-        let mut bench = common::Bench::new(settings);
+        let mut bench = common::Harness::new(settings);
         let report = common::report("e1", 1, 4, &["sort"]);
         bench.step(event::Event::Report(Box::new(report), time::Millis(0)));
         for _ in 0..8 {
@@ -483,7 +483,7 @@
         (3_100, false, true),
         (100, true, true),
     ] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
         let (req, actions) = bench.arrive(|_| {});
         assert!(common::sent_to(&actions, req).is_some());
         if restarts {
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -66,7 +66,7 @@
 #[test]
 fn conditions_match() {
     for case in MATCHES {
-        let mut bench = common::Bench::new(common::settings());
+        let mut bench = common::Harness::new(common::settings());
         let rule = rule(&format!("{ROUTE}[when]\n{}", case.when));
         bench.install(1, vec![rule]);
         let target = bench.facts(case.target).target;
@@ -159,7 +159,7 @@
 #[test]
 fn actions_are_done() {
     for case in ACTS {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
         bench.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
         let (req, actions) = bench.arrive(|_| {});
         assert_eq!(common::told(&actions, req), case.told, "{}", case.rule);
@@ -177,7 +177,7 @@
 #[test]
 fn rule_does_not_lift_a_callers_own_mark() {
     for (by_default, told) in [(true, "send"), (false, "claim")] {
-        let mut bench = common::Bench::new(common::settings());
+        let mut bench = common::Harness::new(common::settings());
         bench.report(common::service_report("s1", 1, 4));
         bench.install(
             1,
@@ -199,7 +199,7 @@
 /// earlier configuration arrived after the newer one.
 #[test]
 fn older_revision_is_not_installed() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
     assert!(bench.install(5, Vec::new()));
     assert!(!bench.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
     assert_eq!(bench.decider.revision(), types_rules::Revision(5));
@@ -338,7 +338,7 @@
 #[test]
 fn limits_hold_by_what_they_are_for() {
     for case in LIMITED {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
+        let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let text = format!(
             "id = 'l'\ndo = {{ limit = {{ rate = 1.0, burst = 1.0, per = '{}' }} }}",
             case.per
@@ -378,7 +378,7 @@
     settings.entries = 2;
     settings.callers[0].rate = Some(8.0);
     settings.callers[0].burst = Some(4.0);
-    let mut bench = common::Bench::new(settings);
+    let mut bench = common::Harness::new(settings);
     bench.report(common::report("e1", 1, 64, &["sort"]));
     let told = (0..3).map(|_| {
         let (req, actions) = bench.arrive(|_| {});
@@ -425,7 +425,7 @@
 
 #[test]
 fn refuse_new_refuses_and_drain_alone_does_not() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
     bench.step(event::Event::Drain);
     let (req, actions) = bench.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "send");
