--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -14,18 +14,18 @@
 
 #[test]
 fn queue_goes_by_priority_then_deadline() {
-    let mut bench = one_engine();
-    let (running, _) = bench.arrive(|_| {});
-    let (idle, told) = bench.arrive(|f| {
+    let mut harness = one_engine();
+    let (running, _) = harness.arrive(|_| {});
+    let (idle, told) = harness.arrive(|f| {
         f.class = IDLE;
         f.deadline = Some(time::Millis(7_000));
     });
     assert!(common::queued(&told, idle));
-    let (late, _) = bench.arrive(|f| f.deadline = Some(time::Millis(9_000)));
-    let (soon, _) = bench.arrive(|f| f.deadline = Some(time::Millis(8_000)));
+    let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(9_000)));
+    let (soon, _) = harness.arrive(|f| f.deadline = Some(time::Millis(8_000)));
     let mut busy = running;
     for next in [soon, late, idle] {
-        let actions = bench.done(busy);
+        let actions = harness.done(busy);
         assert!(
             common::sent_to(&actions, next).is_some(),
             "{next:?} is next: {actions:?}"
@@ -36,14 +36,14 @@
 
 #[test]
 fn urgent_requests_have_slots_above_the_bound() {
-    let mut bench = common::Harness::new(common::settings());
-    bench.report(common::report("e1", 1, 4, &["sort"]));
+    let mut harness = common::Harness::new(common::settings());
+    harness.report(common::report("e1", 1, 4, &["sort"]));
     for _ in 0..4 {
-        bench.arrive(|_| {});
+        harness.arrive(|_| {});
     }
-    let (usual, actions) = bench.arrive(|_| {});
+    let (usual, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, usual), "queue");
-    let (urgent, actions) = bench.arrive(|f| f.class = URGENT);
+    let (urgent, actions) = harness.arrive(|f| f.class = URGENT);
     assert_eq!(common::told(&actions, urgent), "send");
 }
 
@@ -51,14 +51,14 @@
 /// same class. The flood filled the queue of the class, and whoever came after found it full.
 #[test]
 fn flooding_caller_gives_way() {
-    let mut bench = one_engine();
-    bench.arrive(|_| {});
-    let flood = (0..4).map(|_| bench.arrive(|_| {}).0).collect::<Vec<_>>();
-    let (more, actions) = bench.arrive(|_| {});
+    let mut harness = one_engine();
+    harness.arrive(|_| {});
+    let flood = (0..4).map(|_| harness.arrive(|_| {}).0).collect::<Vec<_>>();
+    let (more, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, more), "queue_full not_run");
     let refusal = common::refused(&actions, more).expect("refused");
     assert!(refusal.retry_after.is_some_and(|span| span.0 > 0));
-    let (other, actions) = bench.arrive(|f| f.caller = arena::CallerKey(1));
+    let (other, actions) = harness.arrive(|f| f.caller = arena::CallerKey(1));
     assert_eq!(common::told(&actions, other), "queue");
     assert_eq!(common::told(&actions, flood[3]), "queue_full not_run");
 }
@@ -112,15 +112,15 @@
         },
     ];
     for case in cases {
-        let mut bench = one_engine();
+        let mut harness = one_engine();
         if case.learned > 0 {
-            bench.teach(case.learned);
-            bench.report(common::report("e1", 2, 1, &["sort"]));
+            harness.teach(case.learned);
+            harness.report(common::report("e1", 2, 1, &["sort"]));
         }
         if case.busy {
-            bench.arrive(|_| {});
+            harness.arrive(|_| {});
         }
-        let (req, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(case.deadline)));
+        let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(case.deadline)));
         assert_eq!(
             common::told(&actions, req),
             case.told,
@@ -141,15 +141,15 @@
 /// hopeless.
 #[test]
 fn waiting_requests_are_shed_when_they_become_hopeless() {
-    let mut bench = one_engine();
-    bench.teach(1_000);
-    bench.report(common::report("e1", 2, 1, &["sort"]));
-    bench.arrive(|_| {});
-    let (req, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(3_500)));
+    let mut harness = one_engine();
+    harness.teach(1_000);
+    harness.report(common::report("e1", 2, 1, &["sort"]));
+    harness.arrive(|_| {});
+    let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(3_500)));
     assert!(common::queued(&actions, req));
-    assert_eq!(common::told(&bench.tick_after(100), req), "");
+    assert_eq!(common::told(&harness.tick_after(100), req), "");
     assert_eq!(
-        common::told(&bench.tick_after(1_000), req),
+        common::told(&harness.tick_after(1_000), req),
         "deadline_unmeetable not_run"
     );
 }
@@ -159,25 +159,25 @@
 /// so no answer could ever correct it.
 #[test]
 fn wrong_estimate_is_put_right() {
-    let mut bench = one_engine();
-    bench.teach(20_000);
-    bench.report(common::report("e1", 2, 1, &["sort"]));
-    bench.pass(1_000);
-    let (first, actions) = bench.arrive(|_| {});
+    let mut harness = one_engine();
+    harness.teach(20_000);
+    harness.report(common::report("e1", 2, 1, &["sort"]));
+    harness.pass(1_000);
+    let (first, actions) = harness.arrive(|_| {});
     assert_eq!(
         common::told(&actions, first),
         "send",
         "the last one was sent 21 s ago"
     );
-    bench.done(first);
-    let (second, actions) = bench.arrive(|_| {});
+    harness.done(first);
+    let (second, actions) = harness.arrive(|_| {});
     assert_eq!(
         common::told(&actions, second),
         "deadline_unmeetable not_run"
     );
-    bench.pass(2_000);
-    bench.report(common::report("e1", 3, 1, &["sort"]));
-    let (third, actions) = bench.arrive(|_| {});
+    harness.pass(2_000);
+    harness.report(common::report("e1", 3, 1, &["sort"]));
+    let (third, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, third), "send");
 }
 
@@ -188,95 +188,95 @@
         (3_200, true, "no_route not_run", Some(3_500)),
         (10_000, false, "no_route not_run", Some(3_000)),
     ] {
-        let mut bench = common::Harness::new(common::settings());
+        let mut harness = common::Harness::new(common::settings());
         if known {
-            bench.report(common::report("e1", 1, 1, &["draft"]));
+            harness.report(common::report("e1", 1, 1, &["draft"]));
         }
-        let (req, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(deadline)));
+        let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(deadline)));
         assert_eq!(common::told(&actions, req), told);
         let refusal = common::refused(&actions, req);
         assert_eq!(refusal.and_then(|r| r.retry_after), back.map(time::Millis));
-        let demand = bench.decider.demand();
+        let demand = harness.decider.demand();
         assert_eq!((demand[0].model.as_str(), demand[0].arrived), ("sort", 1));
         let waits = u32::from(told == "queue");
         assert_eq!((demand[0].waiting, demand[0].unserved), (waits, 1 - waits));
         if waits == 1 {
-            let actions = bench.report(common::report("e1", 2, 1, &["sort"]));
+            let actions = harness.report(common::report("e1", 2, 1, &["sort"]));
             assert!(
                 common::sent_to(&actions, req).is_some(),
                 "sent when the load is done"
             );
-            assert!(bench.decider.demand().is_empty());
+            assert!(harness.decider.demand().is_empty());
         }
     }
 }
 
 #[test]
 fn load_that_is_seen_shortens_the_wait() {
-    let mut bench = common::Harness::new(common::settings());
+    let mut harness = common::Harness::new(common::settings());
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.resident[0].phase = endpoints::Phase::Loading;
-    bench.report(report);
-    bench.pass(2_500);
-    let (req, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(2_000)));
+    harness.report(report);
+    harness.pass(2_500);
+    let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(2_000)));
     assert_eq!(common::told(&actions, req), "queue");
 }
 
 #[test]
 fn adapter_is_served_where_it_is_resident() {
-    let mut bench = common::Harness::new(common::settings());
-    bench.report(common::report("base", 1, 4, &["sort"]));
-    bench.report(common::report("both", 1, 4, &["sort", "sort-leith"]));
-    let target = bench.facts("sort-leith").target;
-    let (req, actions) = bench.arrive(|f| f.target = target);
+    let mut harness = common::Harness::new(common::settings());
+    harness.report(common::report("base", 1, 4, &["sort"]));
+    harness.report(common::report("both", 1, 4, &["sort", "sort-leith"]));
+    let target = harness.facts("sort-leith").target;
+    let (req, actions) = harness.arrive(|f| f.target = target);
     let endpoint = common::sent_to(&actions, req).expect("sent");
-    assert_eq!(bench.decider.endpoint_name(endpoint), "both");
+    assert_eq!(harness.decider.endpoint_name(endpoint), "both");
 }
 
 /// What a user would see: two crews at one manhole. A request that may not be repeated was sent
 /// before its claim was recorded, while another entry process sent the same one.
 #[test]
 fn nothing_is_sent_before_its_claim() {
-    let mut bench = one_engine();
+    let mut harness = one_engine();
     let once = |f: &mut event::RequestInfo| f.not_repeatable = true;
-    let (req, actions) = bench.arrive(once);
+    let (req, actions) = harness.arrive(once);
     assert_eq!(common::told(&actions, req), "claim");
-    assert_eq!(common::told(&bench.tick_after(50), req), "");
-    let actions = bench.step(event::Event::ClaimGranted(req));
+    assert_eq!(common::told(&harness.tick_after(50), req), "");
+    let actions = harness.step(event::Event::ClaimGranted(req));
     assert_eq!(common::told(&actions, req), "send");
-    let (waits, _) = bench.arrive(once);
-    let actions = bench.step(event::Event::ClaimGranted(waits));
+    let (waits, _) = harness.arrive(once);
+    let actions = harness.step(event::Event::ClaimGranted(waits));
     assert_eq!(common::told(&actions, waits), "queue");
-    let (denied, _) = bench.arrive(once);
-    bench.step(event::Event::ClaimDenied(denied));
-    assert_eq!(bench.step(event::Event::ClaimGranted(denied)), Vec::new());
-    let (silent, _) = bench.arrive(once);
+    let (denied, _) = harness.arrive(once);
+    harness.step(event::Event::ClaimDenied(denied));
+    assert_eq!(harness.step(event::Event::ClaimGranted(denied)), Vec::new());
+    let (silent, _) = harness.arrive(once);
     assert_eq!(
-        common::told(&bench.tick_after(20_000), silent),
+        common::told(&harness.tick_after(20_000), silent),
         "claim_unavailable not_run"
     );
 }
 
 #[test]
 fn caller_that_goes_frees_its_slot() {
-    let mut bench = one_engine();
-    let (gone, _) = bench.arrive(|_| {});
-    let (next, _) = bench.arrive(|_| {});
-    let actions = bench.step(event::Event::CallerGone(gone));
+    let mut harness = one_engine();
+    let (gone, _) = harness.arrive(|_| {});
+    let (next, _) = harness.arrive(|_| {});
+    let actions = harness.step(event::Event::CallerGone(gone));
     assert_eq!(common::told(&actions, gone), "cancel");
     assert_eq!(common::told(&actions, next), "send");
-    assert_eq!(bench.done(gone), Vec::new(), "its end is no news");
-    assert_eq!(bench.decider.gauges().in_flight, 1);
+    assert_eq!(harness.done(gone), Vec::new(), "its end is no news");
+    assert_eq!(harness.decider.gauges().in_flight, 1);
 }
 
 #[test]
 fn late_answer_is_waited_for_but_not_without_end() {
     for (not_repeatable, waits) in [(false, 12_500), (true, 20_000)] {
-        let mut bench = one_engine();
-        let (req, _) = bench.arrive(|f| f.not_repeatable = not_repeatable);
-        bench.step(event::Event::ClaimGranted(req));
-        assert_eq!(common::told(&bench.tick_after(waits - 1), req), "");
-        let actions = bench.tick_after(1);
+        let mut harness = one_engine();
+        let (req, _) = harness.arrive(|f| f.not_repeatable = not_repeatable);
+        harness.step(event::Event::ClaimGranted(req));
+        assert_eq!(common::told(&harness.tick_after(waits - 1), req), "");
+        let actions = harness.tick_after(1);
         assert_eq!(
             common::told(&actions, req),
             "cancel, deadline_passed may_have_run"
@@ -320,16 +320,16 @@
     for (silence, told) in [(0, "send"), (4_000, "queue")] {
         let mut settings = common::settings();
         settings.entries = 2;
-        let mut bench = common::Harness::new(settings);
-        bench.report(common::report("e1", 1, 64, &["sort"]));
+        let mut harness = common::Harness::new(settings);
+        harness.report(common::report("e1", 1, 64, &["sort"]));
         for _ in 0..32 {
-            bench.arrive(|_| {});
+            harness.arrive(|_| {});
         }
         let mut report = common::report("e1", 2, 64, &["sort"]);
         report.running = 32;
-        bench.report(report);
-        bench.pass(silence);
-        let (req, actions) = bench.arrive(|_| {});
+        harness.report(report);
+        harness.pass(silence);
+        let (req, actions) = harness.arrive(|_| {});
         assert_eq!(
             common::told(&actions, req),
             told,
@@ -345,10 +345,10 @@
     reversed.reverse();
     for prefix in 1..20 {
         let chosen = [names, reversed].map(|order| {
-            let mut bench = common::Harness::with_engines(common::settings(), &order);
-            let (req, actions) = bench.arrive(|f| f.prefix = prefix);
+            let mut harness = common::Harness::with_engines(common::settings(), &order);
+            let (req, actions) = harness.arrive(|f| f.prefix = prefix);
             let endpoint = common::sent_to(&actions, req).expect("sent");
-            bench.decider.endpoint_name(endpoint).to_owned()
+            harness.decider.endpoint_name(endpoint).to_owned()
         });
         assert_eq!(chosen[0], chosen[1], "prefix {prefix}");
     }
@@ -356,12 +356,12 @@
 
 #[test]
 fn account_names_the_candidates() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let mut leaving = common::report("e2", 2, 1, &["sort"]);
     leaving.leaving = true;
-    bench.report(leaving);
-    let (req, _) = bench.arrive(|_| {});
-    let trace = bench.decider.request_trace(req).expect("known");
+    harness.report(leaving);
+    let (req, _) = harness.arrive(|_| {});
+    let trace = harness.decider.request_trace(req).expect("known");
     assert_eq!(trace.rule.as_deref(), Some("default"));
     assert_eq!(trace.class, "usual");
     let why = trace
@@ -372,9 +372,9 @@
         why.collect::<Vec<_>>(),
         [("e1", None), ("e2", Some("it is leaving"))]
     );
-    bench.done(req);
+    harness.done(req);
     assert!(
-        bench.decider.request_trace(req).is_some(),
+        harness.decider.request_trace(req).is_some(),
         "known for a while after its end"
     );
 }
@@ -389,8 +389,8 @@
 
 #[test]
 fn names_are_looked_up() {
-    let bench = one_engine();
-    let decider = &bench.decider;
+    let harness = one_engine();
+    let decider = &harness.decider;
     assert_eq!(
         decider.caller_by_token(secret::KeyDigest::of(b"council")),
         Some(arena::CallerKey(1))
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -137,11 +137,11 @@
 
     /// With endpoints of one slot each that hold `sort` and its adapter.
     pub fn with_engines(settings: settings::Settings, names: &[&str]) -> Self {
-        let mut bench = Self::new(settings);
+        let mut harness = Self::new(settings);
         for name in names {
-            bench.report(report(name, 1, 1, &["sort", "sort-leith"]));
+            harness.report(report(name, 1, 1, &["sort", "sort-leith"]));
         }
-        bench
+        harness
     }
 
     pub fn step(&mut self, event: event::Event) -> Vec<event::Action> {
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -87,19 +87,19 @@
 #[test]
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
-        let (req, mut actions) = bench.arrive(|f| {
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+        let (req, mut actions) = harness.arrive(|f| {
             f.not_repeatable = case.not_repeatable;
             f.streaming = case.begun;
         });
         if case.not_repeatable {
-            actions = bench.step(event::Event::ClaimGranted(req));
+            actions = harness.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
         if case.begun {
-            bench.step(event::Event::FirstToken { req });
+            harness.step(event::Event::FirstToken { req });
         }
-        let actions = bench.fail(req, case.verdict, case.fault);
+        let actions = harness.fail(req, case.verdict, case.fault);
         let what = format!(
             "{:?} {:?}, not repeatable: {}",
             case.verdict, case.fault, case.not_repeatable
@@ -124,10 +124,10 @@
 /// twice. Of two tries the first may have run, and the last one's verdict alone was told.
 #[test]
 fn refusal_carries_the_worst_verdict_of_all_tries() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, MAY_HAVE_RUN, CUT);
-    let actions = bench.fail(req, NOT_RUN, REFUSED);
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, MAY_HAVE_RUN, CUT);
+    let actions = harness.fail(req, NOT_RUN, REFUSED);
     assert_eq!(common::told(&actions, req), "endpoint_failed may_have_run");
 }
 
@@ -139,16 +139,16 @@
     settings.policy.retry_burst = 3.0;
     settings.policy.eject_after_failures = 1_000;
     settings.policy.eject_failure_share = 2.0;
-    let mut bench = common::Harness::new(settings);
+    let mut harness = common::Harness::new(settings);
     for name in ["e1", "e2", "e3"] {
-        bench.report(common::report(name, 1, 8, &["sort"]));
+        harness.report(common::report(name, 1, 8, &["sort"]));
     }
     let (mut first, mut again) = (0, 0);
     for _ in 0..200 {
-        let (req, mut actions) = bench.arrive(|_| {});
+        let (req, mut actions) = harness.arrive(|_| {});
         first += 1;
         while common::sent_to(&actions, req).is_some() {
-            actions = bench.fail(req, MAY_HAVE_RUN, CUT);
+            actions = harness.fail(req, MAY_HAVE_RUN, CUT);
             again += u32::from(common::sent_to(&actions, req).is_some());
         }
         assert!(common::refused(&actions, req).is_some());
@@ -165,12 +165,12 @@
 #[test]
 fn tries_of_one_request_are_bounded() {
     let names = ["e1", "e2", "e3", "e4", "e5"];
-    let mut bench = common::Harness::with_engines(common::settings(), &names);
-    let (req, mut actions) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &names);
+    let (req, mut actions) = harness.arrive(|_| {});
     let mut tries = 0;
     while common::sent_to(&actions, req).is_some() {
         tries += 1;
-        actions = bench.fail(req, MAY_HAVE_RUN, CUT);
+        actions = harness.fail(req, MAY_HAVE_RUN, CUT);
     }
     assert_eq!(tries, 3);
 }
@@ -180,10 +180,10 @@
     for shed in [true, false] {
         let mut settings = common::settings();
         settings.policy.shed = shed;
-        let mut bench = common::Harness::with_engines(settings, &["e1", "e2"]);
-        let (req, _) = bench.arrive(|f| f.deadline = Some(time::Millis(500)));
-        bench.pass(500);
-        let actions = bench.fail(req, NOT_RUN, REFUSED);
+        let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
+        let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
+        harness.pass(500);
+        let actions = harness.fail(req, NOT_RUN, REFUSED);
         assert_eq!(common::told(&actions, req), "endpoint_failed not_run");
     }
 }
@@ -193,26 +193,26 @@
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
     settings.policy.retry_burst = 0.0;
-    let mut bench = common::Harness::new(settings);
-    bench.report(common::report("bad", 1, 8, &["sort"]));
+    let mut harness = common::Harness::new(settings);
+    harness.report(common::report("bad", 1, 8, &["sort"]));
     let sent = (0..times)
-        .map(|_| bench.arrive(|_| {}).0)
+        .map(|_| harness.arrive(|_| {}).0)
         .collect::<Vec<_>>();
     for req in sent {
-        bench.fail(req, MAY_HAVE_RUN, fault);
+        harness.fail(req, MAY_HAVE_RUN, fault);
     }
-    bench.report(common::report("good", 1, 64, &["sort"]));
-    bench
+    harness.report(common::report("good", 1, 64, &["sort"]));
+    harness
 }
 
 /// How many of ten requests now go to `bad`; they stay there.
-fn sent_to_bad(bench: &mut common::Harness) -> usize {
-    bench.report(common::report("bad", bench.now.0, 8, &["sort"]));
-    bench.report(common::report("good", bench.now.0, 64, &["sort"]));
+fn sent_to_bad(harness: &mut common::Harness) -> usize {
+    harness.report(common::report("bad", harness.now.0, 8, &["sort"]));
+    harness.report(common::report("good", harness.now.0, 64, &["sort"]));
     let sent = (0..10).filter(|_| {
-        let (req, actions) = bench.arrive(|_| {});
+        let (req, actions) = harness.arrive(|_| {});
         let endpoint = common::sent_to(&actions, req).expect("sent");
-        bench.decider.endpoint_name(endpoint) == "bad"
+        harness.decider.endpoint_name(endpoint) == "bad"
     });
     sent.count()
 }
@@ -225,14 +225,18 @@
         (1, REFUSED, true),
         (8, event::Fault::Status(429), false),
     ] {
-        let mut bench = with_failures(times, fault);
-        bench.pass(300);
+        let mut harness = with_failures(times, fault);
+        harness.pass(300);
         assert_eq!(
-            bench.decider.gauges().ejected,
+            harness.decider.gauges().ejected,
             usize::from(ejected),
             "{times} x {fault:?}"
         );
-        assert_eq!(sent_to_bad(&mut bench) == 0, ejected, "{times} x {fault:?}");
+        assert_eq!(
+            sent_to_bad(&mut harness) == 0,
+            ejected,
+            "{times} x {fault:?}"
+        );
     }
 }
 
@@ -241,14 +245,14 @@
 #[test]
 fn instance_that_answers_errors_is_ejected() {
     for (status, ejected) in [(404, 0), (500, 1), (503, 1), (429, 0)] {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..3 {
-            let (req, _) = bench.arrive(|_| {});
+            let (req, _) = harness.arrive(|_| {});
             let outcome = event::AttemptOutcome::Refused { status };
-            bench.step(event::Event::AttemptEnded { req, outcome });
-            bench.pass(300);
+            harness.step(event::Event::AttemptEnded { req, outcome });
+            harness.pass(300);
         }
-        assert_eq!(bench.decider.gauges().ejected, ejected, "{status}");
+        assert_eq!(harness.decider.gauges().ejected, ejected, "{status}");
     }
 }
 
@@ -256,24 +260,27 @@
 /// out again, for minutes. It came back with all its slots instead of a few.
 #[test]
 fn return_is_slow_and_a_failure_ends_it() {
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    assert_eq!(sent_to_bad(&mut bench), 1, "one request to begin with");
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    bench.tick_after(10_000);
-    assert!(sent_to_bad(&mut bench) > 1, "its full share after the ramp");
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    assert_eq!(sent_to_bad(&mut harness), 1, "one request to begin with");
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    harness.tick_after(10_000);
+    assert!(
+        sent_to_bad(&mut harness) > 1,
+        "its full share after the ramp"
+    );
 
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    bench.report(common::report("bad", 2, 8, &["sort"]));
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    harness.report(common::report("bad", 2, 8, &["sort"]));
     let mut gone = common::report("good", 2, 64, &["sort"]);
     gone.leaving = true;
-    bench.report(gone);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, MAY_HAVE_RUN, CUT);
+    harness.report(gone);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, MAY_HAVE_RUN, CUT);
     assert_eq!(
-        bench.decider.gauges().ejected,
+        harness.decider.gauges().ejected,
         1,
         "one failure is enough while it returns"
     );
@@ -283,10 +290,10 @@
 /// Its crash failed all that was in flight there, and each failure doubled the time it was kept out.
 #[test]
 fn one_crash_is_one_ejection() {
-    let mut bench = with_failures(8, CUT);
-    bench.tick_after(2_600);
+    let mut harness = with_failures(8, CUT);
+    harness.tick_after(2_600);
     assert_eq!(
-        bench.decider.gauges().ejected,
+        harness.decider.gauges().ejected,
         0,
         "2 s and a quarter, not 2 s doubled five times"
     );
@@ -294,11 +301,11 @@
 
 #[test]
 fn ejected_endpoint_is_used_when_no_other_is_left() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, NOT_RUN, REFUSED);
-    assert_eq!(bench.decider.gauges().ejected, 1);
-    let (req, actions) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, NOT_RUN, REFUSED);
+    assert_eq!(harness.decider.gauges().ejected, 1);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "send");
 }
 
@@ -307,16 +314,16 @@
 /// model, requests were still sent there.
 #[test]
 fn model_of_a_dead_engine_waits_for_a_load_elsewhere() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["dead"]);
-    bench.report(common::report("other", 1, 1, &["draft"]));
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, NOT_RUN, REFUSED);
-    let dead = bench.decider.endpoint("dead").expect("heard");
-    bench.step(event::Event::EndpointSilent(dead));
-    let (req, actions) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["dead"]);
+    harness.report(common::report("other", 1, 1, &["draft"]));
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, NOT_RUN, REFUSED);
+    let dead = harness.decider.endpoint("dead").expect("heard");
+    harness.step(event::Event::EndpointSilent(dead));
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "queue");
-    assert_eq!(bench.decider.demand()[0].waiting, 1);
-    let actions = bench.report(common::report("other", 2, 1, &["sort"]));
+    assert_eq!(harness.decider.demand()[0].waiting, 1);
+    let actions = harness.report(common::report("other", 2, 1, &["sort"]));
     assert_eq!(common::told(&actions, req), "send");
 }
 
@@ -328,42 +335,42 @@
 const AWAY: &[Away] = &[
     Away {
         what: "leaving",
-        make: |bench| {
+        make: |harness| {
             let mut report = common::report("e1", 2, 8, &["sort"]);
             report.leaving = true;
-            bench.report(report);
-            bench.report(common::report("e1", 3, 8, &["sort"]));
+            harness.report(report);
+            harness.report(common::report("e1", 3, 8, &["sort"]));
         },
     },
     Away {
         what: "silent by the daemon's word",
-        make: |bench| {
-            let endpoint = bench.decider.endpoint("e1").expect("heard");
-            bench.step(event::Event::EndpointSilent(endpoint));
+        make: |harness| {
+            let endpoint = harness.decider.endpoint("e1").expect("heard");
+            harness.step(event::Event::EndpointSilent(endpoint));
         },
     },
     Away {
         what: "silent by the age of its report",
-        make: |bench| {
-            bench.pass(7_000);
-            bench.report(common::report("e2", 2, 8, &["sort"]));
+        make: |harness| {
+            harness.pass(7_000);
+            harness.report(common::report("e2", 2, 8, &["sort"]));
         },
     },
     Away {
         what: "restarted without the model",
-        make: |bench| {
+        make: |harness| {
             let mut report = common::report("e1", 1, 8, &["draft"]);
             report.identity.incarnation = endpoints::Incarnation(2);
-            bench.report(report);
+            harness.report(report);
             // A report of the earlier start, overtaken by the news.
-            bench.report(common::report("e1", 9, 8, &["sort"]));
+            harness.report(common::report("e1", 9, 8, &["sort"]));
         },
     },
     Away {
         what: "unloaded, with an older report arriving late",
-        make: |bench| {
-            bench.report(common::report("e1", 5, 8, &["draft"]));
-            bench.report(common::report("e1", 4, 8, &["sort"]));
+        make: |harness| {
+            harness.report(common::report("e1", 5, 8, &["draft"]));
+            harness.report(common::report("e1", 4, 8, &["sort"]));
         },
     },
 ];
@@ -373,14 +380,19 @@
 #[test]
 fn endpoint_that_is_away_gets_no_new_work() {
     for case in AWAY {
-        let mut bench = common::Harness::new(common::settings());
-        bench.report(common::report("e1", 1, 8, &["sort"]));
-        bench.report(common::report("e2", 1, 8, &["sort"]));
-        (case.make)(&mut bench);
+        let mut harness = common::Harness::new(common::settings());
+        harness.report(common::report("e1", 1, 8, &["sort"]));
+        harness.report(common::report("e2", 1, 8, &["sort"]));
+        (case.make)(&mut harness);
         for _ in 0..8 {
-            let (req, actions) = bench.arrive(|_| {});
+            let (req, actions) = harness.arrive(|_| {});
             let endpoint = common::sent_to(&actions, req).expect("sent");
-            assert_eq!(bench.decider.endpoint_name(endpoint), "e2", "{}", case.what);
+            assert_eq!(
+                harness.decider.endpoint_name(endpoint),
+                "e2",
+                "{}",
+                case.what
+            );
         }
     }
 }
@@ -390,15 +402,15 @@
 /// taken off the count of the new ones.
 #[test]
 fn restart_frees_the_slots_of_the_earlier_start() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-    let (lost, _) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    let (lost, _) = harness.arrive(|_| {});
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.identity.incarnation = endpoints::Incarnation(2);
-    bench.report(report);
-    let (req, actions) = bench.arrive(|_| {});
+    harness.report(report);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "send");
-    bench.fail(lost, NOT_RUN, REFUSED);
-    let gauges = bench.decider.gauges();
+    harness.fail(lost, NOT_RUN, REFUSED);
+    let gauges = harness.decider.gauges();
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
 }
 
@@ -413,14 +425,14 @@
         (0, false, 2_500),
         (200, true, 2_000),
     ] {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
-            let (req, _) = bench.arrive(|f| f.max_tokens = 2);
-            bench.pass(100);
+            let (req, _) = harness.arrive(|f| f.max_tokens = 2);
+            harness.pass(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
-            bench.step(event::Event::AttemptEnded { req, outcome });
+            harness.step(event::Event::AttemptEnded { req, outcome });
         }
-        let (_, actions) = bench.arrive(|f| {
+        let (_, actions) = harness.arrive(|f| {
             f.max_tokens = max_tokens;
             f.streaming = streaming;
         });
@@ -444,32 +456,32 @@
     for (answers_others, ejected) in [(true, 0), (false, 1)] {
         let mut settings = common::settings();
         settings.policy.shed = false;
-        let mut bench = common::Harness::new(settings);
+        let mut harness = common::Harness::new(settings);
         let report = common::report("e1", 1, 4, &["sort"]);
-        bench.step(event::Event::Report(Box::new(report), time::Millis(0)));
+        harness.step(event::Event::Report(Box::new(report), time::Millis(0)));
         for _ in 0..8 {
-            let (late, _) = bench.arrive(|f| f.deadline = Some(time::Millis(1_000)));
-            let (other, _) = bench.arrive(|_| {});
-            bench.pass(600);
+            let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(1_000)));
+            let (other, _) = harness.arrive(|_| {});
+            harness.pass(600);
             if answers_others {
                 let outcome = event::AttemptOutcome::Done { tokens: 1 };
-                bench.step(event::Event::AttemptEnded {
+                harness.step(event::Event::AttemptEnded {
                     req: other,
                     outcome,
                 });
             }
-            bench.pass(500);
-            let actions = bench.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
+            harness.pass(500);
+            let actions = harness.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
             assert_eq!(
                 common::told(&actions, late),
                 "deadline_passed may_have_run",
                 "answers others: {answers_others}"
             );
-            if bench.decider.gauges().ejected > 0 {
+            if harness.decider.gauges().ejected > 0 {
                 break;
             }
         }
-        let gauges = bench.decider.gauges();
+        let gauges = harness.decider.gauges();
         assert_eq!(gauges.ejected, ejected, "answers others: {answers_others}");
     }
 }
@@ -483,19 +495,19 @@
         (3_100, false, true),
         (100, true, true),
     ] {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-        let (req, actions) = bench.arrive(|_| {});
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+        let (req, actions) = harness.arrive(|_| {});
         assert!(common::sent_to(&actions, req).is_some());
         if restarts {
             let mut report = common::report("e1", 1, 4, &["sort"]);
             report.identity.incarnation = endpoints::Incarnation(2);
-            bench.report(report);
+            harness.report(report);
         }
         let span = time::Millis(3_000);
-        bench.step(event::Event::BackoffRequested { req, span });
-        bench.fail(req, NOT_RUN, event::Fault::Status(503));
-        bench.pass(after);
-        let (next, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(10_000)));
+        harness.step(event::Event::BackoffRequested { req, span });
+        harness.fail(req, NOT_RUN, event::Fault::Status(503));
+        harness.pass(after);
+        let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
         assert_eq!(is_sent, goes_on, "after {after} ms, restarted: {restarts}");
     }
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -66,12 +66,12 @@
 #[test]
 fn conditions_match() {
     for case in MATCHES {
-        let mut bench = common::Harness::new(common::settings());
+        let mut harness = common::Harness::new(common::settings());
         let rule = rule(&format!("{ROUTE}[when]\n{}", case.when));
-        bench.install(1, vec![rule]);
-        let target = bench.facts(case.target).target;
-        let (req, _) = bench.arrive(|facts| facts.target = target);
-        let by = bench
+        harness.install(1, vec![rule]);
+        let target = harness.facts(case.target).target;
+        let (req, _) = harness.arrive(|facts| facts.target = target);
+        let by = harness
             .decider
             .request_trace(req)
             .and_then(|trace| trace.rule);
@@ -159,9 +159,9 @@
 #[test]
 fn actions_are_done() {
     for case in ACTS {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-        bench.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
-        let (req, actions) = bench.arrive(|_| {});
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+        harness.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
+        let (req, actions) = harness.arrive(|_| {});
         assert_eq!(common::told(&actions, req), case.told, "{}", case.rule);
         let refusal = common::refused(&actions, req);
         assert!(
@@ -177,16 +177,16 @@
 #[test]
 fn rule_does_not_lift_a_callers_own_mark() {
     for (by_default, told) in [(true, "send"), (false, "claim")] {
-        let mut bench = common::Harness::new(common::settings());
-        bench.report(common::service_report("s1", 1, 4));
-        bench.install(
+        let mut harness = common::Harness::new(common::settings());
+        harness.report(common::service_report("s1", 1, 4));
+        harness.install(
             1,
             vec![rule(
                 "id = 'r'\nnot_repeatable = false\ndo = { route = {} }",
             )],
         );
-        let target = bench.facts("dispatch").target;
-        let (req, actions) = bench.arrive(|facts| {
+        let target = harness.facts("dispatch").target;
+        let (req, actions) = harness.arrive(|facts| {
             facts.target = target;
             facts.not_repeatable = true;
             facts.not_repeatable_by_default = by_default;
@@ -199,11 +199,11 @@
 /// earlier configuration arrived after the newer one.
 #[test]
 fn older_revision_is_not_installed() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-    assert!(bench.install(5, Vec::new()));
-    assert!(!bench.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
-    assert_eq!(bench.decider.revision(), types_rules::Revision(5));
-    let (req, actions) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    assert!(harness.install(5, Vec::new()));
+    assert!(!harness.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
+    assert_eq!(harness.decider.revision(), types_rules::Revision(5));
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "send");
 }
 
@@ -338,15 +338,15 @@
 #[test]
 fn limits_hold_by_what_they_are_for() {
     for case in LIMITED {
-        let mut bench = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let text = format!(
             "id = 'l'\ndo = {{ limit = {{ rate = 1.0, burst = 1.0, per = '{}' }} }}",
             case.per
         );
-        bench.install(1, vec![rule(&text)]);
-        bench.arrive(|_| {});
+        harness.install(1, vec![rule(&text)]);
+        harness.arrive(|_| {});
         let (req, actions) =
-            bench.arrive(|f| f.caller = sageshed_types::arena::CallerKey(case.second));
+            harness.arrive(|f| f.caller = sageshed_types::arena::CallerKey(case.second));
         assert_eq!(common::told(&actions, req), case.told, "{}", case.per);
         if let Some(refusal) = common::refused(&actions, req) {
             assert_eq!(
@@ -355,14 +355,14 @@
                 "when the next token comes"
             );
         }
-        bench.install(
+        harness.install(
             2,
             vec![
                 rule("id = 'n'\nwhen = {model=['draft']}\ndo = {refuse={}}"),
                 rule(&text),
             ],
         );
-        let (req, actions) = bench.arrive(|_| {});
+        let (req, actions) = harness.arrive(|_| {});
         let refused = common::refused(&actions, req).map(|r| r.reason);
         assert_eq!(
             refused,
@@ -378,18 +378,18 @@
     settings.entries = 2;
     settings.callers[0].rate = Some(8.0);
     settings.callers[0].burst = Some(4.0);
-    let mut bench = common::Harness::new(settings);
-    bench.report(common::report("e1", 1, 64, &["sort"]));
+    let mut harness = common::Harness::new(settings);
+    harness.report(common::report("e1", 1, 64, &["sort"]));
     let told = (0..3).map(|_| {
-        let (req, actions) = bench.arrive(|_| {});
+        let (req, actions) = harness.arrive(|_| {});
         common::told(&actions, req)
     });
     assert_eq!(
         told.collect::<Vec<_>>(),
         ["send", "send", "caller_limit not_run"]
     );
-    bench.pass(250);
-    let (req, actions) = bench.arrive(|_| {});
+    harness.pass(250);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(
         common::told(&actions, req),
         "send",
@@ -425,11 +425,11 @@
 
 #[test]
 fn refuse_new_refuses_and_drain_alone_does_not() {
-    let mut bench = common::Harness::with_engines(common::settings(), &["e1"]);
-    bench.step(event::Event::Drain);
-    let (req, actions) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    harness.step(event::Event::Drain);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "send");
-    bench.step(event::Event::RefuseNew);
-    let (req, actions) = bench.arrive(|_| {});
+    harness.step(event::Event::RefuseNew);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::told(&actions, req), "draining not_run");
 }
