--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -114,7 +114,7 @@
     for case in cases {
         let mut harness = one_engine();
         if case.learned > 0 {
-            harness.teach(case.learned);
+            harness.train(case.learned);
             harness.report(common::report("e1", 2, 1, &["sort"]));
         }
         if case.busy {
@@ -142,7 +142,7 @@
 #[test]
 fn waiting_requests_are_shed_when_they_become_hopeless() {
     let mut harness = one_engine();
-    harness.teach(1_000);
+    harness.train(1_000);
     harness.report(common::report("e1", 2, 1, &["sort"]));
     harness.arrive(|_| {});
     let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(3_500)));
@@ -160,7 +160,7 @@
 #[test]
 fn wrong_estimate_is_put_right() {
     let mut harness = one_engine();
-    harness.teach(20_000);
+    harness.train(20_000);
     harness.report(common::report("e1", 2, 1, &["sort"]));
     harness.pass(1_000);
     let (first, actions) = harness.arrive(|_| {});
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -197,7 +197,7 @@
     }
 
     /// Teaches the decider that `sort` takes `span` milliseconds.
-    pub fn teach(&mut self, span: u64) {
+    pub fn train(&mut self, span: u64) {
         for _ in 0..8 {
             let (req, actions) = self.arrive(|_| {});
             assert!(
