--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -103,7 +103,7 @@
         &mut self,
         now: time::Instant,
         req: event::ReqId,
-        taken: Option<arena::EndpointKey>,
+        chosen: Option<arena::EndpointKey>,
     ) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
@@ -118,7 +118,7 @@
             endpoint: *key,
             estimate: router::estimate(router.pick(&requirements, *key)),
             room: router.has_room(now, *key, requirements.urgent),
-            taken: taken == Some(*key),
+            chosen: chosen == Some(*key),
             standing: router.standing(now, &requirements, *key),
         });
         request.candidates = considered.collect();
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -89,7 +89,7 @@
 
     fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
         let why = match considered.standing {
-            _ if considered.taken => None,
+            _ if considered.chosen => None,
             router::Eligibility::OtherPool => Some("the rule names another pool"),
             router::Eligibility::Leaving => Some("it is leaving"),
             router::Eligibility::Failed => Some("the request failed there"),
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -56,7 +56,7 @@
     /// Whether it had room.
     pub room: bool,
     /// Whether it was taken.
-    pub taken: bool,
+    pub chosen: bool,
     /// How it stood for the request.
     pub standing: router::Eligibility,
 }
