--- a/crates/sageshed-place/src/efforts.rs
+++ b/crates/sageshed-place/src/efforts.rs
@@ -21,7 +21,7 @@
 
 /// What was done for each model without a route.
 #[derive(Debug, Clone, Default)]
-pub struct Efforts {
+pub struct MoveLimits {
     models: Vec<Effort>,
 }
 
@@ -32,7 +32,7 @@
     until: time::Instant,
 }
 
-impl Efforts {
+impl MoveLimits {
     /// Starts anew for `models` models.
     #[must_use]
     pub fn new(models: usize) -> Self {
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -96,7 +96,7 @@
     ledger: ledger::Ledger,
     demand: demand::Estimator,
     budget: budget::Budget,
-    efforts: efforts::Efforts,
+    efforts: efforts::MoveLimits,
     ranking: Vec<ModelKey>,
     pins: Vec<Pin>,
     leading: bool,
@@ -117,7 +117,7 @@
         Self {
             demand: demand::Estimator::new(models.len()),
             budget: budget::Budget::default(),
-            efforts: efforts::Efforts::new(models.len()),
+            efforts: efforts::MoveLimits::new(models.len()),
             ranking: reach::ranking(&ledger),
             pins: Vec::new(),
             leading: false,
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -91,7 +91,7 @@
     /// The store's budget.
     pub budget: &'a mut budget::Budget,
     /// What was done for models without a route.
-    pub efforts: &'a mut efforts::Efforts,
+    pub efforts: &'a mut efforts::MoveLimits,
     /// How to decide.
     pub policy: &'a policy::Policy,
     /// The operators' pins.
