--- a/crates/sageshed-place/src/lib.rs
+++ b/crates/sageshed-place/src/lib.rs
@@ -16,9 +16,9 @@
 
 pub mod budget;
 pub mod demand;
-pub mod efforts;
 pub mod engine;
 pub mod ledger;
+pub mod move_limits;
 pub mod orders;
 pub mod placement;
 pub mod planner;
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    budget, demand, efforts, engine, ledger,
+    budget, demand, engine, ledger, move_limits,
     orders::{self, Task},
     planner::{self, reach},
     policy,
@@ -96,7 +96,7 @@
     ledger: ledger::Ledger,
     demand: demand::Estimator,
     budget: budget::Budget,
-    efforts: efforts::MoveLimits,
+    move_limits: move_limits::MoveLimits,
     ranking: Vec<ModelKey>,
     pins: Vec<Pin>,
     leading: bool,
@@ -117,7 +117,7 @@
         Self {
             demand: demand::Estimator::new(models.len()),
             budget: budget::Budget::default(),
-            efforts: efforts::MoveLimits::new(models.len()),
+            move_limits: move_limits::MoveLimits::new(models.len()),
             ranking: reach::ranking(&ledger),
             pins: Vec::new(),
             leading: false,
@@ -283,7 +283,7 @@
             ledger: &mut self.ledger,
             demand: &self.demand,
             budget: &mut self.budget,
-            efforts: &mut self.efforts,
+            move_limits: &mut self.move_limits,
             policy: &self.policy,
             pins: &pins,
             ranking: &self.ranking,
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -41,7 +41,7 @@
     endpoints, time,
 };
 
-use crate::{budget, demand, efforts, engine::Engine, ledger, orders::Task, policy};
+use crate::{budget, demand, engine::Engine, ledger, move_limits, orders::Task, policy};
 
 /// The share of its slots up to which an engine completes requests in time.
 pub const TARGET_BUSY: f64 = 0.8;
@@ -91,7 +91,7 @@
     /// The store's budget.
     pub budget: &'a mut budget::Budget,
     /// What was done for models without a route.
-    pub efforts: &'a mut efforts::MoveLimits,
+    pub move_limits: &'a mut move_limits::MoveLimits,
     /// How to decide.
     pub policy: &'a policy::Policy,
     /// The operators' pins.
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -45,7 +45,7 @@
         let ranking = self.src.ranking;
         for model in ranking {
             if !self.routes[model.index()].is_empty() {
-                self.src.efforts.forget(*model);
+                self.src.move_limits.forget(*model);
             }
         }
         let start = self.first_attempt();
@@ -77,11 +77,11 @@
     /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
     fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
         let now = self.src.now;
-        self.resting = !self.src.efforts.allow(model, now);
+        self.resting = !self.src.move_limits.allow(model, now);
         let before = self.cleared;
         let attempt = self.give_route(model);
         if self.cleared > before {
-            self.src.efforts.count(model, now);
+            self.src.move_limits.count(model, now);
         }
         self.resting = false;
         attempt
