--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -22,11 +22,11 @@
 /// What was done for each model without a route.
 #[derive(Debug, Clone, Default)]
 pub struct MoveLimits {
-    models: Vec<Effort>,
+    models: Vec<ModelMoves>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Effort {
+struct ModelMoves {
     moves: u32,
     rests: u32,
     until: time::Instant,
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn new(models: usize) -> Self {
         Self {
-            models: vec![Effort::default(); models],
+            models: vec![ModelMoves::default(); models],
         }
     }
 
@@ -61,6 +61,6 @@
 
     /// Forgets what was done for `model`: it has a route.
     pub fn forget(&mut self, model: ModelKey) {
-        self.models[model.index()] = Effort::default();
+        self.models[model.index()] = ModelMoves::default();
     }
 }
