--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -49,14 +49,14 @@
 
     /// Counts a plan that moved copies for `model`.
     pub fn count(&mut self, model: ModelKey, now: time::Instant) {
-        let effort = &mut self.models[model.index()];
-        effort.moves += 1;
-        if effort.moves < MOVES {
+        let model_moves = &mut self.models[model.index()];
+        model_moves.moves += 1;
+        if model_moves.moves < MOVES {
             return;
         }
-        effort.until = now + time::Millis(REST.0 << effort.rests);
-        effort.rests = (effort.rests + 1).min(DOUBLINGS);
-        effort.moves = 0;
+        model_moves.until = now + time::Millis(REST.0 << model_moves.rests);
+        model_moves.rests = (model_moves.rests + 1).min(DOUBLINGS);
+        model_moves.moves = 0;
     }
 
     /// Forgets what was done for `model`: it has a route.
