--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -11,7 +11,7 @@
 };
 
 /// Moves for one model before it rests: a family of a base with its adapters takes about 20.
-const MOVES: u32 = 24;
+const MOVES_BEFORE_PAUSE: u32 = 24;
 
 /// The first rest.
 const REST: time::Millis = time::Millis(600_000);
@@ -51,7 +51,7 @@
     pub fn count(&mut self, model: ModelKey, now: time::Instant) {
         let model_moves = &mut self.models[model.index()];
         model_moves.moves += 1;
-        if model_moves.moves < MOVES {
+        if model_moves.moves < MOVES_BEFORE_PAUSE {
             return;
         }
         model_moves.until = now + time::Millis(REST.0 << model_moves.rests);
