--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -14,7 +14,7 @@
 const MOVES_BEFORE_PAUSE: u32 = 24;
 
 /// The first rest.
-const REST: time::Millis = time::Millis(600_000);
+const FIRST_PAUSE: time::Millis = time::Millis(600_000);
 
 /// The rest doubles at most this often.
 const DOUBLINGS: u32 = 6;
@@ -54,7 +54,7 @@
         if model_moves.moves < MOVES_BEFORE_PAUSE {
             return;
         }
-        model_moves.until = now + time::Millis(REST.0 << model_moves.rests);
+        model_moves.until = now + time::Millis(FIRST_PAUSE.0 << model_moves.rests);
         model_moves.rests = (model_moves.rests + 1).min(DOUBLINGS);
         model_moves.moves = 0;
     }
