--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -17,7 +17,7 @@
 const FIRST_PAUSE: time::Millis = time::Millis(600_000);
 
 /// The rest doubles at most this often.
-const DOUBLINGS: u32 = 6;
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 /// What was done for each model without a route.
 #[derive(Debug, Clone, Default)]
@@ -55,7 +55,7 @@
             return;
         }
         model_moves.until = now + time::Millis(FIRST_PAUSE.0 << model_moves.rests);
-        model_moves.rests = (model_moves.rests + 1).min(DOUBLINGS);
+        model_moves.rests = (model_moves.rests + 1).min(MAX_PAUSE_DOUBLINGS);
         model_moves.moves = 0;
     }
 
