--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ModelMoves {
     moves: u32,
-    rests: u32,
+    pauses: u32,
     until: time::Instant,
 }
 
@@ -54,8 +54,8 @@
         if model_moves.moves < MOVES_BEFORE_PAUSE {
             return;
         }
-        model_moves.until = now + time::Millis(FIRST_PAUSE.0 << model_moves.rests);
-        model_moves.rests = (model_moves.rests + 1).min(MAX_PAUSE_DOUBLINGS);
+        model_moves.until = now + time::Millis(FIRST_PAUSE.0 << model_moves.pauses);
+        model_moves.pauses = (model_moves.pauses + 1).min(MAX_PAUSE_DOUBLINGS);
         model_moves.moves = 0;
     }
 
