--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -29,7 +29,7 @@
 struct ModelMoves {
     moves: u32,
     pauses: u32,
-    until: time::Instant,
+    paused_until: time::Instant,
 }
 
 impl MoveLimits {
@@ -44,7 +44,7 @@
     /// Whether copies may be moved for `model`.
     #[must_use]
     pub fn allow(&self, model: ModelKey, now: time::Instant) -> bool {
-        now >= self.models[model.index()].until
+        now >= self.models[model.index()].paused_until
     }
 
     /// Counts a plan that moved copies for `model`.
@@ -54,7 +54,7 @@
         if model_moves.moves < MOVES_BEFORE_PAUSE {
             return;
         }
-        model_moves.until = now + time::Millis(FIRST_PAUSE.0 << model_moves.pauses);
+        model_moves.paused_until = now + time::Millis(FIRST_PAUSE.0 << model_moves.pauses);
         model_moves.pauses = (model_moves.pauses + 1).min(MAX_PAUSE_DOUBLINGS);
         model_moves.moves = 0;
     }
