--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -60,7 +60,7 @@
     }
 
     /// Forgets what was done for `model`: it has a route.
-    pub fn forget(&mut self, model: ModelKey) {
+    pub fn reset(&mut self, model: ModelKey) {
         self.models[model.index()] = ModelMoves::default();
     }
 }
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -45,7 +45,7 @@
         let ranking = self.src.ranking;
         for model in ranking {
             if !self.routes[model.index()].is_empty() {
-                self.src.move_limits.forget(*model);
+                self.src.move_limits.reset(*model);
             }
         }
         let start = self.first_attempt();
