--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -115,7 +115,7 @@
     /// By engine: memory being freed that a model waits for, in MiB.
     claimed: Vec<u64>,
     /// No copies are to be moved for the model in hand: too much was moved for it in vain.
-    resting: bool,
+    moves_paused: bool,
     /// How often copies have been moved for a model without a route.
     cleared: usize,
     /// Attempts left at moving models out of the way.
@@ -137,7 +137,7 @@
             busy: vec![0.0; engines],
             open: vec![false; engines],
             claimed: vec![0; engines],
-            resting: false,
+            moves_paused: false,
             cleared: 0,
             move_attempts: moves::move_attempts(engines),
             proposals: Vec::new(),
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -37,7 +37,7 @@
     /// next plans find a spare copy here. Where that copy has no room either, spare copies make way
     /// for it first. Longer chains of moves are not looked for.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if self.resting {
+        if self.moves_paused {
             return Attempt::Impossible;
         }
         if self.move_attempts == 0 {
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -77,13 +77,13 @@
     /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
     fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
         let now = self.src.now;
-        self.resting = !self.src.move_limits.allow(model, now);
+        self.moves_paused = !self.src.move_limits.allow(model, now);
         let before = self.cleared;
         let attempt = self.give_route(model);
         if self.cleared > before {
             self.src.move_limits.count(model, now);
         }
-        self.resting = false;
+        self.moves_paused = false;
         attempt
     }
 
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -30,7 +30,7 @@
 impl Planner<'_> {
     /// Takes spare copies off one engine so that `model` fits.
     pub(super) fn make_room(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if self.resting {
+        if self.moves_paused {
             return Attempt::Impossible;
         }
         if self.await_room(model, need_mib) {
