--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -278,7 +278,7 @@
         actions.extend(self.resend(now));
         self.budget.refill(now, &self.ledger, &self.policy);
         let pins = self.pinned();
-        let planner = planner::Planner::new(planner::Sources {
+        let planner = planner::Planner::new(planner::Inputs {
             now,
             ledger: &mut self.ledger,
             demand: &self.demand,
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -81,7 +81,7 @@
 
 /// What a plan is made from.
 #[derive(Debug)]
-pub struct Sources<'a> {
+pub struct Inputs<'a> {
     /// The time.
     pub now: time::Instant,
     /// The ledger; proposals are counted in it at once.
@@ -103,7 +103,7 @@
 /// One plan in the making.
 #[derive(Debug)]
 pub struct Planner<'a> {
-    src: Sources<'a>,
+    src: Inputs<'a>,
     /// By model: the engines that are routes.
     routes: Vec<Vec<EndpointKey>>,
     /// By model: the engines where a load is under way.
@@ -127,7 +127,7 @@
 impl<'a> Planner<'a> {
     /// Looks at the ledger.
     #[must_use]
-    pub fn new(src: Sources<'a>) -> Self {
+    pub fn new(src: Inputs<'a>) -> Self {
         let models = src.ledger.offers().len();
         let engines = src.ledger.engines().len();
         let mut planner = Self {
