--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -103,7 +103,7 @@
 /// One plan in the making.
 #[derive(Debug)]
 pub struct Planner<'a> {
-    src: Inputs<'a>,
+    inputs: Inputs<'a>,
     /// By model: the engines that are routes.
     routes: Vec<Vec<EndpointKey>>,
     /// By model: the engines where a load is under way.
@@ -127,11 +127,11 @@
 impl<'a> Planner<'a> {
     /// Looks at the ledger.
     #[must_use]
-    pub fn new(src: Inputs<'a>) -> Self {
-        let models = src.ledger.offers().len();
-        let engines = src.ledger.engines().len();
+    pub fn new(inputs: Inputs<'a>) -> Self {
+        let models = inputs.ledger.offers().len();
+        let engines = inputs.ledger.engines().len();
         let mut planner = Self {
-            src,
+            inputs,
             routes: vec![Vec::new(); models],
             coming: vec![Vec::new(); models],
             busy: vec![0.0; engines],
@@ -150,7 +150,7 @@
     /// Makes the plan.
     #[must_use]
     pub fn plan(mut self) -> (Vec<Proposal>, Vec<Problem>) {
-        match self.src.policy.baseline {
+        match self.inputs.policy.baseline {
             policy::Baseline::Planned => {
                 self.reach();
                 self.pins();
@@ -167,10 +167,10 @@
     }
 
     fn survey(&mut self) {
-        for index in 0..self.src.ledger.engines().len() {
-            let engine = &self.src.ledger.engines()[index];
-            self.open[index] = self.src.ledger.takes_orders(self.src.now, engine);
-            if engine.leaving || !self.src.ledger.is_fresh(self.src.now, engine) {
+        for index in 0..self.inputs.ledger.engines().len() {
+            let engine = &self.inputs.ledger.engines()[index];
+            self.open[index] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
+            if engine.leaving || !self.inputs.ledger.is_fresh(self.inputs.now, engine) {
                 continue;
             }
             for held in &engine.held {
@@ -180,7 +180,11 @@
                 if routes.last() == Some(&engine.key) {
                     continue;
                 }
-                if self.src.ledger.is_route(self.src.now, engine, held.model) {
+                if self
+                    .inputs
+                    .ledger
+                    .is_route(self.inputs.now, engine, held.model)
+                {
                     routes.push(engine.key);
                 }
             }
@@ -217,8 +221,8 @@
     /// reserved): on an engine that ignores fencing numbers a lost order is never sent again, and
     /// whoever waited for it would wait for good.
     fn under_way<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
-        let now = self.src.now;
-        let lost_after = self.src.policy.lost_after();
+        let now = self.inputs.now;
+        let lost_after = self.inputs.policy.lost_after();
         let ordered = engine
             .unsettled()
             .filter(move |open| open.seen || now.since(open.sent) <= lost_after)
@@ -227,7 +231,7 @@
     }
 
     fn offer(&self, model: ModelKey) -> &ledger::Offer {
-        &self.src.ledger.offers()[model.index()]
+        &self.inputs.ledger.offers()[model.index()]
     }
 
     fn memory(&self, model: ModelKey) -> u64 {
@@ -235,7 +239,7 @@
     }
 
     fn engine(&self, key: EndpointKey) -> &Engine {
-        self.src.ledger.engine(key)
+        self.inputs.ledger.engine(key)
     }
 
     fn keys(&self) -> impl Iterator<Item = EndpointKey> + use<> {
@@ -243,12 +247,15 @@
     }
 
     fn is_pinned(&self, model: ModelKey, key: EndpointKey) -> bool {
-        self.src.pins.contains(&(model, key))
+        self.inputs.pins.contains(&(model, key))
     }
 
     /// Slots that demand for `model` keeps busy.
     fn slots_wanted(&self, model: ModelKey) -> f64 {
-        self.src.demand.of(model).slots(self.src.policy.horizon_ms)
+        self.inputs
+            .demand
+            .of(model)
+            .slots(self.inputs.policy.horizon_ms)
     }
 
     /// Copies that serve or will.
@@ -287,7 +294,7 @@
     fn suits(&self, key: EndpointKey, model: ModelKey) -> bool {
         let engine = self.engine(key);
         self.open[key.index()]
-            && self.src.ledger.admits(engine, model)
+            && self.inputs.ledger.admits(engine, model)
             && !engine.has_or_awaits(model)
     }
 
@@ -304,7 +311,7 @@
 
     /// Proposes to load the wanted version of `model` on `key`, which must have room.
     fn load(&mut self, key: EndpointKey, model: ModelKey, reason: &'static str) -> Attempt {
-        if !self.src.budget.allows() {
+        if !self.inputs.budget.allows() {
             return Attempt::Waiting;
         }
         let offered = &self.offer(model).model;
@@ -313,7 +320,7 @@
             version: offered.version,
             memory_mib: offered.memory_mib,
         };
-        self.src.budget.spend();
+        self.inputs.budget.spend();
         self.count_busy(model, -1.0);
         self.coming[model.index()].push(key);
         self.count_busy(model, 1.0);
@@ -344,9 +351,9 @@
     fn may_unload(&self, key: EndpointKey, model: ModelKey, version: u32) -> bool {
         let engine = self.engine(key);
         let others = self.routes.get(model.index()).into_iter().flatten();
-        self.src
+        self.inputs
             .ledger
-            .may_unload(self.src.now, engine, model, version, others.copied())
+            .may_unload(self.inputs.now, engine, model, version, others.copied())
     }
 
     fn propose(
@@ -356,11 +363,11 @@
         task: Task,
         reason: &'static str,
     ) -> Attempt {
-        let Some(named) = self.src.ledger.propose(key, task) else {
+        let Some(named) = self.inputs.ledger.propose(key, task) else {
             return Attempt::Impossible;
         };
-        let engine = self.src.ledger.engine(key);
-        self.open[key.index()] = self.src.ledger.takes_orders(self.src.now, engine);
+        let engine = self.inputs.ledger.engine(key);
+        self.open[key.index()] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
         self.proposals.push(Proposal {
             endpoint: key,
             model,
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -14,11 +14,11 @@
     /// too.
     pub(super) fn on_demand(&mut self) {
         let asked = |p: &Self, m: &ModelKey| {
-            let estimate = p.src.demand.of(*m);
+            let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
                 || estimate
                     .asked
-                    .is_some_and(|t| p.src.now.since(t) <= p.src.policy.plan_interval_ms)
+                    .is_some_and(|t| p.inputs.now.since(t) <= p.inputs.policy.plan_interval_ms)
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
             .map(ModelKey::from_index)
@@ -62,10 +62,10 @@
             held.phase == endpoints::Phase::Ready
                 && Some(held.model) != base
                 && !engine.unloads(held.model, held.version)
-                && !self.src.ledger.carries_adapter(engine, held.model)
+                && !self.inputs.ledger.carries_adapter(engine, held.model)
         });
         held.map(|held| {
-            let asked = self.src.demand.of(held.model).asked;
+            let asked = self.inputs.demand.of(held.model).asked;
             (asked.map_or(0, |t| t.0 + 1), held.model, held.version)
         })
         .min()
@@ -82,10 +82,10 @@
     /// Gives each model a route, then fills the memory with copies in turn; follows no demand.
     pub(super) fn even(&mut self) {
         self.reach();
-        let mut models: Vec<ModelKey> = self.src.ranking.to_vec();
+        let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
         models.sort_by_key(|m| self.copies(*m));
         for model in models {
-            if !self.src.budget.allows() || self.copies(model) == 0 {
+            if !self.inputs.budget.allows() || self.copies(model) == 0 {
                 continue;
             }
             if let Some(key) = self.roomiest(model, self.memory(model)) {
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -36,7 +36,7 @@
             .collect();
         lacking.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, model) in lacking.into_iter().take(ATTEMPTS) {
-            if !self.src.budget.allows() {
+            if !self.inputs.budget.allows() {
                 return;
             }
             self.add_copy(model);
@@ -68,7 +68,7 @@
             .filter(|c| self.room(c.key) >= need_mib + self.claimed[c.key.index()])
             .min_by(|a, b| self.compare(model, a, b));
         if let Some(found) = with_room.copied()
-            && self.completions(model, found.gain) > self.src.policy.move_cost
+            && self.completions(model, found.gain) > self.inputs.policy.move_cost
         {
             return self.load(found.key, model, "demand exceeds its copies");
         }
@@ -112,15 +112,15 @@
 
     /// Turns slots' worth of requests into completions until the horizon, the load once made.
     fn completions(&self, model: ModelKey, slots: f64) -> f64 {
-        let policy = self.src.policy;
+        let policy = self.inputs.policy;
         let load_ms = self.offer(model).model.load_ms;
         let span_ms = policy.horizon_ms.0.saturating_sub(load_ms.0) as f64;
-        slots * span_ms / self.src.demand.of(model).service_ms.max(1.0)
+        slots * span_ms / self.inputs.demand.of(model).service_ms.max(1.0)
     }
 
     /// Takes copies of less use off an engine, if that pays.
     fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
-        let policy = self.src.policy;
+        let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::Clearance)> = None;
         for candidate in candidates.iter().take(CLOSE_LOOKS) {
             let Some(clearance) = self.clearance(candidate.key, model, need_mib) else {
@@ -155,7 +155,7 @@
             let copies = self.copies(spare.model).max(1) as f64;
             let slots = self.slots_wanted(spare.model) / copies;
             used += slots;
-            released_per_ms += slots / self.src.demand.of(spare.model).service_ms.max(1.0);
+            released_per_ms += slots / self.inputs.demand.of(spare.model).service_ms.max(1.0);
         }
         used / f64::max(released_per_ms, f64::MIN_POSITIVE)
     }
@@ -163,14 +163,14 @@
     /// Uses free memory so that each model has `min_replicas` copies, and copies in two
     /// availability zones if the policy says so. Nothing is displaced for it.
     pub(super) fn spread(&mut self) {
-        let ranking = self.src.ranking;
+        let ranking = self.inputs.ranking;
         let wanting = ranking.iter().filter(|m| self.wants_spread(**m));
         let wanting: Vec<ModelKey> = wanting.copied().collect();
         for model in wanting.into_iter().take(ATTEMPTS) {
-            if !self.src.budget.allows() {
+            if !self.inputs.budget.allows() {
                 return;
             }
-            let few = self.copies(model) < self.src.policy.min_replicas as usize;
+            let few = self.copies(model) < self.inputs.policy.min_replicas as usize;
             let need_mib = self.memory(model);
             let found = self
                 .keys()
@@ -203,7 +203,7 @@
         }
         let zone = self.engine(*first).zone;
         let alone = routes.iter().all(|key| self.engine(*key).zone == zone);
-        routes.len() < self.src.policy.min_replicas as usize
-            || self.src.policy.spread_zones && alone
+        routes.len() < self.inputs.policy.min_replicas as usize
+            || self.inputs.policy.spread_zones && alone
     }
 }
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -42,10 +42,10 @@
 impl Planner<'_> {
     /// Begins a load for each model that has no route and none on its way.
     pub(super) fn reach(&mut self) {
-        let ranking = self.src.ranking;
+        let ranking = self.inputs.ranking;
         for model in ranking {
             if !self.routes[model.index()].is_empty() {
-                self.src.move_limits.reset(*model);
+                self.inputs.move_limits.reset(*model);
             }
         }
         let start = self.first_attempt();
@@ -69,19 +69,19 @@
 
     /// Where the turn of those that wait for an attempt begins: it moves on with time.
     fn first_attempt(&self) -> usize {
-        let interval = self.src.policy.plan_interval_ms.0.max(1);
-        let plans = self.src.now.0 / interval;
+        let interval = self.inputs.policy.plan_interval_ms.0.max(1);
+        let plans = self.inputs.now.0 / interval;
         usize::try_from(plans).unwrap_or(0) * ATTEMPTS
     }
 
     /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
     fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
-        let now = self.src.now;
-        self.moves_paused = !self.src.move_limits.allow(model, now);
+        let now = self.inputs.now;
+        self.moves_paused = !self.inputs.move_limits.allow(model, now);
         let before = self.cleared;
         let attempt = self.give_route(model);
         if self.cleared > before {
-            self.src.move_limits.count(model, now);
+            self.inputs.move_limits.count(model, now);
         }
         self.moves_paused = false;
         attempt
@@ -159,7 +159,7 @@
         if self.offer(model).base.is_some() {
             return self.memory(model);
         }
-        let adapters = self.src.ledger.offers().iter().zip(&self.routes);
+        let adapters = self.inputs.ledger.offers().iter().zip(&self.routes);
         let lacking = adapters
             .filter(|(offer, routes)| offer.base == Some(model) && routes.is_empty())
             .map(|(offer, _)| offer.model.memory_mib);
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -59,8 +59,8 @@
             freed > 0
                 && self.room(*key) + freed >= need_mib + self.claimed[key.index()]
                 && !engine.leaving
-                && self.src.ledger.is_fresh(self.src.now, engine)
-                && self.src.ledger.admits(engine, model)
+                && self.inputs.ledger.is_fresh(self.inputs.now, engine)
+                && self.inputs.ledger.admits(engine, model)
                 && !engine.has_or_awaits(model)
                 && self.has_base(*key, model)
         });
@@ -163,7 +163,7 @@
     }
 
     pub(super) fn sits_on(&self, adapter: ModelKey, base: ModelKey) -> bool {
-        let offer = self.src.ledger.offer(adapter);
+        let offer = self.inputs.ledger.offer(adapter);
         offer.is_some_and(|offer| offer.base == Some(base))
     }
 
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -96,7 +96,7 @@
 
     /// Loads what the operators have pinned.
     pub(super) fn pins(&mut self) {
-        for (model, key) in self.src.pins {
+        for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
             if !self.suits(*key, *model) || !self.has_base(*key, *model) {
                 continue;
