--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -143,7 +143,7 @@
             proposals: Vec::new(),
             problems: Vec::new(),
         };
-        planner.survey();
+        planner.index_engines();
         planner
     }
 
@@ -166,7 +166,7 @@
         (self.proposals, self.problems)
     }
 
-    fn survey(&mut self) {
+    fn index_engines(&mut self) {
         for index in 0..self.inputs.ledger.engines().len() {
             let engine = &self.inputs.ledger.engines()[index];
             self.open[index] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
