--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -107,7 +107,7 @@
     /// By model: the engines that are routes.
     routes: Vec<Vec<EndpointKey>>,
     /// By model: the engines where a load is under way.
-    coming: Vec<Vec<EndpointKey>>,
+    loading_on: Vec<Vec<EndpointKey>>,
     /// By engine: slots that the demand keeps busy.
     busy: Vec<f64>,
     /// By engine: whether an order may be issued.
@@ -133,7 +133,7 @@
         let mut planner = Self {
             inputs,
             routes: vec![Vec::new(); models],
-            coming: vec![Vec::new(); models],
+            loading_on: vec![Vec::new(); models],
             busy: vec![0.0; engines],
             open: vec![false; engines],
             claimed: vec![0; engines],
@@ -189,9 +189,9 @@
                 }
             }
             for model in self.arriving(engine) {
-                let coming = &mut self.coming[model.index()];
-                if coming.last() != Some(&engine.key) {
-                    coming.push(engine.key);
+                let loading_on = &mut self.loading_on[model.index()];
+                if loading_on.last() != Some(&engine.key) {
+                    loading_on.push(engine.key);
                 }
             }
         }
@@ -266,7 +266,7 @@
     /// Engines where a load is under way and no other version serves.
     fn coming_apart(&self, model: ModelKey) -> usize {
         let routes = &self.routes[model.index()];
-        self.coming[model.index()]
+        self.loading_on[model.index()]
             .iter()
             .filter(|key| !routes.contains(key))
             .count()
@@ -283,7 +283,7 @@
         for key in routes {
             self.busy[key.index()] += share;
         }
-        for key in &self.coming[model.index()] {
+        for key in &self.loading_on[model.index()] {
             if !routes.contains(key) {
                 self.busy[key.index()] += share;
             }
@@ -322,7 +322,7 @@
         };
         self.inputs.budget.spend();
         self.count_busy(model, -1.0);
-        self.coming[model.index()].push(key);
+        self.loading_on[model.index()].push(key);
         self.count_busy(model, 1.0);
         self.propose(key, model, task, reason)
     }
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -198,7 +198,7 @@
         let Some(first) = routes.first() else {
             return false;
         };
-        if !self.coming[model.index()].is_empty() {
+        if !self.loading_on[model.index()].is_empty() {
             return false;
         }
         let zone = self.engine(*first).zone;
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -53,7 +53,8 @@
         let mut best: Option<(u64, Way)> = None;
         for key in self.nearly_suitable(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
-                if !self.coming[moved.index()].is_empty() || self.await_room(moved, memory_mib) {
+                if !self.loading_on[moved.index()].is_empty() || self.await_room(moved, memory_mib)
+                {
                     return Attempt::Waiting;
                 }
                 if best.as_ref().is_some_and(|(mib, _)| *mib <= memory_mib) {
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -51,7 +51,7 @@
         let start = self.first_attempt();
         let lacking = ranking
             .iter()
-            .filter(|m| self.routes[m.index()].is_empty() && self.coming[m.index()].is_empty());
+            .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
         let lacking: Vec<ModelKey> = lacking.copied().collect();
         let critical = lacking.iter().filter(|m| self.offer(**m).model.critical);
         let first = critical.count().min(ATTEMPTS);
@@ -112,7 +112,7 @@
         if let Some(key) = self.roomiest(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
-        if !self.coming[base.index()].is_empty() {
+        if !self.loading_on[base.index()].is_empty() {
             return Attempt::Waiting;
         }
         if self.make_room(model, need_mib) != Attempt::Impossible {
@@ -171,7 +171,7 @@
         let zone = self.engine(key).zone;
         let routes = self.routes[model.index()].iter();
         routes
-            .chain(&self.coming[model.index()])
+            .chain(&self.loading_on[model.index()])
             .all(|other| self.engine(*other).zone != zone)
     }
 }
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -20,7 +20,7 @@
         for index in 0..self.routes.len() {
             let model = ModelKey::from_index(index);
             let outdated = self.outdated(model);
-            if outdated.is_empty() || !self.coming[index].is_empty() {
+            if outdated.is_empty() || !self.loading_on[index].is_empty() {
                 continue;
             }
             if self.replace(model, &outdated) == Attempt::Impossible {
