--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -260,11 +260,11 @@
 
     /// Copies that serve or will.
     fn copies(&self, model: ModelKey) -> usize {
-        self.routes[model.index()].len() + self.coming_apart(model)
+        self.routes[model.index()].len() + self.loading_without_route(model)
     }
 
     /// Engines where a load is under way and no other version serves.
-    fn coming_apart(&self, model: ModelKey) -> usize {
+    fn loading_without_route(&self, model: ModelKey) -> usize {
         let routes = &self.routes[model.index()];
         self.loading_on[model.index()]
             .iter()
