--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -109,7 +109,7 @@
     /// By model: the engines where a load is under way.
     loading_on: Vec<Vec<EndpointKey>>,
     /// By engine: slots that the demand keeps busy.
-    busy: Vec<f64>,
+    busy_slots: Vec<f64>,
     /// By engine: whether an order may be issued.
     open: Vec<bool>,
     /// By engine: memory being freed that a model waits for, in MiB.
@@ -134,7 +134,7 @@
             inputs,
             routes: vec![Vec::new(); models],
             loading_on: vec![Vec::new(); models],
-            busy: vec![0.0; engines],
+            busy_slots: vec![0.0; engines],
             open: vec![false; engines],
             claimed: vec![0; engines],
             moves_paused: false,
@@ -243,7 +243,7 @@
     }
 
     fn keys(&self) -> impl Iterator<Item = EndpointKey> + use<> {
-        (0..self.busy.len()).map(EndpointKey::from_index)
+        (0..self.busy_slots.len()).map(EndpointKey::from_index)
     }
 
     fn is_pinned(&self, model: ModelKey, key: EndpointKey) -> bool {
@@ -281,11 +281,11 @@
         let share = sign * self.slots_wanted(model) / copies as f64;
         let routes = &self.routes[model.index()];
         for key in routes {
-            self.busy[key.index()] += share;
+            self.busy_slots[key.index()] += share;
         }
         for key in &self.loading_on[model.index()] {
             if !routes.contains(key) {
-                self.busy[key.index()] += share;
+                self.busy_slots[key.index()] += share;
             }
         }
     }
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -51,8 +51,8 @@
         routes
             .map(|key| {
                 let most = planner::TARGET_BUSY * f64::from(self.engine(*key).slots);
-                let busy = self.busy[key.index()];
-                share * (1.0 - (most / busy.max(most)))
+                let busy_slots = self.busy_slots[key.index()];
+                share * (1.0 - (most / busy_slots.max(most)))
             })
             .sum()
     }
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -199,7 +199,7 @@
     /// How the slots that serve in time on `key` change when `change` is added to its load.
     pub(super) fn served_change(&self, key: EndpointKey, change: f64) -> f64 {
         let most = planner::TARGET_BUSY * f64::from(self.engine(key).slots);
-        let before = self.busy[key.index()];
+        let before = self.busy_slots[key.index()];
         (before + change).min(most) - before.min(most)
     }
 
