--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -113,7 +113,7 @@
     /// By engine: whether an order may be issued.
     open: Vec<bool>,
     /// By engine: memory being freed that a model waits for, in MiB.
-    claimed: Vec<u64>,
+    awaited_mib: Vec<u64>,
     /// No copies are to be moved for the model in hand: too much was moved for it in vain.
     moves_paused: bool,
     /// How often copies have been moved for a model without a route.
@@ -136,7 +136,7 @@
             loading_on: vec![Vec::new(); models],
             busy_slots: vec![0.0; engines],
             open: vec![false; engines],
-            claimed: vec![0; engines],
+            awaited_mib: vec![0; engines],
             moves_paused: false,
             cleared: 0,
             move_attempts: moves::move_attempts(engines),
@@ -156,7 +156,7 @@
                 self.pins();
                 self.versions();
                 self.capacity();
-                if self.proposals.is_empty() && self.claimed.iter().all(|mib| *mib == 0) {
+                if self.proposals.is_empty() && self.awaited_mib.iter().all(|mib| *mib == 0) {
                     self.spread();
                 }
             }
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -65,7 +65,7 @@
         let mut candidates = self.candidates(model);
         let with_room = candidates
             .iter()
-            .filter(|c| self.room(c.key) >= need_mib + self.claimed[c.key.index()])
+            .filter(|c| self.room(c.key) >= need_mib + self.awaited_mib[c.key.index()])
             .min_by(|a, b| self.compare(model, a, b));
         if let Some(found) = with_room.copied()
             && self.completions(model, found.gain) > self.inputs.policy.move_cost
@@ -141,7 +141,7 @@
         {
             return Attempt::Waiting;
         }
-        self.claimed[clearance.key.index()] += need_mib;
+        self.awaited_mib[clearance.key.index()] += need_mib;
         self.clear(&clearance, "it makes way for a model in greater demand")
     }
 
@@ -175,7 +175,7 @@
             let found = self
                 .keys()
                 .filter(|key| {
-                    self.room(*key) >= need_mib + self.claimed[key.index()]
+                    self.room(*key) >= need_mib + self.awaited_mib[key.index()]
                         && self.suits(*key, model)
                         && self.has_base(*key, model)
                         && (few || self.is_new_zone(*key, model))
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -57,7 +57,7 @@
             let engine = self.engine(*key);
             let freed = self.freed_mib(*key);
             freed > 0
-                && self.room(*key) + freed >= need_mib + self.claimed[key.index()]
+                && self.room(*key) + freed >= need_mib + self.awaited_mib[key.index()]
                 && !engine.leaving
                 && self.inputs.ledger.is_fresh(self.inputs.now, engine)
                 && self.inputs.ledger.admits(engine, model)
@@ -65,7 +65,7 @@
                 && self.has_base(*key, model)
         });
         if let Some(key) = found {
-            self.claimed[key.index()] += need_mib;
+            self.awaited_mib[key.index()] += need_mib;
         }
         found.is_some()
     }
@@ -94,7 +94,7 @@
         let room = self.room(key)
             + self
                 .freed_mib(key)
-                .saturating_sub(self.claimed[key.index()]);
+                .saturating_sub(self.awaited_mib[key.index()]);
         let mut missing = need_mib.saturating_sub(room);
         let mut clearance = Clearance {
             key,
