--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -117,7 +117,7 @@
     /// No copies are to be moved for the model in hand: too much was moved for it in vain.
     moves_paused: bool,
     /// How often copies have been moved for a model without a route.
-    cleared: usize,
+    evictions: usize,
     /// Attempts left at moving models out of the way.
     move_attempts: usize,
     proposals: Vec<Proposal>,
@@ -138,7 +138,7 @@
             open: vec![false; engines],
             awaited_mib: vec![0; engines],
             moves_paused: false,
-            cleared: 0,
+            evictions: 0,
             move_attempts: moves::move_attempts(engines),
             proposals: Vec::new(),
             problems: Vec::new(),
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -78,9 +78,9 @@
     fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
         let now = self.inputs.now;
         self.moves_paused = !self.inputs.move_limits.allow(model, now);
-        let before = self.cleared;
+        let before = self.evictions;
         let attempt = self.give_route(model);
-        if self.cleared > before {
+        if self.evictions > before {
             self.inputs.move_limits.count(model, now);
         }
         self.moves_paused = false;
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -214,7 +214,7 @@
         for (model, version) in order {
             if self.unload(clearance.key, model, version, reason) == Attempt::Begun {
                 begun = Attempt::Begun;
-                self.cleared += 1;
+                self.evictions += 1;
             }
         }
         begun
