--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
     /// A task was proposed.
-    Begun,
+    Started,
     /// Something is under way that may serve the purpose.
     Waiting,
     /// Not possible now.
@@ -374,7 +374,7 @@
             named,
             reason,
         });
-        Attempt::Begun
+        Attempt::Started
     }
 
     fn report_problem(&mut self, model: ModelKey, reason: &'static str) {
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -45,7 +45,7 @@
         }
         self.move_attempts -= 1;
         let attempt = self.move_one(model, need_mib);
-        self.evictions += usize::from(attempt == Attempt::Begun);
+        self.evictions += usize::from(attempt == Attempt::Started);
         attempt
     }
 
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -212,8 +212,8 @@
             order.push((spare.model, spare.version));
         }
         for (model, version) in order {
-            if self.unload(clearance.key, model, version, reason) == Attempt::Begun {
-                begun = Attempt::Begun;
+            if self.unload(clearance.key, model, version, reason) == Attempt::Started {
+                begun = Attempt::Started;
                 self.evictions += 1;
             }
         }
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -87,8 +87,8 @@
     /// Takes the first outdated copy off that may go.
     fn drop_outdated(&mut self, model: ModelKey, outdated: &[(EndpointKey, u32)]) -> Attempt {
         for (key, version) in outdated {
-            if self.unload(*key, model, *version, "a newer version is wanted") == Attempt::Begun {
-                return Attempt::Begun;
+            if self.unload(*key, model, *version, "a newer version is wanted") == Attempt::Started {
+                return Attempt::Started;
             }
         }
         Attempt::Waiting
