--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -205,7 +205,7 @@
 
     /// Proposes the unloads of `clearance` that may begin now: adapters before their base.
     pub(super) fn clear(&mut self, clearance: &Clearance, reason: &'static str) -> Attempt {
-        let mut begun = Attempt::Impossible;
+        let mut result = Attempt::Impossible;
         let mut order = Vec::new();
         for spare in &clearance.spares {
             order.extend(self.adapters_on(clearance.key, spare.model));
@@ -213,11 +213,11 @@
         }
         for (model, version) in order {
             if self.unload(clearance.key, model, version, reason) == Attempt::Started {
-                begun = Attempt::Started;
+                result = Attempt::Started;
                 self.evictions += 1;
             }
         }
-        begun
+        result
     }
 
     fn adapters_on(&self, key: EndpointKey, base: ModelKey) -> Vec<(ModelKey, u32)> {
