--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -291,7 +291,7 @@
     }
 
     /// Whether `model` may be loaded on `key` but for room.
-    fn suits(&self, key: EndpointKey, model: ModelKey) -> bool {
+    fn can_host(&self, key: EndpointKey, model: ModelKey) -> bool {
         let engine = self.engine(key);
         self.open[key.index()]
             && self.inputs.ledger.admits(engine, model)
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -44,7 +44,7 @@
         }
         let suitable = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model));
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model));
         let oldest = suitable
             .filter_map(|key| self.least_recent(key, model).map(|found| (found, key)))
             .min_by_key(|((asked, ..), key)| (*asked, *key));
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -91,7 +91,7 @@
                 gain: self.served_change(key, share) + relieved,
             })
             .filter(|c| c.gain > NEGLIGIBLE)
-            .filter(|c| self.suits(c.key, model) && self.has_base(c.key, model))
+            .filter(|c| self.can_host(c.key, model) && self.has_base(c.key, model))
             .collect()
     }
 
@@ -176,7 +176,7 @@
                 .keys()
                 .filter(|key| {
                     self.room(*key) >= need_mib + self.awaited_mib[key.index()]
-                        && self.suits(*key, model)
+                        && self.can_host(*key, model)
                         && self.has_base(*key, model)
                         && (few || self.is_new_zone(*key, model))
                 })
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -82,7 +82,7 @@
         let keep = self.offer(model).base;
         let mut suitable: Vec<(u64, EndpointKey)> = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model))
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
             .map(|key| (self.room(key) + self.doubled_mib(key, keep), key))
             .collect();
         suitable.sort_by_key(|(mib, key)| (cmp::Reverse(*mib), *key));
@@ -129,7 +129,7 @@
         }
         let clearances = self
             .keys()
-            .filter(|key| self.suits(*key, moved) && self.has_base(*key, moved))
+            .filter(|key| self.can_host(*key, moved) && self.has_base(*key, moved))
             .filter_map(|key| self.clearance(key, moved, memory_mib))
             .filter(|clearance| !clearance.spares.is_empty());
         clearances
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -140,7 +140,9 @@
         let family_mib = self.family_mib(model);
         self.keys()
             .filter(|key| {
-                self.room(*key) >= need_mib && self.suits(*key, model) && self.has_base(*key, model)
+                self.room(*key) >= need_mib
+                    && self.can_host(*key, model)
+                    && self.has_base(*key, model)
             })
             .max_by_key(|key| {
                 let room = self.room(*key);
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -38,7 +38,7 @@
         }
         let clearances = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model))
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
             .filter_map(|key| self.clearance(key, model, need_mib));
         let best = clearances.min_by(|a, b| {
             a.loss
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -98,7 +98,7 @@
     pub(super) fn pins(&mut self) {
         for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
-            if !self.suits(*key, *model) || !self.has_base(*key, *model) {
+            if !self.can_host(*key, *model) || !self.has_base(*key, *model) {
                 continue;
             }
             if self.room(*key) >= need_mib {
