--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -121,7 +121,7 @@
     /// Takes copies of less use off an engine, if that pays.
     fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
         let policy = self.inputs.policy;
-        let mut best: Option<(f64, planner::room::Clearance)> = None;
+        let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
         for candidate in candidates.iter().take(CLOSE_LOOKS) {
             let Some(clearance) = self.clearance(candidate.key, model, need_mib) else {
                 continue;
@@ -148,7 +148,7 @@
     /// How long the copies to be taken off will keep their slots, in milliseconds: the slots that
     /// they use over the rate at which the engine releases slots, taken as proportional to those in
     /// use (Yang et al., IEEE Access 2021, OMO).
-    fn drain_ms(&self, clearance: &planner::room::Clearance) -> f64 {
+    fn drain_ms(&self, clearance: &planner::room::EvictionPlan) -> f64 {
         let mut used = 0.0;
         let mut released_per_ms = 0.0;
         for spare in &clearance.spares {
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 enum Way {
     Load(ModelKey, EndpointKey),
-    Clear(room::Clearance),
+    Clear(room::EvictionPlan),
 }
 
 /// Engines looked at closely for one model that others must move for.
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -21,7 +21,7 @@
 
 /// Copies that together make room on an engine.
 #[derive(Debug, Clone)]
-pub(super) struct Clearance {
+pub(super) struct EvictionPlan {
     pub(super) key: EndpointKey,
     pub(super) spares: Vec<Spare>,
     pub(super) loss: f64,
@@ -90,13 +90,13 @@
         key: EndpointKey,
         model: ModelKey,
         need_mib: u64,
-    ) -> Option<Clearance> {
+    ) -> Option<EvictionPlan> {
         let room = self.room(key)
             + self
                 .freed_mib(key)
                 .saturating_sub(self.awaited_mib[key.index()]);
         let mut missing = need_mib.saturating_sub(room);
-        let mut clearance = Clearance {
+        let mut clearance = EvictionPlan {
             key,
             spares: Vec::new(),
             loss: 0.0,
@@ -204,7 +204,7 @@
     }
 
     /// Proposes the unloads of `clearance` that may begin now: adapters before their base.
-    pub(super) fn clear(&mut self, clearance: &Clearance, reason: &'static str) -> Attempt {
+    pub(super) fn clear(&mut self, clearance: &EvictionPlan, reason: &'static str) -> Attempt {
         let mut result = Attempt::Impossible;
         let mut order = Vec::new();
         for spare in &clearance.spares {
