--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -123,35 +123,36 @@
         let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
         for candidate in candidates.iter().take(CLOSE_LOOKS) {
-            let Some(clearance) = self.clearance(candidate.key, model, need_mib) else {
+            let Some(eviction_plan) = self.eviction_plan(candidate.key, model, need_mib) else {
                 continue;
             };
-            let moves = 1.0 + clearance.spares.len() as f64;
-            let net = candidate.gain - clearance.loss * (1.0 + policy.hysteresis);
+            let moves = 1.0 + eviction_plan.spares.len() as f64;
+            let net = candidate.gain - eviction_plan.loss * (1.0 + policy.hysteresis);
             let worth = self.completions(model, net) - policy.move_cost * moves;
             let better = best.as_ref().is_none_or(|(known, _)| worth > *known);
             if worth > 0.0 && better {
-                best = Some((worth, clearance));
+                best = Some((worth, eviction_plan));
             }
         }
-        let Some((_, clearance)) = best else {
+        let Some((_, eviction_plan)) = best else {
             return Attempt::Impossible;
         };
-        if policy.lazy_start && self.drain_ms(&clearance) > self.offer(model).model.load_ms.0 as f64
+        if policy.lazy_start
+            && self.drain_ms(&eviction_plan) > self.offer(model).model.load_ms.0 as f64
         {
             return Attempt::Waiting;
         }
-        self.awaited_mib[clearance.key.index()] += need_mib;
-        self.clear(&clearance, "it makes way for a model in greater demand")
+        self.awaited_mib[eviction_plan.key.index()] += need_mib;
+        self.clear(&eviction_plan, "it makes way for a model in greater demand")
     }
 
     /// How long the copies to be taken off will keep their slots, in milliseconds: the slots that
     /// they use over the rate at which the engine releases slots, taken as proportional to those in
     /// use (Yang et al., IEEE Access 2021, OMO).
-    fn drain_ms(&self, clearance: &planner::room::EvictionPlan) -> f64 {
+    fn drain_ms(&self, eviction_plan: &planner::room::EvictionPlan) -> f64 {
         let mut used = 0.0;
         let mut released_per_ms = 0.0;
-        for spare in &clearance.spares {
+        for spare in &eviction_plan.spares {
             let copies = self.copies(spare.model).max(1) as f64;
             let slots = self.slots_wanted(spare.model) / copies;
             used += slots;
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -69,8 +69,8 @@
             Some((_, Way::Load(moved, to))) => {
                 self.load(to, moved, "it makes way for a model elsewhere")
             }
-            Some((_, Way::Clear(clearance))) => self.clear(
-                &clearance,
+            Some((_, Way::Clear(eviction_plan))) => self.clear(
+                &eviction_plan,
                 "it makes way for a model that makes way for another",
             ),
             None => Attempt::Impossible,
@@ -130,8 +130,8 @@
         let clearances = self
             .keys()
             .filter(|key| self.can_host(*key, moved) && self.has_base(*key, moved))
-            .filter_map(|key| self.clearance(key, moved, memory_mib))
-            .filter(|clearance| !clearance.spares.is_empty());
+            .filter_map(|key| self.eviction_plan(key, moved, memory_mib))
+            .filter(|eviction_plan| !eviction_plan.spares.is_empty());
         clearances
             .min_by(|a, b| a.loss.total_cmp(&b.loss))
             .map(Way::Clear)
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -39,14 +39,16 @@
         let clearances = self
             .keys()
             .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
-            .filter_map(|key| self.clearance(key, model, need_mib));
+            .filter_map(|key| self.eviction_plan(key, model, need_mib));
         let best = clearances.min_by(|a, b| {
             a.loss
                 .total_cmp(&b.loss)
                 .then(a.spares.len().cmp(&b.spares.len()))
         });
         match best {
-            Some(clearance) => self.clear(&clearance, "it makes way for a model without a route"),
+            Some(eviction_plan) => {
+                self.clear(&eviction_plan, "it makes way for a model without a route")
+            }
             None => Attempt::Impossible,
         }
     }
@@ -85,7 +87,7 @@
     }
 
     /// The cheapest copies to take off `key` so that `need_mib` are free, if there are enough.
-    pub(super) fn clearance(
+    pub(super) fn eviction_plan(
         &self,
         key: EndpointKey,
         model: ModelKey,
@@ -96,7 +98,7 @@
                 .freed_mib(key)
                 .saturating_sub(self.awaited_mib[key.index()]);
         let mut missing = need_mib.saturating_sub(room);
-        let mut clearance = EvictionPlan {
+        let mut eviction_plan = EvictionPlan {
             key,
             spares: Vec::new(),
             loss: 0.0,
@@ -113,10 +115,10 @@
                 break;
             }
             missing = missing.saturating_sub(spare.memory_mib);
-            clearance.loss += spare.loss;
-            clearance.spares.push(spare);
+            eviction_plan.loss += spare.loss;
+            eviction_plan.spares.push(spare);
         }
-        (missing == 0).then_some(clearance)
+        (missing == 0).then_some(eviction_plan)
     }
 
     /// The copies on `key` that may go: not the last route, not pinned, not `keep`. A base goes only
@@ -203,16 +205,16 @@
         (before + change).min(most) - before.min(most)
     }
 
-    /// Proposes the unloads of `clearance` that may begin now: adapters before their base.
-    pub(super) fn clear(&mut self, clearance: &EvictionPlan, reason: &'static str) -> Attempt {
+    /// Proposes the unloads of `eviction_plan` that may begin now: adapters before their base.
+    pub(super) fn clear(&mut self, eviction_plan: &EvictionPlan, reason: &'static str) -> Attempt {
         let mut result = Attempt::Impossible;
         let mut order = Vec::new();
-        for spare in &clearance.spares {
-            order.extend(self.adapters_on(clearance.key, spare.model));
+        for spare in &eviction_plan.spares {
+            order.extend(self.adapters_on(eviction_plan.key, spare.model));
             order.push((spare.model, spare.version));
         }
         for (model, version) in order {
-            if self.unload(clearance.key, model, version, reason) == Attempt::Started {
+            if self.unload(eviction_plan.key, model, version, reason) == Attempt::Started {
                 result = Attempt::Started;
                 self.evictions += 1;
             }
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -108,9 +108,9 @@
             if self.is_clearing(*key) {
                 continue;
             }
-            match self.clearance(*key, *model, need_mib) {
-                Some(clearance) => {
-                    self.clear(&clearance, "it makes way for a pinned model");
+            match self.eviction_plan(*key, *model, need_mib) {
+                Some(eviction_plan) => {
+                    self.clear(&eviction_plan, "it makes way for a pinned model");
                 }
                 None => self.report_problem(*model, "no room where it is pinned"),
             }
