--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -127,12 +127,12 @@
         if self.sits_on_doubled(from, moved) {
             return None;
         }
-        let clearances = self
+        let eviction_plans = self
             .keys()
             .filter(|key| self.can_host(*key, moved) && self.has_base(*key, moved))
             .filter_map(|key| self.eviction_plan(key, moved, memory_mib))
             .filter(|eviction_plan| !eviction_plan.spares.is_empty());
-        clearances
+        eviction_plans
             .min_by(|a, b| a.loss.total_cmp(&b.loss))
             .map(Way::Clear)
     }
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -36,11 +36,11 @@
         if self.await_room(model, need_mib) {
             return Attempt::Waiting;
         }
-        let clearances = self
+        let eviction_plans = self
             .keys()
             .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
             .filter_map(|key| self.eviction_plan(key, model, need_mib));
-        let best = clearances.min_by(|a, b| {
+        let best = eviction_plans.min_by(|a, b| {
             a.loss
                 .total_cmp(&b.loss)
                 .then(a.spares.len().cmp(&b.spares.len()))
