--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -230,7 +230,7 @@
     }
 
     /// Whether an unload is under way on `key`.
-    pub(super) fn is_clearing(&self, key: EndpointKey) -> bool {
+    pub(super) fn is_evicting(&self, key: EndpointKey) -> bool {
         let mut pending = self.engine(key).pending();
         pending.any(|task| matches!(task, Task::Unload { .. }))
     }
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -50,7 +50,7 @@
     }
 
     fn replace(&mut self, model: ModelKey, outdated: &[(EndpointKey, u32)]) -> Attempt {
-        if outdated.iter().any(|(key, _)| self.is_clearing(*key)) {
+        if outdated.iter().any(|(key, _)| self.is_evicting(*key)) {
             return Attempt::Waiting;
         }
         if self.is_current_somewhere(model) {
@@ -105,7 +105,7 @@
                 self.load(*key, *model, "it is pinned there");
                 continue;
             }
-            if self.is_clearing(*key) {
+            if self.is_evicting(*key) {
                 continue;
             }
             match self.eviction_plan(*key, *model, need_mib) {
