--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -16,7 +16,7 @@
 
 /// How a model that is in the way gets a copy elsewhere.
 #[derive(Debug, Clone)]
-enum Way {
+enum MoveStep {
     Load(ModelKey, EndpointKey),
     Clear(room::EvictionPlan),
 }
@@ -50,7 +50,7 @@
     }
 
     fn move_one(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        let mut best: Option<(u64, Way)> = None;
+        let mut best: Option<(u64, MoveStep)> = None;
         for key in self.nearly_suitable(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
                 if !self.loading_on[moved.index()].is_empty() || self.await_room(moved, memory_mib)
@@ -66,10 +66,10 @@
             }
         }
         match best {
-            Some((_, Way::Load(moved, to))) => {
+            Some((_, MoveStep::Load(moved, to))) => {
                 self.load(to, moved, "it makes way for a model elsewhere")
             }
-            Some((_, Way::Clear(eviction_plan))) => self.clear(
+            Some((_, MoveStep::Clear(eviction_plan))) => self.clear(
                 &eviction_plan,
                 "it makes way for a model that makes way for another",
             ),
@@ -120,9 +120,9 @@
     }
 
     /// How `moved` and its adapters may get a copy elsewhere.
-    fn way_for(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<Way> {
+    fn way_for(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
         if let Some(to) = self.roomiest(moved, memory_mib) {
-            return Some(Way::Load(moved, to));
+            return Some(MoveStep::Load(moved, to));
         }
         if self.sits_on_doubled(from, moved) {
             return None;
@@ -134,7 +134,7 @@
             .filter(|eviction_plan| !eviction_plan.spares.is_empty());
         eviction_plans
             .min_by(|a, b| a.loss.total_cmp(&b.loss))
-            .map(Way::Clear)
+            .map(MoveStep::Clear)
     }
 
     /// The models on `key` of which one, moved elsewhere, helps `model` in, each with the memory
