--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 enum MoveStep {
     Load(ModelKey, EndpointKey),
-    Clear(room::EvictionPlan),
+    Evict(room::EvictionPlan),
 }
 
 /// Engines looked at closely for one model that others must move for.
@@ -69,7 +69,7 @@
             Some((_, MoveStep::Load(moved, to))) => {
                 self.load(to, moved, "it makes way for a model elsewhere")
             }
-            Some((_, MoveStep::Clear(eviction_plan))) => self.clear(
+            Some((_, MoveStep::Evict(eviction_plan))) => self.clear(
                 &eviction_plan,
                 "it makes way for a model that makes way for another",
             ),
@@ -134,7 +134,7 @@
             .filter(|eviction_plan| !eviction_plan.spares.is_empty());
         eviction_plans
             .min_by(|a, b| a.loss.total_cmp(&b.loss))
-            .map(MoveStep::Clear)
+            .map(MoveStep::Evict)
     }
 
     /// The models on `key` of which one, moved elsewhere, helps `model` in, each with the memory
