--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -60,7 +60,7 @@
                 if best.as_ref().is_some_and(|(mib, _)| *mib <= memory_mib) {
                     continue;
                 }
-                if let Some(way) = self.way_for(key, moved, memory_mib) {
+                if let Some(way) = self.plan_move(key, moved, memory_mib) {
                     best = Some((memory_mib, way));
                 }
             }
@@ -120,7 +120,7 @@
     }
 
     /// How `moved` and its adapters may get a copy elsewhere.
-    fn way_for(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
+    fn plan_move(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
         if let Some(to) = self.roomiest(moved, memory_mib) {
             return Some(MoveStep::Load(moved, to));
         }
