--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -60,8 +60,8 @@
                 if best.as_ref().is_some_and(|(mib, _)| *mib <= memory_mib) {
                     continue;
                 }
-                if let Some(way) = self.plan_move(key, moved, memory_mib) {
-                    best = Some((memory_mib, way));
+                if let Some(step) = self.plan_move(key, moved, memory_mib) {
+                    best = Some((memory_mib, step));
                 }
             }
         }
