--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -44,12 +44,12 @@
             return Attempt::Waiting;
         }
         self.move_attempts -= 1;
-        let attempt = self.move_one(model, need_mib);
+        let attempt = self.move_blocking_model(model, need_mib);
         self.evictions += usize::from(attempt == Attempt::Started);
         attempt
     }
 
-    fn move_one(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
+    fn move_blocking_model(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         let mut best: Option<(u64, MoveStep)> = None;
         for key in self.nearly_suitable(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
