--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -94,12 +94,12 @@
     /// carry adapters that have none.
     fn doubled_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
-        held.filter(|held| Some(held.model) != keep && self.is_doubled(key, held))
+        held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
             .map(|held| held.memory_mib)
             .sum()
     }
 
-    fn is_doubled(&self, key: EndpointKey, held: &engine::Held) -> bool {
+    fn is_redundant(&self, key: EndpointKey, held: &engine::Held) -> bool {
         held.phase == endpoints::Phase::Ready
             && !self.is_pinned(held.model, key)
             && !self.engine(key).unloads(held.model, held.version)
@@ -172,6 +172,6 @@
 
     fn sits_on_doubled(&self, key: EndpointKey, adapter: ModelKey) -> bool {
         let mut held = self.engine(key).held.iter();
-        held.any(|held| self.sits_on(adapter, held.model) && self.is_doubled(key, held))
+        held.any(|held| self.sits_on(adapter, held.model) && self.is_redundant(key, held))
     }
 }
