--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -83,7 +83,7 @@
         let mut suitable: Vec<(u64, EndpointKey)> = self
             .keys()
             .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
-            .map(|key| (self.room(key) + self.doubled_mib(key, keep), key))
+            .map(|key| (self.room(key) + self.redundant_mib(key, keep), key))
             .collect();
         suitable.sort_by_key(|(mib, key)| (cmp::Reverse(*mib), *key));
         suitable.truncate(MOVE_LOOKS);
@@ -92,7 +92,7 @@
 
     /// Memory on `key` of copies that have another route elsewhere, in MiB. Some of them may still
     /// carry adapters that have none.
-    fn doubled_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
+    fn redundant_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
         held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
             .map(|held| held.memory_mib)
@@ -142,7 +142,7 @@
     /// room enough, it is only adapters on these that stand in the way.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
-        let had_mib = self.room(key) + self.doubled_mib(key, keep);
+        let had_mib = self.room(key) + self.redundant_mib(key, keep);
         let missing_mib = need_mib.saturating_sub(had_mib);
         let engine = self.engine(key);
         let alone = engine.held.iter().filter(|held| {
