--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -124,7 +124,7 @@
         if let Some(to) = self.roomiest(moved, memory_mib) {
             return Some(MoveStep::Load(moved, to));
         }
-        if self.sits_on_doubled(from, moved) {
+        if self.is_adapter_of_redundant(from, moved) {
             return None;
         }
         let eviction_plans = self
@@ -156,7 +156,7 @@
             .map(|held| (held.model, self.family_here_mib(key, held)))
             .filter(|(moved, mib)| {
                 if missing_mib == 0 {
-                    return self.sits_on_doubled(key, *moved);
+                    return self.is_adapter_of_redundant(key, *moved);
                 }
                 *mib >= missing_mib
             })
@@ -170,7 +170,7 @@
         copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
     }
 
-    fn sits_on_doubled(&self, key: EndpointKey, adapter: ModelKey) -> bool {
+    fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
         let mut held = self.engine(key).held.iter();
         held.any(|held| self.sits_on(adapter, held.model) && self.is_redundant(key, held))
     }
