--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -104,12 +104,12 @@
             && !self.is_pinned(held.model, key)
             && !self.engine(key).unloads(held.model, held.version)
             && self.stays_reachable(key, held.model, held.version)
-            && self.has_landing(key, held.model)
+            && self.adapters_fit_elsewhere(key, held.model)
     }
 
     /// Whether the adapters that are only on `key` have room, all together, on another engine where
     /// `base` serves. Without this look ahead the last of them would displace the first.
-    fn has_landing(&self, key: EndpointKey, base: ModelKey) -> bool {
+    fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
         let alone = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
             self.sits_on(held.model, base) && routes.is_some_and(|routes| *routes == [key])
