--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -112,7 +112,7 @@
     fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
         let alone = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
-            self.sits_on(held.model, base) && routes.is_some_and(|routes| *routes == [key])
+            self.is_adapter_of(held.model, base) && routes.is_some_and(|routes| *routes == [key])
         });
         let need_mib: u64 = alone.map(|held| held.memory_mib).sum();
         let mut routes = self.routes.get(base.index()).into_iter().flatten();
@@ -166,12 +166,12 @@
     /// Memory that a copy and the adapters on it take on `key`, in MiB.
     fn family_here_mib(&self, key: EndpointKey, copy: &engine::Held) -> u64 {
         let held = self.engine(key).held.iter();
-        let on_top = held.filter(|other| self.sits_on(other.model, copy.model));
+        let on_top = held.filter(|other| self.is_adapter_of(other.model, copy.model));
         copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
     }
 
     fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
         let mut held = self.engine(key).held.iter();
-        held.any(|held| self.sits_on(adapter, held.model) && self.is_redundant(key, held))
+        held.any(|held| self.is_adapter_of(adapter, held.model) && self.is_redundant(key, held))
     }
 }
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -143,9 +143,11 @@
             let adapters = engine.held.iter().map(|held| held.model);
             let awaited = engine.pending().filter_map(Task::loaded);
             adapters
-                .filter(|m| self.sits_on(*m, spare.model))
+                .filter(|m| self.is_adapter_of(*m, spare.model))
                 .all(|m| single.iter().any(|s| s.model == m))
-                && awaited.into_iter().all(|m| !self.sits_on(m, spare.model))
+                && awaited
+                    .into_iter()
+                    .all(|m| !self.is_adapter_of(m, spare.model))
         };
         let mut spares: Vec<Spare> = single.iter().filter(|s| may_go(s)).copied().collect();
         let losses: Vec<f64> = spares
@@ -160,11 +162,11 @@
 
     /// The loss of the adapters on `base`, which go before it.
     fn loss_on_top(&self, base: ModelKey, spares: &[Spare]) -> f64 {
-        let adapters = spares.iter().filter(|s| self.sits_on(s.model, base));
+        let adapters = spares.iter().filter(|s| self.is_adapter_of(s.model, base));
         adapters.map(|s| s.loss).sum()
     }
 
-    pub(super) fn sits_on(&self, adapter: ModelKey, base: ModelKey) -> bool {
+    pub(super) fn is_adapter_of(&self, adapter: ModelKey, base: ModelKey) -> bool {
         let offer = self.inputs.ledger.offer(adapter);
         offer.is_some_and(|offer| offer.base == Some(base))
     }
@@ -224,7 +226,7 @@
 
     fn adapters_on(&self, key: EndpointKey, base: ModelKey) -> Vec<(ModelKey, u32)> {
         let held = self.engine(key).held.iter();
-        held.filter(|held| self.sits_on(held.model, base))
+        held.filter(|held| self.is_adapter_of(held.model, base))
             .map(|held| (held.model, held.version))
             .collect()
     }
