--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -348,7 +348,7 @@
         version: u32,
         mut others: impl Iterator<Item = EndpointKey>,
     ) -> bool {
-        if self.carries_adapter(engine, model) && !engine.serves_besides(model, version) {
+        if self.has_adapter_of(engine, model) && !engine.serves_besides(model, version) {
             return false;
         }
         if self.offer(model).is_none() {
@@ -360,7 +360,7 @@
 
     /// Whether an adapter on `engine`, there or coming, sits on `model`.
     #[must_use]
-    pub fn carries_adapter(&self, engine: &Engine, model: ModelKey) -> bool {
+    pub fn has_adapter_of(&self, engine: &Engine, model: ModelKey) -> bool {
         let held = engine.held.iter().map(|held| held.model);
         let coming = engine.pending().filter_map(|task| match task {
             Task::Load { model, .. } => Some(model),
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -62,7 +62,7 @@
             held.phase == endpoints::Phase::Ready
                 && Some(held.model) != base
                 && !engine.unloads(held.model, held.version)
-                && !self.inputs.ledger.carries_adapter(engine, held.model)
+                && !self.inputs.ledger.has_adapter_of(engine, held.model)
         });
         held.map(|held| {
             let asked = self.inputs.demand.of(held.model).asked;
