--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -22,7 +22,7 @@
 }
 
 /// Engines looked at closely for one model that others must move for.
-const MOVE_LOOKS: usize = 16;
+const MOVE_CANDIDATES: usize = 16;
 
 /// Engines looked at in all such attempts of one plan, which bounds its time in large clusters.
 const MOVE_SCANS: usize = 4_096;
@@ -86,7 +86,7 @@
             .map(|key| (self.room(key) + self.redundant_mib(key, keep), key))
             .collect();
         suitable.sort_by_key(|(mib, key)| (cmp::Reverse(*mib), *key));
-        suitable.truncate(MOVE_LOOKS);
+        suitable.truncate(MOVE_CANDIDATES);
         suitable.into_iter().map(|(_, key)| key).collect()
     }
 
