--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -25,11 +25,11 @@
 const MOVE_CANDIDATES: usize = 16;
 
 /// Engines looked at in all such attempts of one plan, which bounds its time in large clusters.
-const MOVE_SCANS: usize = 4_096;
+const MOVE_SCAN_LIMIT: usize = 4_096;
 
 /// Attempts at moving models out of the way in one plan.
 pub(super) fn move_attempts(engines: usize) -> usize {
-    (MOVE_SCANS / engines.max(1)).max(1)
+    (MOVE_SCAN_LIMIT / engines.max(1)).max(1)
 }
 
 impl Planner<'_> {
