--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -153,7 +153,7 @@
                 && routes.is_some_and(|routes| *routes == [key])
         });
         alone
-            .map(|held| (held.model, self.family_here_mib(key, held)))
+            .map(|held| (held.model, self.local_family_mib(key, held)))
             .filter(|(moved, mib)| {
                 if missing_mib == 0 {
                     return self.is_adapter_of_redundant(key, *moved);
@@ -164,7 +164,7 @@
     }
 
     /// Memory that a copy and the adapters on it take on `key`, in MiB.
-    fn family_here_mib(&self, key: EndpointKey, copy: &engine::Held) -> u64 {
+    fn local_family_mib(&self, key: EndpointKey, copy: &engine::Held) -> u64 {
         let held = self.engine(key).held.iter();
         let on_top = held.filter(|other| self.is_adapter_of(other.model, copy.model));
         copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
