--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/reach.rs
@@ -60,7 +60,7 @@
         let order = (0..first).chain((0..rest).map(|i| first + (i + turn) % rest));
         for at in order.take(ATTEMPTS) {
             let model = lacking[at];
-            let attempt = self.give_route_within_bounds(model);
+            let attempt = self.give_route_within_limits(model);
             if attempt == Attempt::Impossible {
                 self.report_problem(model, "no engine that takes orders now can make room");
             }
@@ -75,7 +75,7 @@
     }
 
     /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
-    fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
+    fn give_route_within_limits(&mut self, model: ModelKey) -> Attempt {
         let now = self.inputs.now;
         self.moves_paused = !self.inputs.move_limits.allow(model, now);
         let before = self.evictions;
