--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -12,7 +12,7 @@
 const ATTEMPTS: usize = 32;
 
 /// Engines without room that are looked at closely for one load, those with most to gain first.
-const CLOSE_LOOKS: usize = 8;
+const MAX_EVICTION_PLANS: usize = 8;
 
 /// Slots' worth of unserved demand below which nothing is done.
 const NEGLIGIBLE: f64 = 0.01;
@@ -72,9 +72,9 @@
         {
             return self.load(found.key, model, "demand exceeds its copies");
         }
-        if candidates.len() > CLOSE_LOOKS {
-            candidates.select_nth_unstable_by(CLOSE_LOOKS, |a, b| self.compare(model, a, b));
-            candidates.truncate(CLOSE_LOOKS);
+        if candidates.len() > MAX_EVICTION_PLANS {
+            candidates.select_nth_unstable_by(MAX_EVICTION_PLANS, |a, b| self.compare(model, a, b));
+            candidates.truncate(MAX_EVICTION_PLANS);
         }
         self.displace(model, need_mib, &candidates)
     }
@@ -122,7 +122,7 @@
     fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
         let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
-        for candidate in candidates.iter().take(CLOSE_LOOKS) {
+        for candidate in candidates.iter().take(MAX_EVICTION_PLANS) {
             let Some(eviction_plan) = self.eviction_plan(candidate.key, model, need_mib) else {
                 continue;
             };
