--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -15,7 +15,7 @@
 const MAX_EVICTION_PLANS: usize = 8;
 
 /// Slots' worth of unserved demand below which nothing is done.
-const NEGLIGIBLE: f64 = 0.01;
+const NEGLIGIBLE_SLOTS: f64 = 0.01;
 
 /// A load that demand speaks for.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
             .map(ModelKey::from_index)
             .filter(|m| !self.routes[m.index()].is_empty())
             .map(|m| (self.unserved(m), m))
-            .filter(|(unserved, _)| *unserved > NEGLIGIBLE)
+            .filter(|(unserved, _)| *unserved > NEGLIGIBLE_SLOTS)
             .collect();
         lacking.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         for (_, model) in lacking.into_iter().take(ATTEMPTS) {
@@ -90,7 +90,7 @@
                 key,
                 gain: self.served_change(key, share) + relieved,
             })
-            .filter(|c| c.gain > NEGLIGIBLE)
+            .filter(|c| c.gain > NEGLIGIBLE_SLOTS)
             .filter(|c| self.can_host(c.key, model) && self.has_base(c.key, model))
             .collect()
     }
