--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -84,11 +84,11 @@
         let wanted = self.slots_wanted(model);
         let copies = self.copies(model) as f64;
         let share = wanted / (copies + 1.0);
-        let relieved = self.relieved(model, share - wanted / copies.max(1.0));
+        let relief = self.relief(model, share - wanted / copies.max(1.0));
         self.keys()
             .map(|key| Candidate {
                 key,
-                gain: self.served_change(key, share) + relieved,
+                gain: self.served_change(key, share) + relief,
             })
             .filter(|c| c.gain > NEGLIGIBLE_SLOTS)
             .filter(|c| self.can_host(c.key, model) && self.has_base(c.key, model))
@@ -105,7 +105,7 @@
     }
 
     /// The change on the engines that serve `model` when each gets `less` of its demand.
-    fn relieved(&self, model: ModelKey, less: f64) -> f64 {
+    fn relief(&self, model: ModelKey, less: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
         routes.map(|k| self.served_change(*k, less)).sum()
     }
