--- a/crates/sageshed-place/src/demand.rs
+++ b/crates/sageshed-place/src/demand.rs
@@ -95,7 +95,7 @@
     }
 
     /// Takes in what one entry VM was asked for.
-    pub fn tell(
+    pub fn record(
         &mut self,
         now: time::Instant,
         vm: String,
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -266,7 +266,7 @@
         let known = demand
             .into_iter()
             .filter_map(|told| Some((ledger.offered(&told.model)?, told)));
-        self.demand.tell(now, vm, known);
+        self.demand.record(now, vm, known);
     }
 
     fn plan(&mut self, now: time::Instant) -> Vec<Action> {
