--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -155,7 +155,7 @@
                 Vec::new()
             }
             Event::Demand { from_vm, demand } => {
-                self.tell_demand(now, from_vm, demand);
+                self.record_demand(now, from_vm, demand);
                 Vec::new()
             }
             Event::Pins(pins) => {
@@ -261,7 +261,7 @@
         }
     }
 
-    fn tell_demand(&mut self, now: time::Instant, vm: String, demand: Vec<messages::Demand>) {
+    fn record_demand(&mut self, now: time::Instant, vm: String, demand: Vec<messages::Demand>) {
         let ledger = &self.ledger;
         let known = demand
             .into_iter()
