--- a/crates/sageshed-place/src/demand.rs
+++ b/crates/sageshed-place/src/demand.rs
@@ -74,7 +74,7 @@
 /// What one entry VM last said of its waiting requests.
 #[derive(Debug, Clone)]
 struct Waiting {
-    told: time::Instant,
+    reported: time::Instant,
     counts: Vec<(ModelKey, u32)>,
 }
 
@@ -102,19 +102,25 @@
         demand: impl Iterator<Item = (ModelKey, messages::Demand)>,
     ) {
         let mut counts = Vec::new();
-        for (key, told) in demand {
+        for (key, reported) in demand {
             let estimate = &mut self.models[key.index()];
-            estimate.arrived = estimate.arrived.saturating_add(told.arrived);
-            if told.arrived > 0 {
+            estimate.arrived = estimate.arrived.saturating_add(reported.arrived);
+            if reported.arrived > 0 {
                 estimate.asked = Some(now);
             }
-            if told.arrived > 0 && told.service_time.0 > 0 {
-                let service_ms = told.service_time.0 as f64;
+            if reported.arrived > 0 && reported.service_time.0 > 0 {
+                let service_ms = reported.service_time.0 as f64;
                 estimate.service_ms += SERVICE_WEIGHT * (service_ms - estimate.service_ms);
             }
-            counts.push((key, told.waiting));
+            counts.push((key, reported.waiting));
         }
-        self.waiting.insert(vm, Waiting { told: now, counts });
+        self.waiting.insert(
+            vm,
+            Waiting {
+                reported: now,
+                counts,
+            },
+        );
     }
 
     /// Closes the window since the last call and moves the rates.
@@ -138,8 +144,8 @@
             estimate.waiting = 0;
         }
         self.waiting
-            .retain(|_, told| now.since(told.told).0 <= WAITING_KEPT_MS);
-        for (key, count) in self.waiting.values().flat_map(|told| &told.counts) {
+            .retain(|_, reported| now.since(reported.reported).0 <= WAITING_KEPT_MS);
+        for (key, count) in self.waiting.values().flat_map(|reported| &reported.counts) {
             self.models[key.index()].waiting += count;
         }
     }
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -265,7 +265,7 @@
         let ledger = &self.ledger;
         let known = demand
             .into_iter()
-            .filter_map(|told| Some((ledger.offered(&told.model)?, told)));
+            .filter_map(|reported| Some((ledger.offered(&reported.model)?, reported)));
         self.demand.record(now, vm, known);
     }
 
