--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -5,7 +5,7 @@
 use crate::{engine, ledger, policy};
 
 /// Loads that may be saved up while none is wanted.
-const SAVED_UP: f64 = 2.0;
+const MAX_SAVED_LOADS: f64 = 2.0;
 
 /// What the store still takes on.
 #[derive(Debug, Clone, Default)]
@@ -19,7 +19,7 @@
 impl Budget {
     /// Reckons anew what may be loaded now.
     pub fn refill(&mut self, now: time::Instant, ledger: &ledger::Ledger, policy: &policy::Policy) {
-        let most = policy.store_loads_per_second.max(SAVED_UP);
+        let most = policy.store_loads_per_second.max(MAX_SAVED_LOADS);
         let earned = match self.refilled.replace(now) {
             Some(before) => now.since(before).0 as f64 / 1_000.0 * policy.store_loads_per_second,
             None => most,
