--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -12,7 +12,7 @@
 pub struct Budget {
     tokens: f64,
     at_once: u32,
-    under_way: u32,
+    loads_in_progress: u32,
     refilled: Option<time::Instant>,
 }
 
@@ -26,19 +26,19 @@
         };
         self.tokens = (self.tokens + earned).min(most);
         self.at_once = policy.store_loads_at_once;
-        self.under_way = ledger.engines().iter().map(loads_on).sum();
+        self.loads_in_progress = ledger.engines().iter().map(loads_on).sum();
     }
 
     /// Whether a load may begin.
     #[must_use]
     pub fn allows(&self) -> bool {
-        self.tokens >= 1.0 && self.under_way < self.at_once
+        self.tokens >= 1.0 && self.loads_in_progress < self.at_once
     }
 
     /// Counts a load that begins.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
-        self.under_way += 1;
+        self.loads_in_progress += 1;
     }
 }
 
