--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -85,7 +85,7 @@
 
 /// What the ledger takes of a report.
 #[derive(Debug)]
-pub struct Sighting {
+pub struct ReportedState {
     /// When the figures were taken.
     pub taken: time::Instant,
     /// What the engine holds.
@@ -137,7 +137,7 @@
     pub fn see(
         &mut self,
         report: &endpoints::Report,
-        sighting: Sighting,
+        sighting: ReportedState,
     ) -> Vec<endpoints::OrderId> {
         let removed = self.meet(report.identity.incarnation);
         self.sequence = Some(report.sequence);
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -176,7 +176,7 @@
         if !self.engines[key.index()].is_newer(report) {
             return Vec::new();
         }
-        let sighting = engine::Sighting {
+        let sighting = engine::ReportedState {
             taken: time::Instant(now.0.saturating_sub(report.age_ms.0)),
             held: report
                 .resident
