--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -137,20 +137,20 @@
     pub fn see(
         &mut self,
         report: &endpoints::Report,
-        sighting: ReportedState,
+        state: ReportedState,
     ) -> Vec<endpoints::OrderId> {
         let removed = self.meet(report.identity.incarnation);
         self.sequence = Some(report.sequence);
-        self.taken = sighting.taken;
+        self.taken = state.taken;
         self.silent = false;
         self.leaving = report.leaving;
-        self.pool = sighting.pool;
-        self.zone = sighting.zone;
-        self.total_mib = sighting.total_mib;
+        self.pool = state.pool;
+        self.zone = state.zone;
+        self.total_mib = state.total_mib;
         self.slots = report.identity.slots;
         self.running = report.running;
         self.checks_fence = report.identity.checks_fence;
-        self.held = sighting.held;
+        self.held = state.held;
         self.settle(&report.orders);
         let mut removed = removed;
         removed.extend(self.rule_out(&report.orders));
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -176,7 +176,7 @@
         if !self.engines[key.index()].is_newer(report) {
             return Vec::new();
         }
-        let sighting = engine::ReportedState {
+        let state = engine::ReportedState {
             taken: time::Instant(now.0.saturating_sub(report.age_ms.0)),
             held: report
                 .resident
@@ -192,7 +192,7 @@
             zone: self.zones.intern(&report.identity.availability_zone),
             total_mib: *memory_mib,
         };
-        self.engines[key.index()].see(report, sighting)
+        self.engines[key.index()].see(report, state)
     }
 
     /// Notes that `endpoint` has gone silent: nothing is issued there until a newer report.
