--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -134,7 +134,7 @@
     }
 
     /// Takes in a report that [`Self::is_newer`]. Returns the orders to remove from the table.
-    pub fn see(
+    pub fn apply_report(
         &mut self,
         report: &endpoints::Report,
         state: ReportedState,
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -192,7 +192,7 @@
             zone: self.zones.intern(&report.identity.availability_zone),
             total_mib: *memory_mib,
         };
-        self.engines[key.index()].see(report, state)
+        self.engines[key.index()].apply_report(report, state)
     }
 
     /// Notes that `endpoint` has gone silent: nothing is issued there until a newer report.
