--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -139,7 +139,7 @@
         report: &endpoints::Report,
         state: ReportedState,
     ) -> Vec<endpoints::OrderId> {
-        let removed = self.meet(report.identity.incarnation);
+        let removed = self.advance_incarnation(report.identity.incarnation);
         self.sequence = Some(report.sequence);
         self.taken = state.taken;
         self.silent = false;
@@ -159,7 +159,10 @@
     }
 
     /// Raises the incarnation. Orders to earlier ones are settled: the engine refuses them.
-    fn meet(&mut self, incarnation: endpoints::Incarnation) -> Vec<endpoints::OrderId> {
+    fn advance_incarnation(
+        &mut self,
+        incarnation: endpoints::Incarnation,
+    ) -> Vec<endpoints::OrderId> {
         if incarnation <= self.incarnation {
             return Vec::new();
         }
@@ -249,7 +252,7 @@
         if self.orders.iter().any(|o| o.order.order == order.order) {
             return Vec::new();
         }
-        let removed = self.meet(order.incarnation);
+        let removed = self.advance_incarnation(order.incarnation);
         if order.incarnation < self.incarnation {
             return vec![order.order];
         }
