--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -151,7 +151,7 @@
         self.running = report.running;
         self.checks_fence = report.identity.checks_fence;
         self.held = state.held;
-        self.settle(&report.orders);
+        self.record_results(&report.orders);
         let mut removed = removed;
         removed.extend(self.rule_out(&report.orders));
         removed.extend(self.forget());
@@ -174,7 +174,7 @@
     }
 
     /// Notes what the report says of each order.
-    fn settle(&mut self, results: &[endpoints::OrderResult]) {
+    fn record_results(&mut self, results: &[endpoints::OrderResult]) {
         self.clock += 1;
         let clock = self.clock;
         for open in &mut self.orders {
