--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -153,7 +153,7 @@
         self.held = state.held;
         self.record_results(&report.orders);
         let mut removed = removed;
-        removed.extend(self.rule_out(&report.orders));
+        removed.extend(self.remove_superseded(&report.orders));
         removed.extend(self.forget());
         removed
     }
@@ -198,7 +198,7 @@
     /// Order ids grow with fencing numbers, so they are compared in their place. An order that is
     /// missing from a full list may have been seen and pushed out of it; then an accepted order
     /// older than it must still be on the list to prove that it was not.
-    fn rule_out(&mut self, results: &[endpoints::OrderResult]) -> Vec<endpoints::OrderId> {
+    fn remove_superseded(&mut self, results: &[endpoints::OrderResult]) -> Vec<endpoints::OrderId> {
         if !self.checks_fence {
             return Vec::new();
         }
