--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -154,7 +154,7 @@
         self.record_results(&report.orders);
         let mut removed = removed;
         removed.extend(self.remove_superseded(&report.orders));
-        removed.extend(self.forget());
+        removed.extend(self.remove_settled());
         removed
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Removes settled orders that a later order, seen by the engine, stands in for.
-    fn forget(&mut self) -> Vec<endpoints::OrderId> {
+    fn remove_settled(&mut self) -> Vec<endpoints::OrderId> {
         let newest = self
             .orders
             .iter()
