--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -170,7 +170,7 @@
         self.sequence = None;
         self.held.clear();
         self.proposed.clear();
-        self.take_where(|open| open.order.incarnation < incarnation)
+        self.remove_where(|open| open.order.incarnation < incarnation)
     }
 
     /// Notes what the report says of each order.
@@ -210,7 +210,7 @@
             return Vec::new();
         };
         let whole = results.len() < ORDERS_REPORTED;
-        self.take_where(|open| {
+        self.remove_where(|open| {
             let id = open.order.order;
             let never_came = !open.seen && (whole || oldest < id);
             id < newest && (never_came || refused.iter().any(|r| r.order == id))
@@ -226,10 +226,10 @@
             .map(|open| open.committed)
             .max()
             .unwrap_or(0);
-        self.take_where(|open| open.settled.is_some_and(|settled| settled < newest))
+        self.remove_where(|open| open.settled.is_some_and(|settled| settled < newest))
     }
 
-    fn take_where(&mut self, test: impl Fn(&orders::Open) -> bool) -> Vec<endpoints::OrderId> {
+    fn remove_where(&mut self, test: impl Fn(&orders::Open) -> bool) -> Vec<endpoints::OrderId> {
         let mut taken = Vec::new();
         self.orders.retain(|open| {
             let take = test(open);
