--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -80,7 +80,7 @@
     pub proposed: Vec<Task>,
     /// When orders were last found in the table by this leader.
     restored_at: time::Instant,
-    clock: u64,
+    event_count: u64,
 }
 
 /// What the ledger takes of a report.
@@ -120,7 +120,7 @@
             orders: Vec::new(),
             proposed: Vec::new(),
             restored_at: time::Instant::default(),
-            clock: 0,
+            event_count: 0,
         }
     }
 
@@ -175,14 +175,14 @@
 
     /// Notes what the report says of each order.
     fn record_results(&mut self, results: &[endpoints::OrderResult]) {
-        self.clock += 1;
-        let clock = self.clock;
+        self.event_count += 1;
+        let event_count = self.event_count;
         for open in &mut self.orders {
             let shown = results.iter().filter(|r| r.order == open.order.order);
             for result in shown {
                 open.seen = true;
                 if result.outcome != endpoints::OrderOutcome::Running {
-                    open.settled.get_or_insert(clock);
+                    open.settled.get_or_insert(event_count);
                 }
             }
         }
@@ -256,7 +256,7 @@
         if order.incarnation < self.incarnation {
             return vec![order.order];
         }
-        self.clock += 1;
+        self.event_count += 1;
         if restored {
             self.restored_at = now;
         }
@@ -268,7 +268,7 @@
             restored,
             cancelled: false,
             sent: now,
-            committed: self.clock,
+            committed: self.event_count,
             settled: None,
         });
         removed
