--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -315,7 +315,7 @@
     /// report shows as ready may have been unloaded since, and a model whose last route is taken on
     /// its word is gone.
     #[must_use]
-    pub fn shows_restored(&self) -> bool {
+    pub fn covers_restored_orders(&self) -> bool {
         let shown = |open: &orders::Open| open.seen || !open.restored;
         self.orders.iter().all(shown) || self.taken > self.restored_at
     }
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -330,7 +330,7 @@
         let base = self.offer(model).and_then(|offer| offer.base);
         !engine.leaving
             && self.is_fresh(now, engine)
-            && engine.shows_restored()
+            && engine.covers_restored_orders()
             && self.admits(engine, model)
             && engine.serves(model)
             && base.is_none_or(|base| engine.serves(base))
