--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -32,7 +32,7 @@
 
 /// A model or adapter on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldModel {
     /// Which.
     pub model: ModelKey,
     /// Which version.
@@ -73,7 +73,7 @@
     /// Whether it refuses old fencing numbers.
     pub checks_fence: bool,
     /// What it holds by the newest report.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldModel>,
     /// Its orders in the replicated table.
     pub orders: Vec<orders::Open>,
     /// Tasks proposed by this leader and not yet committed.
@@ -89,7 +89,7 @@
     /// When the figures were taken.
     pub taken: time::Instant,
     /// What the engine holds.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldModel>,
     /// The pool that it belongs to.
     pub pool: PoolKey,
     /// Where it stands.
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -181,7 +181,7 @@
             held: report
                 .resident
                 .iter()
-                .map(|resident| engine::Held {
+                .map(|resident| engine::HeldModel {
                     model: self.models.intern(&resident.model),
                     version: resident.version,
                     phase: resident.phase,
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -99,7 +99,7 @@
             .sum()
     }
 
-    fn is_redundant(&self, key: EndpointKey, held: &engine::Held) -> bool {
+    fn is_redundant(&self, key: EndpointKey, held: &engine::HeldModel) -> bool {
         held.phase == endpoints::Phase::Ready
             && !self.is_pinned(held.model, key)
             && !self.engine(key).unloads(held.model, held.version)
@@ -164,7 +164,7 @@
     }
 
     /// Memory that a copy and the adapters on it take on `key`, in MiB.
-    fn local_family_mib(&self, key: EndpointKey, copy: &engine::Held) -> u64 {
+    fn local_family_mib(&self, key: EndpointKey, copy: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
         let on_top = held.filter(|other| self.is_adapter_of(other.model, copy.model));
         copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -77,7 +77,7 @@
     fn freed_mib(&self, key: EndpointKey) -> u64 {
         let engine = self.engine(key);
         let freeing: Vec<Task> = self.under_way(engine).collect();
-        let frees = |held: &&engine::Held| {
+        let frees = |held: &&engine::HeldModel| {
             let (model, version) = (held.model, held.version);
             held.phase == endpoints::Phase::Unloading
                 || freeing.contains(&Task::Unload { model, version })
