--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -75,7 +75,7 @@
     /// What it holds by the newest report.
     pub held: Vec<HeldModel>,
     /// Its orders in the replicated table.
-    pub orders: Vec<orders::Open>,
+    pub orders: Vec<orders::OpenOrder>,
     /// Tasks proposed by this leader and not yet committed.
     pub proposed: Vec<Task>,
     /// When orders were last found in the table by this leader.
@@ -229,7 +229,10 @@
         self.remove_where(|open| open.settled.is_some_and(|settled| settled < newest))
     }
 
-    fn remove_where(&mut self, test: impl Fn(&orders::Open) -> bool) -> Vec<endpoints::OrderId> {
+    fn remove_where(
+        &mut self,
+        test: impl Fn(&orders::OpenOrder) -> bool,
+    ) -> Vec<endpoints::OrderId> {
         let mut taken = Vec::new();
         self.orders.retain(|open| {
             let take = test(open);
@@ -260,7 +263,7 @@
         if restored {
             self.restored_at = now;
         }
-        self.orders.push(orders::Open {
+        self.orders.push(orders::OpenOrder {
             order,
             task,
             seen: false,
@@ -316,7 +319,7 @@
     /// its word is gone.
     #[must_use]
     pub fn covers_restored_orders(&self) -> bool {
-        let shown = |open: &orders::Open| open.seen || !open.restored;
+        let shown = |open: &orders::OpenOrder| open.seen || !open.restored;
         self.orders.iter().all(shown) || self.taken > self.restored_at
     }
 
@@ -334,7 +337,7 @@
     }
 
     /// Orders whose fate is unknown.
-    pub fn unsettled(&self) -> impl Iterator<Item = &orders::Open> {
+    pub fn unsettled(&self) -> impl Iterator<Item = &orders::OpenOrder> {
         self.orders.iter().filter(|open| !open.is_settled())
     }
 
--- a/crates/sageshed-place/src/orders.rs
+++ b/crates/sageshed-place/src/orders.rs
@@ -47,7 +47,7 @@
 
 /// An order in the replicated table.
 #[derive(Debug, Clone)]
-pub struct Open {
+pub struct OpenOrder {
     /// The order.
     pub order: endpoints::Order,
     /// Its task.
@@ -69,7 +69,7 @@
     pub(crate) settled: Option<u64>,
 }
 
-impl Open {
+impl OpenOrder {
     /// Whether its fate is known.
     #[must_use]
     pub fn is_settled(&self) -> bool {
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -223,7 +223,7 @@
         }
     }
 
-    fn open_order(&mut self, id: endpoints::OrderId) -> Option<&mut orders::Open> {
+    fn open_order(&mut self, id: endpoints::OrderId) -> Option<&mut orders::OpenOrder> {
         let engine = self.ledger.engine_with_order(id)?;
         engine.orders.iter_mut().find(|open| open.order.order == id)
     }
@@ -350,7 +350,7 @@
     /// lost, nothing but a restart of the engine settles it: only an operator can help.
     fn note_blocked(&mut self, now: time::Instant) -> Vec<Action> {
         let lost_after = self.policy.lost_after();
-        let lost = |open: &orders::Open| !open.seen && now.since(open.sent) > lost_after;
+        let lost = |open: &orders::OpenOrder| !open.seen && now.since(open.sent) > lost_after;
         let engines = self.ledger.engines().iter();
         let blocked: collections::BTreeSet<EndpointKey> = engines
             .filter(|engine| !engine.checks_fence && engine.unsettled().any(lost))
