--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -25,7 +25,7 @@
 use crate::orders::{self, Task};
 
 /// Orders under way at once on an engine that checks fencing numbers.
-const OPEN_AT_ONCE: usize = 4;
+const MAX_OPEN_ORDERS: usize = 4;
 
 /// A report names at least this many of the last orders; fewer in it means all.
 const ORDERS_REPORTED: usize = 32;
@@ -353,7 +353,11 @@
     /// next one waits until the last one's fate is known.
     #[must_use]
     pub fn takes_orders(&self, now: time::Instant, stale_after: time::Millis) -> bool {
-        let at_once = if self.checks_fence { OPEN_AT_ONCE } else { 1 };
+        let at_once = if self.checks_fence {
+            MAX_OPEN_ORDERS
+        } else {
+            1
+        };
         self.is_fresh(now, stale_after)
             && !self.leaving
             && self.orders.iter().all(|o| o.seen || !o.restored)
