--- a/crates/sageshed-place/src/lib.rs
+++ b/crates/sageshed-place/src/lib.rs
@@ -25,4 +25,4 @@
 pub mod policy;
 
 pub use placement::{Action, Event, Pin, Placement, Settings};
-pub use policy::{Baseline, Policy};
+pub use policy::{PlannerKind, Policy};
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -216,7 +216,7 @@
             }
             Task::Unload { model, version } => {
                 let others = self.ledger.engines().iter().map(|e| e.key);
-                self.policy.baseline == policy::Baseline::OnDemandLru
+                self.policy.baseline == policy::PlannerKind::OnDemandLru
                     || self.ledger.may_unload(now, engine, model, version, others)
             }
             Task::ChangeRole => true,
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -151,7 +151,7 @@
     #[must_use]
     pub fn plan(mut self) -> (Vec<Proposal>, Vec<Problem>) {
         match self.inputs.policy.baseline {
-            policy::Baseline::Planned => {
+            policy::PlannerKind::Planned => {
                 self.reach();
                 self.pins();
                 self.versions();
@@ -160,8 +160,8 @@
                     self.spread();
                 }
             }
-            policy::Baseline::OnDemandLru => self.on_demand(),
-            policy::Baseline::StaticEven => self.even(),
+            policy::PlannerKind::OnDemandLru => self.on_demand(),
+            policy::PlannerKind::StaticEven => self.even(),
         }
         (self.proposals, self.problems)
     }
--- a/crates/sageshed-place/src/policy.rs
+++ b/crates/sageshed-place/src/policy.rs
@@ -44,7 +44,7 @@
     /// An unsettled order is sent again after this, in milliseconds, to endpoints that check fences.
     pub resend_after_ms: time::Millis,
     /// Which planner decides; the others exist to be measured against.
-    pub baseline: Baseline,
+    pub baseline: PlannerKind,
 }
 
 /// An order that no report has shown counts as lost after this many spans of resending.
@@ -62,7 +62,7 @@
 /// Which planner decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Baseline {
+pub enum PlannerKind {
     /// The planner of this package.
     Planned,
     /// Loads what is asked for and evicts what was asked for least recently.
@@ -87,7 +87,7 @@
             lazy_start: false,
             stale_after_ms: time::Millis(5_000),
             resend_after_ms: time::Millis(2_000),
-            baseline: Baseline::Planned,
+            baseline: PlannerKind::Planned,
         }
     }
 }
