--- a/crates/sageshed-place/src/policy.rs
+++ b/crates/sageshed-place/src/policy.rs
@@ -48,14 +48,14 @@
 }
 
 /// An order that no report has shown counts as lost after this many spans of resending.
-const RESENDS_TO_LOST: u64 = 3;
+const RESENDS_BEFORE_LOST: u64 = 3;
 
 impl Policy {
     /// After how long an order that no report has shown is no longer waited for. Its memory stays
     /// reserved.
     #[must_use]
     pub fn lost_after(&self) -> time::Millis {
-        time::Millis(self.resend_after_ms.0.saturating_mul(RESENDS_TO_LOST))
+        time::Millis(self.resend_after_ms.0.saturating_mul(RESENDS_BEFORE_LOST))
     }
 }
 
