--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -397,13 +397,13 @@
             })
             .collect();
         for engine in self.ledger.engines() {
-            self.describe(engine, &mut statuses);
+            self.add_status(engine, &mut statuses);
         }
         statuses
     }
 
     /// Adds what `engine` holds and awaits to the statuses of the models concerned.
-    fn describe(&self, engine: &engine::Engine, statuses: &mut [messages::ModelStatus]) {
+    fn add_status(&self, engine: &engine::Engine, statuses: &mut [messages::ModelStatus]) {
         for held in &engine.held {
             if let Some(status) = statuses.get_mut(held.model.index()) {
                 status.holders.push(messages::HolderStatus {
