--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -259,7 +259,7 @@
     }
 
     /// Copies that serve or will.
-    fn copies(&self, model: ModelKey) -> usize {
+    fn replicas(&self, model: ModelKey) -> usize {
         self.routes[model.index()].len() + self.loading_without_route(model)
     }
 
@@ -274,11 +274,11 @@
 
     /// Adds (1) or takes off (-1) the model's share of the engines' busy slots.
     fn count_busy(&mut self, model: ModelKey, sign: f64) {
-        let copies = self.copies(model);
-        if copies == 0 {
+        let replicas = self.replicas(model);
+        if replicas == 0 {
             return;
         }
-        let share = sign * self.slots_wanted(model) / copies as f64;
+        let share = sign * self.slots_wanted(model) / replicas as f64;
         let routes = &self.routes[model.index()];
         for key in routes {
             self.busy_slots[key.index()] += share;
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -22,7 +22,7 @@
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
             .map(ModelKey::from_index)
-            .filter(|m| self.copies(*m) == 0 && asked(self, m))
+            .filter(|m| self.replicas(*m) == 0 && asked(self, m))
             .collect();
         for model in wanted {
             self.load_on_demand(model);
@@ -32,7 +32,7 @@
     fn load_on_demand(&mut self, model: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
         if let Some(base) = self.offer(model).base
-            && self.copies(base) == 0
+            && self.replicas(base) == 0
         {
             return self.load_on_demand(base);
         }
@@ -83,9 +83,9 @@
     pub(super) fn even(&mut self) {
         self.reach();
         let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
-        models.sort_by_key(|m| self.copies(*m));
+        models.sort_by_key(|m| self.replicas(*m));
         for model in models {
-            if !self.inputs.budget.allows() || self.copies(model) == 0 {
+            if !self.inputs.budget.allows() || self.replicas(model) == 0 {
                 continue;
             }
             if let Some(key) = self.roomiest(model, self.memory(model)) {
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -45,8 +45,8 @@
 
     /// Slots' worth of `model`'s demand that its copies can't serve in time.
     fn unserved(&self, model: ModelKey) -> f64 {
-        let copies = self.copies(model);
-        let share = self.slots_wanted(model) / copies.max(1) as f64;
+        let replicas = self.replicas(model);
+        let share = self.slots_wanted(model) / replicas.max(1) as f64;
         let routes = self.routes[model.index()].iter();
         routes
             .map(|key| {
@@ -82,9 +82,9 @@
     /// The engines where a copy of `model` would bring something.
     fn candidates(&self, model: ModelKey) -> Vec<Candidate> {
         let wanted = self.slots_wanted(model);
-        let copies = self.copies(model) as f64;
-        let share = wanted / (copies + 1.0);
-        let relief = self.relief(model, share - wanted / copies.max(1.0));
+        let replicas = self.replicas(model) as f64;
+        let share = wanted / (replicas + 1.0);
+        let relief = self.relief(model, share - wanted / replicas.max(1.0));
         self.keys()
             .map(|key| Candidate {
                 key,
@@ -153,8 +153,8 @@
         let mut used = 0.0;
         let mut released_per_ms = 0.0;
         for spare in &eviction_plan.spares {
-            let copies = self.copies(spare.model).max(1) as f64;
-            let slots = self.slots_wanted(spare.model) / copies;
+            let replicas = self.replicas(spare.model).max(1) as f64;
+            let slots = self.slots_wanted(spare.model) / replicas;
             used += slots;
             released_per_ms += slots / self.inputs.demand.of(spare.model).service_ms.max(1.0);
         }
@@ -171,7 +171,7 @@
             if !self.inputs.budget.allows() {
                 return;
             }
-            let few = self.copies(model) < self.inputs.policy.min_replicas as usize;
+            let few = self.replicas(model) < self.inputs.policy.min_replicas as usize;
             let need_mib = self.memory(model);
             let found = self
                 .keys()
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -184,13 +184,13 @@
         let Some(routes) = self.routes.get(model.index()) else {
             return 0.0;
         };
-        let copies = self.copies(model);
-        if !routes.contains(&key) || copies < 2 {
+        let replicas = self.replicas(model);
+        if !routes.contains(&key) || replicas < 2 {
             return 0.0;
         }
         let wanted = self.slots_wanted(model);
-        let less = wanted / copies as f64;
-        let more = wanted / (copies - 1) as f64 - less;
+        let less = wanted / replicas as f64;
+        let more = wanted / (replicas - 1) as f64 - less;
         let here = self.served_change(key, -less);
         let elsewhere: f64 = routes
             .iter()
--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -87,7 +87,7 @@
             .step(self.now, place::Event::Demand { from_vm, demand });
     }
 
-    fn copies(&self, model: &str) -> usize {
+    fn replicas(&self, model: &str) -> usize {
         let offered = self.models.iter().find(|m| m.name == model).unwrap();
         self.engines.iter().filter(|e| e.serves(offered)).count()
     }
@@ -269,17 +269,17 @@
 
 struct Costs {
     move_cost: f64,
-    copies: usize,
+    replicas: usize,
 }
 
 const COSTS: &[Costs] = &[
     Costs {
         move_cost: 2.0,
-        copies: 4,
+        replicas: 4,
     },
     Costs {
         move_cost: 10_000.0,
-        copies: 1,
+        replicas: 1,
     },
 ];
 
@@ -300,8 +300,8 @@
             cluster.round();
         }
         assert_eq!(
-            cluster.copies("b0"),
-            case.copies,
+            cluster.replicas("b0"),
+            case.replicas,
             "move cost {}",
             case.move_cost
         );
@@ -352,7 +352,7 @@
         cluster.round();
     }
     assert_eq!(
-        (cluster.copies("b0"), cluster.copies("b1")),
+        (cluster.replicas("b0"), cluster.replicas("b1")),
         (1, 2),
         "{:?}",
         cluster.moves
