--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -39,7 +39,7 @@
             if !self.inputs.budget.allows() {
                 return;
             }
-            self.add_copy(model);
+            self.add_replica(model);
         }
     }
 
@@ -57,7 +57,7 @@
             .sum()
     }
 
-    fn add_copy(&mut self, model: ModelKey) -> Attempt {
+    fn add_replica(&mut self, model: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
         if self.await_room(model, need_mib) {
             return Attempt::Waiting;
