--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -164,10 +164,10 @@
     }
 
     /// Memory that a copy and the adapters on it take on `key`, in MiB.
-    fn local_family_mib(&self, key: EndpointKey, copy: &engine::HeldModel) -> u64 {
+    fn local_family_mib(&self, key: EndpointKey, replica: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
-        let on_top = held.filter(|other| self.is_adapter_of(other.model, copy.model));
-        copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
+        let on_top = held.filter(|other| self.is_adapter_of(other.model, replica.model));
+        replica.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
     }
 
     fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
