--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -20,10 +20,10 @@
     pub const WATCH: &str = "/v1/fleet/watch";
     /// [`super::ConfigReq`] to [`super::ConfigResp`].
     pub const CONFIG: &str = "/v1/fleet/config";
-    /// [`super::WantReq`] to [`super::WantResp`], of an entry process. Any control process passes it on to the leader.
-    pub const WANT: &str = "/v1/fleet/want";
+    /// [`super::AdapterReq`] to [`super::AdapterResp`], of an entry process. Any control process passes it on to the leader.
+    pub const ADAPTER: &str = "/v1/fleet/want";
     /// The same, of a control process.
-    pub const WANT_OF_LEADER: &str = "/v1/fleet/want-of-leader";
+    pub const LEADER_ADAPTER: &str = "/v1/fleet/want-of-leader";
 }
 
 /// Who watches.
@@ -39,7 +39,7 @@
 /// What of the directory a watcher wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wants {
+pub enum DirectoryDetail {
     /// What is new, and which instances live, though they say nothing new.
     All,
     /// What is new.
@@ -59,7 +59,7 @@
 
 /// A record as it travels: one that can't be read is passed over, and those beside it are not lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed(#[serde(with = "serde_bytes")] pub Vec<u8>);
+pub struct EncodedRecord(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
 /// Asks what is new.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
     /// Its availability zone.
     pub availability_zone: String,
     /// What of the directory it wants.
-    pub wants: Wants,
+    pub wants: DirectoryDetail,
     /// The version of the configuration in force there; zero for none.
     pub config: u64,
     /// The newest version that it was told of, and fetches if it does not hold it. None from a process that takes
@@ -79,7 +79,7 @@
     #[serde(default)]
     pub config_told: Option<u64>,
     /// Up to where it knows the directory of the one that it asks.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// The list of entry processes that it knows, by the number that came with it.
     pub entries_known: u64,
     /// How long the call may be kept.
@@ -114,7 +114,8 @@
     /// Requests that came.
     pub requests: u32,
     /// Microseconds that an engine needs to read their prompts, less what it keeps of them.
-    pub reading_us: u64,
+    #[serde(rename = "reading_us")]
+    pub prefill_us: u64,
     /// Tokens that they may generate.
     pub output_tokens: u64,
     /// Requests that wait now, since no engine can take them.
@@ -141,24 +142,24 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub config: Option<document::Document>,
     /// Up to where the directory is known with this answer.
-    pub mark: directory::Mark,
+    pub mark: directory::Cursor,
     /// The digest of the directory; see [`directory::Directory::digest`].
     pub digest: u64,
     /// Up to where the directory is known to one that has this digest too; none from a process that does not
     /// tell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub digest_mark: Option<directory::Mark>,
+    pub digest_mark: Option<directory::Cursor>,
     /// The last change of the directory that was news; none from a process that does not tell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub news_mark: Option<directory::Mark>,
+    pub news_mark: Option<directory::Cursor>,
     /// Up to where other control processes are known with this answer, for one that takes endpoints.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub peers: Vec<(net::Ipv4Addr, directory::Mark)>,
+    pub peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
     /// What changed in it since the mark of the question, as [`directory::Record`].
-    pub records: Vec<Packed>,
+    pub records: Vec<EncodedRecord>,
     /// Instances of which nothing changed but that they were heard since, for one that wants all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub alive: Vec<directory::Alive>,
+    pub alive: Vec<directory::LivenessRefresh>,
     /// Whether there is more of that, for the next question.
     #[serde(default)]
     pub has_more: bool,
@@ -177,7 +178,7 @@
     /// The version whose text is held; zero for none.
     pub text_held: u64,
     /// The transfer that is under way.
-    pub transfer: Option<transfer::Id>,
+    pub transfer: Option<transfer::TransferId>,
     /// Bytes of it that have come.
     pub offset: u64,
     /// Bytes of the chunk at the most.
@@ -193,7 +194,7 @@
 
 /// Asks the leader to load an adapter for a request that waits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct WantReq {
+pub struct AdapterReq {
     /// The service.
     pub service: String,
     /// The model.
@@ -204,10 +205,10 @@
     pub engine: Option<directory::InstanceId>,
 }
 
-/// What became of a [`WantReq`].
+/// What became of a [`AdapterReq`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WantResp {
+pub enum AdapterResp {
     /// The leader sees to it; the directory will show the outcome.
     Taken,
     /// This process does not lead.
--- a/src/sageshed/control/fleet/watchers.rs
+++ b/src/sageshed/control/fleet/watchers.rs
@@ -1,44 +1,44 @@
-//! Calls that wait for news, and when they are answered.
+//! The long polls that wait for changes, and when they are answered.
 //!
-//! # The load pattern
+//! # Load
 //!
-//! Hundreds of processes watch one control process, and in a release or after a start an endpoint changes every
-//! few milliseconds. Answered change by change, each watcher would cost an answer for each change. So news is
-//! collected and all watchers are answered in rounds, at most one in [`ROUND`]; a new configuration and what
-//! concerns held requests begin a round at once. Watchers whose patience is over are answered with the next round.
+//! Hundreds of processes watch one control process, and during a release or after a start an endpoint changes every
+//! few milliseconds. Answering change by change would cost one response per watcher and change. So changes are
+//! collected and all watchers are answered in rounds, at most one per [`MIN_ROUND_INTERVAL`]. A new configuration and
+//! changes of quarantined requests start a round at once. Watchers that time out are answered with the next round.
 
 use std::time;
 
 use sageshed_fleet::messages;
 
-/// At least this long between two rounds of answers that could be collected.
-pub const ROUND: time::Duration = time::Duration::from_millis(30);
+/// The shortest interval between two rounds of answers for changes that may be collected.
+pub const MIN_ROUND_INTERVAL: time::Duration = time::Duration::from_millis(30);
 
-/// How soon watchers have to know.
+/// How soon watchers have to be told of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
     /// With the next round.
-    Collect,
-    /// At once.
-    Now,
+    Batched,
+    /// At once, in a round of its own.
+    Immediate,
 }
 
-/// A call that waits.
+/// A long poll that waits for changes.
 #[derive(Debug)]
 pub struct Watcher<W> {
-    /// What it knows.
+    /// The call, which says what its sender knows.
     pub req: messages::WatchReq,
-    /// The means to answer it.
-    pub to: W,
+    /// The handle that answers the call.
+    pub responder: W,
     until: time::Instant,
 }
 
-/// All calls that wait.
+/// All long polls that wait for changes.
 #[derive(Debug)]
 pub struct Watchers<W> {
     waiting: Vec<Watcher<W>>,
-    /// The end of the shortest patience.
-    earliest: Option<time::Instant>,
+    /// When the next long poll times out.
+    next_timeout: Option<time::Instant>,
     last_round: Option<time::Instant>,
     news: Option<Urgency>,
 }
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             waiting: Vec::new(),
-            earliest: None,
+            next_timeout: None,
             last_round: None,
             news: None,
         }
@@ -55,23 +55,27 @@
 }
 
 impl<W> Watchers<W> {
-    /// Adds a call. Returns whether the next round is sooner by that.
-    pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, to: W) -> bool {
+    /// Adds a long poll. Returns whether the next round is due sooner because of it.
+    pub fn add(&mut self, now: time::Instant, req: messages::WatchReq, responder: W) -> bool {
         let until = now + req.patience.into();
-        self.waiting.push(Watcher { req, to, until });
-        let is_sooner = self.earliest.is_none_or(|it| until < it);
+        self.waiting.push(Watcher {
+            req,
+            responder,
+            until,
+        });
+        let is_sooner = self.next_timeout.is_none_or(|it| until < it);
         if is_sooner {
-            self.earliest = Some(until);
+            self.next_timeout = Some(until);
         }
         is_sooner
     }
 
-    /// Something changed. Returns whether the next round is sooner by that.
-    pub fn note_news(&mut self, urgency: Urgency) -> bool {
+    /// Notes a change. Returns whether the next round is due sooner because of it.
+    pub fn note_change(&mut self, urgency: Urgency) -> bool {
         let is_sooner = match self.news {
             None => true,
-            Some(Urgency::Collect) => urgency == Urgency::Now,
-            Some(Urgency::Now) => false,
+            Some(Urgency::Batched) => urgency == Urgency::Immediate,
+            Some(Urgency::Immediate) => false,
         };
         if is_sooner {
             self.news = Some(urgency);
@@ -79,20 +83,22 @@
         is_sooner
     }
 
-    /// How long it is to the next round; none while nobody waits for anything.
+    /// The time until the next round is due; none while no watcher waits and nothing has changed.
     #[must_use]
     pub fn next_round(&self, now: time::Instant) -> Option<time::Duration> {
         let due = match self.news {
-            Some(Urgency::Now) => return Some(time::Duration::ZERO),
-            Some(Urgency::Collect) => now,
-            None => self.earliest?,
+            Some(Urgency::Immediate) => return Some(time::Duration::ZERO),
+            Some(Urgency::Batched) => now,
+            None => self.next_timeout?,
         };
-        let due = self.last_round.map_or(due, |it| due.max(it + ROUND));
+        let due = self
+            .last_round
+            .map_or(due, |it| due.max(it + MIN_ROUND_INTERVAL));
         Some(due.saturating_duration_since(now))
     }
 
-    /// Takes the calls that are to be answered now: where a round is due, those for which `is_newer` holds and
-    /// those whose patience is over.
+    /// Removes and returns the long polls to answer now: if a round is due, those for which `is_newer` holds and those
+    /// that have timed out.
     pub fn take_due(
         &mut self,
         now: time::Instant,
@@ -105,7 +111,7 @@
         self.last_round = Some(now);
         let is_due = |it: &mut Watcher<W>| it.until <= now || (has_news && is_newer(&it.req));
         let due = self.waiting.extract_if(.., is_due).collect();
-        self.earliest = self.waiting.iter().map(|it| it.until).min();
+        self.next_timeout = self.waiting.iter().map(|it| it.until).min();
         due
     }
 }
--- /dev/null
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -0,0 +1,417 @@
+//! One attempt of a request: the exchange with an endpoint, and the next step that follows from its
+//! response or failure.
+
+use std::time as std_time;
+
+use sageshed_fleet::{chooser, config, dialect, neighbours as words};
+use sageshed_http::reply;
+use sageshed_types::{headers, time, verdict};
+use sageshed_upstream::{exchange, failure};
+
+use super::{AttemptResult, ProxiedRequest};
+use crate::gateway::{entry_peers, response::ResponseSink};
+
+/// The largest response that is not a stream.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+
+/// How long a pooled connection may have been idle to be used for a request that must not run twice: if
+/// the endpoint closes it at the same moment, the request is lost and can't be retried.
+const MAX_IDLE_NOT_REPEATABLE: std_time::Duration = std_time::Duration::from_millis(1_500);
+
+/// How long a pooled connection may have been idle to be used for a request that may be retried.
+const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
+
+/// An idempotent request is sent to another endpoint after silence for this many times its latency target.
+const SILENCE_PER_OBJECTIVE: u64 = 3;
+
+/// The shortest silence after which an idempotent request is sent to another endpoint.
+const MIN_SILENCE: std_time::Duration = std_time::Duration::from_millis(300);
+
+/// Added to the estimated time to response before a request leaves an endpoint that is suspected to be down.
+const ESTIMATE_MARGIN: std_time::Duration = std_time::Duration::from_millis(700);
+
+/// The pause after a rejection before the request is sent to another endpoint.
+const REJECTION_DELAY: std_time::Duration = std_time::Duration::from_millis(8);
+
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
+    /// Sends the request to the endpoint of `pick` and passes the response on.
+    pub(super) fn send<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        sink: ResponseSink<'c>,
+        watch: &reply::Watch,
+    ) -> AttemptResult<'c> {
+        let sent_at = std_time::Instant::now();
+        entry_peers::tell(self.shared, pick);
+        self.count_send(pick);
+        self.commit_charge();
+        let waited = self.req.received.elapsed();
+        self.attempt_log.record_attempt(pick, waited.into());
+        let expected = std_time::Duration::from(pick.estimate) + ESTIMATE_MARGIN;
+        let silence = self.silence_limit();
+        let stop = || {
+            let waited = sent_at.elapsed();
+            let is_silent = silence.is_some_and(|longest| waited > longest);
+            let is_late = is_silent || (waited > expected && self.is_suspected(pick));
+            watch.caller_gone() || (is_late && self.may_switch_endpoint())
+        };
+        let patience = exchange::Patience {
+            until: self.deadline,
+            stop: &stop,
+        };
+        let resume = sink.last_id().map(str::to_owned);
+        let answer = self.exchange(pick, resume.as_deref(), &patience);
+        let exchange = match answer.and_then(|it| self.skip_stale_responses(pick, it, &patience)) {
+            Ok(exchange) => exchange,
+            Err(failure) => return self.handle_missing_response(pick, sink, failure, watch),
+        };
+        self.deliveries += 1;
+        self.handle_response(pick, exchange, sink, sent_at, watch)
+    }
+
+    fn is_suspected(&self, pick: &chooser::Pick) -> bool {
+        let now = self.shared.clock.now();
+        self.shared
+            .with_core(|core| core.chooser.is_suspected(now, pick))
+    }
+
+    /// Whether the request may be sent to a second endpoint now, while it may be running at the first.
+    fn may_switch_endpoint(&self) -> bool {
+        let may_run_again = self.route.kind.is_retryable();
+        may_run_again && self.possible_runs + 1 < self.route.attempts && self.can_retry()
+    }
+
+    /// How long an endpoint may be silent before the request is sent to another one; none if it is not idempotent.
+    fn silence_limit(&self) -> Option<std_time::Duration> {
+        if self.route.kind != config::RequestKind::Idempotent {
+            return None;
+        }
+        let objective = std_time::Duration::from(self.route.latency_target);
+        let factor = u32::try_from(SILENCE_PER_OBJECTIVE).unwrap_or(1);
+        Some((objective * factor).max(MIN_SILENCE))
+    }
+
+    fn exchange<S: Fn() -> bool>(
+        &self,
+        pick: &chooser::Pick,
+        resume_after: Option<&str>,
+        patience: &exchange::Patience<'_, S>,
+    ) -> Result<exchange::Exchange, failure::Failure> {
+        let onward = dialect::UpstreamMetadata {
+            instance: &pick.instance,
+            time_left: self.time_left(),
+            urgency: Some(self.priority().min(9)),
+            resume_after,
+            workspace: self.workspace.as_ref().map(|it| it.name.as_str()),
+        };
+        let set = self.shared.dialect.upstream_headers(&onward);
+        let mut list: Vec<(&str, &[u8])> = Vec::with_capacity(self.req.headers.len() + set.len());
+        for header in &self.req.headers {
+            let is_set = set
+                .iter()
+                .any(|(name, _)| header.name.eq_ignore_ascii_case(name));
+            // Not forwarded: an endpoint that receives an API key could use it to act as its holder.
+            let is_key = self.asks_for_keys && header.is_credential();
+            if !is_set && !is_key && self.forwards_header(&header.name) {
+                list.push((&header.name, &header.value));
+            }
+        }
+        list.extend(set.iter().map(|(name, value)| (*name, value.as_bytes())));
+        let target = match &self.req.query {
+            Some(query) => format!("{}?{query}", self.req.path),
+            None => self.req.path.clone(),
+        };
+        let req = exchange::Request {
+            method: &self.req.method,
+            target: &target,
+            headers: list,
+            body: &self.req.body,
+        };
+        let max_age = if self.route.kind.is_retryable() {
+            MAX_IDLE_REPEATABLE
+        } else {
+            MAX_IDLE_NOT_REPEATABLE
+        };
+        self.shared
+            .pool
+            .exchange(pick.address, &req, max_age, patience)
+    }
+
+    fn forwards_header(&self, name: &str) -> bool {
+        let is = |it: &&str| name.eq_ignore_ascii_case(it);
+        let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
+        !of_connection
+            && !self.req.is_connection_option(name)
+            && !self.shared.dialect.strips_header(name)
+    }
+
+    /// Discards responses to earlier requests on the same connection.
+    fn skip_stale_responses<S: Fn() -> bool>(
+        &self,
+        pick: &chooser::Pick,
+        mut exchange: exchange::Exchange,
+        patience: &exchange::Patience<'_, S>,
+    ) -> Result<exchange::Exchange, failure::Failure> {
+        loop {
+            let head = &exchange.head;
+            let answered = self
+                .shared
+                .dialect
+                .response_metadata(head.status, |it| head.get(it));
+            self.apply_notice(pick, &answered);
+            if !self.is_for_another_request(&answered) {
+                return Ok(exchange);
+            }
+            ::log::warn!(request = self.id(); "gateway: discarded a response to another request");
+            exchange = exchange.next_answer(MAX_RESPONSE_BYTES, patience)?;
+        }
+    }
+
+    fn is_for_another_request(&self, answered: &dialect::ResponseMetadata<'_>) -> bool {
+        let id = answered.id;
+        id.is_some_and(|id| Some(id) != self.passing.id.as_deref())
+    }
+
+    /// Decides by the head of a response whether it is passed on, retried elsewhere or replaced by a refusal.
+    fn handle_response<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        mut exchange: exchange::Exchange,
+        sink: ResponseSink<'c>,
+        sent_at: std_time::Instant,
+        watch: &reply::Watch,
+    ) -> AttemptResult<'c> {
+        let stop = &|| watch.caller_gone();
+        let head = exchange.head.clone();
+        let answered = self
+            .shared
+            .dialect
+            .response_metadata(head.status, |it| head.get(it));
+        let patience = exchange::Patience {
+            until: self.deadline,
+            stop,
+        };
+        let is_rejected = matches!(
+            answered.execution,
+            dialect::ExecutionStatus::NotRun | dialect::ExecutionStatus::Misdirected
+        );
+        if is_rejected {
+            if exchange.read_whole(MAX_RESPONSE_BYTES, &patience).is_ok() {
+                self.shared.pool.keep(pick.address, exchange);
+            }
+            return self.handle_rejection(pick, sink, &answered, head.status);
+        }
+        self.possible_runs += 1;
+        let is_success = (200..300).contains(&head.status);
+        let is_vouched = answered.execution == dialect::ExecutionStatus::Verified;
+        if is_success && !is_vouched {
+            let detail = "a success that the endpoint does not vouch for";
+            return self.handle_unusable_response(pick, sink, detail.to_owned());
+        }
+        let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
+        let may_go_elsewhere =
+            self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        if !is_success && (claims_not_run || !is_vouched) {
+            let detail = format!("the endpoint answered with status {}", head.status);
+            return self.handle_unusable_response(pick, sink, detail);
+        }
+        if head.status >= 500 && may_go_elsewhere {
+            let detail = format!("the endpoint failed with status {}", head.status);
+            return self.handle_unusable_response(pick, sink, detail);
+        }
+        let is_events = head
+            .get("content-type")
+            .is_some_and(|it| it.starts_with("text/event-stream"));
+        if is_success && is_events {
+            return self.stream(pick, exchange, sink, sent_at, stop, answered.load);
+        }
+        match exchange.read_whole(MAX_RESPONSE_BYTES, &patience) {
+            Ok(body) => {
+                self.record_start(pick, sent_at, answered.load);
+                let failed = head.status >= 500;
+                let how = if failed {
+                    chooser::Ended::Failed
+                } else {
+                    chooser::Ended::Answered
+                };
+                self.end_attempt(pick, true, how);
+                self.shared.pool.keep(pick.address, exchange);
+                self.finish_answered(pick, head.status, body.len() as u64, sent_at);
+                AttemptResult::Done(sink.send_whole(&head, &body))
+            }
+            Err(failure) => self.handle_failed_run(pick, sink, false, &failure),
+        }
+    }
+
+    pub(super) fn record_start(
+        &self,
+        pick: &chooser::Pick,
+        sent_at: std_time::Instant,
+        load: Option<dialect::Load>,
+    ) {
+        let now = self.shared.clock.now();
+        let took = sent_at.elapsed().into();
+        let parts = &self.passing.parts;
+        let read = self.wanted.map(|wanted| chooser::Read { wanted, parts });
+        self.shared.with_core(|core| {
+            core.chooser.began(now, pick, read, took, load);
+            if let Some(wanted) = self.wanted {
+                let tokens = self.passing.prompt_tokens;
+                core.backlog.read(now, &wanted.model, tokens);
+            }
+        });
+        match read {
+            Some(read) => entry_peers::tell_read(self.shared, pick, read, took, load),
+            None => entry_peers::tell(self.shared, pick),
+        }
+        self.shared.wake_waiting();
+    }
+
+    pub(super) fn end_attempt(&self, pick: &chooser::Pick, began: bool, how: chooser::Ended) {
+        let now = self.shared.clock.now();
+        self.shared
+            .with_core(|core| core.chooser.ended(now, pick, self.wanted, began, how));
+        entry_peers::tell_ended(self.shared, pick, began, self.fault_to_report(how));
+        self.shared.wake_waiting();
+    }
+
+    /// The fault of the engine that entry peers are told of after an attempt that ended `how`.
+    fn fault_to_report(&self, how: chooser::Ended) -> Option<words::Trouble> {
+        let model = self.wanted.map(|it| words::key(&it.model))?;
+        match how {
+            chooser::Ended::Answered | chooser::Ended::GivenUp => None,
+            chooser::Ended::Refused => Some(words::Trouble::Rejects(model)),
+            chooser::Ended::Misdirected if self.is_adapter() => None,
+            chooser::Ended::Misdirected => Some(words::Trouble::Lacks(model)),
+            chooser::Ended::Failed => Some(words::Trouble::Fails),
+            chooser::Ended::Unreachable => Some(words::Trouble::Unreachable),
+            chooser::Ended::Silent => Some(words::Trouble::Silent),
+        }
+    }
+
+    fn is_adapter(&self) -> bool {
+        self.wanted.is_some_and(|it| it.adapter.is_some())
+    }
+
+    /// Handles a response that says that the endpoint has not run the request.
+    fn handle_rejection<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        sink: ResponseSink<'c>,
+        answered: &dialect::ResponseMetadata<'_>,
+        status: u16,
+    ) -> AttemptResult<'c> {
+        ::log::info!(request = self.id(), endpoint:% = pick.instance, status;
+            "gateway: endpoint rejected the request without running it");
+        self.last_failure = format!(
+            "endpoint {} rejected it with status {status}",
+            pick.instance
+        );
+        self.attempt_log
+            .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
+        self.restore_charge();
+        let is_replaced = answered.endpoint.is_some_and(|it| it != pick.instance.name);
+        if answered.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
+            self.end_attempt(pick, false, chooser::Ended::GivenUp);
+            self.shared.mark_replaced(&pick.instance);
+        } else if answered.execution == dialect::ExecutionStatus::Misdirected {
+            self.end_attempt(pick, false, chooser::Ended::Misdirected);
+        } else {
+            self.end_attempt(pick, false, chooser::Ended::Refused);
+            self.tried_endpoints.push(pick.key);
+            std::thread::sleep(REJECTION_DELAY);
+        }
+        AttemptResult::Retry(sink)
+    }
+
+    /// Handles a response that can't be passed on; the request may have run.
+    fn handle_unusable_response<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        sink: ResponseSink<'c>,
+        detail: String,
+    ) -> AttemptResult<'c> {
+        let failure = failure::Failure {
+            cause: failure::Cause::Malformed,
+            is_sent: true,
+            detail,
+        };
+        self.handle_failed_run(pick, sink, false, &failure)
+    }
+
+    /// Handles an exchange that failed before the head of a response arrived.
+    fn handle_missing_response<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        sink: ResponseSink<'c>,
+        mut failure: failure::Failure,
+        watch: &reply::Watch,
+    ) -> AttemptResult<'c> {
+        let began = false;
+        let is_interrupted = failure.cause == failure::Cause::Interrupted;
+        if is_interrupted && watch.caller_gone() {
+            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            return AttemptResult::CallerGone(sink);
+        }
+        if is_interrupted {
+            // The caller is still connected, so the exchange was stopped because the endpoint is silent.
+            failure.cause = failure::Cause::Silent;
+        }
+        if !failure.is_sent {
+            ::log::info!(request = self.id(), endpoint:% = pick.instance, error:% = failure;
+                "gateway: endpoint could not be reached; the request was not sent");
+            self.last_failure = format!("endpoint {} was not reached: {failure}", pick.instance);
+            self.attempt_log
+                .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
+            self.restore_charge();
+            self.end_attempt(pick, began, chooser::Ended::Unreachable);
+            self.shared.pool.forget(pick.address);
+            self.tried_endpoints.push(pick.key);
+            return AttemptResult::Retry(sink);
+        }
+        self.deliveries += 1;
+        self.possible_runs += 1;
+        self.handle_failed_run(pick, sink, began, &failure)
+    }
+
+    /// Handles the failure of a request that may have run and got no complete response.
+    pub(super) fn handle_failed_run<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        sink: ResponseSink<'c>,
+        began: bool,
+        failure: &failure::Failure,
+    ) -> AttemptResult<'c> {
+        if failure.cause == failure::Cause::Interrupted {
+            self.end_attempt(pick, began, chooser::Ended::GivenUp);
+            return AttemptResult::CallerGone(sink);
+        }
+        ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, error:% = failure,
+            runs = self.possible_runs, begun = sink.has_started();
+            "gateway: endpoint failed, the request may have run");
+        self.last_failure = format!("endpoint {} failed: {failure}", pick.instance);
+        self.attempt_log
+            .record_outcome(verdict::Verdict::MayHaveRun, &self.last_failure);
+        self.note_crash(pick, failure.cause);
+        let is_over = self.time_left() == time::Millis(0);
+        let how = match failure.cause {
+            failure::Cause::Silent if !began => chooser::Ended::Silent,
+            _ => chooser::Ended::Failed,
+        };
+        self.end_attempt(pick, began, how);
+        self.tried_endpoints.push(pick.key);
+        let goes_on = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        // Without the id of an event, no other endpoint can tell where to resume the stream.
+        let can_resume = !sink.has_started() || sink.last_id().is_some();
+        if goes_on && can_resume && !is_over {
+            return AttemptResult::Retry(sink);
+        }
+        let refusal = if is_over {
+            self.out_of_time()
+        } else {
+            let detail = self.last_failure.clone();
+            self.final_refusal(verdict::Reason::EndpointFailed, detail)
+        };
+        AttemptResult::Refuse(sink, refusal)
+    }
+}
--- a/src/sageshed/gateway/pass/home.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -1,17 +1,17 @@
-//! Asking the home of a model where a request is to go, and what becomes of its answer.
+//! Asks the coordinator of a model, the entry process that routes all requests for it, which engine to use.
 
 use std::time as std_time;
 
 use sageshed_fleet::{chooser, dialect, neighbours};
 use sageshed_types::{refusal, time, verdict};
 
-use super::{BACK_SOON, Life, waiting::READ_RESERVE};
+use super::{DEFAULT_RETRY_AFTER, ProxiedRequest, waiting::PREFILL_RESERVE};
 use crate::gateway::{self, state};
 
-/// Between two questions to the home of a model on behalf of one request that waits.
-const ASK_AGAIN: std_time::Duration = std_time::Duration::from_millis(40);
+/// The interval between two queries to the coordinator for one waiting request.
+const QUERY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(40);
 
-/// Follows the advice of the home of the model, where it gave one, and else chooses by what is known here.
+/// Follows the decision of the model's coordinator if there is one, and otherwise chooses by local state.
 pub(super) fn decide(
     core: &mut state::Core,
     now: time::Instant,
@@ -30,25 +30,28 @@
     advised.unwrap_or_else(|| core.chooser.choose(now, ask))
 }
 
-impl<D: dialect::Dialect> Life<'_, D> {
-    /// Asks the home of the model where the request is to go, and not again within [`ASK_AGAIN`].
-    pub(super) fn ask_home(
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
+    /// Asks the coordinator of the model where to send the request, at most once per [`QUERY_INTERVAL`].
+    pub(super) fn query_coordinator(
         &self,
         ask: &chooser::Ask<'_>,
-        asked_at: &mut Option<std_time::Instant>,
+        queried_at: &mut Option<std_time::Instant>,
     ) -> Option<neighbours::Place> {
-        if asked_at.is_some_and(|at| at.elapsed() < ASK_AGAIN) {
+        if queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
             return Some(neighbours::Place::Wait { expected: None });
         }
         let request = neighbours::key(self.id());
-        let place = gateway::neighbours::ask(self.shared, request, ask);
-        *asked_at = place.map(|_| std_time::Instant::now());
+        let place = gateway::entry_peers::ask(self.shared, request, ask);
+        *queried_at = place.map(|_| std_time::Instant::now());
         place
     }
 
-    /// Counts what the request asks for, once.
-    pub(super) fn count(&self, place: Option<neighbours::Place>) {
-        let Some(wanted) = self.wanted.filter(|_| !self.is_counted.replace(true)) else {
+    /// Counts the request in the demand reported to the leader, once.
+    pub(super) fn count_demand(&self, place: Option<neighbours::Place>) {
+        let Some(wanted) = self
+            .wanted
+            .filter(|_| !self.is_demand_counted.replace(true))
+        else {
             return;
         };
         let kept = match place {
@@ -56,11 +59,12 @@
             _ => None,
         };
         self.shared
-            .with_core(|core| core.ask(self.service, wanted, self.passing, kept));
+            .with_core(|core| core.count_demand(self.service, wanted, self.passing, kept));
     }
 
-    /// The refusal of a request that can't be reached in its time, by all that wait for its model anywhere.
-    pub(super) fn hopeless_by_home(
+    /// Refuses a request that can't start before its deadline because of all those that wait for its model at any
+    /// entry process.
+    pub(super) fn refuse_by_coordinator(
         &self,
         place: Option<neighbours::Place>,
         left: time::Millis,
@@ -69,14 +73,14 @@
             return None;
         };
         let expected = expected.unwrap_or_default();
-        if expected + READ_RESERVE <= left {
+        if expected + PREFILL_RESERVE <= left {
             return None;
         }
         let detail = format!(
             "those that wait for the model take {} ms, and {} ms are left",
             expected.0, left.0
         );
-        let refusal = self.give_up(verdict::Reason::DeadlineUnmeetable, detail);
-        Some(refusal.retry_after(expected.max(BACK_SOON)))
+        let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
+        Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 }
--- /dev/null
+++ b/src/sageshed/gateway/proxy/mod.rs
@@ -0,0 +1,343 @@
+//! Proxies one request from a caller to an endpoint and the response back.
+//!
+//! # Retries
+//!
+//! A request that an endpoint has certainly not run may be sent to another one. A request that may have
+//! run is sent again only if its route allows a repeated run, to at most as many endpoints as the route
+//! allows, and only while the retry budget lasts that all entry processes share. The status of a request
+//! that gets no response states whether it may have run: 503 with `Retry-After` if it was not run, 502
+//! or 504 if it may have been.
+
+mod attempt;
+mod attempt_log;
+mod backpressure;
+mod completion;
+mod coordinator;
+mod crash_quarantine;
+mod identity;
+mod quota;
+mod stream;
+mod waiting;
+
+use std::{
+    cell,
+    sync::{self, atomic},
+    time as std_time,
+};
+
+use sageshed_fleet::{chooser, config, dialect, fingerprint, quarantine, routes, workspaces};
+use sageshed_http::{handler, reply, request};
+use sageshed_types::{arena, refusal, time, verdict};
+
+use super::{refuse, response::ResponseSink, routing, state};
+
+/// The retry delay that a refusal names if nothing better is known.
+const DEFAULT_RETRY_AFTER: time::Millis = time::Millis(300);
+
+/// The shortest interval at which the events of one stream count as a sign of life of its endpoint.
+const ACTIVITY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(200);
+
+/// Handles the requests of callers.
+#[derive(Debug)]
+pub(super) struct RequestHandler<D> {
+    pub(super) shared: sync::Arc<state::Shared<D>>,
+}
+
+impl<D: dialect::Dialect> handler::Handler for RequestHandler<D> {
+    fn handle(&self, req: request::Request, reply: reply::Reply<'_>) -> reply::Sent {
+        let watch = reply.watch();
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
+        let deadline = passing.as_ref().ok().and_then(|it| it.deadline);
+        let routing = self
+            .shared
+            .wait_for_routing(req.received, deadline, || watch.caller_gone());
+        let Some(routing) = routing else {
+            let detail = "no configuration is known here yet";
+            let refusal =
+                refuse::not_run(verdict::Reason::NotConfirmed, detail, DEFAULT_RETRY_AFTER);
+            return self.refuse_unrouted(&req, reply, &refusal);
+        };
+        if self.shared.is_out_of_date() {
+            let detail = "a newer configuration is in force, and is not known here yet";
+            let refusal =
+                refuse::not_run(verdict::Reason::NotConfirmed, detail, DEFAULT_RETRY_AFTER);
+            return self.refuse_unrouted(&req, reply, &refusal);
+        }
+        // The head of a stream that started before shutdown announced keep-alive, so its caller may send
+        // the next request on that connection just before the process exits, which would cut it off.
+        if self.shared.refusing.load(atomic::Ordering::Relaxed) {
+            let detail = "this entry process is stopping";
+            let refusal = refuse::not_run(verdict::Reason::Draining, detail, time::Millis(0));
+            return self.refuse_unrouted(&req, reply, &refusal);
+        }
+        let passing = match passing {
+            Ok(passing) => passing,
+            Err(e) => {
+                let refusal = refusal::Refusal::not_run(verdict::Reason::BadRequest, e.to_string());
+                return self.refuse_unrouted(&req, reply, &refusal);
+            }
+        };
+        let host = req.header("host").unwrap_or_default();
+        let Some(route) = routing.table.find(host, &req.path) else {
+            let version = routing.config.version;
+            let detail = format!("no route of configuration {version} takes this host and path");
+            ::log::info!(request = passing.id.as_deref().unwrap_or_default(), config = version, host,
+                path = req.path.as_str(), status = 404; "gateway: request refused, no route takes it");
+            let refusal = refusal::Refusal::not_run(verdict::Reason::NotFound, detail);
+            return refuse::send(reply, "", &refusal);
+        };
+        let draw = self.shared.with_core(|core| core.chooser.draw());
+        let service = routes::pick(&route.targets, draw).map_or("", |it| it.service.as_str());
+        let engines = routing
+            .config
+            .service(service)
+            .and_then(|it| it.engines.as_ref());
+        let identity = identity::identify(&routing, route, req.credential);
+        let mut proxied = ProxiedRequest::new(
+            &self.shared,
+            &req,
+            &passing,
+            &routing,
+            route,
+            service,
+            engines,
+        );
+        match identity {
+            Ok(workspace) => {
+                proxied.workspace = workspace;
+                proxied.run(reply)
+            }
+            Err(refusal) => proxied.refuse(ResponseSink::NotStarted(reply), &refusal),
+        }
+    }
+
+    fn refuse_early(&self, refusal: refusal::Refusal) -> handler::Stamped {
+        ::log::info!(reason:% = refusal.reason, detail = refusal.detail.as_str();
+            "gateway: request refused before it was read");
+        handler::Stamped {
+            request_id: String::new(),
+            refusal,
+        }
+    }
+}
+
+impl<D: dialect::Dialect> RequestHandler<D> {
+    /// Refuses a request for which no route has been determined yet.
+    fn refuse_unrouted(
+        &self,
+        req: &request::Request,
+        reply: reply::Reply<'_>,
+        refusal: &refusal::Refusal,
+    ) -> reply::Sent {
+        let passing = self
+            .shared
+            .dialect
+            .request_metadata(|name| req.header(name));
+        let id = passing.ok().and_then(|it| it.id).unwrap_or_default();
+        ::log::info!(request = id.as_str(), status = refusal.status, reason:% = refusal.reason,
+            detail = refusal.detail.as_str(); "gateway: request refused before it was routed");
+        refuse::send(reply, "", refusal)
+    }
+}
+
+/// What to do next with a request.
+enum NextStep {
+    /// Send it to this endpoint.
+    Send(chooser::Pick),
+    /// Refuse it.
+    Refuse(refusal::Refusal),
+    /// End it, since its caller has disconnected.
+    CallerGone,
+}
+
+/// The result of one attempt to have an endpoint serve a request.
+enum AttemptResult<'c> {
+    /// The response was passed on to the caller.
+    Done(reply::Sent),
+    /// Another attempt may be made.
+    Retry(ResponseSink<'c>),
+    /// The request is refused.
+    Refuse(ResponseSink<'c>, refusal::Refusal),
+    /// The caller has disconnected.
+    CallerGone(ResponseSink<'c>),
+}
+
+/// The state of one request while it is proxied.
+struct ProxiedRequest<'a, D> {
+    shared: &'a state::Shared<D>,
+    req: &'a request::Request,
+    passing: &'a dialect::RequestMetadata,
+    /// Identifies the content of the request, which stays the same when its caller retries it.
+    content: quarantine::Fingerprint,
+    route: &'a config::Route,
+    /// The workspace that sends it; none where the configuration does not ask for one.
+    workspace: Option<workspaces::Known>,
+    /// The version of the configuration by which `workspace` was determined.
+    identified_by: u64,
+    /// Whether that configuration has workspaces, so that API keys are meant for this system.
+    asks_for_keys: bool,
+    service: &'a str,
+    wanted: Option<&'a dialect::ModelRef>,
+    /// The configured model that it asks for.
+    model: Option<&'a config::Model>,
+    /// When its response must be complete.
+    deadline: std_time::Instant,
+    tried_endpoints: Vec<arena::EndpointKey>,
+    /// How many endpoints may have run it.
+    possible_runs: u32,
+    /// How many endpoints have received it.
+    deliveries: u32,
+    /// Why the latest attempt failed, as the refusal tells the caller.
+    last_failure: String,
+    /// Whether its demand was counted for the report to the leader.
+    is_demand_counted: cell::Cell<bool>,
+    /// The quota charged for its next attempt.
+    next_charge: Option<quota::Charge>,
+    /// The quota charged for the attempt in progress.
+    committed_charge: Option<quota::Charge>,
+    /// Whether a retry was taken from the budget for its next attempt.
+    has_retry_token: bool,
+    /// Whether it could have been retried, but the retry budget was spent.
+    is_retry_budget_spent: bool,
+    /// What it waits for in this process, or waited for last.
+    waited_for: Option<chooser::Missing>,
+    timings: StreamTimings,
+    attempt_log: attempt_log::AttemptLog,
+}
+
+/// When the chunks of a stream arrived, for the log: one long pause makes a stream late.
+#[derive(Debug, Default)]
+struct StreamTimings {
+    first_event: std_time::Duration,
+    longest_pause: std_time::Duration,
+    last_chunk: Option<std_time::Instant>,
+    activity_recorded: Option<std_time::Instant>,
+}
+
+impl StreamTimings {
+    /// Records the start of the stream, unless it is resumed at another endpoint.
+    fn record_start(&mut self, received: std_time::Instant) {
+        if self.last_chunk.is_none() {
+            self.first_event = received.elapsed();
+        }
+    }
+
+    /// Describes the timing of a response for its request trace.
+    fn describe(&self) -> String {
+        if self.last_chunk.is_none() {
+            return "answered".to_owned();
+        }
+        let (first, longest) = (self.first_event.as_millis(), self.longest_pause.as_millis());
+        format!("answered; its stream began after {first} ms, its longest pause was {longest} ms")
+    }
+
+    /// Records the arrival of a chunk. Returns whether it should be recorded as a sign of life of the endpoint.
+    fn record_chunk(&mut self) -> bool {
+        let now = std_time::Instant::now();
+        if let Some(last) = self.last_chunk.replace(now) {
+            self.longest_pause = self.longest_pause.max(now - last);
+        }
+        let is_due = self
+            .activity_recorded
+            .is_none_or(|at| now - at >= ACTIVITY_INTERVAL);
+        if is_due {
+            self.activity_recorded = Some(now);
+        }
+        is_due
+    }
+}
+
+impl<'a, D: dialect::Dialect> ProxiedRequest<'a, D> {
+    fn new(
+        shared: &'a state::Shared<D>,
+        req: &'a request::Request,
+        passing: &'a dialect::RequestMetadata,
+        routing: &'a routing::Routing,
+        route: &'a config::Route,
+        service: &'a str,
+        engines: Option<&'a config::EnginePool>,
+    ) -> Self {
+        let span = passing
+            .deadline
+            .map_or(route.timeout, |it| it.min(route.timeout));
+        let wanted = passing.model.as_ref().filter(|_| engines.is_some());
+        let offered = engines.into_iter().flat_map(|it| &it.models);
+        let mut named = offered.filter(|it| wanted.is_some_and(|wanted| wanted.model == it.name));
+        Self {
+            shared,
+            req,
+            passing,
+            content: content_of(req),
+            route,
+            workspace: None,
+            identified_by: routing.config.version,
+            asks_for_keys: routing.workspaces.is_some(),
+            service,
+            wanted,
+            model: named.next(),
+            deadline: req.received + span.into(),
+            tried_endpoints: Vec::new(),
+            possible_runs: 0,
+            deliveries: 0,
+            last_failure: String::new(),
+            is_demand_counted: cell::Cell::new(false),
+            next_charge: None,
+            committed_charge: None,
+            has_retry_token: false,
+            is_retry_budget_spent: false,
+            waited_for: None,
+            timings: StreamTimings::default(),
+            attempt_log: attempt_log::AttemptLog::default(),
+        }
+    }
+
+    fn run(mut self, reply: reply::Reply<'_>) -> reply::Sent {
+        let watch = reply.watch();
+        let mut sink = ResponseSink::NotStarted(reply);
+        let now = self.shared.clock.now();
+        self.shared.with_core(|core| {
+            core.budget.request(now, self.service);
+        });
+        if let Some(refusal) = self.charge_quota() {
+            return self.refuse(sink, &refusal);
+        }
+        loop {
+            let pick = match self.next(&watch) {
+                NextStep::Send(pick) => pick,
+                NextStep::Refuse(refusal) => return self.refuse(sink, &refusal),
+                NextStep::CallerGone => return self.finish_caller_gone(sink),
+            };
+            match self.send(&pick, sink, &watch) {
+                AttemptResult::Done(sent) => return sent,
+                AttemptResult::Retry(back) => sink = back,
+                AttemptResult::Refuse(sink, refusal) => return self.refuse(sink, &refusal),
+                AttemptResult::CallerGone(sink) => return self.finish_caller_gone(sink),
+            }
+        }
+    }
+
+    fn id(&self) -> &str {
+        self.passing.id.as_deref().unwrap_or_default()
+    }
+
+    fn time_left(&self) -> time::Millis {
+        let left = self
+            .deadline
+            .saturating_duration_since(std_time::Instant::now());
+        left.into()
+    }
+}
+
+fn content_of(req: &request::Request) -> quarantine::Fingerprint {
+    let host = req.header("host").unwrap_or_default();
+    fingerprint::of(
+        &req.method,
+        host,
+        &req.path,
+        req.query.as_deref(),
+        &req.body,
+    )
+}
--- /dev/null
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -0,0 +1,147 @@
+//! Forwards the event stream of an endpoint, and resumes it at another one if it stalls or breaks off.
+
+use std::time as std_time;
+
+use sageshed_fleet::{chooser, dialect};
+use sageshed_types::time;
+use sageshed_upstream::{exchange, failure};
+
+use super::{AttemptResult, ProxiedRequest};
+use crate::gateway::{entry_peers, response::ResponseSink};
+
+/// The longest gap between two events before a resumable stream is moved to another endpoint. Callers
+/// abandon a stream after a gap of two seconds.
+const MAX_EVENT_GAP: std_time::Duration = std_time::Duration::from_secs(1);
+
+impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
+    /// Forwards a stream to the caller event by event.
+    pub(super) fn stream<'c>(
+        &mut self,
+        pick: &chooser::Pick,
+        mut exchange: exchange::Exchange,
+        sink: ResponseSink<'c>,
+        sent_at: std_time::Instant,
+        stop: &impl Fn() -> bool,
+        load: Option<dialect::Load>,
+    ) -> AttemptResult<'c> {
+        let can_resume = !sink.has_started() || sink.last_id().is_some();
+        let mut piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
+            Ok(piece) => piece,
+            Err(failure) => return self.handle_failed_run(pick, sink, false, &failure),
+        };
+        self.record_start(pick, sent_at, load);
+        self.timings.record_start(self.req.received);
+        let (mut stream, mut events) = sink.start_stream(&exchange.head);
+        let mut passed_on: u64 = 0;
+        loop {
+            match piece {
+                exchange::Piece::Bytes(bytes) => {
+                    let whole = events.push(self.shared.dialect, &bytes);
+                    passed_on += whole.len() as u64;
+                    if self.timings.record_chunk() {
+                        let now = self.shared.clock.now();
+                        self.shared
+                            .with_core(|core| core.chooser.heard_from(now, pick));
+                    }
+                    if stream.send(&whole).is_err() {
+                        self.end_attempt(pick, true, chooser::Ended::GivenUp);
+                        return AttemptResult::CallerGone(ResponseSink::Streaming(stream, events));
+                    }
+                }
+                exchange::Piece::End => {
+                    let rest = events.take_rest();
+                    let bytes = passed_on + rest.len() as u64;
+                    if stream.send(&rest).is_err() {
+                        ::log::info!(request = self.id(); "gateway: caller disconnected at the end of its stream");
+                    }
+                    self.end_attempt(pick, true, chooser::Ended::Answered);
+                    self.record_pauses(pick);
+                    let exchange_status = exchange.head.status;
+                    self.shared.pool.keep(pick.address, exchange);
+                    self.finish_answered(pick, exchange_status, bytes, sent_at);
+                    return AttemptResult::Done(stream.finish());
+                }
+            }
+            let can_resume = events.last_id.is_some();
+            piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
+                Ok(piece) => piece,
+                Err(failure) => {
+                    events.drop_rest();
+                    // Close the connection before the stream is resumed elsewhere, so that this endpoint stops.
+                    drop(exchange);
+                    let sink = ResponseSink::Streaming(stream, events);
+                    return self.handle_failed_run(pick, sink, true, &failure);
+                }
+            };
+        }
+    }
+
+    /// Reads the next chunk of a stream, which `can_resume` at another endpoint.
+    ///
+    /// A stalled stream is abandoned only if a free endpoint can resume it and a retry is available. Most often its
+    /// engine is busy with the prefill of other prompts and the stream continues by itself; abandoned without either,
+    /// it could not be resumed, and its caller would lose the rest of the response.
+    fn next_chunk<S: Fn() -> bool>(
+        &mut self,
+        pick: &chooser::Pick,
+        exchange: &mut exchange::Exchange,
+        stop: &S,
+        can_resume: bool,
+    ) -> Result<exchange::Piece, failure::Failure> {
+        loop {
+            let goes_on =
+                self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+            let may_leave = goes_on && can_resume;
+            let until = if may_leave {
+                self.deadline.min(std_time::Instant::now() + MAX_EVENT_GAP)
+            } else {
+                self.deadline
+            };
+            let read = exchange.read(&exchange::Patience { until, stop });
+            let is_silent = matches!(&read, Err(e) if e.cause == failure::Cause::Silent);
+            let is_over = self.time_left() == time::Millis(0);
+            if !is_silent || is_over || (self.has_free_alternative(pick) && self.acquire_retry()) {
+                return read;
+            }
+        }
+    }
+
+    /// Whether an endpoint other than that of `pick` could start the request now.
+    fn has_free_alternative(&self, pick: &chooser::Pick) -> bool {
+        let mut tried = self.tried_endpoints.clone();
+        tried.push(pick.key);
+        let ask = chooser::Ask {
+            service: self.service,
+            wanted: self.wanted,
+            parts: &self.passing.parts,
+            prompt_tokens: self.passing.prompt_tokens,
+            tried: &tried,
+            left: self.time_left(),
+            patience: time::Millis(0),
+            on_time: time::Millis(0),
+            may_be_late: false,
+            may_fetch: false,
+        };
+        let now = self.shared.clock.now();
+        self.shared
+            .with_core(|core| core.chooser.has_free(now, &ask))
+    }
+
+    /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
+    fn record_pauses(&self, pick: &chooser::Pick) {
+        let Some(limit) = self.route.max_event_gap else {
+            return;
+        };
+        let now = self.shared.clock.now();
+        let (first, longest) = (self.timings.first_event, self.timings.longest_pause);
+        let lasted = self.req.received.elapsed().saturating_sub(first);
+        let pauses = chooser::Pauses {
+            lasted: lasted.into(),
+            longest: longest.into(),
+            limit,
+        };
+        self.shared
+            .with_core(|core| core.chooser.paused(now, pick, pauses));
+        entry_peers::tell_pauses(self.shared, pick, pauses);
+    }
+}
