--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -143,7 +143,7 @@
             return Attempt::Waiting;
         }
         self.awaited_mib[eviction_plan.key.index()] += need_mib;
-        self.clear(&eviction_plan, "it makes way for a model in greater demand")
+        self.start_evictions(&eviction_plan, "it makes way for a model in greater demand")
     }
 
     /// How long the copies to be taken off will keep their slots, in milliseconds: the slots that
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -69,7 +69,7 @@
             Some((_, MoveStep::Load(moved, to))) => {
                 self.load(to, moved, "it makes way for a model elsewhere")
             }
-            Some((_, MoveStep::Evict(eviction_plan))) => self.clear(
+            Some((_, MoveStep::Evict(eviction_plan))) => self.start_evictions(
                 &eviction_plan,
                 "it makes way for a model that makes way for another",
             ),
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -47,7 +47,7 @@
         });
         match best {
             Some(eviction_plan) => {
-                self.clear(&eviction_plan, "it makes way for a model without a route")
+                self.start_evictions(&eviction_plan, "it makes way for a model without a route")
             }
             None => Attempt::Impossible,
         }
@@ -208,7 +208,11 @@
     }
 
     /// Proposes the unloads of `eviction_plan` that may begin now: adapters before their base.
-    pub(super) fn clear(&mut self, eviction_plan: &EvictionPlan, reason: &'static str) -> Attempt {
+    pub(super) fn start_evictions(
+        &mut self,
+        eviction_plan: &EvictionPlan,
+        reason: &'static str,
+    ) -> Attempt {
         let mut result = Attempt::Impossible;
         let mut order = Vec::new();
         for spare in &eviction_plan.spares {
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -110,7 +110,7 @@
             }
             match self.eviction_plan(*key, *model, need_mib) {
                 Some(eviction_plan) => {
-                    self.clear(&eviction_plan, "it makes way for a pinned model");
+                    self.start_evictions(&eviction_plan, "it makes way for a pinned model");
                 }
                 None => self.report_problem(*model, "no room where it is pinned"),
             }
--- a/tests/fleet/explaining.rs
+++ b/tests/fleet/explaining.rs
@@ -52,7 +52,11 @@
             "/once/x",
             None,
             503,
-            &["without running it", "status=\"503\"", "verdict=\"not_run\""],
+            &[
+                "without running it",
+                "status=\"503\"",
+                "verdict=\"not_run\"",
+            ],
         ),
         case(
             "failed",
