--- a/crates/sageshed-decide/src/bits.rs
+++ b/crates/sageshed-decide/src/bits.rs
@@ -9,7 +9,7 @@
 impl BitSet {
     /// An empty set for numbers below `len`.
     #[must_use]
-    pub fn none(len: usize) -> Self {
+    pub fn empty(len: usize) -> Self {
         Self {
             words: vec![0; len.div_ceil(64)],
         }
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -99,7 +99,7 @@
             others: 0,
             dither: 0.0,
             busy_until: time::Instant(0),
-            ready: bits::BitSet::none(names.models.len()),
+            ready: bits::BitSet::empty(names.models.len()),
             loading: Vec::new(),
             history: collections::VecDeque::new(),
         }
@@ -230,7 +230,7 @@
         resident: &[endpoints::Resident],
         names: &names::Names,
     ) {
-        let mut ready = bits::BitSet::none(names.models.len());
+        let mut ready = bits::BitSet::empty(names.models.len());
         let mut loading = Vec::new();
         for held in resident {
             let Some(key) = names.models.get(&held.model) else {
--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -173,12 +173,12 @@
     }
 
     fn fill_columns(&mut self, rules: &[rules::Rule], names: &names::Names) {
-        let column = |len: usize| vec![bits::BitSet::none(rules.len()); len];
+        let column = |len: usize| vec![bits::BitSet::empty(rules.len()); len];
         self.by_caller = column(names.callers.len());
         self.by_class = column(names.classes.len());
         self.by_model = column(names.models.len());
         self.by_service = column(names.services.len());
-        self.by_flags = std::array::from_fn(|_| bits::BitSet::none(rules.len()));
+        self.by_flags = std::array::from_fn(|_| bits::BitSet::empty(rules.len()));
         for (i, rule) in rules.iter().enumerate() {
             self.fill_rule(i, &rule.when, names);
         }
--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -276,7 +276,7 @@
 }
 
 fn members<K: Key>(names: &arena::Names<K>, holds: impl Fn(K, &str) -> bool) -> bits::BitSet {
-    let mut set = bits::BitSet::none(names.len());
+    let mut set = bits::BitSet::empty(names.len());
     for (key, name) in names.iter() {
         if holds(key, name) {
             set.insert(key.index());
