--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -111,7 +111,7 @@
     /// By engine: slots that the demand keeps busy.
     busy_slots: Vec<f64>,
     /// By engine: whether an order may be issued.
-    open: Vec<bool>,
+    accepts_orders: Vec<bool>,
     /// By engine: memory being freed that a model waits for, in MiB.
     awaited_mib: Vec<u64>,
     /// No copies are to be moved for the model in hand: too much was moved for it in vain.
@@ -135,7 +135,7 @@
             routes: vec![Vec::new(); models],
             loading_on: vec![Vec::new(); models],
             busy_slots: vec![0.0; engines],
-            open: vec![false; engines],
+            accepts_orders: vec![false; engines],
             awaited_mib: vec![0; engines],
             moves_paused: false,
             evictions: 0,
@@ -169,7 +169,7 @@
     fn index_engines(&mut self) {
         for index in 0..self.inputs.ledger.engines().len() {
             let engine = &self.inputs.ledger.engines()[index];
-            self.open[index] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
+            self.accepts_orders[index] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
             if engine.leaving || !self.inputs.ledger.is_fresh(self.inputs.now, engine) {
                 continue;
             }
@@ -293,7 +293,7 @@
     /// Whether `model` may be loaded on `key` but for room.
     fn can_host(&self, key: EndpointKey, model: ModelKey) -> bool {
         let engine = self.engine(key);
-        self.open[key.index()]
+        self.accepts_orders[key.index()]
             && self.inputs.ledger.admits(engine, model)
             && !engine.has_or_awaits(model)
     }
@@ -335,7 +335,7 @@
         version: u32,
         reason: &'static str,
     ) -> Attempt {
-        if !self.open[key.index()] || !self.may_unload(key, model, version) {
+        if !self.accepts_orders[key.index()] || !self.may_unload(key, model, version) {
             return Attempt::Impossible;
         }
         if model.index() < self.routes.len() {
@@ -367,7 +367,7 @@
             return Attempt::Impossible;
         };
         let engine = self.inputs.ledger.engine(key);
-        self.open[key.index()] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
+        self.accepts_orders[key.index()] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
         self.proposals.push(Proposal {
             endpoint: key,
             model,
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -58,7 +58,7 @@
         }
         let need_mib = self.memory(model);
         let beside = outdated.iter().map(|(key, _)| *key).find(|key| {
-            self.open[key.index()]
+            self.accepts_orders[key.index()]
                 && self.room(*key) >= need_mib
                 && self.has_base(*key, model)
                 && !self.engine(*key).awaits(model)
