--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -10,7 +10,7 @@
 use crate::{
     budget, demand, engine, ledger, move_limits,
     orders::{self, Task},
-    planner::{self, reach},
+    planner::{self, first_routes},
     policy,
 };
 
@@ -118,7 +118,7 @@
             demand: demand::Estimator::new(models.len()),
             budget: budget::Budget::default(),
             move_limits: move_limits::MoveLimits::new(models.len()),
-            ranking: reach::ranking(&ledger),
+            ranking: first_routes::ranking(&ledger),
             pins: Vec::new(),
             leading: false,
             reasons: collections::BTreeMap::new(),
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -2,7 +2,7 @@
 //!
 //! # The order of concerns
 //!
-//! 1. [`reach`]: each model and adapter gets a route, critical ones first, bases before adapters,
+//! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, bases before adapters,
 //!    large families first. If there is no room, spare copies make way; if there are none, a copy
 //!    that is the only one of its model is first made anew elsewhere.
 //! 2. [`versions`]: outdated copies are replaced one by one, each with another route up meanwhile.
@@ -31,8 +31,8 @@
 
 pub mod baselines;
 pub mod capacity;
+pub mod first_routes;
 pub mod moves;
-pub mod reach;
 pub mod room;
 pub mod versions;
 
@@ -96,7 +96,7 @@
     pub policy: &'a policy::Policy,
     /// The operators' pins.
     pub pins: &'a [(ModelKey, EndpointKey)],
-    /// The models on offer in the order of [`reach::ranking`].
+    /// The models on offer in the order of [`first_routes::ranking`].
     pub ranking: &'a [ModelKey],
 }
 
@@ -152,7 +152,7 @@
     pub fn plan(mut self) -> (Vec<Proposal>, Vec<Problem>) {
         match self.inputs.policy.baseline {
             policy::PlannerKind::Planned => {
-                self.reach();
+                self.ensure_routes();
                 self.pins();
                 self.versions();
                 self.capacity();
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -81,7 +81,7 @@
 
     /// Gives each model a route, then fills the memory with copies in turn; follows no demand.
     pub(super) fn even(&mut self) {
-        self.reach();
+        self.ensure_routes();
         let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
         models.sort_by_key(|m| self.replicas(*m));
         for model in models {
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -41,7 +41,7 @@
 
 impl Planner<'_> {
     /// Begins a load for each model that has no route and none on its way.
-    pub(super) fn reach(&mut self) {
+    pub(super) fn ensure_routes(&mut self) {
         let ranking = self.inputs.ranking;
         for model in ranking {
             if !self.routes[model.index()].is_empty() {
