--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -106,27 +106,29 @@
         let mut out = Actions::new();
         self.now = now;
         match event {
-            event::Event::Arrived(info) => self.arrived(now, info, &mut out),
-            event::Event::ClaimGranted(req) => self.claim_granted(now, req, &mut out),
+            event::Event::Arrived(info) => self.handle_arrival(now, info, &mut out),
+            event::Event::ClaimGranted(req) => self.handle_claim_granted(now, req, &mut out),
             event::Event::ClaimDenied(req) => self.end_request(now, req),
-            event::Event::AttemptEnded { req, outcome } => self.ended(now, req, outcome, &mut out),
+            event::Event::AttemptEnded { req, outcome } => {
+                self.handle_attempt_end(now, req, outcome, &mut out)
+            }
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.mark_answer_started(req);
             }
-            event::Event::BackoffRequested { req, span } => self.backoff_requested(now, req, span),
-            event::Event::CallerGone(req) => self.caller_gone(now, req, &mut out),
-            event::Event::Report(report, age) => self.report(now, &report, age, &mut out),
+            event::Event::BackoffRequested { req, span } => self.handle_backoff(now, req, span),
+            event::Event::CallerGone(req) => self.handle_caller_gone(now, req, &mut out),
+            event::Event::Report(report, age) => self.handle_report(now, &report, age, &mut out),
             event::Event::EndpointSilent(endpoint) => {
                 self.router.fleet.get_mut(endpoint).silent = true;
             }
-            event::Event::Tick => self.tick(now, &mut out),
+            event::Event::Tick => self.handle_tick(now, &mut out),
             event::Event::Drain => self.draining = true,
             event::Event::RefuseNew => self.refusing_new = true,
         }
         out
     }
 
-    fn report(
+    fn handle_report(
         &mut self,
         now: time::Instant,
         report: &sageshed_types::endpoints::Report,
--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -15,14 +15,14 @@
 }
 
 impl Decider {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         now: time::Instant,
         info: event::RequestInfo,
         out: &mut Actions,
     ) {
         let req = info.id;
-        let request = self.open(now, info);
+        let request = self.new_request(now, info);
         self.requests.insert(req, request);
         self.expiries.insert((self.expiry(req), req));
         if self.refusing_new {
@@ -33,13 +33,13 @@
             };
             return self.refuse(now, req, cause, out);
         }
-        match self.rule(now, req) {
+        match self.apply_rules(now, req) {
             RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
             RuleOutcome::Continue => self.admit_new(now, req, out),
         }
     }
 
-    fn open(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
+    fn new_request(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
         let caller = self.names.caller_row(info.caller);
         let class = info.class.unwrap_or(caller.class);
         let row = self.names.class_row(class);
@@ -69,7 +69,7 @@
     }
 
     /// Finds the rule that decides and does what it says.
-    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
+    fn apply_rules(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
@@ -171,7 +171,7 @@
     }
 
     /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
-    pub(super) fn claim_granted(
+    pub(super) fn handle_claim_granted(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -204,7 +204,7 @@
 
     /// Time went on: gives up on what is long past its deadline, sends what can be sent, and refuses
     /// what waits and can no longer be on time.
-    pub(super) fn tick(&mut self, now: time::Instant, out: &mut Actions) {
+    pub(super) fn handle_tick(&mut self, now: time::Instant, out: &mut Actions) {
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
         self.cold.retain(|lane, _| router.is_cold(now, *lane));
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -35,7 +35,12 @@
         }
     }
 
-    pub(super) fn caller_gone(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    pub(super) fn handle_caller_gone(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        out: &mut Actions,
+    ) {
         let Some(request) = self.requests.get(&req) else {
             return;
         };
@@ -49,7 +54,7 @@
     }
 
     /// The endpoint of a try wants rest. An earlier start of it says nothing of this one.
-    pub(super) fn backoff_requested(
+    pub(super) fn handle_backoff(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
@@ -64,7 +69,7 @@
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn handle_attempt_end(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
@@ -87,7 +92,7 @@
                 self.end_request(now, req);
             }
             event::AttemptOutcome::Failed { verdict, fault } => {
-                self.failed(now, req, sent, verdict, fault, out);
+                self.handle_failure(now, req, sent, verdict, fault, out);
             }
         }
         self.send_waiting(now, Some(sent.endpoint), out);
@@ -118,7 +123,7 @@
         health.succeeded(now, sent.at);
     }
 
-    fn failed(
+    fn handle_failure(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
