--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -16,11 +16,11 @@
 fn queue_goes_by_priority_then_deadline() {
     let mut harness = one_engine();
     let (running, _) = harness.arrive(|_| {});
-    let (idle, told) = harness.arrive(|f| {
+    let (idle, actions) = harness.arrive(|f| {
         f.class = IDLE;
         f.deadline = Some(time::Millis(7_000));
     });
-    assert!(common::queued(&told, idle));
+    assert!(common::queued(&actions, idle));
     let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(9_000)));
     let (soon, _) = harness.arrive(|f| f.deadline = Some(time::Millis(8_000)));
     let mut busy = running;
@@ -42,9 +42,9 @@
         harness.arrive(|_| {});
     }
     let (usual, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, usual), "queue");
+    assert_eq!(common::summary(&actions, usual), "queue");
     let (urgent, actions) = harness.arrive(|f| f.class = URGENT);
-    assert_eq!(common::told(&actions, urgent), "send");
+    assert_eq!(common::summary(&actions, urgent), "send");
 }
 
 /// What a user would see: every request of a council is refused while one pub's machine floods the
@@ -55,19 +55,19 @@
     harness.arrive(|_| {});
     let flood = (0..4).map(|_| harness.arrive(|_| {}).0).collect::<Vec<_>>();
     let (more, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, more), "queue_full not_run");
+    assert_eq!(common::summary(&actions, more), "queue_full not_run");
     let refusal = common::refused(&actions, more).expect("refused");
     assert!(refusal.retry_after.is_some_and(|span| span.0 > 0));
     let (other, actions) = harness.arrive(|f| f.caller = arena::CallerKey(1));
-    assert_eq!(common::told(&actions, other), "queue");
-    assert_eq!(common::told(&actions, flood[3]), "queue_full not_run");
+    assert_eq!(common::summary(&actions, other), "queue");
+    assert_eq!(common::summary(&actions, flood[3]), "queue_full not_run");
 }
 
 struct Unmeetable {
     learned: u64,
     busy: bool,
     deadline: u64,
-    told: &'static str,
+    expected: &'static str,
     comes_back: bool,
 }
 
@@ -78,28 +78,28 @@
             learned: 1_000,
             busy: false,
             deadline: 1_500,
-            told: "send",
+            expected: "send",
             comes_back: false,
         },
         Unmeetable {
             learned: 1_000,
             busy: false,
             deadline: 900,
-            told: "deadline_unmeetable not_run",
+            expected: "deadline_unmeetable not_run",
             comes_back: false,
         },
         Unmeetable {
             learned: 1_000,
             busy: true,
             deadline: 1_500,
-            told: "deadline_unmeetable not_run",
+            expected: "deadline_unmeetable not_run",
             comes_back: true,
         },
         Unmeetable {
             learned: 1_000,
             busy: true,
             deadline: 4_000,
-            told: "queue",
+            expected: "queue",
             comes_back: false,
         },
         // Nothing was learned: a refusal must not rest on a guess.
@@ -107,7 +107,7 @@
             learned: 0,
             busy: true,
             deadline: 100,
-            told: "queue",
+            expected: "queue",
             comes_back: false,
         },
     ];
@@ -122,8 +122,8 @@
         }
         let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(case.deadline)));
         assert_eq!(
-            common::told(&actions, req),
-            case.told,
+            common::summary(&actions, req),
+            case.expected,
             "deadline {}",
             case.deadline
         );
@@ -147,9 +147,9 @@
     harness.arrive(|_| {});
     let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(3_500)));
     assert!(common::queued(&actions, req));
-    assert_eq!(common::told(&harness.tick_after(100), req), "");
+    assert_eq!(common::summary(&harness.tick_after(100), req), "");
     assert_eq!(
-        common::told(&harness.tick_after(1_000), req),
+        common::summary(&harness.tick_after(1_000), req),
         "deadline_unmeetable not_run"
     );
 }
@@ -162,28 +162,28 @@
     let mut harness = one_engine();
     harness.train(20_000);
     harness.report(common::report("e1", 2, 1, &["sort"]));
-    harness.pass(1_000);
+    harness.advance(1_000);
     let (first, actions) = harness.arrive(|_| {});
     assert_eq!(
-        common::told(&actions, first),
+        common::summary(&actions, first),
         "send",
         "the last one was sent 21 s ago"
     );
     harness.done(first);
     let (second, actions) = harness.arrive(|_| {});
     assert_eq!(
-        common::told(&actions, second),
+        common::summary(&actions, second),
         "deadline_unmeetable not_run"
     );
-    harness.pass(2_000);
+    harness.advance(2_000);
     harness.report(common::report("e1", 3, 1, &["sort"]));
     let (third, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, third), "send");
+    assert_eq!(common::summary(&actions, third), "send");
 }
 
 #[test]
 fn cold_model_is_waited_for_or_refused_at_once() {
-    for (deadline, known, told, back) in [
+    for (deadline, known, expected, back) in [
         (10_000, true, "queue", None),
         (3_200, true, "no_route not_run", Some(3_500)),
         (10_000, false, "no_route not_run", Some(3_000)),
@@ -193,12 +193,12 @@
             harness.report(common::report("e1", 1, 1, &["draft"]));
         }
         let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(deadline)));
-        assert_eq!(common::told(&actions, req), told);
+        assert_eq!(common::summary(&actions, req), expected);
         let refusal = common::refused(&actions, req);
         assert_eq!(refusal.and_then(|r| r.retry_after), back.map(time::Millis));
         let demand = harness.decider.demand();
         assert_eq!((demand[0].model.as_str(), demand[0].arrived), ("sort", 1));
-        let waits = u32::from(told == "queue");
+        let waits = u32::from(expected == "queue");
         assert_eq!((demand[0].waiting, demand[0].unserved), (waits, 1 - waits));
         if waits == 1 {
             let actions = harness.report(common::report("e1", 2, 1, &["sort"]));
@@ -217,9 +217,9 @@
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.resident[0].phase = endpoints::Phase::Loading;
     harness.report(report);
-    harness.pass(2_500);
+    harness.advance(2_500);
     let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(2_000)));
-    assert_eq!(common::told(&actions, req), "queue");
+    assert_eq!(common::summary(&actions, req), "queue");
 }
 
 #[test]
@@ -240,19 +240,19 @@
     let mut harness = one_engine();
     let once = |f: &mut event::RequestInfo| f.not_repeatable = true;
     let (req, actions) = harness.arrive(once);
-    assert_eq!(common::told(&actions, req), "claim");
-    assert_eq!(common::told(&harness.tick_after(50), req), "");
+    assert_eq!(common::summary(&actions, req), "claim");
+    assert_eq!(common::summary(&harness.tick_after(50), req), "");
     let actions = harness.step(event::Event::ClaimGranted(req));
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
     let (waits, _) = harness.arrive(once);
     let actions = harness.step(event::Event::ClaimGranted(waits));
-    assert_eq!(common::told(&actions, waits), "queue");
+    assert_eq!(common::summary(&actions, waits), "queue");
     let (denied, _) = harness.arrive(once);
     harness.step(event::Event::ClaimDenied(denied));
     assert_eq!(harness.step(event::Event::ClaimGranted(denied)), Vec::new());
     let (silent, _) = harness.arrive(once);
     assert_eq!(
-        common::told(&harness.tick_after(20_000), silent),
+        common::summary(&harness.tick_after(20_000), silent),
         "claim_unavailable not_run"
     );
 }
@@ -263,8 +263,8 @@
     let (gone, _) = harness.arrive(|_| {});
     let (next, _) = harness.arrive(|_| {});
     let actions = harness.step(event::Event::CallerGone(gone));
-    assert_eq!(common::told(&actions, gone), "cancel");
-    assert_eq!(common::told(&actions, next), "send");
+    assert_eq!(common::summary(&actions, gone), "cancel");
+    assert_eq!(common::summary(&actions, next), "send");
     assert_eq!(harness.done(gone), Vec::new(), "its end is no news");
     assert_eq!(harness.decider.gauges().in_flight, 1);
 }
@@ -275,10 +275,10 @@
         let mut harness = one_engine();
         let (req, _) = harness.arrive(|f| f.not_repeatable = not_repeatable);
         harness.step(event::Event::ClaimGranted(req));
-        assert_eq!(common::told(&harness.tick_after(waits - 1), req), "");
+        assert_eq!(common::summary(&harness.tick_after(waits - 1), req), "");
         let actions = harness.tick_after(1);
         assert_eq!(
-            common::told(&actions, req),
+            common::summary(&actions, req),
             "cancel, deadline_passed may_have_run"
         );
     }
@@ -317,7 +317,7 @@
 /// by the last report that it had, which gave it nearly all of the slots.
 #[test]
 fn stale_report_leaves_the_even_share() {
-    for (silence, told) in [(0, "send"), (4_000, "queue")] {
+    for (silence, expected) in [(0, "send"), (4_000, "queue")] {
         let mut settings = common::settings();
         settings.entries = 2;
         let mut harness = common::Harness::new(settings);
@@ -328,11 +328,11 @@
         let mut report = common::report("e1", 2, 64, &["sort"]);
         report.running = 32;
         harness.report(report);
-        harness.pass(silence);
+        harness.advance(silence);
         let (req, actions) = harness.arrive(|_| {});
         assert_eq!(
-            common::told(&actions, req),
-            told,
+            common::summary(&actions, req),
+            expected,
             "{silence} ms after the report"
         );
     }
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -148,12 +148,12 @@
         self.decider.step(self.now, event)
     }
 
-    pub fn pass(&mut self, span: u64) {
+    pub fn advance(&mut self, span: u64) {
         self.now = self.now + time::Millis(span);
     }
 
     pub fn tick_after(&mut self, span: u64) -> Vec<event::Action> {
-        self.pass(span);
+        self.advance(span);
         self.step(event::Event::Tick)
     }
 
@@ -204,7 +204,7 @@
                 sent_to(&actions, req).is_some(),
                 "there is room: {actions:?}"
             );
-            self.pass(span);
+            self.advance(span);
             self.done(req);
         }
     }
@@ -240,7 +240,7 @@
 }
 
 /// What a table row expects of a request.
-pub fn told(actions: &[event::Action], req: event::ReqId) -> String {
+pub fn summary(actions: &[event::Action], req: event::ReqId) -> String {
     let words = actions.iter().filter_map(|action| match action {
         event::Action::Send { req: r, .. } if *r == req => Some("send".to_owned()),
         event::Action::Claim { req: r } if *r == req => Some("claim".to_owned()),
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -11,10 +11,10 @@
 struct Failure {
     not_repeatable: bool,
     /// Whether it is streamed and its first token was passed on.
-    begun: bool,
+    answer_started: bool,
     verdict: verdict::Verdict,
     fault: event::Fault,
-    told: &'static str,
+    expected: &'static str,
 }
 
 const REFUSED: event::Fault = event::Fault::ConnectRefused;
@@ -23,62 +23,62 @@
 const FAILURES: &[Failure] = &[
     Failure {
         not_repeatable: false,
-        begun: false,
+        answer_started: false,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
-        told: "send",
+        expected: "send",
     },
     Failure {
         not_repeatable: false,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
-        told: "send",
+        expected: "send",
     },
     // The caller has part of one run already: a second one must not be spliced to it.
     Failure {
         not_repeatable: false,
-        begun: true,
+        answer_started: true,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     // Not a byte went out: the holder of the claim may send it again.
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
-        told: "send",
+        expected: "send",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: MAY_HAVE_RUN,
         fault: event::Fault::NoFirstByte,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     // Once a connection stood, `NotRun` is not believed.
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: CUT,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: event::Fault::Status(500),
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: event::Fault::Status(429),
-        told: "send",
+        expected: "send",
     },
 ];
 
@@ -90,13 +90,13 @@
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let (req, mut actions) = harness.arrive(|f| {
             f.not_repeatable = case.not_repeatable;
-            f.streaming = case.begun;
+            f.streaming = case.answer_started;
         });
         if case.not_repeatable {
             actions = harness.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
-        if case.begun {
+        if case.answer_started {
             harness.step(event::Event::FirstToken { req });
         }
         let actions = harness.fail(req, case.verdict, case.fault);
@@ -104,7 +104,7 @@
             "{:?} {:?}, not repeatable: {}",
             case.verdict, case.fault, case.not_repeatable
         );
-        assert_eq!(common::told(&actions, req), case.told, "{what}");
+        assert_eq!(common::summary(&actions, req), case.expected, "{what}");
         assert_ne!(
             common::sent_to(&actions, req),
             Some(first),
@@ -121,14 +121,17 @@
 }
 
 /// What a user would see: a refusal says `not_run`, the caller sends the dispatch again, and it runs
-/// twice. Of two tries the first may have run, and the last one's verdict alone was told.
+/// twice. Of two tries the first may have run, and the last one's verdict alone was expected.
 #[test]
 fn refusal_carries_the_worst_verdict_of_all_tries() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let (req, _) = harness.arrive(|_| {});
     harness.fail(req, MAY_HAVE_RUN, CUT);
     let actions = harness.fail(req, NOT_RUN, REFUSED);
-    assert_eq!(common::told(&actions, req), "endpoint_failed may_have_run");
+    assert_eq!(
+        common::summary(&actions, req),
+        "endpoint_failed may_have_run"
+    );
 }
 
 /// What a user would see: one engine fails and soon all are slow. Every failed request was sent up
@@ -182,9 +185,9 @@
         settings.policy.shed = shed;
         let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
         let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
-        harness.pass(500);
+        harness.advance(500);
         let actions = harness.fail(req, NOT_RUN, REFUSED);
-        assert_eq!(common::told(&actions, req), "endpoint_failed not_run");
+        assert_eq!(common::summary(&actions, req), "endpoint_failed not_run");
     }
 }
 
@@ -226,7 +229,7 @@
         (8, event::Fault::Status(429), false),
     ] {
         let mut harness = with_failures(times, fault);
-        harness.pass(300);
+        harness.advance(300);
         assert_eq!(
             harness.decider.gauges().ejected,
             usize::from(ejected),
@@ -250,7 +253,7 @@
             let (req, _) = harness.arrive(|_| {});
             let outcome = event::AttemptOutcome::Refused { status };
             harness.step(event::Event::AttemptEnded { req, outcome });
-            harness.pass(300);
+            harness.advance(300);
         }
         assert_eq!(harness.decider.gauges().ejected, ejected, "{status}");
     }
@@ -306,7 +309,7 @@
     harness.fail(req, NOT_RUN, REFUSED);
     assert_eq!(harness.decider.gauges().ejected, 1);
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
 /// What a user would see: a model is refused with `endpoint_failed` for as long as it takes to load it
@@ -321,10 +324,10 @@
     let dead = harness.decider.endpoint("dead").expect("heard");
     harness.step(event::Event::EndpointSilent(dead));
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "queue");
+    assert_eq!(common::summary(&actions, req), "queue");
     assert_eq!(harness.decider.demand()[0].waiting, 1);
     let actions = harness.report(common::report("other", 2, 1, &["sort"]));
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
 struct Away {
@@ -352,7 +355,7 @@
     Away {
         what: "silent by the age of its report",
         make: |harness| {
-            harness.pass(7_000);
+            harness.advance(7_000);
             harness.report(common::report("e2", 2, 8, &["sort"]));
         },
     },
@@ -408,7 +411,7 @@
     report.identity.incarnation = endpoints::Incarnation(2);
     harness.report(report);
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
     harness.fail(lost, NOT_RUN, REFUSED);
     let gauges = harness.decider.gauges();
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
@@ -428,7 +431,7 @@
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
             let (req, _) = harness.arrive(|f| f.max_tokens = 2);
-            harness.pass(100);
+            harness.advance(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
             harness.step(event::Event::AttemptEnded { req, outcome });
         }
@@ -462,7 +465,7 @@
         for _ in 0..8 {
             let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(1_000)));
             let (other, _) = harness.arrive(|_| {});
-            harness.pass(600);
+            harness.advance(600);
             if answers_others {
                 let outcome = event::AttemptOutcome::Done { tokens: 1 };
                 harness.step(event::Event::AttemptEnded {
@@ -470,10 +473,10 @@
                     outcome,
                 });
             }
-            harness.pass(500);
+            harness.advance(500);
             let actions = harness.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
             assert_eq!(
-                common::told(&actions, late),
+                common::summary(&actions, late),
                 "deadline_passed may_have_run",
                 "answers others: {answers_others}"
             );
@@ -506,7 +509,7 @@
         let span = time::Millis(3_000);
         harness.step(event::Event::BackoffRequested { req, span });
         harness.fail(req, NOT_RUN, event::Fault::Status(503));
-        harness.pass(after);
+        harness.advance(after);
         let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
         assert_eq!(is_sent, goes_on, "after {after} ms, restarted: {restarts}");
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -133,16 +133,16 @@
     );
 }
 
-struct Act {
+struct ActionCase {
     rule: &'static str,
-    told: &'static str,
+    expected: &'static str,
 }
 
-const fn act(rule: &'static str, told: &'static str) -> Act {
-    Act { rule, told }
+const fn act(rule: &'static str, expected: &'static str) -> ActionCase {
+    ActionCase { rule, expected }
 }
 
-const ACTS: &[Act] = &[
+const ACTION_CASES: &[ActionCase] = &[
     act("do = { route = {} }", "send"),
     act("do = { route = { pool = 'callout' } }", "send"),
     act("do = { route = { pool = 'other' } }", "no_route not_run"),
@@ -158,11 +158,16 @@
 
 #[test]
 fn actions_are_done() {
-    for case in ACTS {
+    for case in ACTION_CASES {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         harness.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
         let (req, actions) = harness.arrive(|_| {});
-        assert_eq!(common::told(&actions, req), case.told, "{}", case.rule);
+        assert_eq!(
+            common::summary(&actions, req),
+            case.expected,
+            "{}",
+            case.rule
+        );
         let refusal = common::refused(&actions, req);
         assert!(
             refusal.is_none_or(|r| r.rule.as_deref() == Some("r")),
@@ -176,7 +181,7 @@
 /// meant for look-ups lifted the mark, which only the method had given to other requests.
 #[test]
 fn rule_does_not_lift_a_callers_own_mark() {
-    for (by_default, told) in [(true, "send"), (false, "claim")] {
+    for (by_default, expected) in [(true, "send"), (false, "claim")] {
         let mut harness = common::Harness::new(common::settings());
         harness.report(common::service_report("s1", 1, 4));
         harness.install(
@@ -191,7 +196,7 @@
             facts.not_repeatable = true;
             facts.not_repeatable_by_default = by_default;
         });
-        assert_eq!(common::told(&actions, req), told);
+        assert_eq!(common::summary(&actions, req), expected);
     }
 }
 
@@ -204,7 +209,7 @@
     assert!(!harness.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
     assert_eq!(harness.decider.revision(), types_rules::Revision(5));
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
 struct Checked {
@@ -320,11 +325,15 @@
     per: &'static str,
     /// Caller of the second request, by index.
     second: u32,
-    told: &'static str,
+    expected: &'static str,
 }
 
-const fn limited(per: &'static str, second: u32, told: &'static str) -> Limited {
-    Limited { per, second, told }
+const fn limited(per: &'static str, second: u32, expected: &'static str) -> Limited {
+    Limited {
+        per,
+        second,
+        expected,
+    }
 }
 
 const LIMITED: &[Limited] = &[
@@ -347,7 +356,12 @@
         harness.arrive(|_| {});
         let (req, actions) =
             harness.arrive(|f| f.caller = sageshed_types::arena::CallerKey(case.second));
-        assert_eq!(common::told(&actions, req), case.told, "{}", case.per);
+        assert_eq!(
+            common::summary(&actions, req),
+            case.expected,
+            "{}",
+            case.per
+        );
         if let Some(refusal) = common::refused(&actions, req) {
             assert_eq!(
                 refusal.retry_after,
@@ -380,18 +394,18 @@
     settings.callers[0].burst = Some(4.0);
     let mut harness = common::Harness::new(settings);
     harness.report(common::report("e1", 1, 64, &["sort"]));
-    let told = (0..3).map(|_| {
+    let summaries = (0..3).map(|_| {
         let (req, actions) = harness.arrive(|_| {});
-        common::told(&actions, req)
+        common::summary(&actions, req)
     });
     assert_eq!(
-        told.collect::<Vec<_>>(),
+        summaries.collect::<Vec<_>>(),
         ["send", "send", "caller_limit not_run"]
     );
-    harness.pass(250);
+    harness.advance(250);
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(
-        common::told(&actions, req),
+        common::summary(&actions, req),
         "send",
         "half of 8 a second is one in 250 ms"
     );
@@ -428,8 +442,8 @@
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
     harness.step(event::Event::Drain);
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    assert_eq!(common::summary(&actions, req), "send");
     harness.step(event::Event::RefuseNew);
     let (req, actions) = harness.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "draining not_run");
+    assert_eq!(common::summary(&actions, req), "draining not_run");
 }
