--- a/crates/sageshed-decide/examples/rules_bench.rs
+++ b/crates/sageshed-decide/examples/rules_bench.rs
@@ -1,4 +1,4 @@
-//! Prints how long the first match takes among 1,000 rules.
+//! Benchmark of the first-match lookup among 1,000 rules.
 //!
 //! `cargo run --release -p sageshed-decide --example rules_bench`
 
@@ -39,8 +39,8 @@
     );
 }
 
-/// Each rule needs a caller, a class, a model and a long prompt, so that no request matches
-/// and all rules are passed over.
+/// A rule with conditions on caller, class, model and prompt length. No request of the benchmark has
+/// a prompt that is long enough, so that all rules are evaluated without a match.
 fn rule(i: usize) -> types_rules::Rule {
     let prompt_tokens = types_rules::Range {
         min: Some(u32::try_from(i + 1).unwrap_or(u32::MAX)),
