--- a/crates/sageshed-decide/src/bits.rs
+++ b/crates/sageshed-decide/src/bits.rs
@@ -1,13 +1,13 @@
-//! A set of small numbers, one bit each.
+//! A fixed-size bit set.
 
-/// A set of numbers below a size that is fixed when the set is made.
+/// A set of numbers below a fixed size.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BitSet {
     words: Vec<u64>,
 }
 
 impl BitSet {
-    /// An empty set for numbers below `len`.
+    /// Creates an empty set for numbers below `len`.
     #[must_use]
     pub fn empty(len: usize) -> Self {
         Self {
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Puts a number in. Numbers past the size are left out.
+    /// Adds a number. Numbers beyond the size are ignored.
     pub fn insert(&mut self, index: usize) {
         if let Some(word) = self.words.get_mut(index / 64) {
             *word |= 1 << (index % 64);
@@ -30,20 +30,20 @@
             .is_some_and(|word| word & (1 << (index % 64)) != 0)
     }
 
-    /// Whether the set has no member.
+    /// Whether the set is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.words.iter().all(|word| *word == 0)
     }
 
-    /// Whether every member of `other` is in this set.
+    /// Whether this set is a superset of `other`.
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
         let pairs = self.words.iter().zip(&other.words);
         pairs.into_iter().all(|(own, other)| other & !own == 0)
     }
 
-    /// The members, 64 at a time.
+    /// The words of the set, 64 members each, the lowest first.
     #[must_use]
     pub fn words(&self) -> &[u64] {
         &self.words
