--- a/crates/sageshed-decide/src/budget.rs
+++ b/crates/sageshed-decide/src/budget.rs
@@ -1,10 +1,10 @@
-//! The budget of retries, as a share of traffic.
+//! The retry budget, which limits retries to a share of the traffic.
 //!
-//! A count of tries for each request multiplies the load on a failing fleet by that count, just when
-//! it can least bear it. A share of traffic bounds the extra load whatever fails: with a share of
-//! 0.1, at most a tenth more is sent than arrived, but for a burst saved up in quiet times.
+//! A fixed number of attempts for each request would multiply the load on a failing fleet when it
+//! can handle it least. A budget bounds the additional load whatever fails: with a share of 0.1, at
+//! most a tenth more requests are sent than arrive, apart from a burst saved up in quiet times.
 
-/// Tokens, one a retry.
+/// A token bucket that is filled by first attempts and drained by retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
     tokens: f64,
@@ -13,7 +13,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget that earns `share` tokens for each first attempt and holds up to `burst`.
     #[must_use]
     pub fn new(share: f64, burst: f64) -> Self {
         Self {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// A request was sent for the first time.
+    /// Adds the share for one first attempt.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes the token for one retry. Returns whether there was one.
     pub fn spend(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
@@ -37,7 +37,7 @@
         allowed
     }
 
-    /// Retries that would be allowed now.
+    /// The number of retries that would be allowed now.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.tokens
