--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -1,13 +1,13 @@
-//! One entry process's decisions, as a state machine.
+//! The state machine that decides about every request of one entry process.
 //!
-//! A request goes `Deciding -> [Claiming ->] [Queued ->] Sent -> Ended`, and back from `Sent` to
-//! `Deciding` for a retry. The steps are in the modules below: `arrive` (rules, limits, admission),
-//! `admit` (send, wait or refuse), `dispatch` (sending, and the queue), `ended` (outcomes and
-//! retries) and `query` (what the daemon asks).
+//! A request goes through `Deciding -> [Claiming ->] [Queued ->] Sent -> Ended`, and from `Sent`
+//! back to `Deciding` for a retry. The submodules implement the transitions: `arrive` (rules and
+//! rate limits), `admit` (send, queue or refuse), `dispatch` (sending and queueing), `ended`
+//! (outcomes and retries) and `query` (read access for the daemon).
 //!
-//! What can't be sent waits only while it can still be on time; it is refused the moment that this
-//! is no longer so, and that moment is looked for at arrival, whenever a slot comes free, and on
-//! each tick.
+//! A request stays queued only while it can still be answered before its deadline. This is checked
+//! on arrival, whenever a slot becomes free, and on each tick; a request that can no longer make it
+//! is refused at that point.
 
 mod admit;
 mod arrive;
@@ -23,10 +23,10 @@
 
 pub use crate::request_trace::{Gauges, RequestTracePart};
 
-/// Ended requests whose account is still known.
+/// How many ended requests are kept, so that they can still be explained.
 const KEPT_ENDED_REQUESTS: usize = 1_024;
 
-/// Decides for one entry process.
+/// Decides about all requests of one entry process. See the [module docs](self).
 #[derive(Debug)]
 pub struct Decider {
     names: names::Names,
@@ -38,23 +38,23 @@
     router: router::Router,
     queues: queue::Queues,
     requests: collections::HashMap<event::ReqId, request::Request>,
-    /// When an open request is given up on, whatever else happens.
+    /// When each open request is cancelled or refused at the latest, whatever its state.
     expiries: collections::BTreeSet<(time::Instant, event::ReqId)>,
-    /// Ended requests, oldest first; they are in `requests` too.
+    /// Ended requests that are kept in `requests`, oldest first.
     ended: collections::VecDeque<event::ReqId>,
-    /// Since when a lane has had no endpoint that holds its target.
+    /// Since when each lane has had no endpoint that serves its target.
     cold: collections::HashMap<queue::Lane, time::Instant>,
     demand: demand::Counts,
-    /// The time of the last step.
+    /// The time passed to the last step.
     now: time::Instant,
     draining: bool,
     refusing_new: bool,
 }
 
-/// What a step has to say so far.
+/// The actions that a step has produced so far.
 type Actions = Vec<event::Action>;
 
-/// Why a request is refused, before the request's own part is added.
+/// Why a request is refused, without the fields that come from the request itself.
 #[derive(Debug, Clone, PartialEq)]
 struct RefusalCause {
     reason: verdict::Reason,
@@ -63,7 +63,7 @@
 }
 
 impl Decider {
-    /// A decider that knows no endpoint and no rule. The same seed and events give the same actions.
+    /// Creates a decider without endpoints and rules. The same seed and events give the same actions.
     #[must_use]
     pub fn new(settings: settings::Settings, seed: u64) -> Self {
         let names = names::Names::new(&settings);
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Puts rules in force. An older revision than the one in force is not taken: the configuration
-    /// never goes back, also when a delayed copy of it arrives late. Says whether it was taken.
+    /// Installs a rule set and returns whether it was accepted. A revision older than the current one
+    /// is ignored, so that a delayed copy of the configuration can't roll it back.
     pub fn install_rules(&mut self, set: types_rules::RuleSet) -> bool {
         if set.revision < self.rules.revision() {
             return false;
@@ -101,7 +101,7 @@
         true
     }
 
-    /// Takes one event and says what to do.
+    /// Processes one event and returns the resulting actions.
     pub fn step(&mut self, now: time::Instant, event: event::Event) -> Vec<event::Action> {
         let mut out = Actions::new();
         self.now = now;
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Refuses an open request, with the verdict over all its tries, and forgets it.
+    /// Refuses an open request with the verdict over all its attempts, and ends it.
     fn refuse(
         &mut self,
         now: time::Instant,
@@ -165,8 +165,8 @@
         out.push(event::Action::Refuse { req, refusal });
     }
 
-    /// Ends an open request: gives back its slot or its place in the queue. Its account stays known
-    /// for a while.
+    /// Ends an open request and releases its slot or removes it from its queue. Its record is kept
+    /// until [`KEPT_ENDED_REQUESTS`] later ones have ended.
     fn end_request(&mut self, now: time::Instant, req: event::ReqId) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
@@ -193,7 +193,8 @@
         self.ended.push_back(req);
     }
 
-    /// Gives back the slot of a try. One that went to an earlier start of the endpoint holds none.
+    /// Releases the slot of an attempt. An attempt sent to an earlier incarnation of the endpoint holds
+    /// none.
     fn release_slot(&mut self, now: time::Instant, sent: request::Sent) {
         let endpoint = self.router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation == sent.incarnation {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// When an open request is given up on.
+    /// When an open request is cancelled or refused at the latest.
     fn expiry(&self, req: event::ReqId) -> time::Instant {
         let Some(request) = self.requests.get(&req) else {
             return time::Instant(u64::MAX);
