--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -1,19 +1,20 @@
-//! Whether a request is sent now, waits, or is refused.
+//! Admission control: whether a request is sent now, queued or refused.
 //!
-//! A request that cannot be on time is refused at once, so that the slot it would have taken goes to
-//! one that can, and the caller can turn elsewhere while there is time. The estimate is of the whole
-//! answer: the wait in the queue here, the wait inside the endpoint, and the service time. Where a
-//! queue has formed, one mean deviation of the service time is added and the wait is lengthened by
-//! [`Policy::shed_margin`]: somebody else could use the slot for sure. Where there is room at once the mean has to
-//! fit and no more, since a slot left free helps nobody.
+//! A request that can't meet its deadline is refused at once. Its slot goes to a request that can,
+//! and the caller has time left to try elsewhere. The estimate covers the time to the complete
+//! response: the wait in the local queue, the wait inside the endpoint, and the service time. When
+//! requests are queued, the estimate is conservative, since another request could use the slot: the
+//! wait is increased by [`Policy::shed_margin`] and the service time by its mean deviation. When a
+//! slot is free, the mean estimate is used as it is, since an idle slot helps nobody.
 //!
-//! Estimates are learned from answers, so a wrong one that refuses everything would never be put
-//! right: the model would stay refused for good on idle endpoints. Seen in a simulated trial, after a
-//! start under three times the load. So when nothing was sent to a target for
-//! [`Policy::probe_ms`], one request is sent whatever the estimate says.
+//! Estimates are learned from completed responses, so an estimate that is wrong and leads to every
+//! request being refused would never be corrected: the model would stay unavailable on idle
+//! endpoints. Simulations showed this after a start under three times the load. Therefore, when
+//! nothing was sent to a target for [`Policy::probe_ms`], one request is sent regardless of the
+//! estimate.
 //!
-//! The time to come back is what the backlog needs to drain to the point where the request would
-//! have fitted. Where even an idle system would be too slow, none is given: coming back cannot help.
+//! The `retry_after` of a refusal is the time in which the backlog drains far enough for the request
+//! to fit. If even an idle system would be too slow, there is none, since a retry can't succeed.
 //!
 //! [`Policy::shed_margin`]: crate::settings::Policy::shed_margin
 //! [`Policy::probe_ms`]: crate::settings::Policy::probe_ms
@@ -24,34 +25,35 @@
 
 use super::{Actions, Decider, RefusalCause};
 
-/// The least time after which a caller is asked to come back, in milliseconds.
+/// The shortest `retry_after` of a refusal, in milliseconds.
 const MIN_RETRY_AFTER_MS: f64 = 100.0;
 
-/// When to ask again for a plain service of which no instance is known: about the time in which one
-/// that restarts is heard of.
+/// The `retry_after` for a plain service without a known instance: about the time until a restarted
+/// instance has sent a report.
 const SERVICE_RETRY_AFTER: time::Millis = time::Millis(2_000);
 
-/// What is to be done with a request.
+/// The result of admission control for one request.
 pub(super) enum Admission {
-    /// Send it.
+    /// Send the request to the chosen endpoint now.
     Send(router::Pick),
-    /// Let it wait.
+    /// Queue the request.
     Wait,
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(RefusalCause),
 }
 
-/// When a target that no endpoint holds may be served.
+/// When a target that no endpoint serves yet may become available.
 enum ColdStart {
-    /// After this many milliseconds, as far as can be known.
+    /// After about this many milliseconds.
     After(f64),
-    /// Nothing known here can ever hold it.
+    /// No known endpoint can serve it. The value is the `retry_after` to return.
     Never(Option<time::Millis>),
 }
 
 impl Decider {
-    /// Sends a request that was just let in, or lets it wait, or refuses it. One that may not be
-    /// repeated is claimed first, so that a claim is asked for only if the request could be served.
+    /// Sends, queues or refuses a request that has passed the rules and limits. A claim for a
+    /// non-repeatable request is requested only after this assessment, so that no claim is made for a
+    /// request that can't be served.
     pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let admission = self.assess(now, req);
         let needs_claim = self.requests.get(&req).is_some_and(|request| {
@@ -83,7 +85,7 @@
         self.refuse(now, req, cause, out);
     }
 
-    /// Says what to do with a request; changes nothing but the generator.
+    /// Decides what to do with a request. Changes no state except that of the random generator.
     pub(super) fn assess(&mut self, now: time::Instant, req: event::ReqId) -> Admission {
         let Some(request) = self.requests.get(&req) else {
             return Admission::Wait;
@@ -124,7 +126,7 @@
         self.assess_queue(request, wait)
     }
 
-    /// Whether the queue of its class has a place for a request, or another one gives way to it.
+    /// Whether the queue of the request's class has space, or a queued request can be displaced.
     fn assess_queue(&self, request: &request::Request, wait: f64) -> Admission {
         let bound = self.names.class_row(request.class).queue;
         let full = self.queues.class_len(request.class) >= bound;
@@ -135,7 +137,7 @@
         Admission::Wait
     }
 
-    /// Why a request that would wait `wait` milliseconds cannot be on time, if so.
+    /// Returns a refusal if a request that waits `wait` milliseconds would miss its deadline.
     pub(super) fn too_late(
         &self,
         now: time::Instant,
@@ -167,9 +169,11 @@
         }
     }
 
-    /// How long a request would wait here, in milliseconds: those before it in its own lane and, by
-    /// the part of their endpoints that it shares, in others, at the rate at which this process may
-    /// expect the endpoints to finish.
+    /// Estimates how long a request would wait in the local queue, in milliseconds.
+    ///
+    /// This is the number of requests ahead of it divided by the rate at which its endpoints are
+    /// expected to complete requests of this process. Requests ahead of it in other lanes count in
+    /// proportion to the endpoints that the lanes share.
     pub(super) fn queue_wait(&self, now: time::Instant, request: &request::Request) -> f64 {
         let requirements = request.requirements();
         let Ok(eligible) = self.router.eligible(now, &requirements) else {
@@ -194,7 +198,7 @@
         ahead
     }
 
-    /// The part of another lane's endpoints that are among `eligible`.
+    /// The share of another lane's endpoints that are among `eligible`.
     fn overlap(&self, own: queue::Lane, lane: queue::Lane, eligible: &[arena::EndpointKey]) -> f64 {
         if own == lane {
             return 1.0;
@@ -211,7 +215,7 @@
         }
     }
 
-    /// Why a request for a target that no endpoint holds cannot be served in time, if so.
+    /// Returns a refusal if a request for a target that no endpoint serves would miss its deadline.
     pub(super) fn cold_start_too_late(
         &self,
         now: time::Instant,
@@ -241,8 +245,9 @@
         })
     }
 
-    /// When a lane's target may be held by an endpoint. A load that was seen to begin has the rest
-    /// of its time to go; else the first request that waits for it is taken to have set it off.
+    /// Estimates when an endpoint will serve the target of a lane. If a load is in progress, its
+    /// remaining time counts; otherwise the load is assumed to have been triggered by the first
+    /// request that was queued for it.
     fn cold_start(&self, now: time::Instant, lane: queue::Lane) -> ColdStart {
         let event::Target::Model(model) = lane.target else {
             return ColdStart::Never(Some(SERVICE_RETRY_AFTER));
@@ -267,7 +272,7 @@
     }
 }
 
-/// Whether an engine may come to hold a model for a lane.
+/// Whether a model may be loaded on an engine that the lane can use.
 fn may_hold(endpoint: &fleet::Endpoint, model: &names::Model, lane: queue::Lane) -> bool {
     let fleet::Kind::Engine(pool) = endpoint.kind else {
         return false;
