--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -1,4 +1,5 @@
-//! A request arrives: the first matching rule, limits, then admission.
+//! Arrival of a request: applies the first matching rule and the rate limits, then hands the request
+//! over to admission control.
 
 use sageshed_types::{arena, refusal, rules as types_rules, time, verdict};
 
@@ -6,11 +7,11 @@
 
 use super::{Actions, Decider, RefusalCause};
 
-/// What the rules say of a request.
+/// The result of applying the rules and rate limits to a request.
 enum RuleOutcome {
-    /// Go on with it.
+    /// The request proceeds to admission.
     Continue,
-    /// Refuse it.
+    /// The request is refused.
     Refuse(RefusalCause),
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Finds the rule that decides and does what it says.
+    /// Applies the first matching rule, then the limit of the caller.
     fn apply_rules(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Notes the rule that decided, and what it changes of the request.
+    /// Records the rule that applies to the request, and applies the properties that it sets.
     fn set_rule(&mut self, req: event::ReqId, rule: Option<&rules::Rule>) {
         let old = self.expiry(req);
         let Some(request) = self.requests.get_mut(&req) else {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The rules let it in: admits it, by way of a claim if it may not be repeated.
+    /// Counts a request that passed the rules and limits as demand, and admits it.
     fn admit_new(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         if let Some(request) = self.requests.get(&req) {
             self.demand.arrived(request.lane.target);
@@ -170,7 +171,8 @@
         self.admit(now, req, out);
     }
 
-    /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
+    /// Handles a granted claim. The request is admitted anew, since the queue and the endpoints may have
+    /// changed since the claim was requested.
     pub(super) fn handle_claim_granted(
         &mut self,
         now: time::Instant,
@@ -201,8 +203,10 @@
     }
 }
 
-/// A rule may shorten the deadline or set one; the caller's own, if shorter, holds. It may mark a
-/// request as not repeatable, but lifts only a mark that the method gave.
+/// Applies the deadline, the repeatability and the route that a rule sets.
+///
+/// A deadline of the caller that is shorter than that of the rule takes precedence. A rule may mark
+/// any request as non-repeatable, but removes the mark only if it comes from the HTTP method.
 fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
         let asked = request.info.deadline.unwrap_or(deadline);
