--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending, the queue, and what time alone changes.
+//! Sending and queueing of requests, and the timeouts that are checked on each tick.
 
 use std::{cmp, collections};
 
@@ -8,15 +8,15 @@
 
 use super::{Actions, Decider, RefusalCause};
 
-/// Requests of a lane that are tried when its first cannot be sent: a retry may be waiting for
-/// another endpoint than the one with room.
+/// How many requests at the head of a lane are considered when the first can't be sent: a retry may
+/// have to wait for an endpoint other than the one with a free slot.
 const LANE_LOOKAHEAD: usize = 4;
 
-/// What came of trying to send from a lane.
+/// The result of [`Decider::send_from`].
 enum DequeueResult {
-    /// One left the queue.
+    /// One request was sent or refused and left the queue.
     Dequeued,
-    /// None can be sent now.
+    /// No request of the lane can be sent now.
     Blocked,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sends a request to the endpoint picked for it.
+    /// Sends a request to the endpoint chosen for it.
     pub(super) fn send(
         &mut self,
         now: time::Instant,
@@ -68,10 +68,12 @@
         });
     }
 
-    /// How long an endpoint in good order takes at most to the first byte: several times what the
-    /// whole answer should take. An answer that is not streamed shows its first byte only at its
-    /// end, so there it is several times what the longest answer that the request allows would take;
-    /// where that is not known, no limit but the request's own is right.
+    /// The longest time in which a working endpoint sends the first byte: a multiple of the estimated
+    /// time to the complete response.
+    ///
+    /// The first byte of a response that is not streamed comes only when the response is complete, so
+    /// the limit is based on the longest response that the request allows. If that is unknown, the only
+    /// limit is the expiry of the request.
     fn first_byte_limit(
         &self,
         now: time::Instant,
@@ -85,8 +87,8 @@
         time::Millis::rounded_up(usual).max(self.policy.first_byte_min_ms)
     }
 
-    /// How much longer than the estimate the wait for the first byte may be, by the length of the
-    /// answer.
+    /// The factor by which the longest possible wait for the first byte exceeds the estimate, if
+    /// known. It is 1 unless the first byte depends on the length of the response.
     fn max_length_ratio(&self, req: event::ReqId) -> Option<f64> {
         let request = self.requests.get(&req)?;
         match request.lane.target {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Notes the endpoints weighed for the first try.
+    /// Records the endpoints considered for the first attempt, for the explanation of the request.
     pub(super) fn record_candidates(
         &mut self,
         now: time::Instant,
@@ -124,7 +126,7 @@
         request.candidates = considered.collect();
     }
 
-    /// Puts a request in the queue. If its class is full, another one gives way to it.
+    /// Queues a request. If the queue of its class is full, it displaces another request.
     pub(super) fn enqueue(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get(&req) else {
             return;
@@ -154,7 +156,7 @@
         self.refuse(now, req, cause, out);
     }
 
-    /// Sends what can be sent: of all lanes, or only of those that one endpoint serves.
+    /// Sends queued requests for which there is a slot: of all lanes, or of those that `endpoint` serves.
     pub(super) fn send_waiting(
         &mut self,
         now: time::Instant,
@@ -202,8 +204,8 @@
         DequeueResult::Blocked
     }
 
-    /// Time went on: gives up on what is long past its deadline, sends what can be sent, and refuses
-    /// what waits and can no longer be on time.
+    /// Handles a tick: ends expired requests, sends queued requests where slots are free, and refuses
+    /// queued requests that can no longer meet their deadline.
     pub(super) fn handle_tick(&mut self, now: time::Instant, out: &mut Actions) {
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
@@ -263,8 +265,8 @@
         }
     }
 
-    /// The requests of a lane that can no longer be on time. Each is counted as gone for those after
-    /// it.
+    /// The queued requests of a lane that can no longer meet their deadline. The wait of each request
+    /// is computed without the ones found before it.
     fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, RefusalCause)> {
         let mut found = Vec::new();
         let cold = self.router.is_cold(now, lane);
