--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -1,9 +1,15 @@
-//! A try ended: what was learned, and whether there is another.
+//! The end of an attempt: updates estimates and health, and decides about a retry.
 //!
-//! A request is sent again only if all of these hold: it may be repeated, or no byte of it went out;
-//! no part of a streamed answer has reached the caller, since two runs must not be spliced; tries
-//! are left; another endpoint could still be on time; and the retry budget has a token. Else the
-//! refusal carries the verdict that promises least over all tries.
+//! A request is retried only if all of these conditions hold:
+//!
+//! - it is repeatable, or it certainly did not run;
+//! - no part of a streamed response has reached the caller, since the output of two runs must not be
+//!   mixed;
+//! - it has attempts left;
+//! - another endpoint can still meet the deadline;
+//! - the retry budget has a token.
+//!
+//! Otherwise it is refused with the most pessimistic verdict of all its attempts.
 
 use sageshed_types::{time, verdict};
 
@@ -11,20 +17,20 @@
 
 use super::{Actions, Decider, RefusalCause, admit};
 
-/// The status with which an endpoint says that it is full for now, which is no failure.
+/// HTTP status of an endpoint that is at capacity, which does not count as a failure.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// The status with which an endpoint says that it cannot serve for now.
+/// HTTP status of an endpoint that is temporarily unavailable.
 const UNAVAILABLE: u16 = 503;
 
-/// From this status on an answer is the endpoint's own fault.
+/// The lowest HTTP status that counts as a failure of the endpoint.
 const FIRST_SERVER_ERROR: u16 = 500;
 
-/// What follows a failed try.
+/// What follows a failed attempt.
 enum Next {
-    /// Another try.
+    /// Retry as admission control decided.
     Again(admit::Admission),
-    /// No other, for this reason.
+    /// Refuse the request for this reason.
     GiveUp(&'static str),
 }
 
@@ -53,7 +59,8 @@
         }
     }
 
-    /// The endpoint of a try wants rest. An earlier start of it says nothing of this one.
+    /// Handles a backoff that the endpoint of an attempt requested. It applies only to the incarnation
+    /// that requested it.
     pub(super) fn handle_backoff(
         &mut self,
         now: time::Instant,
@@ -98,9 +105,9 @@
         self.send_waiting(now, Some(sent.endpoint), out);
     }
 
-    /// Judges an endpoint by the status of an answer that was passed on. Its time is not learned: an
-    /// instance that answers everything with an error at once would seem the fastest of all and draw
-    /// the requests of the others.
+    /// Updates the health of an endpoint by the status of an error response that was passed on. The
+    /// duration is not used for estimates: an instance that fails every request immediately would seem
+    /// the fastest and attract the traffic of the others.
     fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
             self.record_failure(now, sent, event::Fault::Status(status));
@@ -149,18 +156,18 @@
         }
     }
 
-    /// Whether a try ran out of the time that its request had, at an endpoint that went on answering
-    /// others.
+    /// Whether an attempt only ran into the deadline of its request, while the endpoint kept answering
+    /// other requests.
     ///
-    /// Under load an endpoint answers later than was estimated. Counted as failures, these would
-    /// eject endpoints in good order at the very moment at which all of them are needed.
+    /// Under load an endpoint responds later than estimated. If such timeouts counted as failures,
+    /// healthy endpoints would be ejected just when all of them are needed.
     fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
         is_timeout(fault) && sent.limited_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
-    /// Counts a failure against the endpoint. Tries of an earlier start of it say nothing of this
-    /// one.
+    /// Records a failure of the endpoint. Attempts sent to an earlier incarnation don't count for the
+    /// current one.
     fn record_failure(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
         let router = &mut self.router;
         let endpoint = router.fleet.get_mut(sent.endpoint);
@@ -236,17 +243,20 @@
     }
 }
 
-/// Whether a fault is that nothing came in time.
+/// Whether the fault is a timeout while waiting for response data.
 fn is_timeout(fault: event::Fault) -> bool {
     matches!(fault, event::Fault::NoFirstByte | event::Fault::Stalled)
 }
 
-/// The least share of the time of a try that is taken to be service, whatever wait was predicted.
+/// The least share of an attempt's duration that counts as service time, however long the predicted
+/// wait was.
 const MIN_SERVICE_SHARE: f64 = 0.25;
 
-/// The verdict of a failed try. Once a connection stood, bytes may have gone out, and only the
-/// endpoint's own answer can say that it did not run: `NotRun` with any other fault is a mistake of
-/// the reader of that connection, and believing it would run a request twice.
+/// The verdict that can be relied on after a failed attempt.
+///
+/// Once a connection was established, bytes may have been sent, and only a response of the endpoint
+/// can prove that the request did not run. `NotRun` with any other fault is an error of the client
+/// code; trusting it could run a request twice.
 fn safe_verdict(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
     match fault {
         event::Fault::ConnectRefused
