--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -1,4 +1,4 @@
-//! What the daemon asks: names, accounts, demand and gauges.
+//! Read access for the daemon: names, request records, demand and gauges.
 
 use sageshed_types::{account as types_account, arena, messages, rules, secret, time};
 
@@ -7,61 +7,61 @@
 use super::Decider;
 
 impl Decider {
-    /// The names known, for look-ups both ways.
+    /// All interned names, for look-ups by name and by key.
     #[must_use]
     pub fn names(&self) -> &names::Names {
         &self.names
     }
 
-    /// The caller whose token has this digest.
+    /// The caller whose token has this digest, if any.
     #[must_use]
     pub fn caller_by_token(&self, digest: secret::KeyDigest) -> Option<arena::CallerKey> {
         self.names.caller_by_token(digest)
     }
 
-    /// The class of this name.
+    /// The key of the class with this name.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<arena::ClassKey> {
         self.names.classes.get(name)
     }
 
-    /// The model or adapter on offer under this name.
+    /// The target for a model or adapter name of the settings.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<event::Target> {
         self.names.model(name)
     }
 
-    /// The plain service on offer under this name.
+    /// The target for a plain service name of the settings.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<event::Target> {
         self.names.service(name)
     }
 
-    /// The revision in force.
+    /// The revision of the installed rules.
     #[must_use]
     pub fn revision(&self) -> rules::Revision {
         self.rules.revision()
     }
 
-    /// The key of an endpoint that has been heard.
+    /// The key of an endpoint that has sent a report.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<arena::EndpointKey> {
         self.names.endpoints.get(name)
     }
 
-    /// The endpoint's name.
+    /// The name of an endpoint.
     #[must_use]
     pub fn endpoint_name(&self, endpoint: arena::EndpointKey) -> &str {
         self.names.endpoints.name(endpoint)
     }
 
-    /// The endpoint's `IP:port`, by its newest report.
+    /// The `IP:port` of an endpoint, from its newest report.
     #[must_use]
     pub fn endpoint_address(&self, endpoint: arena::EndpointKey) -> &str {
         &self.router.fleet.get(endpoint).address
     }
 
-    /// Whether a request is treated as one that may not be repeated. Known as long as its account.
+    /// Whether a request is treated as non-repeatable. `None` once its record has been dropped.
     #[must_use]
     pub fn is_not_repeatable(&self, req: event::ReqId) -> Option<bool> {
         self.requests
@@ -69,7 +69,7 @@
             .map(|request| request.not_repeatable)
     }
 
-    /// What was decided about a request: while it is open, and for a while after its end.
+    /// What was decided about a request. Available while it is open and until its record is dropped.
     #[must_use]
     pub fn request_trace(&self, req: event::ReqId) -> Option<request_trace::RequestTracePart> {
         let request = self.requests.get(&req)?;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What was asked for since the last call, by target.
+    /// Returns the demand by target since the last call, and resets the counts.
     pub fn demand(&mut self) -> Vec<messages::Demand> {
         let mut counts = self.demand.take();
         let waiting = self.waiting_cold();
@@ -140,7 +140,7 @@
         time::Millis::rounded_up(learned.service(0, self.policy.initial_service_ms))
     }
 
-    /// Figures for metrics, as of the last step.
+    /// Values for metrics, as of the last step.
     #[must_use]
     pub fn gauges(&self) -> request_trace::Gauges {
         let now = self.now;
