--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -1,20 +1,21 @@
-//! What goes into [`crate::decider::Decider::step`] and what comes out of it.
+//! Input events and output actions of [`crate::decider::Decider::step`].
 //!
-//! For each [`Event::Arrived`] the same step says one of [`Action::Send`], [`Action::Claim`],
-//! [`Action::Queue`] and [`Action::Refuse`] for that request; what it queues it may send in the same
-//! step. Every step may also return actions for other requests. [`Action::Refuse`] is always the
-//! last word on a request. After it, after a try that ended with [`AttemptOutcome::Done`] or
-//! [`AttemptOutcome::Refused`], and after [`Event::CallerGone`] and [`Event::ClaimDenied`] the request is
-//! forgotten, and later events about it change nothing.
+//! The step for an [`Event::Arrived`] returns one of [`Action::Send`], [`Action::Claim`],
+//! [`Action::Queue`] and [`Action::Refuse`] for that request; a queued request may be sent in the
+//! same step. Every step may also return actions for other requests.
+//!
+//! A request ends with [`Action::Refuse`], with an attempt that ended with [`AttemptOutcome::Done`]
+//! or [`AttemptOutcome::Refused`], or with [`Event::CallerGone`] or [`Event::ClaimDenied`]. Later
+//! events about it have no effect.
 
 pub use sageshed_types::fault::Fault;
 use sageshed_types::{arena, endpoints, refusal, time, verdict};
 
-/// A request, by a number that the daemon chooses and uses once in the life of its process.
+/// Identifies a request. Assigned by the daemon and unique within its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReqId(pub u64);
 
-/// What a request asks for.
+/// What a request is addressed to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
     /// A model or an adapter.
@@ -23,154 +24,156 @@
     Service(arena::ServiceKey),
 }
 
-/// What is known of a request when it has arrived whole.
+/// What is known about a request once it has been received completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// Which request.
+    /// The request.
     pub id: ReqId,
-    /// Who asks.
+    /// The caller that sent it.
     pub caller: arena::CallerKey,
-    /// The class that the request names; none: the caller's own.
+    /// The class named in the request; if `None`, the class of the caller applies.
     pub class: Option<arena::ClassKey>,
-    /// What it asks for.
+    /// The model, adapter or service that it asks for.
     pub target: Target,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub streaming: bool,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have; 0 if that is not known.
+    /// The maximum number of tokens in the response; 0 if unknown.
     pub max_tokens: u32,
-    /// Whether it is one that may not be repeated: the caller marked it so, or it is a `POST` to a
-    /// plain service and the caller did not say otherwise.
+    /// Whether the request is non-repeatable: the caller marked it so, or it is a `POST` to a plain
+    /// service and the caller did not mark it as repeatable.
     pub not_repeatable: bool,
-    /// Whether [`Self::not_repeatable`] comes from the method alone. Only then may a rule lift it;
-    /// a caller's own mark always holds.
+    /// Whether [`Self::not_repeatable`] comes from the HTTP method alone. Only then may a rule
+    /// override it; a mark set by the caller always holds.
     pub not_repeatable_by_default: bool,
-    /// Time from its arrival that the caller gives it, in milliseconds.
+    /// The deadline set by the caller, in milliseconds from the arrival.
     pub deadline: Option<time::Millis>,
-    /// A hash of the first part of the prompt, for requests that share it; 0: none.
+    /// A hash of the first part of the prompt, for prefix affinity; 0 if there is none.
     pub prefix: u64,
 }
 
-/// What happened.
+/// An input of the decider.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A request arrived whole.
+    /// A request was received completely.
     Arrived(RequestInfo),
-    /// The claim of a request that may not be repeated is granted: it may be sent.
+    /// The claim of a non-repeatable request was granted: the request may be sent.
     ClaimGranted(ReqId),
-    /// The claim was not granted and the daemon has answered; the request is forgotten.
+    /// The claim was not granted, and the daemon has responded to the caller. The request ends.
     ClaimDenied(ReqId),
-    /// A try ended.
+    /// An attempt ended.
     AttemptEnded {
-        /// Of which request.
+        /// The request.
         req: ReqId,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The endpoint has turned a try away and wants no request from this process for a while. Comes before the try's
-    /// [`Self::AttemptEnded`].
+    /// The endpoint rejected an attempt and requested a backoff: it wants no requests from this process
+    /// for a while. Precedes the [`Self::AttemptEnded`] of the attempt.
     BackoffRequested {
-        /// Of which request.
+        /// The request.
         req: ReqId,
-        /// For how long.
+        /// The duration of the backoff.
         span: time::Millis,
     },
-    /// The first byte of the answer came. From here on a streamed answer is not sent elsewhere.
+    /// The first byte of the response was received. From now on a streamed request is not retried.
     FirstToken {
-        /// Of which request.
+        /// The request.
         req: ReqId,
     },
-    /// More of the answer came.
+    /// More of the response was received.
     Progress {
-        /// Of which request.
+        /// The request.
         req: ReqId,
-        /// Tokens so far.
+        /// Number of tokens received so far.
         tokens: u32,
     },
     /// The caller closed its connection.
     CallerGone(ReqId),
-    /// An endpoint's report, with the age of its figures when this process got it: `age_ms` of the
-    /// report plus the time it spent on the way, as far as that is known. In a box, since a report
-    /// is several times the size of every other event.
+    /// A report of an endpoint, with the age of its figures on receipt: `age_ms` of the report plus
+    /// the transmission time, as far as it is known. Boxed, since a report is several times the size
+    /// of every other event.
     Report(Box<endpoints::Report>, time::Millis),
-    /// The daemon has heard nothing of this endpoint for too long.
+    /// The daemon has received no report of this endpoint for too long.
     EndpointSilent(arena::EndpointKey),
-    /// Time went on. Sent every 10 to 50 ms, so that queued requests are shed in time.
+    /// Time has passed. Sent every 10 to 50 ms, so that queued requests are shed in time.
     Tick,
-    /// The process will shut down. Arrivals are still taken: the balancer may send some for a while.
+    /// The process is about to shut down. Requests are still accepted, since the load balancer may send
+    /// some for a while.
     Drain,
-    /// From now on each arrival is refused with `draining`.
+    /// From now on every new request is refused with the reason `draining`.
     RefuseNew,
 }
 
-/// How one try ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The response was received completely.
     Done {
-        /// Tokens of the answer; 0 from a plain service.
+        /// Number of tokens in the response; 0 for a plain service.
         tokens: u32,
     },
-    /// The endpoint answered with an error of its own, and that answer went to the caller as it was.
-    /// The request is not sent again. A status of 429 or from 500 on counts against the endpoint, any
-    /// other only against the request.
+    /// The endpoint responded with an error, which was passed on to the caller unchanged. The request
+    /// is not retried. A status of 429, or of 500 and above, affects the health of the endpoint; any
+    /// other status is attributed to the request.
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// It failed.
+    /// The attempt failed.
     Failed {
-        /// Whether it may have run there, as the connection shows it.
+        /// Whether the request may have run, as far as the connection shows.
         verdict: verdict::Verdict,
-        /// What went wrong.
+        /// The cause of the failure.
         fault: Fault,
     },
 }
 
-/// What to do.
+/// An instruction to the daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request now.
+    /// Send the request to an endpoint now.
     Send {
-        /// Which request.
+        /// The request.
         req: ReqId,
-        /// To whom.
+        /// The endpoint to send it to.
         endpoint: arena::EndpointKey,
-        /// Counts the tries of this request from 1.
+        /// The number of this attempt, counted from 1.
         attempt: u32,
-        /// The model or adapter to ask for there; none for a plain service.
+        /// The model or adapter to ask for; `None` for a plain service.
         model: Option<arena::ModelKey>,
         /// 0 is the least urgent, 9 the most.
         priority: u8,
         /// Time left to the deadline, in milliseconds.
         deadline_left: time::Millis,
-        /// How long to wait for the first byte of the answer, in milliseconds.
+        /// How long to wait for the first byte of the response, in milliseconds.
         first_byte_limit: time::Millis,
     },
-    /// Ask the control group for a claim, then feed [`Event::ClaimGranted`] or [`Event::ClaimDenied`].
+    /// Request a claim from the control group, then pass in [`Event::ClaimGranted`] or
+    /// [`Event::ClaimDenied`].
     Claim {
-        /// Which request.
+        /// The request.
         req: ReqId,
     },
-    /// The request waits here. A later step sends or refuses it.
+    /// The request is queued. A later step sends or refuses it.
     Queue {
-        /// Which request.
+        /// The request.
         req: ReqId,
     },
-    /// Answer with this refusal, at once.
+    /// Respond to the caller with this refusal now.
     Refuse {
-        /// Which request.
+        /// The request.
         req: ReqId,
-        /// The account.
+        /// The refusal to return.
         refusal: refusal::Refusal,
     },
-    /// Stop the try that is under way and tell the endpoint, if it takes that. No
+    /// Cancel the current attempt, and notify the endpoint if it supports that. No
     /// [`Event::AttemptEnded`] is expected for it.
     Cancel {
-        /// Which request.
+        /// The request.
         req: ReqId,
-        /// Where it runs.
+        /// The endpoint that it was sent to.
         endpoint: arena::EndpointKey,
     },
 }
