--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -1,21 +1,26 @@
-//! Endpoints as this entry process knows them, and how much it may send to each.
+//! The endpoints known to this entry process, and how many requests it may send to each.
 //!
-//! # Sharing an endpoint without a round trip
+//! # Sharing endpoints without coordination
 //!
-//! Several entry processes send to the same endpoints and do not ask each other. What they have in
-//! common is the endpoint's report, which comes late. At the moment that a report speaks of, this
-//! process had `m` requests there (kept in a short history), so `others = running + waiting - m` is
-//! what the others had. Of the slots that were free then, this process may fill
-//! `(m + w) / (m + others + w * entries)`: in proportion to what it already sends there, where each
-//! process is given `w` requests in advance. The shares of all processes add up to one, so that
-//! together they fill what was free and no more, however late the report; a process that alone is
-//! busy has nearly all of it after a few reports. Fractions are rounded by one draw a report: always
-//! rounding up would let seven processes send seven requests to one free slot, always rounding down
-//! would leave it free.
+//! Several entry processes send to the same endpoints and exchange no messages with each other. What
+//! they have in common is the endpoint's report, which arrives with a delay. At the time that a
+//! report refers to, this process had `m` requests in flight there (known from a short history), so
+//! the other processes had `others = running + waiting - m`. Of the slots that were free then, this
+//! process may fill the share `(m + w) / (m + others + w * entries)`. This is proportional to its
+//! present traffic, with a prior of `w` requests for each process ([`Policy::share_prior`]).
 //!
-//! An endpoint that is overfull is given back in the same proportion. Below its even share of the
-//! slots (at least one request) no process is ever held, so that none is starved by others that came
-//! first. Without a fresh report the even share is all that is left.
+//! The shares of all processes add up to one, so that together they fill exactly the free slots,
+//! however old the report. A process that is the only busy one gets nearly all of them after a few
+//! reports. Fractions are rounded with one random number for each report: always rounding up would
+//! let seven processes send seven requests to one free slot, and always rounding down would leave it
+//! idle.
+//!
+//! When an endpoint is overcommitted, each process reduces its requests in the same proportion. No
+//! process is limited below its even share of the slots (at least one request), so that none is
+//! starved by others that came first. Without a fresh report, each process is limited to its even
+//! share.
+//!
+//! [`Policy::share_prior`]: crate::settings::Policy::share_prior
 
 use std::collections;
 
@@ -26,45 +31,45 @@
 
 use crate::{bits, event, health, learned, names, random, settings};
 
-/// Entries of an endpoint's history of own requests in flight.
+/// Length of the history of own requests in flight, for each endpoint.
 const HISTORY: usize = 256;
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A model engine of this pool.
+    /// A model engine in this pool.
     Engine(arena::PoolKey),
-    /// An instance of a plain service; none if the settings do not offer it.
+    /// An instance of a plain service; `None` if the service is not in the settings.
     Service(Option<arena::ServiceKey>),
 }
 
-/// One endpoint.
+/// An endpoint, as its reports and the requests of this process show it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// The start that is known.
+    /// The newest known incarnation.
     pub incarnation: endpoints::Incarnation,
-    /// `IP:port`.
+    /// Its `IP:port`, from the newest report.
     pub address: String,
-    /// A hash of its name, the same in every process, where the key is not.
+    /// A hash of its name. Unlike the key, it is the same in every entry process.
     pub name_hash: u64,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: arena::ZoneKey,
-    /// What it is.
+    /// Whether it is an engine or an instance of a plain service.
     pub kind: Kind,
-    /// Requests that it runs at once; at least 1.
+    /// The number of requests that it runs concurrently; at least 1.
     pub slots: u32,
-    /// It takes no new work and will go.
+    /// Whether it is draining: it takes no new requests and will stop.
     pub leaving: bool,
-    /// The daemon hears nothing of it.
+    /// Whether the daemon has reported it as silent since its newest report.
     pub silent: bool,
-    /// Requests of this process there.
+    /// Requests of this process in flight there.
     pub own: u32,
-    /// How it has done.
+    /// Its health, from the results of attempts of this process.
     pub health: health::Health,
-    /// How fast it is.
+    /// Its speed, learned from completed responses.
     pub learned: learned::Endpoint,
     sequence: u64,
-    /// The moment that the load figures speak of.
+    /// The time that the load figures refer to.
     load_as_of: time::Instant,
     own_at_report: u32,
     others: u32,
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Whether it can serve a target now.
+    /// Whether it can serve a target now, health and load aside.
     #[must_use]
     pub fn serves(&self, target: event::Target) -> bool {
         match target {
@@ -114,32 +119,32 @@
         }
     }
 
-    /// Since when it has been seen loading a model.
+    /// Since when reports have shown it loading a model, if it is.
     #[must_use]
     pub fn loading_since(&self, model: arena::ModelKey) -> Option<time::Instant> {
         let mut loading = self.loading.iter();
         loading.find(|(key, _)| *key == model).map(|(_, at)| *at)
     }
 
-    /// Whether its newest report is fresh enough to give it new work.
+    /// Whether its newest report is recent enough to send it new requests.
     #[must_use]
     pub fn has_recent_report(&self, now: time::Instant, policy: &settings::Policy) -> bool {
         !self.silent && now.since(self.load_as_of) < policy.report_silent_ms
     }
 
-    /// Requests there as the report showed them.
+    /// Requests in flight according to the newest report.
     #[must_use]
     pub fn reported_load(&self) -> u32 {
         self.own_at_report + self.others
     }
 
-    /// Requests that are taken to be there now.
+    /// Estimated requests in flight now: those of this process, and those of others at the last report.
     #[must_use]
     pub fn load(&self) -> u32 {
         self.own + self.others
     }
 
-    /// How many requests this process may have there.
+    /// How many requests this process may have in flight there. See the [module docs](self).
     #[must_use]
     pub fn limit(
         &self,
@@ -152,7 +157,7 @@
         let headroom = if urgent { policy.urgent_headroom } else { 0.0 };
         let share = match self.health.allowance(now, policy) {
             health::Allowance::Share(share) => share,
-            // Only asked when all holders are ejected: then it is used as if it were not.
+            // Happens only if all holders are ejected; they are used as if they were healthy then.
             health::Allowance::Ejected => 1.0,
         };
         let cap = slots * (policy.in_flight_per_slot + headroom) * share;
@@ -176,7 +181,7 @@
         own + (free * share + self.dither).floor()
     }
 
-    /// Whether this process may send one more there.
+    /// Whether this process may send one more request.
     #[must_use]
     pub fn has_room(
         &self,
@@ -188,12 +193,12 @@
         now >= self.busy_until && self.own < self.limit(now, policy, entries, urgent)
     }
 
-    /// Leaves it alone until a moment, since it said that it is busy.
+    /// Sends nothing more until this time, since the endpoint reported that it is busy.
     pub fn pause(&mut self, until: time::Instant) {
         self.busy_until = self.busy_until.max(until);
     }
 
-    /// Notes that one more, or one less, of this process's requests is there.
+    /// Sets the number of own requests in flight, and records it in the history.
     pub fn set_own(&mut self, now: time::Instant, own: u32) {
         self.own = own;
         if self.history.len() == HISTORY {
@@ -202,11 +207,11 @@
         self.history.push_back((now, own));
     }
 
-    /// Requests of this process that were there at a moment in the past.
+    /// The number of own requests that were in flight at a time in the past.
     fn own_at(&self, at: time::Instant) -> u32 {
         let mut newest_first = self.history.iter().rev();
         let then = newest_first.find(|(since, _)| *since <= at);
-        // The history is shorter than the report is old: its oldest entry is the nearest known.
+        // If the report predates the history, the oldest entry is the best approximation.
         let oldest = self.history.front();
         then.or(oldest.filter(|_| self.history.len() == HISTORY))
             .map_or(0, |(_, own)| *own)
@@ -259,27 +264,27 @@
     floor_to_u32
 }
 
-/// What a report changed.
+/// What became of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// It is older than what is known.
+    /// Ignored, since a newer one was known.
     Outdated,
-    /// It is the newest of this endpoint.
+    /// Applied to this endpoint.
     Applied(arena::EndpointKey),
 }
 
-/// All endpoints, by key, with the holders of each target.
+/// All known endpoints, with an index of the holders of each target.
 #[derive(Debug)]
 pub struct Fleet {
     endpoints: Vec<Endpoint>,
     by_model: Vec<Vec<arena::EndpointKey>>,
     by_service: Vec<Vec<arena::EndpointKey>>,
-    /// What the lists of holders show of each endpoint.
+    /// For each endpoint, the state that the lists of holders reflect.
     indexed: Vec<Option<(Kind, bits::BitSet)>>,
 }
 
 impl Fleet {
-    /// No endpoint yet.
+    /// Creates a fleet without endpoints.
     #[must_use]
     pub fn new(names: &names::Names) -> Self {
         Self {
@@ -290,12 +295,12 @@
         }
     }
 
-    /// Takes a report whose figures are `age` old.
+    /// Applies a report whose figures are `age` old.
     ///
-    /// A report of an earlier incarnation, or one that is not newer than the last, changes nothing:
-    /// reports come by several ways and overtake each other, and an old one would bring back models
-    /// that are gone and an endpoint that is leaving. A later incarnation starts anew in everything:
-    /// its predecessor's requests are gone with it.
+    /// A report of an earlier incarnation, or one that is not newer than the last, is ignored:
+    /// reports arrive over several paths and overtake each other, and an outdated one would bring back
+    /// unloaded models or make a leaving endpoint look available. A newer incarnation resets all
+    /// state, since the requests of its predecessor ended with it.
     pub fn report(
         &mut self,
         now: time::Instant,
@@ -329,11 +334,10 @@
         ReportOutcome::Applied(key)
     }
 
-    /// Brings the lists of holders up to date for one endpoint.
+    /// Updates the lists of holders for one endpoint, if its models have changed.
     ///
-    /// Most reports change nothing of what an endpoint holds, and searching the lists costs in
-    /// proportion to all holders of all models: 62 µs a report at 10,000 endpoints, many times the
-    /// rest of it.
+    /// Most reports change no models, and searching the lists takes time in proportion to all holders
+    /// of all models: 62 µs for each report at 10,000 endpoints, many times the cost of the rest.
     fn index(&mut self, key: arena::EndpointKey) {
         let endpoint = &self.endpoints[key.index()];
         if self.indexed.len() <= key.index() {
@@ -354,7 +358,7 @@
         }
     }
 
-    /// The endpoints that hold a target ready, whatever else is wrong with them.
+    /// The endpoints on which a target is ready, whatever their health and load.
     #[must_use]
     pub fn holders(&self, target: event::Target) -> &[arena::EndpointKey] {
         match target {
@@ -363,23 +367,23 @@
         }
     }
 
-    /// One endpoint.
+    /// The endpoint with this key.
     #[must_use]
     pub fn get(&self, key: arena::EndpointKey) -> &Endpoint {
         &self.endpoints[key.index()]
     }
 
-    /// One endpoint, to be changed.
+    /// Mutable access to one endpoint.
     pub fn get_mut(&mut self, key: arena::EndpointKey) -> &mut Endpoint {
         &mut self.endpoints[key.index()]
     }
 
-    /// Every endpoint heard of.
+    /// All endpoints that have sent a report.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter()
     }
 
-    /// Moves the health of each endpoint on with time.
+    /// Advances the time-dependent health state of each endpoint.
     pub fn advance(&mut self, now: time::Instant, policy: &settings::Policy) {
         for endpoint in &mut self.endpoints {
             endpoint.health.advance(now, policy);
