--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -1,29 +1,30 @@
-//! Ejection of failing endpoints, and their slow return.
+//! Outlier ejection: failing endpoints are taken out of rotation and brought back gradually.
 //!
-//! An endpoint is ejected after several failures in a row, or when a large share of its last tries
-//! failed, or at once when a connection is refused: nothing listens there. An ejection ends by time,
-//! each one in a row twice as long, with jitter so that the entry processes do not come back to it
-//! all at once. Then it returns: one request at first, and a growing share of its slots over the
-//! ramp. A failure while it returns ejects it again.
+//! An endpoint is ejected after several consecutive failures, when a large share of its recent
+//! attempts failed, or at once when a connection is refused, since nothing listens there then. An
+//! ejection has a limited duration, which doubles with each consecutive ejection. Jitter keeps the
+//! entry processes from resuming at the same moment. After it the endpoint recovers: it gets one
+//! request at first, then a growing share of its slots over a ramp. A failure during recovery ejects
+//! it again.
 //!
-//! Only tries sent after the last change of state count. An endpoint that dies fails everything in
-//! flight there at about the same time: without this, that one event would count as one ejection
-//! for each request, and the doubled times would keep it out for minutes.
+//! Only attempts sent after the last state change count. When an endpoint crashes, everything in
+//! flight there fails at about the same time; otherwise this one event would count as an ejection
+//! for each request, and the doubled durations would keep the endpoint out for minutes.
 
 use sageshed_types::time;
 
 use crate::{event, random, settings};
 
-/// Tries that the share of failures is taken over.
+/// The number of recent attempts over which the share of failures is computed.
 const WINDOW: u32 = 20;
 
-/// Tries below which the share of failures says nothing.
+/// The least number of attempts for which the share of failures is meaningful.
 const MIN_ATTEMPTS: u32 = 10;
 
-/// The most that jitter adds to an ejection, as a share of it.
+/// The greatest jitter added to an ejection, as a share of its duration.
 const MAX_JITTER_SHARE: f64 = 0.25;
 
-/// The most often that an ejection time is doubled.
+/// How often the duration of an ejection is doubled at most.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,31 +41,31 @@
     },
 }
 
-/// What may be sent to an endpoint, by its health alone.
+/// How much may be sent to an endpoint as far as its health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Allowance {
-    /// Nothing, but when no other is left.
+    /// Nothing, unless no other endpoint is left.
     Ejected,
-    /// This share of its slots; at least one request.
+    /// This share of its slots, but at least one request.
     Share(f64),
 }
 
-/// The health of one endpoint, as this process has seen it.
+/// The health of one endpoint as observed by this process.
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
     state: State,
     consecutive_failures: u32,
-    /// The last tries, newest in the lowest bit; 1 is a failure.
+    /// The results of recent attempts, the newest in the lowest bit; 1 is a failure.
     recent_failures: u32,
     recent_attempts: u32,
-    /// Ejections since it was last healthy through a whole ramp.
+    /// Consecutive ejections, without a completed recovery in between.
     ejections: u32,
-    /// When a try was answered last.
+    /// When an attempt was last answered.
     last_answer: Option<time::Instant>,
 }
 
 impl Health {
-    /// The health of an endpoint just heard of.
+    /// Creates the state of an endpoint that is considered healthy since `now`.
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Moves on with time.
+    /// Applies the state changes that are due at `now`.
     pub fn advance(&mut self, now: time::Instant, policy: &settings::Policy) {
         match self.state {
             State::Ejected { until, .. } if now >= until => {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What may be sent now.
+    /// How much may be sent now.
     #[must_use]
     pub fn allowance(&self, now: time::Instant, policy: &settings::Policy) -> Allowance {
         match self.state {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// A try sent at `sent` was answered.
+    /// Records that an attempt sent at `sent` was answered.
     pub fn succeeded(&mut self, now: time::Instant, sent: time::Instant) {
         self.last_answer = Some(now);
         if self.predates_state(sent) {
@@ -115,14 +116,14 @@
         }
     }
 
-    /// Whether any try was answered since `sent`.
+    /// Whether any attempt was answered at or after `sent`.
     #[must_use]
     pub fn answered_since(&self, sent: time::Instant) -> bool {
         self.last_answer
             .is_some_and(|last_answer| last_answer >= sent)
     }
 
-    /// A try sent at `sent` failed. Says whether that ejects it.
+    /// Records that an attempt sent at `sent` failed. Returns whether this ejects the endpoint.
     pub fn failed(
         &mut self,
         now: time::Instant,
@@ -143,8 +144,8 @@
         true
     }
 
-    /// Whether a try was sent before the last change of state. One that was sent in the same
-    /// millisecond as an ejection was sent before it: after it nothing is sent for a while.
+    /// Whether an attempt was sent before the last state change. An attempt sent in the same
+    /// millisecond as an ejection was sent before it, since nothing is sent right after one.
     fn predates_state(&self, sent: time::Instant) -> bool {
         match self.state {
             State::Healthy { since } => sent < since,
