--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -1,29 +1,30 @@
-//! What was learned of service times.
+//! Service times learned from completed responses.
 //!
-//! The service time of a target is how long one request holds a slot: the time from sending to the
-//! whole answer, less the wait inside the endpoint that was predicted when it was sent. Means are
-//! exponentially weighted, plain averages over the first few samples so that the first one does not
-//! stick. The deviation is a mean absolute one: cheap, and less thrown by one outlier.
+//! The service time of a target is the time for which one request occupies a slot: from sending to
+//! the complete response, less the wait inside the endpoint that was predicted when it was sent.
+//! Means are exponentially weighted, but plain averages over the first samples, so that the first
+//! sample does not dominate. The deviation is the mean absolute one, which is cheap to compute and
+//! less sensitive to outliers.
 
 use sageshed_types::time;
 
-/// Samples over which the mean is a plain average.
+/// The number of samples up to which the mean is a plain average.
 const PLAIN_SAMPLES: f64 = 16.0;
 
-/// Samples from which on requests are shed by what was learned: with fewer it is a guess, and a
-/// refusal must not rest on a guess.
+/// The least number of samples for an estimate by which requests may be refused. With fewer, the
+/// estimate is only a guess.
 pub const TRUSTED_SAMPLES: u32 = 5;
 
-/// The least and greatest factor by which one endpoint is taken to be slower than the mean.
+/// The least and the greatest factor by which one endpoint may count as slower than average.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 8.0);
 
-/// How many times the mean an answer may be long whose request sets no bound.
+/// The assumed longest response, as a multiple of the mean length, when the request sets no maximum.
 const UNBOUNDED_LENGTH_RATIO: f64 = 4.0;
 
-/// The least share of the mean service time that a short answer is taken to need.
+/// The least service time of a short response, as a share of the mean.
 const MIN_LENGTH_RATIO: f64 = 0.1;
 
-/// A running mean and deviation.
+/// A running mean with its mean absolute deviation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunningMean {
     value: f64,
@@ -32,7 +33,7 @@
 }
 
 impl RunningMean {
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = 1.0 / f64::from(self.samples).min(PLAIN_SAMPLES);
@@ -43,14 +44,14 @@
         }
     }
 
-    /// The mean, or none without a sample.
+    /// The mean, or `None` without samples.
     #[must_use]
     pub fn mean(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
 }
 
-/// What was learned of one model, adapter or service.
+/// Estimates for one model, adapter or service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Target {
     service: RunningMean,
@@ -59,8 +60,8 @@
 }
 
 impl Target {
-    /// Learns from one whole answer. `span` is in milliseconds and without the predicted wait;
-    /// `max_tokens` is what the request allowed.
+    /// Adds a complete response. `span` is its duration in milliseconds without the predicted wait, and
+    /// `max_tokens` the maximum length that the request allowed.
     pub fn add(&mut self, span: f64, tokens: u32, max_tokens: u32) {
         let length = self.length(max_tokens);
         self.service.add(span / length);
@@ -69,18 +70,18 @@
         }
     }
 
-    /// Notes that a request for it was sent.
+    /// Records that a request for the target was sent.
     pub fn sent(&mut self, now: time::Instant) {
         self.last_sent = now;
     }
 
-    /// Whether what was learned may be out of date, since nothing was sent for `span`.
+    /// Whether the estimates may be out of date, since nothing was sent for `span`.
     #[must_use]
     pub fn is_stale(&self, now: time::Instant, span: time::Millis) -> bool {
         now.since(self.last_sent) >= span
     }
 
-    /// Service time of a request that allows `max_tokens`, in milliseconds.
+    /// Estimated service time of a request that allows `max_tokens`, in milliseconds.
     #[must_use]
     pub fn service(&self, max_tokens: u32, initial: time::Millis) -> f64 {
         let mean = self.service.mean().unwrap_or(initial.0 as f64);
@@ -93,14 +94,14 @@
         self.service.deviation
     }
 
-    /// Whether enough was seen to refuse by it.
+    /// Whether there are enough samples to refuse requests by the estimate.
     #[must_use]
     pub fn has_enough_samples(&self) -> bool {
         self.service.samples >= TRUSTED_SAMPLES
     }
 
-    /// How much longer than the mean answer the longest one is that `max_tokens` allows, at least 1;
-    /// none if the mean is not known.
+    /// The ratio of the longest response that `max_tokens` allows to the mean response; at least 1.
+    /// `None` if the mean is unknown.
     #[must_use]
     pub fn max_length_ratio(&self, max_tokens: u32) -> Option<f64> {
         let mean = self.tokens.mean().filter(|mean| *mean > 0.0)?;
@@ -110,7 +111,7 @@
         Some((f64::from(max_tokens) / mean).max(1.0))
     }
 
-    /// How long an answer of at most `max_tokens` is against the mean one.
+    /// The ratio of the expected length of a response of at most `max_tokens` to the mean length.
     fn length(&self, max_tokens: u32) -> f64 {
         match self.tokens.mean() {
             Some(mean) if max_tokens > 0 && f64::from(max_tokens) < mean => {
@@ -121,7 +122,7 @@
     }
 }
 
-/// What was learned of one endpoint.
+/// Estimates for one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Endpoint {
     slowdown: RunningMean,
@@ -129,7 +130,7 @@
 }
 
 impl Endpoint {
-    /// Learns from one whole answer that took `span` where `expected` is usual.
+    /// Adds a complete response that took `span` milliseconds where `expected` is the average.
     pub fn add(&mut self, span: f64, expected: f64) {
         if expected > 0.0 {
             let ratio = span / expected;
@@ -139,13 +140,13 @@
         self.slot_time.add(span);
     }
 
-    /// How much slower than usual it is; 1 if it is as fast.
+    /// The factor by which the endpoint is slower than average; 1 if unknown.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.slowdown.mean().unwrap_or(1.0)
     }
 
-    /// Mean time that a request holds one of its slots, in milliseconds.
+    /// The mean time for which a request occupies one of its slots, in milliseconds.
     #[must_use]
     pub fn slot_time(&self) -> Option<f64> {
         self.slot_time.mean()
