--- a/crates/sageshed-decide/src/lib.rs
+++ b/crates/sageshed-decide/src/lib.rs
@@ -1,18 +1,20 @@
-//! Pure decisions of an entry process: rules, limits, admission, queues, routing, retries, ejection
-//! and leaving.
+//! Request handling of an entry process as a deterministic state machine: rules, rate limits,
+//! admission, queueing, routing, retries, ejection and draining.
 //!
-//! Everything here is a state machine without clock, I/O and threads: [`decider::Decider::step`]
-//! takes the time and one [`event::Event`], and returns [`event::Action`]s. The same seed and the
-//! same events give the same actions, so a test can cause any order of events.
+//! There is no clock, I/O or threading here: [`decider::Decider::step`] takes the current time and
+//! one [`event::Event`], and returns [`event::Action`]s. The same seed and the same events give the
+//! same actions, so a test can produce any order of events.
 //!
-//! A request meets, in this order:
+//! A request passes through these stages:
 //!
-//! 1. [`rules`]: the first rule that matches decides; none: the default route.
-//! 2. [`limits`]: of the rule, then of the caller.
-//! 3. [`decider`]'s admission: sent at once, or left waiting in [`queue`], or refused with a true
-//!    reason at once. One that may not be repeated is claimed before it is sent.
-//! 4. [`router`]: which endpoint, by the estimate of [`learned`] times and the shares of [`fleet`].
-//! 5. At the end of a try: [`health`] of the endpoint, and another try within the [`budget`].
+//! 1. [`rules`]: the first matching rule applies; if none matches, the default route does.
+//! 2. [`limits`]: the rate limit of the rule, then that of the caller.
+//! 3. Admission in [`decider`]: the request is sent, queued in [`queue`] or refused at once. A
+//!    non-repeatable request needs a granted claim before it is sent.
+//! 4. [`router`]: chooses the endpoint from the service times in [`learned`] and the share of its
+//!    slots that [`fleet`] computes for this process.
+//! 5. When an attempt ends, the [`health`] of the endpoint is updated, and a failed request is
+//!    retried if the retry [`budget`] allows.
 
 pub mod bits;
 pub mod budget;
