--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -1,37 +1,38 @@
-//! Token buckets for callers and for rules with a limit.
+//! Rate limits of callers and rules, as token buckets.
 //!
-//! A limit is stated over all entry processes. Each holds its share, the rate and the burst divided
-//! by their number, and no message is exchanged: the balancer before them spreads arrivals evenly. A
-//! caller whose connections all land on one entry process gets one share. A burst share below one
-//! request counts as one, since a bucket that cannot hold a whole token would refuse for ever.
+//! A limit applies to all entry processes together. Each process enforces its share, the rate and
+//! the burst divided by the number of processes, without any messages: the load balancer in front of
+//! them is assumed to spread requests evenly. A caller whose connections all end at one entry process
+//! gets one share. A burst share below one request is raised to one, since a bucket that can't hold
+//! a whole token would refuse every request.
 //!
-//! Buckets are made when first needed. A bucket that is full again says the same as none, so full
-//! ones are dropped when the bound on their number is reached. Should all be in use, the request
-//! passes: the bound protects memory, and a refusal would blame a limit that is not used up.
+//! Buckets are created when first needed. A full bucket is equivalent to none, so full buckets are
+//! dropped when their number reaches the bound. If all buckets are in use, the request is allowed:
+//! the bound protects memory, and a refusal would name a limit that is not exceeded.
 
 use std::collections;
 
 use sageshed_types::{arena, time};
 
-/// What a bucket belongs to.
+/// What a bucket applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Owner {
-    /// A caller's own limit.
+    /// The limit of a caller in the settings.
     Caller(arena::CallerKey),
-    /// All requests under the rule limit in this slot.
+    /// All requests to which the rule limit with this slot applies.
     Rule(u32),
-    /// One caller under a rule limit.
+    /// One caller under a rule limit with `per = "caller"`.
     RuleCaller(u32, arena::CallerKey),
-    /// One model under a rule limit.
+    /// One model under a rule limit with `per = "model"`.
     RuleModel(u32, arena::ModelKey),
-    /// One service under a rule limit `per = "model"`.
+    /// One service under a rule limit with `per = "model"`.
     RuleService(u32, arena::ServiceKey),
-    /// One class under a rule limit.
+    /// One class under a rule limit with `per = "class"`.
     RuleClass(u32, arena::ClassKey),
 }
 
 impl Owner {
-    /// The slot of the rule limit that it stands under.
+    /// The slot of the rule limit that the bucket belongs to, if any.
     #[must_use]
     pub fn slot(self) -> Option<u32> {
         match self {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A rate and a burst, as this process's share.
+/// The share of this process in a rate and a burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
     rate_per_ms: f64,
@@ -53,7 +54,7 @@
 }
 
 impl Share {
-    /// The share of one of `entries` processes in a rate (a second) and a burst.
+    /// Computes the share of one of `entries` processes. `rate` is in requests per second.
     #[must_use]
     pub fn new(rate: f64, burst: f64, entries: u32) -> Self {
         let entries = f64::from(entries.max(1));
@@ -79,24 +80,24 @@
     }
 }
 
-/// All buckets of one process.
+/// All token buckets of one entry process.
 #[derive(Debug)]
 pub struct Limits {
     buckets: collections::HashMap<Owner, Bucket>,
     max: usize,
 }
 
-/// What a limit says to one request.
+/// The outcome of a limit check for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitOutcome {
-    /// Within the limit.
+    /// The request is within the limit.
     Within,
-    /// Over it; the next token comes after this span, or never.
+    /// The request exceeds the limit. The next token is available after this time, or never.
     Over(Option<time::Millis>),
 }
 
 impl Limits {
-    /// No bucket yet, and at most `max` later.
+    /// Creates an empty collection of at most `max` buckets.
     #[must_use]
     pub fn new(max: u32) -> Self {
         Self {
@@ -105,19 +106,19 @@
         }
     }
 
-    /// How many buckets are held.
+    /// The number of buckets in memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether no bucket is held.
+    /// Whether there are no buckets in memory.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Takes a token of `owner`'s bucket.
+    /// Takes one token from the bucket of `owner`, if it has one.
     pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> LimitOutcome {
         if !self.make_room(now, owner) {
             return LimitOutcome::Within;
@@ -135,7 +136,7 @@
         LimitOutcome::Over(wait_for(1.0 - bucket.tokens, share))
     }
 
-    /// Drops the buckets of rule limits that are no longer in force.
+    /// Drops the buckets of rule limits whose slots are no longer in use.
     pub fn retain_slots(&mut self, in_force: impl Fn(u32) -> bool) {
         self.buckets
             .retain(|owner, _| owner.slot().is_none_or(&in_force));
