--- a/crates/sageshed-decide/src/names.rs
+++ b/crates/sageshed-decide/src/names.rs
@@ -1,4 +1,4 @@
-//! The names that one entry process knows, with what the settings say of each.
+//! The interned names of one entry process, with the settings of each model, caller and class.
 
 use std::collections;
 
@@ -9,60 +9,60 @@
 
 use crate::{event, settings};
 
-/// A model or adapter, by keys.
+/// The settings of a model or adapter, with names replaced by keys.
 #[derive(Debug, Clone)]
 pub struct Model {
-    /// For an adapter: the model it sits on.
+    /// The base model of an adapter; `None` for a model.
     pub base: Option<arena::ModelKey>,
-    /// The pools that may hold it; empty: any.
+    /// The pools whose engines may hold it; any pool if empty.
     pub pools: Vec<arena::PoolKey>,
-    /// Time to load it.
+    /// The time that it takes to load.
     pub load: time::Millis,
 }
 
-/// A caller, by keys.
+/// The settings of a caller, with names replaced by keys.
 #[derive(Debug, Clone, Copy)]
 pub struct Caller {
-    /// The class of a request that names none.
+    /// The class of its requests that name none.
     pub class: arena::ClassKey,
-    /// Requests a second over all entry processes.
+    /// Its rate limit over all entry processes, in requests per second.
     pub rate: Option<f64>,
-    /// Requests that may come at once, over all entry processes.
+    /// Its burst limit over all entry processes, in requests.
     pub burst: Option<f64>,
 }
 
-/// A class, by numbers.
+/// The settings of a request class.
 #[derive(Debug, Clone, Copy)]
 pub struct Class {
-    /// 0 is the least urgent, 9 the most.
+    /// The priority of its requests: 0 is the lowest, 9 the highest.
     pub priority: u8,
-    /// Time that a request has when nothing else says.
+    /// The deadline of its requests unless the request or a rule sets another, from the arrival.
     pub deadline: time::Millis,
-    /// How many may wait here.
+    /// The maximum number of its requests that may be queued in this process.
     pub queue: u32,
 }
 
-/// What a class that the settings do not name gets: they are checked before, so this is only met
-/// when a caller's entry names a class that is missing.
+/// The settings of a class that is missing from the settings. Since settings are checked on start,
+/// this is used only if a caller refers to a class that does not exist.
 const FALLBACK_CLASS: Class = Class {
     priority: 0,
     deadline: time::Millis(30_000),
     queue: 64,
 };
 
-/// The key of this process's own zone: it is interned before all others.
+/// The key of the availability zone of this process, which is interned before all others.
 pub const OWN_ZONE: arena::ZoneKey = arena::ZoneKey(0);
 
-/// Every name, each kind in an arena of its own.
+/// All names, with a separate interner for each kind.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
     /// Models and adapters.
     pub models: arena::Names<arena::ModelKey>,
     /// Plain services.
     pub services: arena::Names<arena::ServiceKey>,
-    /// Callers.
+    /// Callers from the settings.
     pub callers: arena::Names<arena::CallerKey>,
-    /// Classes.
+    /// Classes from the settings.
     pub classes: arena::Names<arena::ClassKey>,
     /// Pools, from the settings and from reports.
     pub pools: arena::Names<arena::PoolKey>,
@@ -77,7 +77,7 @@
 }
 
 impl Names {
-    /// Interns what the settings name.
+    /// Interns all names of the settings.
     #[must_use]
     pub fn new(settings: &settings::Settings) -> Self {
         let mut names = Self::default();
@@ -122,7 +122,7 @@
             burst: caller.burst,
         };
         set_row(&mut self.caller_table, key.index(), row, row);
-        // The settings are checked before: what is no digest is met in tests alone, and is nobody's.
+        // Settings are checked on start, so only tests have an invalid digest. It matches no caller.
         if let Some(digest) = secret::KeyDigest::from_hex(&caller.token_sha256) {
             self.tokens.insert(digest, key);
         }
@@ -138,19 +138,19 @@
         set_row(&mut self.model_table, key.index(), row.clone(), row);
     }
 
-    /// The caller whose token has this digest.
+    /// The caller whose token has this digest, if any.
     #[must_use]
     pub fn caller_by_token(&self, digest: secret::KeyDigest) -> Option<arena::CallerKey> {
         self.tokens.get(&digest).copied()
     }
 
-    /// The model or adapter on offer under this name.
+    /// The target for a model or adapter name of the settings.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<event::Target> {
         self.models.get(name).map(event::Target::Model)
     }
 
-    /// The plain service on offer under this name.
+    /// The target for a plain service name of the settings.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<event::Target> {
         self.services.get(name).map(event::Target::Service)
@@ -162,25 +162,25 @@
         self.zones.name(OWN_ZONE)
     }
 
-    /// What the settings say of a model.
+    /// The settings of a model or adapter.
     #[must_use]
     pub fn model_row(&self, key: arena::ModelKey) -> &Model {
         &self.model_table[key.index()]
     }
 
-    /// What the settings say of a caller.
+    /// The settings of a caller.
     #[must_use]
     pub fn caller_row(&self, key: arena::CallerKey) -> Caller {
         self.caller_table[key.index()]
     }
 
-    /// What the settings say of a class.
+    /// The settings of a class.
     #[must_use]
     pub fn class_row(&self, key: arena::ClassKey) -> Class {
         self.class_table[key.index()]
     }
 
-    /// The name of what a request asks for.
+    /// The name of a model, adapter or service.
     #[must_use]
     pub fn target(&self, target: event::Target) -> &str {
         match target {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Writes a row at its index, filling a gap before it.
+/// Sets the row at `index`, extending the table with `fill` if necessary.
 fn set_row<T: Clone>(table: &mut Vec<T>, index: usize, row: T, fill: T) {
     if table.len() <= index {
         table.resize(index + 1, fill);
