--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -1,12 +1,12 @@
-//! Requests that wait in this entry process.
+//! Queues of requests that wait in this entry process for a free slot.
 //!
-//! Requests that the same endpoints may serve wait in one lane, in the order in which they will be
-//! sent: priority, then the earliest deadline, then arrival. A lane whose endpoints are all full
-//! does not hold up another one. How many may wait is bounded by class over all lanes.
+//! Requests that can be served by the same endpoints wait in one lane, ordered by priority, then by
+//! deadline, then by arrival. A lane whose endpoints are all full does not block other lanes. The
+//! number of queued requests is bounded for each class over all lanes.
 //!
-//! When a class is full, the caller who has the most waiting in it gives up its last one to a caller
-//! who has at least two fewer. Without this, one caller that floods a class would fill its queue and
-//! every other caller of the class would be refused.
+//! When the queue of a class is full, a request of a caller displaces the last request of the caller
+//! with the most queued requests, if that one has at least two more. Otherwise a single caller that
+//! floods a class would fill its queue, and all other callers of the class would be refused.
 
 use std::{cmp, collections};
 
@@ -17,31 +17,31 @@
 
 use crate::event;
 
-/// What requests of one lane have in common.
+/// Identifies a queue by what its requests have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lane {
-    /// What is asked.
+    /// The model, adapter or service that the requests ask for.
     pub target: event::Target,
-    /// The only pool that may serve, by a rule.
+    /// The only pool that may serve the requests, if a rule names one.
     pub pool: Option<arena::PoolKey>,
 }
 
-/// A waiting request, ordered by when it is sent.
+/// A queued request. The order is that in which requests are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// The greatest priority comes first.
+    /// The highest priority comes first.
     pub priority: cmp::Reverse<u8>,
-    /// Then the earliest deadline.
+    /// At equal priority, the earliest deadline comes first.
     pub deadline: time::Instant,
-    /// Then the one that arrived first.
+    /// At equal deadlines, the request that arrived first comes first.
     pub req: event::ReqId,
-    /// Its class. Takes no part in the order, since `req` is unique.
+    /// The class of the request. Does not affect the order, since `req` is unique.
     pub class: arena::ClassKey,
-    /// Its caller. Takes no part in the order either.
+    /// The caller of the request. Does not affect the order either.
     pub caller: arena::CallerKey,
 }
 
-/// All lanes.
+/// All lanes, with counts by class and caller.
 #[derive(Debug, Default)]
 pub struct Queues {
     lanes: collections::BTreeMap<Lane, collections::BTreeSet<QueueKey>>,
@@ -50,7 +50,7 @@
 }
 
 impl Queues {
-    /// Puts a request in.
+    /// Adds a request to a lane.
     pub fn push(&mut self, lane: Lane, queue_key: QueueKey) {
         self.lanes.entry(lane).or_default().insert(queue_key);
         if self.by_class.len() <= queue_key.class.index() {
@@ -63,7 +63,7 @@
             .or_default() += 1;
     }
 
-    /// Takes a request out.
+    /// Removes a request from a lane, if it is there.
     pub fn remove(&mut self, lane: Lane, queue_key: &QueueKey) {
         let Some(queue_keys) = self.lanes.get_mut(&lane) else {
             return;
@@ -84,46 +84,46 @@
         }
     }
 
-    /// How many of a class wait.
+    /// The number of queued requests of a class.
     #[must_use]
     pub fn class_len(&self, class: arena::ClassKey) -> u32 {
         self.by_class.get(class.index()).copied().unwrap_or(0)
     }
 
-    /// How many wait.
+    /// The number of queued requests in all lanes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lanes.values().map(collections::BTreeSet::len).sum()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// The lanes in which any waits, with the requests in order.
+    /// The lanes that are not empty, with their requests in order.
     pub fn lanes(&self) -> impl Iterator<Item = (Lane, &collections::BTreeSet<QueueKey>)> {
         self.lanes
             .iter()
             .map(|(lane, queue_keys)| (*lane, queue_keys))
     }
 
-    /// The first few of a lane.
+    /// The first `count` requests of a lane.
     pub fn first(&self, lane: Lane, count: usize) -> impl Iterator<Item = QueueKey> {
         let queue_keys = self.lanes.get(&lane).into_iter().flatten();
         queue_keys.copied().take(count)
     }
 
-    /// How many of a lane are sent before `queue_key`.
+    /// The number of requests of a lane that are sent before `queue_key`.
     #[must_use]
     pub fn ahead(&self, lane: Lane, queue_key: &QueueKey) -> usize {
         let queue_keys = self.lanes.get(&lane);
         queue_keys.map_or(0, |queue_keys| queue_keys.range(..queue_key).count())
     }
 
-    /// Who gives way in a full class for one more of `caller`: the last one of the caller that has
-    /// the most, if that one has at least two more than `caller`.
+    /// The queued request that a new request of `caller` displaces in a full class: the last one of the
+    /// caller with the most queued requests, if that one has at least two more than `caller`.
     #[must_use]
     pub fn displaced_by(
         &self,
