--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -1,4 +1,4 @@
-//! One open request.
+//! The state that the decider keeps for each request.
 
 use std::{cmp, sync};
 
@@ -6,104 +6,104 @@
 
 use crate::{event, queue, router};
 
-/// Where a request stands.
+/// The processing state of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum State {
-    /// Just arrived, or between two tries.
+    /// Just arrived, or between two attempts.
     Deciding,
-    /// Its claim is asked for.
+    /// Waiting for its claim to be granted.
     Claiming,
-    /// It waits here.
+    /// Waiting in the queue of this process.
     Queued,
-    /// It is at an endpoint.
+    /// Sent to an endpoint.
     Sent(Sent),
-    /// It has ended, and is kept for its account.
+    /// Ended, and kept only for its request trace.
     Ended,
 }
 
-/// How the claim of a request stands.
+/// The state of the claim of a non-repeatable request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Claim {
-    /// Not asked for, or not answered yet.
+    /// Not requested or not granted yet.
     Missing,
-    /// Granted to this arrival.
+    /// Granted to this request.
     Granted,
 }
 
-/// A try that is under way.
+/// An attempt in progress.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sent {
-    /// Where.
+    /// The endpoint that it was sent to.
     pub endpoint: arena::EndpointKey,
-    /// The endpoint's start that was known.
+    /// The incarnation of the endpoint that was known when it was sent.
     pub incarnation: endpoints::Incarnation,
     /// When it was sent.
     pub at: time::Instant,
     /// Predicted wait inside the endpoint, in milliseconds.
     pub wait: f64,
-    /// The limit for its first byte is what the request has left, and not what an endpoint in good
-    /// order takes at most.
+    /// Whether the time limit for the first byte comes from the request's deadline and not from the
+    /// expected response time of the endpoint.
     pub limited_by_deadline: bool,
 }
 
-/// An endpoint that was weighed.
+/// An endpoint that was considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConsideredEndpoint {
-    /// Which.
+    /// The endpoint.
     pub endpoint: arena::EndpointKey,
-    /// Estimated time to the whole answer.
+    /// Estimated time to the complete response.
     pub estimate: time::Millis,
-    /// Whether it had room.
+    /// Whether it had room for one more request.
     pub room: bool,
-    /// Whether it was taken.
+    /// Whether it was chosen.
     pub chosen: bool,
-    /// How it stood for the request.
+    /// Whether it was eligible for the request.
     pub standing: router::Eligibility,
 }
 
-/// A request from its arrival on.
+/// A request and its processing state.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What is known of it.
+    /// What was known on its arrival.
     pub info: event::RequestInfo,
-    /// The class it was put in.
+    /// Its class, from the request or from the settings of the caller.
     pub class: arena::ClassKey,
-    /// Its priority, by class or rule.
+    /// Its priority, from its class or a rule.
     pub priority: u8,
-    /// Whether it may use the slots kept for urgent requests.
+    /// Whether it may use the headroom for urgent requests.
     pub urgent: bool,
-    /// What is asked of endpoints, by the rule that decided.
+    /// The queue that it belongs to, given by its target and the pool that a rule requires.
     pub lane: queue::Lane,
-    /// The rule that decided; none if no rule was asked.
+    /// The rule that was applied; `None` if the rules were not evaluated.
     pub rule: Option<sync::Arc<str>>,
-    /// The revision that decided.
+    /// The revision of the rules that were applied.
     pub revision: rules::Revision,
-    /// Whether it may not be repeated.
+    /// Whether it is non-repeatable, as the rules have left it.
     pub not_repeatable: bool,
-    /// Whether its claim was granted, if it needs one.
+    /// The state of its claim. Used only if it is non-repeatable.
     pub claim: Claim,
-    /// When it came.
+    /// When it arrived.
     pub arrived: time::Instant,
-    /// Time it has from then.
+    /// The time until its deadline, from its arrival.
     pub deadline: time::Millis,
-    /// Where it stands.
+    /// Its processing state.
     pub state: State,
-    /// How often it was sent.
+    /// The number of attempts so far.
     pub attempts: u32,
-    /// Endpoints where it failed.
+    /// Endpoints on which an attempt has failed.
     pub failed_on: Vec<arena::EndpointKey>,
-    /// Whether it may have run, over all tries that ended.
+    /// The most pessimistic verdict of all its ended attempts.
     pub verdict: verdict::Verdict,
-    /// Whether part of the answer may have reached the caller.
+    /// Whether part of the response may have reached the caller.
     pub answer_started: bool,
-    /// How long it waited before it was first sent.
+    /// How long it waited before its first attempt.
     pub queued: time::Millis,
-    /// The endpoints weighed for the first try.
+    /// The endpoints considered for the first attempt.
     pub candidates: Vec<ConsideredEndpoint>,
 }
 
 impl Request {
-    /// The moment by which its answer should be whole.
+    /// The time of its deadline, by which the response should be complete.
     #[must_use]
     pub fn due(&self) -> time::Instant {
         self.arrived + self.deadline
@@ -115,7 +115,7 @@
         self.due().since(now)
     }
 
-    /// Its place in its lane.
+    /// Its sort key in its lane.
     #[must_use]
     pub fn queue_key(&self) -> queue::QueueKey {
         queue::QueueKey {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What it needs of an endpoint.
+    /// What it requires of an endpoint.
     #[must_use]
     pub fn requirements(&self) -> router::Ask<'_> {
         router::Ask {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The model to ask for at the endpoint.
+    /// The model or adapter to ask the endpoint for; `None` for a plain service.
     #[must_use]
     pub fn model(&self) -> Option<arena::ModelKey> {
         match self.lane.target {
