--- a/crates/sageshed-decide/src/request_trace.rs
+++ b/crates/sageshed-decide/src/request_trace.rs
@@ -1,42 +1,42 @@
-//! What is kept of a request for its account, and the figures for metrics.
+//! The decider's part of a request trace, and the values for metrics.
 
 use sageshed_types::{account, rules, time};
 
-/// The part of a request's account that is decided here.
+/// The part of the trace of a request that the decider contributes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestTracePart {
-    /// The rule that decided, or `default`; none if no rule was asked.
+    /// The rule that was applied, or `default`; `None` if the rules were not evaluated.
     pub rule: Option<String>,
-    /// The revision that decided.
+    /// The revision of the rules that were applied.
     pub revision: rules::Revision,
-    /// The class it was put in.
+    /// The class of the request.
     pub class: String,
-    /// Whether it is treated as one that may not be repeated.
+    /// Whether the request is treated as non-repeatable.
     pub not_repeatable: bool,
-    /// Time it had from its arrival.
+    /// The time until its deadline, from its arrival.
     pub deadline: time::Millis,
-    /// How long it waited here before it was first sent.
+    /// How long it was queued before its first attempt.
     pub queued: time::Millis,
-    /// The endpoints weighed for the first try.
+    /// The endpoints considered for the first attempt.
     pub candidates: Vec<account::Candidate>,
 }
 
-/// Figures for metrics.
+/// Values for metrics.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Gauges {
-    /// Requests known: waiting, claiming or sent.
+    /// Open requests: queued, waiting for a claim or sent.
     pub open: usize,
-    /// Requests sent and not ended.
+    /// Requests in flight to endpoints.
     pub in_flight: usize,
-    /// Requests waiting here, by class name.
+    /// Queued requests by class name.
     pub queued: Vec<(String, usize)>,
-    /// Endpoints known and not gone.
+    /// Known endpoints.
     pub endpoints: usize,
-    /// Of these, ejected now.
+    /// Known endpoints that are ejected now.
     pub ejected: usize,
-    /// Of these, leaving.
+    /// Known endpoints that are leaving.
     pub leaving: usize,
-    /// Retries that the budget would allow now.
+    /// Retries that the retry budget would allow now.
     pub retry_tokens: f64,
     /// Whether the process is shutting down.
     pub draining: bool,
