--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -1,29 +1,31 @@
-//! Which endpoint takes a request, and how long the answer will take.
+//! Endpoint selection: which endpoint gets a request, and how long the response will take.
 //!
-//! # Choice
+//! # Selection
 //!
-//! Among the endpoints with room, two are drawn at random and the one with the better score is
-//! taken. Taking the best of all would make every entry process pick the same one until the next
-//! report (the `LeastReported` baseline shows it); two choices keep most of the gain over a random
-//! pick and spread by themselves. A third candidate comes from the hash of the prompt's first part:
-//! the same prefix names the same endpoint at every entry process, without a message, so that its
-//! cache is found again. It has to win by score like the others, with the saving counted in, so that
-//! a popular prefix cannot overload its endpoint.
+//! Uses the power of two choices: among the endpoints with room, two are drawn at random and the one
+//! with the better score is chosen. Choosing the best of all would make every entry process choose
+//! the same one until the next report (the `LeastReported` baseline shows this); two choices keep
+//! most of the gain over random selection and spread the load.
+//!
+//! A third candidate comes from prefix affinity. Rendezvous hashing maps the first part of the prompt
+//! to the same endpoint in every entry process, without any messages, so that a cached prefix is
+//! reused. This candidate has to win by score like the others, with the saved time counted in, so
+//! that a popular prefix can't overload its endpoint.
 //!
 //! # Estimate
 //!
-//! Time to the whole answer is the wait inside the endpoint, from the load that is taken to be there
-//! (see [`crate::fleet`]) and the time that a request holds one of its slots, plus the learned
-//! service time of the target there.
+//! The time to the complete response is the wait inside the endpoint plus the service time of the
+//! target there. The wait follows from the estimated load (see [`crate::fleet`]) and the mean time
+//! for which a request occupies one of the endpoint's slots.
 //!
-//! # Which endpoints count
+//! # Eligibility
 //!
-//! A leaving endpoint never does, nor one where this request has failed. Ejected, silent and stale
-//! ones do not count while any other holder is left. When none is left they do: that all holders of
-//! a model look bad at once is more likely a fault of what we see (reports cut off, a faulty request
-//! that fails everywhere) than the end of all of them, and refusing everything would be worse. One
-//! that is ejected and silent at once is dead, by two signs that do not depend on each other: a model
-//! held there alone counts as held nowhere, so that its requests wait for a load elsewhere.
+//! A leaving endpoint and one where this request has failed are never eligible. Ejected and silent
+//! endpoints are used only if no other holder is left. That all holders of a model look bad at once
+//! is more likely due to missing reports, or to a faulty request that fails everywhere, than to the
+//! loss of all of them, and refusing everything would be worse. An endpoint that is both ejected and
+//! silent is considered dead, since the two signs are independent of each other. A model that is held
+//! only there counts as held nowhere, so that its requests wait for a load elsewhere.
 
 use sageshed_types::{
     arena::{self, Key},
@@ -32,72 +34,72 @@
 
 use crate::{event, fleet, health, learned, names, queue, random, settings};
 
-/// What a request needs of an endpoint.
+/// What a request requires of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// What is asked.
+    /// The model, adapter or service to serve.
     pub target: event::Target,
-    /// The only pool that may serve, by a rule.
+    /// The only pool that may serve the request, if a rule names one.
     pub pool: Option<arena::PoolKey>,
-    /// Whether it may use the slots kept for urgent requests.
+    /// Whether the request may use the headroom for urgent requests.
     pub urgent: bool,
-    /// The most tokens that the answer may have; 0 if that is not known.
+    /// The maximum number of tokens in the response; 0 if unknown.
     pub max_tokens: u32,
-    /// A hash of the prompt's first part; 0: none.
+    /// A hash of the first part of the prompt; 0 if there is none.
     pub prefix: u64,
-    /// Endpoints where it has failed.
+    /// Endpoints on which an attempt of this request has failed.
     pub failed_on: &'a [arena::EndpointKey],
 }
 
-/// The endpoint chosen.
+/// A chosen endpoint with its estimate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pick {
-    /// Which.
+    /// The endpoint.
     pub endpoint: arena::EndpointKey,
-    /// Predicted wait inside it, in milliseconds.
+    /// Predicted wait inside the endpoint, in milliseconds.
     pub wait: f64,
     /// Predicted service time there, in milliseconds.
     pub service: f64,
 }
 
-/// What there is for a request.
+/// The result of endpoint selection for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Choice {
-    /// Send it there.
+    /// The request can be sent to this endpoint.
     Pick(Pick),
-    /// Some hold the target, but none has room.
+    /// Endpoints serve the target, but none has room.
     Full,
-    /// None holds the target.
+    /// No endpoint serves the target.
     Cold,
-    /// It has failed on each one that holds the target.
+    /// The request has failed on every endpoint that serves the target.
     Exhausted,
 }
 
-/// How an endpoint stands for a request.
+/// Whether an endpoint is eligible for a request, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It may take it.
+    /// The endpoint is eligible.
     Eligible,
-    /// Another pool.
+    /// The endpoint belongs to a pool other than the required one.
     OtherPool,
-    /// It is leaving.
+    /// The endpoint is draining and takes no new requests.
     Leaving,
-    /// The request has failed there.
+    /// An attempt of the request has failed there.
     Failed,
-    /// It fails too often.
+    /// The endpoint is ejected because of failures.
     Ejected,
-    /// It has not been heard of for too long.
+    /// The endpoint has sent no report for too long.
     Silent,
-    /// It fails and has not been heard of: both signs together say that it is dead.
+    /// The endpoint is ejected and silent, and therefore considered dead.
     Gone,
 }
 
-/// Endpoints and what was learned of them.
+/// Selects endpoints, and keeps the state that the selection is based on.
 #[derive(Debug)]
 pub struct Router {
-    /// The endpoints.
+    /// The known endpoints.
     pub fleet: fleet::Fleet,
-    /// Draws.
+    /// The random generator for all draws of the decider.
     pub random: random::Random,
     policy: settings::Policy,
     entries: u32,
@@ -106,7 +108,7 @@
 }
 
 impl Router {
-    /// A router that knows no endpoint yet.
+    /// Creates a router without endpoints.
     #[must_use]
     pub fn new(names: &names::Names, policy: settings::Policy, entries: u32, seed: u64) -> Self {
         Self {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// What was learned of a target.
+    /// The learned estimates for a target.
     #[must_use]
     pub fn learned(&self, target: event::Target) -> &learned::Target {
         match target {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// What was learned of a target, to be changed.
+    /// Mutable access to the learned estimates for a target.
     pub fn learned_mut(&mut self, target: event::Target) -> &mut learned::Target {
         match target {
             event::Target::Model(key) => &mut self.models[key.index()],
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Learns from a whole answer that took `span` milliseconds without the predicted wait.
+    /// Updates the estimates with a complete response. `span` is its duration in milliseconds without
+    /// the predicted wait.
     pub fn learn(
         &mut self,
         requirements: &Ask<'_>,
@@ -150,14 +153,14 @@
         learned.add(span, tokens, requirements.max_tokens);
     }
 
-    /// Service time on an endpoint of mean speed, in milliseconds.
+    /// Service time on an endpoint of average speed, in milliseconds.
     #[must_use]
     pub fn service(&self, requirements: &Ask<'_>) -> f64 {
         let learned = self.learned(requirements.target);
         learned.service(requirements.max_tokens, self.policy.initial_service_ms)
     }
 
-    /// Chooses an endpoint with room.
+    /// Selects an endpoint that has room for one more request.
     pub fn choose(&mut self, now: time::Instant, requirements: &Ask<'_>) -> Choice {
         let eligible = match self.eligible(now, requirements) {
             Ok(eligible) => eligible,
@@ -175,7 +178,7 @@
         })
     }
 
-    /// The endpoints that may take the request, with room or without; or why there is none.
+    /// The endpoints that may take the request, whether they have room or not; or why there is none.
     pub fn eligible(
         &self,
         now: time::Instant,
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Whether no endpoint that may take new work holds a target.
+    /// Whether no eligible endpoint serves the target of a lane.
     #[must_use]
     pub fn is_cold(&self, now: time::Instant, lane: queue::Lane) -> bool {
         let requirements = Ask {
@@ -215,7 +218,7 @@
         self.eligible(now, &requirements).is_err()
     }
 
-    /// How an endpoint that holds the target stands for the request.
+    /// The eligibility of an endpoint that holds the target.
     #[must_use]
     pub fn standing(
         &self,
@@ -245,14 +248,14 @@
         }
     }
 
-    /// Whether this process may send one more to an endpoint.
+    /// Whether this process may send one more request to an endpoint.
     #[must_use]
     pub fn has_room(&self, now: time::Instant, key: arena::EndpointKey, urgent: bool) -> bool {
         let endpoint = self.fleet.get(key);
         endpoint.has_room(now, &self.policy, self.entries, urgent)
     }
 
-    /// Requests a millisecond that this process may expect an endpoint to finish for it.
+    /// The rate at which an endpoint is expected to complete requests of this process, per millisecond.
     #[must_use]
     pub fn own_rate(
         &self,
@@ -270,14 +273,14 @@
         busy.min(f64::from(endpoint.slots)) / slot_time.max(1.0)
     }
 
-    /// The pick of an endpoint, with its estimate.
+    /// Computes the estimate for a request on an endpoint.
     #[must_use]
     pub fn pick(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> Pick {
         let endpoint = self.fleet.get(key);
         let service = self.service(requirements) * endpoint.learned.slowdown();
         let slot_time = endpoint.learned.slot_time().unwrap_or(service);
         let over = (endpoint.load() + 1).saturating_sub(endpoint.slots);
-        // Endpoints honour priorities: an urgent request takes the next slot that comes free.
+        // Endpoints schedule by priority: an urgent request gets the next free slot.
         let over = if requirements.urgent {
             over.min(1)
         } else {
@@ -326,8 +329,9 @@
         }
     }
 
-    /// Lower is better: the estimate, with what distance costs, what a cached prefix saves, and how
-    /// full the endpoint is, which decides between two that have slots free.
+    /// The score of an endpoint; lower is better. It is the estimate plus the cost of crossing zones,
+    /// less the time saved by a cached prefix, plus a penalty for utilization, which decides between
+    /// endpoints that have free slots.
     fn score(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> f64 {
         let endpoint = self.fleet.get(key);
         let pick = self.pick(requirements, key);
@@ -347,8 +351,8 @@
         pick.wait + pick.service * (1.0 - saved + FULLNESS_WEIGHT * fullness) + distance
     }
 
-    /// The endpoint that a prefix belongs to: the holder with the greatest hash of both. When an
-    /// endpoint comes or goes, only the prefixes that belong to it move.
+    /// The endpoint that owns a prefix by rendezvous hashing: the holder with the greatest combined
+    /// hash. When an endpoint joins or leaves, only the prefixes that it owns move.
     fn prefix_owner(&self, requirements: &Ask<'_>) -> Option<arena::EndpointKey> {
         if requirements.prefix == 0 {
             return None;
@@ -367,10 +371,10 @@
     }
 }
 
-/// How much slower a request is taken to be on an endpoint with all slots busy, in the choice.
+/// By which share a request is assumed to be slower on an endpoint with all slots busy, in the score.
 const FULLNESS_WEIGHT: f64 = 0.2;
 
-/// The estimate of a pick in whole milliseconds.
+/// The estimated time to the complete response, in whole milliseconds.
 #[must_use]
 pub fn estimate(pick: Pick) -> time::Millis {
     time::Millis::rounded_up(pick.wait + pick.service)
