--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -1,13 +1,13 @@
-//! Rules compiled to keys, and the first match among them.
+//! Compiled rules and first-match lookup.
 //!
-//! Rules are stored by column instead of by row: for each caller, class and target there is the set
-//! of rules whose conditions on that dimension it meets, one bit a rule. A request takes one set of
-//! each dimension, the sets are intersected 64 rules at a time, and only what is left is asked for
-//! the conditions that are ranges. The first rule left decides. With 1,000 rules that is 16 words of
-//! four sets, whatever the rules say (`examples/rules_bench.rs` prints the time it takes).
+//! Rules are indexed by column: for each caller, class and target there is a bit set of the rules
+//! whose condition on that dimension it meets. The lookup takes one bit set for each dimension and
+//! intersects them 64 rules at a time. Conditions on ranges are evaluated only for the rules that
+//! remain, and the first that matches is returned. With 1,000 rules this takes 16 words of four
+//! sets, whatever the rules are (`examples/rules_bench.rs` measures the time).
 //!
-//! A name that is not known matches nothing. A list whose names are all unknown therefore makes a
-//! rule that never matches, not one that always does: a typing error must not widen a rule.
+//! An unknown name matches nothing. Thus a rule whose list contains only unknown names never
+//! matches, instead of always matching: a typo must not widen a rule.
 
 mod findings;
 
@@ -22,70 +22,70 @@
 
 pub use findings::{Finding, Level, check};
 
-/// What rules look at.
+/// The properties of a request that rules are matched against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Query {
-    /// Who asks.
+    /// The caller of the request.
     pub caller: arena::CallerKey,
-    /// In which class.
+    /// The class of the request.
     pub class: arena::ClassKey,
-    /// For what.
+    /// The model, adapter or service that it asks for.
     pub target: event::Target,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub streaming: bool,
-    /// Whether it may not be repeated.
+    /// Whether the request is non-repeatable.
     pub not_repeatable: bool,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The priority of its class.
+    /// The priority of the request's class.
     pub priority: u8,
 }
 
-/// What a rule does, by keys.
+/// The action of a rule, with names replaced by keys.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CompiledAction {
-    /// Sends it on.
+    /// Admits the request, possibly with a changed route.
     Route {
-        /// Only to engines of this pool.
+        /// The only pool whose engines may serve it.
         pool: Option<arena::PoolKey>,
-        /// Asking this model in place of the one named.
+        /// The model to use instead of the requested one.
         model: Option<arena::ModelKey>,
-        /// With this priority in place of the class's.
+        /// The priority to use instead of that of its class.
         priority: Option<u8>,
     },
-    /// Would ask a model that is not on offer here. Refuses, since the request as it came is not
-    /// what the operator wanted run.
+    /// Would route to a model that is not in the settings. The request is refused, since running it
+    /// unchanged is not what the operator wanted.
     RouteToUnknown {
-        /// The name.
+        /// The name of the model.
         model: String,
     },
-    /// Refuses it.
+    /// Refuses the request.
     Refuse(rules::Refuse),
-    /// Sends it by the default route while the limit lasts.
+    /// Admits the request by the default route while it is within the limit.
     Limit {
-        /// The limit.
+        /// The rate limit.
         limit: rules::Limit,
-        /// Where its buckets are kept; the same before and after a change of other rules.
+        /// Identifies the token buckets of the limit. Unchanged when other rules change.
         slot: u32,
     },
 }
 
-/// One compiled rule, less the conditions that are kept by column.
+/// A compiled rule without the conditions that are indexed by column.
 #[derive(Debug, Clone)]
 pub struct Rule {
-    /// Its id.
+    /// The id of the rule.
     pub id: sync::Arc<str>,
-    /// What it does.
+    /// The action of the rule.
     pub compiled_action: CompiledAction,
-    /// Whether it sets or lifts the mark of a request that may not be repeated.
+    /// Whether it marks requests as non-repeatable or repeatable, if it does either.
     pub not_repeatable: Option<bool>,
-    /// Time the request has from its arrival.
+    /// The deadline that it sets, from the arrival of the request.
     pub deadline: Option<time::Millis>,
     prompt_tokens: Option<rules::Range>,
     priority: Option<rules::Range>,
 }
 
-/// All rules in force, compiled.
+/// A compiled rule set.
 #[derive(Debug, Clone, Default)]
 pub struct Compiled {
     revision: rules::Revision,
@@ -99,8 +99,8 @@
 }
 
 impl Compiled {
-    /// Compiles `set`. Limits that stand unchanged under the same id keep their slots of `old`, so
-    /// that a change of another rule does not fill their buckets anew.
+    /// Compiles `set`. A limit that is unchanged under the same id keeps its slot from `old`, so that
+    /// a change of another rule does not refill its buckets.
     #[must_use]
     pub fn new(set: rules::RuleSet, old: &Self, names: &mut names::Names) -> Self {
         let mut next = Self {
@@ -117,13 +117,13 @@
         next
     }
 
-    /// The revision of the rules.
+    /// The revision of the rule set.
     #[must_use]
     pub fn revision(&self) -> rules::Revision {
         self.revision
     }
 
-    /// The slots of limits, by rule id and limit.
+    /// The limits and their slots by rule id.
     fn limit_slots(&self) -> collections::HashMap<&str, (rules::Limit, u32)> {
         let slots = self
             .rules
@@ -135,7 +135,7 @@
         slots.collect()
     }
 
-    /// Whether a rule in force keeps its buckets in `slot`.
+    /// Whether the limit of a rule uses `slot`.
     #[must_use]
     pub fn uses_slot(&self, slot: u32) -> bool {
         let uses = |rule: &Rule| matches!(rule.compiled_action, CompiledAction::Limit { slot: s, .. } if s == slot);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The first rule that matches; none: the default route.
+    /// The first rule that matches. If there is none, the default route applies.
     #[must_use]
     pub fn first_match(&self, query: &Query) -> Option<&Rule> {
         let caller = self.by_caller.get(query.caller.index())?.words();
@@ -271,18 +271,18 @@
     usize::from(streaming) * 2 + usize::from(not_repeatable)
 }
 
-/// Whether a list holds for a name: it is empty, or names it.
+/// Whether a list condition holds for a name: the list is empty or contains it.
 fn any(list: &[String], name: &str) -> bool {
     list.is_empty() || list.iter().any(|member| member == name)
 }
 
-/// Whether the zone of this entry process is among those that the rule is for.
+/// Whether the rule applies in the availability zone of this entry process.
 fn zone_holds(when: &rules::When, names: &names::Names) -> bool {
     any(&when.availability_zone, names.own_zone())
 }
 
-/// Whether the conditions on model, adapter and service hold for a target. Only an empty condition
-/// holds for a target of the other kind.
+/// Whether the conditions on model, adapter and service hold for a target. Conditions on the other
+/// kind of target must be empty.
 fn target_holds(when: &rules::When, target: event::Target, names: &names::Names) -> bool {
     match target {
         event::Target::Service(key) => {
