--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -1,8 +1,8 @@
 //! Static checks of a rule set, for `config check` and for the control process.
 //!
-//! Conditions on callers, classes and targets are compared as sets of what is on offer, so that
-//! `model = ["a"]` is seen to cover `adapter = ["x"]` when `x` sits on `a`. A rule that only several
-//! earlier ones together cover is not found.
+//! Conditions on callers, classes and targets are compared as sets of known names, so that
+//! `model = ["a"]` is found to cover `adapter = ["x"]` if `x` is an adapter of `a`. A rule that is
+//! covered only by several earlier rules together is not detected.
 
 use std::collections;
 
@@ -13,32 +13,32 @@
 
 use crate::{bits, event, names};
 
-/// How bad a finding is.
+/// The severity of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
-    /// The rules work, but surely not as meant.
+    /// The rules can be used, but probably not as intended.
     Warning,
-    /// The rules must not be taken.
+    /// The rules must not be installed.
     Error,
 }
 
-/// Something wrong with a rule.
+/// A problem found in a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// How bad.
+    /// The severity.
     pub level: Level,
-    /// The rule's id.
+    /// The id of the rule.
     pub rule: String,
-    /// What is wrong.
+    /// A description of the problem.
     pub problem: String,
-    /// What to do about it.
+    /// A suggested fix.
     pub advice: String,
 }
 
-/// The highest priority.
+/// The highest priority that a rule may set.
 const TOP_PRIORITY: u8 = 9;
 
-/// Checks a rule set against what is on offer. Errors and warnings in the order of the rules.
+/// Checks a rule set against the known names. Findings are in the order of the rules.
 #[must_use]
 pub fn check(set: &rules::RuleSet, names: &names::Names) -> Vec<Finding> {
     let mut findings = Vec::new();
@@ -216,7 +216,7 @@
     range.min.unwrap_or(0) > range.max.unwrap_or(u32::MAX)
 }
 
-/// All requests that a rule matches, as a product of sets.
+/// The requests that a rule matches, as a product of sets.
 struct Scope {
     callers: bits::BitSet,
     classes: bits::BitSet,
