--- a/crates/sageshed-decide/src/settings.rs
+++ b/crates/sageshed-decide/src/settings.rs
@@ -1,107 +1,109 @@
-//! What a [`crate::decider::Decider`] is made of: the catalog, and the policy with its defaults.
+//! The settings of a [`crate::decider::Decider`]: the catalog, and the policy with its defaults.
 
 use sageshed_types::{catalog, time};
 use serde::{Deserialize, Serialize};
 
-/// What one entry process needs to know to decide.
+/// The settings of the decisions of one entry process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The name of its VM.
+    /// The name of the VM on which the process runs.
     pub vm: String,
-    /// Where it stands.
+    /// The availability zone of the process.
     pub availability_zone: String,
-    /// Entry processes that share every limit and every endpoint; at least 1.
+    /// The number of entry processes that share all limits and endpoints; at least 1.
     pub entries: u32,
-    /// The classes on offer.
+    /// The request classes.
     pub classes: Vec<catalog::Class>,
-    /// The callers known.
+    /// The known callers.
     pub callers: Vec<catalog::Caller>,
-    /// The models and adapters on offer.
+    /// The models and adapters that callers may ask for.
     pub models: Vec<catalog::Model>,
-    /// The plain services on offer.
+    /// The plain services that callers may ask for.
     pub services: Vec<String>,
-    /// The tunables.
+    /// The tunable parameters.
     pub policy: Policy,
 }
 
-/// How an endpoint is chosen among those that may take a request.
+/// How an endpoint is chosen among the eligible ones with room.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Routing {
-    /// The better of two picked at random and the one that prefix affinity names.
+    /// The best of two drawn at random and the one that prefix affinity suggests.
     #[default]
     TwoChoices,
-    /// Any, at random. A baseline for measurement.
+    /// A random one. A baseline for measurements.
     Random,
-    /// The one whose last report shows the least load. A baseline for measurement: every entry
+    /// The one with the least load in its last report. A baseline for measurements: every entry
     /// process sends to the same endpoint until the next report.
     LeastReported,
 }
 
-/// The tunables, each with a default that the tests and the simulated trials ran with.
+/// The tunable parameters of the decider. Tests and simulations run with the defaults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Requests that may be at an endpoint for each of its slots. A little over 1 keeps a slot busy
-    /// while the news that it came free is on its way.
+    /// The number of requests that may be in flight for each slot of an endpoint. A little over 1
+    /// keeps a slot busy until the report that it is free has arrived.
     pub in_flight_per_slot: f64,
-    /// Weight, in requests, that each other entry process is given when the free slots of an
-    /// endpoint are shared out. Greater: slower to take all of an endpoint, less crowding.
+    /// The weight, in requests, that each entry process has in advance when the free slots of an
+    /// endpoint are divided. With a greater weight a single busy process takes longer to use a whole
+    /// endpoint, but overcommits it less.
     pub share_prior: f64,
-    /// From this priority on a request may exceed the bound in flight by [`Self::urgent_headroom`].
+    /// From this priority on a request may exceed the in-flight limit by [`Self::urgent_headroom`].
     pub urgent_priority: u8,
-    /// Slots kept for urgent requests above the bound, as a share of an endpoint's slots.
+    /// Additional in-flight requests for urgent requests, as a share of an endpoint's slots.
     pub urgent_headroom: f64,
-    /// Retries as a share of the requests sent for the first time.
+    /// Maximum number of retries, as a share of the first attempts.
     pub retry_share: f64,
-    /// Retries that may come at once after a quiet time.
+    /// Maximum number of retries in a burst.
     pub retry_burst: f64,
-    /// Tries of one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Failures in a row after which an endpoint is ejected.
+    /// Consecutive failures after which an endpoint is ejected.
     pub eject_after_failures: u32,
-    /// Share of failures among the last tries (at least 10) at which an endpoint is ejected.
+    /// Share of failures among the recent attempts (at least 10) at which an endpoint is ejected.
     pub eject_failure_share: f64,
-    /// How long the first ejection lasts; each further one in a row twice as long.
+    /// Duration of the first ejection; it doubles with each consecutive one.
     pub eject_base_ms: time::Millis,
-    /// The longest that an ejection lasts.
+    /// Maximum duration of an ejection.
     pub eject_max_ms: time::Millis,
-    /// How long an endpoint takes after an ejection until it gets its full share again.
+    /// Time after an ejection until an endpoint gets its full share of requests again.
     pub return_ramp_ms: time::Millis,
-    /// How long an endpoint that answered 429 or 503 is left alone.
+    /// How long nothing is sent to an endpoint that responded with 429 or 503.
     pub busy_pause_ms: time::Millis,
-    /// Age of a report past which its load figures are no longer used.
+    /// Age from which the load figures of a report are no longer used.
     pub report_stale_ms: time::Millis,
-    /// Age of the last report past which an endpoint gets no new work while others can take it.
+    /// Age of the last report from which an endpoint gets no requests while others can take them.
     pub report_silent_ms: time::Millis,
-    /// The share by which a predicted wait is lengthened before it is held against a deadline. The
-    /// wait is the least certain part of an estimate: other entry processes add to it unseen.
+    /// The share by which a predicted wait is increased before it is compared with a deadline. The
+    /// wait is the least certain part of an estimate, since other entry processes add to it.
     pub shed_margin: f64,
     /// How far a repeatable request may run past its deadline before it is cancelled, as a share of
-    /// the deadline. A late answer is worth more than none, but not without end.
+    /// the deadline. A late response is worth more than none, within bounds.
     pub overrun_share: f64,
-    /// The same for a request that may not be repeated: cancelling it leaves its fate unknown.
+    /// The same for a non-repeatable request; greater, since cancelling it leaves its outcome unknown.
     pub overrun_share_not_repeatable: f64,
-    /// After so long without a request sent to a target, one is sent although its estimate says that
-    /// it will be late, to find out whether that is still true.
+    /// When nothing was sent to a target for this long, one request is sent even if the estimate says
+    /// that it will be late, to find out whether the estimate is still correct.
     pub probe_ms: time::Millis,
-    /// Service time assumed for a target that has answered nothing yet.
+    /// Assumed service time of a target without completed responses.
     pub initial_service_ms: time::Millis,
-    /// Time from the first request for a cold model to the begin of its load.
+    /// Time from the first request for a cold model to the start of its load.
     pub load_order_ms: time::Millis,
-    /// What a hop to another availability zone counts for in the choice.
+    /// The cost of crossing to another availability zone, when an endpoint is chosen.
     pub cross_zone_ms: time::Millis,
-    /// Share of the service time that a cached prefix saves, in the choice.
+    /// Share of the service time that a cached prefix saves, when an endpoint is chosen.
     pub affinity_share: f64,
-    /// The least limit on the first byte of an answer.
+    /// The least time limit for the first byte of a response.
     pub first_byte_min_ms: time::Millis,
-    /// The limit on the first byte as a multiple of the estimated service time.
+    /// The time limit for the first byte, as a multiple of the estimated time to the response.
     pub first_byte_factor: f64,
-    /// Token buckets that rules with a limit may hold, all together.
+    /// Maximum number of token buckets for rate limits.
     pub max_limit_buckets: u32,
     /// How an endpoint is chosen.
     pub routing: Routing,
-    /// Whether requests that cannot be on time are refused early. Off only to measure what it does.
+    /// Whether requests that can't meet their deadline are refused early. Disabled only to measure the
+    /// effect of shedding.
     pub shed: bool,
 }
 
