--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, queues, cold models, claims and the shares of several entry processes.
+//! Admission, queues, cold models, claims and the division of slots between entry processes.
 
 mod common;
 
@@ -47,8 +47,8 @@
     assert_eq!(common::summary(&actions, urgent), "send");
 }
 
-/// What a user would see: every request of a council is refused while one pub's machine floods the
-/// same class. The flood filled the queue of the class, and whoever came after found it full.
+/// Guards against one caller filling the queue of a class, so that all requests of other callers in
+/// the same class are refused.
 #[test]
 fn flooding_caller_gives_way() {
     let mut harness = one_engine();
@@ -102,7 +102,7 @@
             expected: "queue",
             comes_back: false,
         },
-        // Nothing was learned: a refusal must not rest on a guess.
+        // Without samples there is no estimate to refuse the request by.
         Unmeetable {
             learned: 0,
             busy: true,
@@ -136,9 +136,8 @@
     }
 }
 
-/// What a user would see: a request waits out its whole deadline and is refused only then, while the
-/// slot it was given in the end was lost to others. It could have been refused when it became
-/// hopeless.
+/// Guards against a request staying queued until its deadline although it can no longer be answered in
+/// time. It must be refused as soon as this is known.
 #[test]
 fn waiting_requests_are_shed_when_they_become_hopeless() {
     let mut harness = one_engine();
@@ -154,9 +153,9 @@
     );
 }
 
-/// What a user would see: a model answers nothing but `deadline_unmeetable` for good, with all its
-/// engines idle. A burst had taught a service time above the deadline, so every request was refused,
-/// so no answer could ever correct it.
+/// Guards against a model being refused with `deadline_unmeetable` forever while its engines are idle:
+/// after a burst the estimated service time exceeds the deadline, and if every request is refused, no
+/// response can correct the estimate.
 #[test]
 fn wrong_estimate_is_put_right() {
     let mut harness = one_engine();
@@ -233,8 +232,8 @@
     assert_eq!(harness.decider.endpoint_name(endpoint), "both");
 }
 
-/// What a user would see: two crews at one manhole. A request that may not be repeated was sent
-/// before its claim was recorded, while another entry process sent the same one.
+/// Guards against sending a non-repeatable request before its claim is recorded: another entry process
+/// could send the same request, and it would run twice.
 #[test]
 fn nothing_is_sent_before_its_claim() {
     let mut harness = one_engine();
@@ -284,8 +283,8 @@
     }
 }
 
-/// What a user would see: answers slow down on one engine after another while others stand idle.
-/// Seven entry processes saw the same late report of free slots, and each filled all of them.
+/// Guards against several entry processes each filling all free slots that a report shows, which
+/// would overcommit one engine after another while others are idle.
 #[test]
 fn entry_processes_share_the_free_slots() {
     let mut sent = 0;
@@ -306,15 +305,15 @@
             sent += usize::from(common::sent_to(&actions, event::ReqId(id)).is_some());
         }
     }
-    // Each has its even share of all 64 slots in any case: 9.
+    // Each process may always use its even share of all 64 slots, which is 9.
     assert!(
         (32..=7 * 9).contains(&sent),
         "32 slots were free, {sent} were sent"
     );
 }
 
-/// What a user would see: an engine is crowded while reports are cut off. Each entry process went on
-/// by the last report that it had, which gave it nearly all of the slots.
+/// Guards against overcommitting an engine while no reports arrive: each entry process could go on
+/// using nearly all slots by its last report.
 #[test]
 fn stale_report_leaves_the_even_share() {
     for (silence, expected) in [(0, "send"), (4_000, "queue")] {
