--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, reports and requests for the tests.
+//! Settings, reports, requests and a test harness for the decider.
 
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
@@ -102,7 +102,7 @@
     report
 }
 
-/// A plain request of the first caller for a model.
+/// A simple request of the first caller for a model.
 pub fn facts(id: event::ReqId, model: arena::ModelKey) -> event::RequestInfo {
     event::RequestInfo {
         id,
@@ -119,7 +119,7 @@
     }
 }
 
-/// A decider with a clock, and the requests that it is given.
+/// A decider with a clock and request ids.
 pub struct Harness {
     pub decider: decider::Decider,
     pub now: time::Instant,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// With endpoints of one slot each that hold `sort` and its adapter.
+    /// Creates a harness with engines of one slot each that hold `sort` and its adapter.
     pub fn with_engines(settings: settings::Settings, names: &[&str]) -> Self {
         let mut harness = Self::new(settings);
         for name in names {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A request as `change` makes it of the usual one for `sort`.
+    /// Sends a request for `sort`, modified by `change`.
     pub fn arrive(
         &mut self,
         change: impl Fn(&mut event::RequestInfo),
@@ -196,7 +196,7 @@
         self.step(event::Event::AttemptEnded { req, outcome })
     }
 
-    /// Teaches the decider that `sort` takes `span` milliseconds.
+    /// Trains the estimate for `sort` to a service time of `span` milliseconds.
     pub fn train(&mut self, span: u64) {
         for _ in 0..8 {
             let (req, actions) = self.arrive(|_| {});
@@ -217,7 +217,7 @@
     }
 }
 
-/// Where a request was sent by these actions.
+/// The endpoint to which the actions send a request, if any.
 pub fn sent_to(actions: &[event::Action], req: event::ReqId) -> Option<arena::EndpointKey> {
     actions.iter().find_map(|action| match action {
         event::Action::Send {
@@ -227,7 +227,7 @@
     })
 }
 
-/// How a request was refused by these actions.
+/// The refusal of a request in the actions, if any.
 pub fn refused(actions: &[event::Action], req: event::ReqId) -> Option<&refusal::Refusal> {
     actions.iter().find_map(|action| match action {
         event::Action::Refuse { req: r, refusal } if *r == req => Some(refusal),
@@ -239,7 +239,7 @@
     actions.contains(&event::Action::Queue { req })
 }
 
-/// What a table row expects of a request.
+/// A summary of the actions for a request, as the test cases state it.
 pub fn summary(actions: &[event::Action], req: event::ReqId) -> String {
     let words = actions.iter().filter_map(|action| match action {
         event::Action::Send { req: r, .. } if *r == req => Some("send".to_owned()),
