--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Failing, leaving and restarted endpoints: retries, verdicts, ejection and return.
+//! Failing, leaving and restarted endpoints: retries, verdicts, ejection and recovery.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 struct Failure {
     not_repeatable: bool,
-    /// Whether it is streamed and its first token was passed on.
+    /// Whether the request is streamed and its first token was passed on.
     answer_started: bool,
     verdict: verdict::Verdict,
     fault: event::Fault,
@@ -35,7 +35,7 @@
         fault: REFUSED,
         expected: "send",
     },
-    // The caller has part of one run already: a second one must not be spliced to it.
+    // The caller already has part of the response of one run, which must not be mixed with another.
     Failure {
         not_repeatable: false,
         answer_started: true,
@@ -43,7 +43,7 @@
         fault: CUT,
         expected: "endpoint_failed may_have_run",
     },
-    // Not a byte went out: the holder of the claim may send it again.
+    // No byte was sent, so the request may be sent again under the same claim.
     Failure {
         not_repeatable: true,
         answer_started: false,
@@ -58,7 +58,7 @@
         fault: event::Fault::NoFirstByte,
         expected: "endpoint_failed may_have_run",
     },
-    // Once a connection stood, `NotRun` is not believed.
+    // Once a connection was established, `NotRun` is not trusted.
     Failure {
         not_repeatable: true,
         answer_started: false,
@@ -82,8 +82,8 @@
     },
 ];
 
-/// What a user would see: two crews at one manhole, or half of one answer followed by half of
-/// another. A try failed in a way that leaves open whether it ran, and the request was sent again.
+/// Guards against retrying a request that may have run: its effect would happen twice, or a streamed
+/// response would be mixed from two runs.
 #[test]
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
@@ -120,8 +120,8 @@
     }
 }
 
-/// What a user would see: a refusal says `not_run`, the caller sends the dispatch again, and it runs
-/// twice. Of two tries the first may have run, and the last one's verdict alone was expected.
+/// Guards against a refusal that reports only the verdict of the last attempt. If an earlier attempt
+/// may have run, `not_run` would make the caller send the request again, and it would run twice.
 #[test]
 fn refusal_carries_the_worst_verdict_of_all_tries() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
@@ -134,8 +134,8 @@
     );
 }
 
-/// What a user would see: one engine fails and soon all are slow. Every failed request was sent up
-/// to three times, which tripled the load on the engines that were left.
+/// Guards against retries that multiply the load: if every failed request were sent up to three times,
+/// the failure of one engine would triple the load on the others.
 #[test]
 fn retries_are_a_share_of_traffic() {
     let mut settings = common::settings();
@@ -163,8 +163,8 @@
     );
 }
 
-/// What a user would see: one prompt that crashes engines takes down a whole pool, one engine after
-/// another, since it is sent on to each.
+/// Guards against a request that crashes engines being retried on one engine after another until the
+/// whole pool is down.
 #[test]
 fn tries_of_one_request_are_bounded() {
     let names = ["e1", "e2", "e3", "e4", "e5"];
@@ -191,7 +191,7 @@
     }
 }
 
-/// A bench in which `bad` has failed `times` times and `good` has not.
+/// A harness in which the endpoint `bad` has failed `times` times and `good` has not.
 fn with_failures(times: usize, fault: event::Fault) -> common::Harness {
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
@@ -208,7 +208,7 @@
     harness
 }
 
-/// How many of ten requests now go to `bad`; they stay there.
+/// Sends ten requests, which stay in flight, and returns how many of them went to `bad`.
 fn sent_to_bad(harness: &mut common::Harness) -> usize {
     harness.report(common::report("bad", harness.now.0, 8, &["sort"]));
     harness.report(common::report("good", harness.now.0, 64, &["sort"]));
@@ -243,8 +243,8 @@
     }
 }
 
-/// What a user would see: most calls of a service fail, though all but one instance work. The broken
-/// one answers 500 at once, so it always has room and seems fast, and draws the others' calls.
+/// Guards against a broken instance attracting the traffic of the others: it responds with 500 at
+/// once, so that it always has room and seems fast.
 #[test]
 fn instance_that_answers_errors_is_ejected() {
     for (status, ejected) in [(404, 0), (500, 1), (503, 1), (429, 0)] {
@@ -259,8 +259,8 @@
     }
 }
 
-/// What a user would see: an engine that restarts gets a full load at once, times out, and is thrown
-/// out again, for minutes. It came back with all its slots instead of a few.
+/// Guards against an engine that gets its full load right after an ejection: it would time out and be
+/// ejected again, repeatedly.
 #[test]
 fn return_is_slow_and_a_failure_ends_it() {
     let mut harness = with_failures(3, CUT);
@@ -289,8 +289,8 @@
     );
 }
 
-/// What a user would see: an engine is back within seconds of a crash and stays unused for minutes.
-/// Its crash failed all that was in flight there, and each failure doubled the time it was kept out.
+/// Guards against counting the requests that fail in one crash as separate ejections: the duration
+/// would double with each, and an engine that is back within seconds would stay unused for minutes.
 #[test]
 fn one_crash_is_one_ejection() {
     let mut harness = with_failures(8, CUT);
@@ -312,9 +312,8 @@
     assert_eq!(common::summary(&actions, req), "send");
 }
 
-/// What a user would see: a model is refused with `endpoint_failed` for as long as it takes to load it
-/// elsewhere, though there was time to wait. Its one engine had died, and since no other held the
-/// model, requests were still sent there.
+/// Guards against sending requests to a dead engine because no other one holds the model: they would
+/// be refused with `endpoint_failed`, although there is time to wait for a load on another engine.
 #[test]
 fn model_of_a_dead_engine_waits_for_a_load_elsewhere() {
     let mut harness = common::Harness::with_engines(common::settings(), &["dead"]);
@@ -365,7 +364,7 @@
             let mut report = common::report("e1", 1, 8, &["draft"]);
             report.identity.incarnation = endpoints::Incarnation(2);
             harness.report(report);
-            // A report of the earlier start, overtaken by the news.
+            // A report of the earlier incarnation, which was overtaken by that of the new one.
             harness.report(common::report("e1", 9, 8, &["sort"]));
         },
     },
@@ -378,8 +377,8 @@
     },
 ];
 
-/// What a user would see: requests fail on an engine that said seconds ago that it would go. It was
-/// still given new work, or a late report made it look present again.
+/// Guards against sending requests to an engine that has announced that it is leaving, or against a
+/// delayed report making it look available again.
 #[test]
 fn endpoint_that_is_away_gets_no_new_work() {
     for case in AWAY {
@@ -400,9 +399,8 @@
     }
 }
 
-/// What a user would see: a restarted engine stands half idle until this process restarts too. The
-/// requests lost with its earlier start were still counted against its slots, or their ends were
-/// taken off the count of the new ones.
+/// Guards against counting requests that were lost in a restart of an engine against its slots, which
+/// would leave it partly idle, and against subtracting their ends from the count of the new ones.
 #[test]
 fn restart_frees_the_slots_of_the_earlier_start() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
@@ -417,9 +415,9 @@
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
 }
 
-/// What a user would see: a long draft is cut off and refused with `endpoint_failed`, and the engine
-/// blamed for it. Answers so far were short, and the limit for the first byte, which for an answer
-/// that is not streamed comes at its end, was reckoned from their mean.
+/// Guards against cancelling a long response that is not streamed and counting this as a failure of the
+/// engine. Its first byte comes at its end, so the time limit must not follow from the mean length of
+/// earlier, shorter responses.
 #[test]
 fn long_answer_gets_the_time_that_it_needs() {
     for (max_tokens, streaming, least) in [
@@ -451,9 +449,8 @@
     }
 }
 
-/// What a user would see: under load requests are refused though engines work. Some had run out of
-/// their time at a full engine, that counted as its failures, and it was ejected when it was needed
-/// most. An engine that answers nobody is another matter.
+/// Guards against ejecting an engine because requests run into their deadlines there under load. An
+/// engine that answers no request at all must still be ejected.
 #[test]
 fn endpoint_that_is_only_late_is_not_ejected() {
     for (answers_others, ejected) in [(true, 0), (false, 1)] {
@@ -489,8 +486,8 @@
     }
 }
 
-/// What an engine would see: it has turned a request away and asked for three seconds of rest, and is sent further ones
-/// after 200 ms. One that has started again since has asked for nothing.
+/// Guards against sending requests to an engine before the backoff that it requested has passed. A
+/// restarted engine has requested none.
 #[test]
 fn an_engine_that_asks_for_rest_is_left_alone_for_so_long() {
     for (after, restarts, goes_on) in [
