--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -1,11 +1,11 @@
-//! Rules: which one matches, what the checks find, and what limits let through.
+//! Rules: matching, actions, static checks and rate limits.
 
 mod common;
 
 use sageshed_decide::{event, limits, names, rules};
 use sageshed_types::{rules as types_rules, time, verdict};
 
-/// A rule written as operators write it.
+/// Parses a rule in the format that operators use.
 fn rule(text: &str) -> types_rules::Rule {
     toml::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"))
 }
@@ -45,7 +45,7 @@
     case("model = ['sort']", "dispatch", false),
     case("service = ['dispatch']", "dispatch", true),
     case("service = ['dispatch']", "sort", false),
-    // A typing error must not widen a rule to everything.
+    // A typo must not widen a rule to everything.
     case("model = ['srot']", "sort", false),
     case("caller = ['pub']", "sort", true),
     case("caller = ['council']", "sort", false),
@@ -177,8 +177,8 @@
     }
 }
 
-/// What a user would see: a crew dispatch that the caller marked as not repeatable runs twice. A rule
-/// meant for look-ups lifted the mark, which only the method had given to other requests.
+/// Guards against a rule overriding the non-repeatable mark of a caller, so that the request could run
+/// twice. A rule may only override a mark that comes from the HTTP method.
 #[test]
 fn rule_does_not_lift_a_callers_own_mark() {
     for (by_default, expected) in [(true, "send"), (false, "claim")] {
@@ -200,8 +200,7 @@
     }
 }
 
-/// What a user would see: a rule withdrawn a minute ago refuses requests again. A delayed copy of an
-/// earlier configuration arrived after the newer one.
+/// Guards against a delayed copy of an earlier configuration bringing back a withdrawn rule.
 #[test]
 fn older_revision_is_not_installed() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
@@ -323,7 +322,7 @@
 
 struct Limited {
     per: &'static str,
-    /// Caller of the second request, by index.
+    /// The index of the caller of the second request.
     second: u32,
     expected: &'static str,
 }
@@ -411,8 +410,7 @@
     );
 }
 
-/// What a user would see: an entry process that runs out of memory. A limit for each caller made a
-/// bucket for each, and none was ever dropped.
+/// Guards against running out of memory: a limit for each caller creates a bucket for each of them.
 #[test]
 fn buckets_are_bounded() {
     let mut limits = limits::Limits::new(2);
