--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! A small queueing simulation: seven deciders, engines with slots, reports that lag.
+//! A queueing simulation: seven deciders, engines with slots, and delayed reports.
 //!
-//! Its figures are simulated trials. They compare policies under the same arrivals, and say nothing
-//! of the speed of the product. `cargo test --test simulation -- --nocapture` prints them.
+//! The results compare policies under the same arrivals and don't show the performance of the real
+//! system. `cargo test --test simulation -- --nocapture` prints them.
 
 mod common;
 
@@ -13,23 +13,23 @@
 const ENTRIES: usize = 7;
 const ENGINES: usize = 9;
 const SLOTS: usize = 8;
-/// Half of a service time is fixed, half exponential, in milliseconds.
+/// Mean service time in milliseconds: half of it is constant, the other half exponential.
 const SERVICE: f64 = 800.0;
 const DEADLINE: u64 = 4_000;
 const RUN: u64 = 40_000;
-/// The deadlines of the requests that count.
+/// Requests count if their deadline is in this range.
 const COUNTED: std::ops::Range<u64> = 14_000..RUN;
 const REPORT_EVERY: u64 = 500;
 const REPORT_LAG: u64 = 300;
 const TICK_EVERY: u64 = 50;
-/// One request in so many is urgent.
+/// One request in this many is urgent.
 const URGENT_EVERY: usize = 20;
 
 #[derive(Default)]
 struct Engine {
-    /// When it ends, at which entry process it came in, and its id.
+    /// The end of each running request, its entry process and its id.
     running: collections::BTreeSet<(u64, usize, event::ReqId)>,
-    /// By priority, then by turn.
+    /// The entry process and id of each waiting request, by priority, then by arrival.
     waiting: collections::BTreeMap<(cmp::Reverse<u8>, u64), (usize, event::ReqId)>,
 }
 
@@ -52,7 +52,8 @@
     -mean * (1.0 - random.unit()).ln()
 }
 
-/// Gives the share of what could be answered in time that was, of all and of urgent requests.
+/// Returns the requests answered in time as a share of those that could have been, and the share of
+/// urgent requests answered in time.
 fn simulate(policy: &settings::Policy, load: f64) -> (f64, f64) {
     let mut settings = common::settings();
     settings.entries = u32::try_from(ENTRIES).expect("few");
@@ -117,7 +118,7 @@
     fn step(&mut self, entry: usize, event: event::Event) {
         for action in self.entries[entry].step(time::Instant(self.now), event) {
             match action {
-                // Every entry process hears the engines in the same order, so keys are indices.
+                // Every entry process receives the first reports in the same order, so keys are indexes.
                 event::Action::Send {
                     req,
                     endpoint,
@@ -184,9 +185,9 @@
     }
 }
 
-/// What a user would see: at half again the load that the engines can carry, hardly anyone gets an
-/// answer in time, though the engines run all the time. Requests wait until their time is nearly up,
-/// then run and come late. Shedding early keeps the engines at requests that can be on time.
+/// Guards against the collapse of goodput under overload: without shedding, requests wait until their
+/// deadline is close, then run and finish late, so that hardly any is answered in time although the
+/// engines are busy. Shedding early keeps the engines busy with requests that can finish in time.
 #[test]
 fn goodput_holds_under_overload() {
     let ours = settings::Policy::default();
