--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -1,11 +1,11 @@
-//! How long plans take, by size.
+//! Benchmark of the planning time by cluster size.
 //!
-//! `full` is the planning time from an empty cluster until nothing is proposed any more, the store
-//! having no limit and each load being done at once; `plans` is how many plans that took.
-//! Then every engine is filled with models that nobody ordered, four or five each.
-//! `settled` is one plan after that with nothing changed, `burst` one after demand for a tenth of the
-//! models has risen and `loss` one after an engine has gone: the worst of 20 each. The slope is the
-//! exponent of growth against engines times models since the line before.
+//! `full` is the total planning time from an empty cluster until nothing more is proposed, without
+//! store limits and with immediate loads; `plans` is the number of plans for this. Then every engine
+//! is filled with four or five models that were not ordered. After that, `settled` is a plan without
+//! changes, `burst` one after a rise of demand for a tenth of the models, and `loss` one after an
+//! engine has left; the longest of 20 plans is shown for each. The slope is the exponent of the growth
+//! since the previous line, against the product of engines and models.
 
 use std::{mem, time as wall};
 
@@ -32,7 +32,7 @@
 }
 
 fn model(index: usize) -> catalog::Model {
-    // One base to three adapters.
+    // Each base model has three adapters.
     let base = index / 4 * 4;
     catalog::Model {
         name: format!("model-{index}"),
@@ -106,7 +106,7 @@
         self.placement.step(self.now, place::Event::Report(report));
     }
 
-    /// Plans once and carries the plan out. Returns how long the plan took and its size.
+    /// Makes one plan and carries it out. Returns the planning time and the number of proposals.
     fn plan(&mut self) -> (wall::Duration, usize) {
         self.now.0 += 500;
         let start = wall::Instant::now();
@@ -166,7 +166,7 @@
         self.tell(index);
     }
 
-    /// Fills each engine with a base and its adapters, as far as it has not got them.
+    /// Adds a base model and its adapters to each engine that does not hold them.
     fn fill(&mut self) {
         for index in 0..self.reports.len() {
             let first = index * 4 % self.models / 4 * 4;
