--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -1,7 +1,9 @@
-//! Simulated trials of the policies at both users' sizes: shifting demand with bursts, the same
-//! arrivals for each policy. Prints attainment per accelerator (share of requests completed in
-//! time, over accelerators, in percent) and moves (loads and unloads), in the mean and by seed. Each
-//! argument is a policy in TOML to try besides, such as `move_cost = 15`.
+//! Simulation of the placement policies at the cluster sizes of both users.
+//!
+//! Demand shifts and has bursts; the arrivals are the same for each policy. Prints the attainment per
+//! accelerator (the percentage of requests completed in time, divided by the number of accelerators)
+//! and the number of moves (loads and unloads), as means and for each seed. Each argument is an
+//! additional policy in TOML, such as `move_cost = 15`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -26,7 +28,7 @@
     at_once: u32,
     service_ms: u64,
     deadline_ms: u64,
-    /// Slots asked for in the mean, over slots there are.
+    /// Mean demand as a share of all slots.
     load: f64,
 }
 
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Runs to the end. Returns attainment per accelerator in percent, and moves.
+    /// Runs the simulation. Returns the attainment per accelerator in percent, and the number of moves.
     fn run(mut self) -> (f64, u64) {
         for now in (TICK_MS..RUN_MS).step_by(100) {
             self.arrive(now);
@@ -154,7 +156,7 @@
 
     fn arrive(&mut self, now: u64) {
         if now % 150_000 == TICK_MS {
-            // Demand shifts: each model draws a new weight, few of them large.
+            // Demand shifts: each model gets a new random weight. Few of the weights are large.
             for weight in &mut self.weights {
                 *weight = 1.0 / (1 + self.random.below(40)) as f64;
             }
