--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -1,13 +1,13 @@
-//! The weight store's budget: loads a second and loads at once.
+//! The budget of loads from the weight store: a rate limit and a concurrency limit.
 
 use sageshed_types::{endpoints, time};
 
 use crate::{engine, ledger, policy};
 
-/// Loads that may be saved up while none is wanted.
+/// The least burst of loads after a time without any.
 const MAX_SAVED_LOADS: f64 = 2.0;
 
-/// What the store still takes on.
+/// The loads that may still start.
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
     tokens: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Budget {
-    /// Reckons anew what may be loaded now.
+    /// Refills the rate limit and counts the loads in progress.
     pub fn refill(&mut self, now: time::Instant, ledger: &ledger::Ledger, policy: &policy::Policy) {
         let most = policy.store_loads_per_second.max(MAX_SAVED_LOADS);
         let earned = match self.refilled.replace(now) {
@@ -29,20 +29,20 @@
         self.loads_in_progress = ledger.engines().iter().map(loads_on).sum();
     }
 
-    /// Whether a load may begin.
+    /// Whether a load may start.
     #[must_use]
     pub fn allows(&self) -> bool {
         self.tokens >= 1.0 && self.loads_in_progress < self.at_once
     }
 
-    /// Counts a load that begins.
+    /// Counts a load that starts.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
         self.loads_in_progress += 1;
     }
 }
 
-/// Loads under way on one engine: orders of unknown fate, and models shown as loading.
+/// Loads in progress on one engine: orders of unknown outcome, and models reported as loading.
 fn loads_on(engine: &engine::Engine) -> u32 {
     let pending = engine
         .pending()
