--- a/crates/sageshed-place/src/demand.rs
+++ b/crates/sageshed-place/src/demand.rs
@@ -1,10 +1,10 @@
-//! How much each model is asked for.
+//! Estimates the demand for each model.
 //!
-//! The rate is the greater of a fast mean and a slow one: it follows a rise within seconds and
-//! forgets a fall over tens of seconds. A load that comes late costs requests, a copy kept too long
-//! costs only memory that nobody else has claimed yet; and a burst evicts no model that pauses for
-//! less than its load time. One mean that rises fast and falls slowly was tried first: it follows
-//! the noise of single requests upwards and so takes a rarely used model for a busy one.
+//! The rate is the greater of a fast and a slow moving average: it follows a rise within seconds, and
+//! a fall over tens of seconds. A late load costs requests, while a replica that is kept too long
+//! costs only memory that no other model needs yet, and a burst does not evict a model that is idle
+//! for less than its load time. A single average that rises fast and falls slowly does not work: it
+//! follows the noise of single requests upwards and mistakes a rarely used model for a busy one.
 
 use std::collections;
 
@@ -15,33 +15,34 @@
 
 use crate::policy;
 
-/// Service time supposed of a model that no request has run on yet.
+/// Assumed service time of a model without completed requests, in milliseconds.
 const DEFAULT_SERVICE_MS: f64 = 1_000.0;
 
-/// Weight of a new service time against the mean so far.
+/// Weight of a new service time in the moving average.
 const SERVICE_WEIGHT: f64 = 0.2;
 
-/// What an entry VM said of waiting requests is forgotten after this long without word from it.
+/// How long the number of waiting requests of an entry VM is used without a new report from it.
 const WAITING_KEPT_MS: u64 = 10_000;
 
-/// The estimate for one model.
+/// The demand estimate for one model.
 #[derive(Debug, Clone, Copy)]
 pub struct Estimate {
-    /// Requests a second.
+    /// The request rate, per second.
     pub rate: f64,
     fast: f64,
     slow: f64,
-    /// Mean time that one request holds a slot, in milliseconds.
+    /// The mean time for which a request occupies a slot, in milliseconds.
     pub service_ms: f64,
-    /// Requests waiting at entry processes since no engine holds the model.
+    /// Requests that wait at entry processes because no engine holds the model.
     pub waiting: u32,
-    /// When a request last came.
+    /// When the last request for the model was reported.
     pub asked: Option<time::Instant>,
     arrived: u32,
 }
 
 impl Estimate {
-    /// Slots that the model would keep busy, the waiting requests being worked off over `horizon`.
+    /// The number of slots that the model would keep busy if the waiting requests were spread over
+    /// `horizon`.
     #[must_use]
     pub fn slots(&self, horizon: time::Millis) -> f64 {
         let backlog = f64::from(self.waiting) * 1_000.0 / (horizon.0.max(1) as f64);
@@ -63,7 +64,7 @@
     }
 }
 
-/// The estimates of all models.
+/// The demand estimates for all models.
 #[derive(Debug, Clone, Default)]
 pub struct Estimator {
     models: Vec<Estimate>,
@@ -71,7 +72,7 @@
     updated: Option<time::Instant>,
 }
 
-/// What one entry VM last said of its waiting requests.
+/// The waiting requests in the last report of one entry VM.
 #[derive(Debug, Clone)]
 struct Waiting {
     reported: time::Instant,
@@ -79,7 +80,7 @@
 }
 
 impl Estimator {
-    /// Starts with no demand for any of `models` models.
+    /// Creates an estimator for `models` models without demand.
     #[must_use]
     pub fn new(models: usize) -> Self {
         Self {
@@ -88,13 +89,13 @@
         }
     }
 
-    /// The estimate for `model`.
+    /// The demand estimate for `model`.
     #[must_use]
     pub fn of(&self, model: ModelKey) -> Estimate {
         self.models.get(model.index()).copied().unwrap_or_default()
     }
 
-    /// Takes in what one entry VM was asked for.
+    /// Records the demand reported by one entry VM.
     pub fn record(
         &mut self,
         now: time::Instant,
@@ -123,7 +124,7 @@
         );
     }
 
-    /// Closes the window since the last call and moves the rates.
+    /// Updates the rates with the requests recorded since the last call.
     pub fn update(&mut self, now: time::Instant, policy: &policy::Policy) {
         let Some(before) = self.updated.replace(now) else {
             return;
@@ -151,10 +152,10 @@
     }
 }
 
-/// The weight of a window of `span_ms` in a mean with the time constant `constant`.
+/// The weight of a window of `span_ms` in a moving average with the time constant `constant`.
 ///
-/// The first-order form of `1 - exp(-span / constant)`. The exponential itself differs in its last
-/// digit from one build to the next, which is enough to make two control processes plan apart.
+/// This is the first-order approximation of `1 - exp(-span / constant)`. The exact value differs in
+/// its last digit between builds, which is enough for two control processes to make different plans.
 fn weight(span_ms: f64, constant: time::Millis) -> f64 {
     span_ms / (span_ms + constant.0.max(1) as f64)
 }
