--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -1,21 +1,22 @@
-//! What the ledger knows of one engine: its newest report and its open orders.
+//! The state of one engine in the ledger: its newest report and its open orders.
 //!
 //! # When an order is settled
 //!
-//! Only the engine's own word settles an order: its result in a report of the incarnation meant, a
-//! newer incarnation, or, on an engine that checks fencing numbers, the sight of a later order that
-//! it accepted (an older one that it has not seen will be refused). Time settles nothing: an order
-//! may sit in a buffer for as long as it likes and run then.
+//! An order is settled when its outcome is known. Only reports of the engine can show this: the
+//! result of the order in a report of the right incarnation, a newer incarnation, or, if the engine
+//! checks fencing tokens, a later order that it has accepted (it will then refuse any older order that
+//! it has not seen). No timeout settles an order, since a delayed message may arrive and be executed
+//! at any later time.
 //!
 //! # Why a settled order stays in the table for a while
 //!
 //! A leader settles a load by a report that the next leader may not have. If the order were removed
-//! at once, the next leader would find an older report with room on the engine and no open order,
-//! and load something else into memory that is taken. So a settled order stays in the replicated
-//! table until a report shows an order that was committed after it was settled; the table thus
-//! always holds the last order that reached each engine, and a new leader issues nothing to an
-//! engine until a report shows every order that it found in the table. An engine without an order
-//! in the table was never ordered to do anything, and any report of it is good.
+//! at once, the next leader might have an older report with free memory on the engine and no open
+//! order, and load something else into memory that is in use. Therefore a settled order stays in the
+//! replicated table until a report shows an order that was committed after it was settled. Thus the
+//! table always contains the last order that reached each engine. A new leader issues nothing to an
+//! engine until a report shows every order that it found in the table. An engine without an order in
+//! the table has never been sent one, so any report of it can be relied on.
 
 use sageshed_types::{
     arena::{EndpointKey, ModelKey, PoolKey, ZoneKey},
@@ -24,82 +25,83 @@
 
 use crate::orders::{self, Task};
 
-/// Orders under way at once on an engine that checks fencing numbers.
+/// Maximum number of open orders on an engine that checks fencing tokens.
 const MAX_OPEN_ORDERS: usize = 4;
 
-/// A report names at least this many of the last orders; fewer in it means all.
+/// A report lists at least this many of the last orders. A shorter list contains all orders of the
+/// incarnation.
 const ORDERS_REPORTED: usize = 32;
 
-/// A model or adapter on an engine.
+/// A model or adapter that an engine holds, in any phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldModel {
-    /// Which.
+    /// The model or adapter.
     pub model: ModelKey,
-    /// Which version.
+    /// The version of the weights.
     pub version: u32,
-    /// How far it is.
+    /// Whether it is loading, ready or unloading.
     pub phase: endpoints::Phase,
-    /// Memory that it takes, in MiB.
+    /// The memory that it uses, in MiB.
     pub memory_mib: u64,
 }
 
-/// One engine.
+/// An engine, as its reports and orders show it.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// Its key.
     pub key: EndpointKey,
     /// Its name.
     pub name: String,
-    /// The newest incarnation that a report or an order has named.
+    /// The newest incarnation that a report or an order refers to.
     pub incarnation: endpoints::Incarnation,
-    /// The newest report's number; none: no report of this incarnation yet.
+    /// The sequence number of the newest report; `None` without a report of this incarnation.
     pub sequence: Option<u64>,
-    /// When the figures of the newest report were taken.
+    /// The time that the figures of the newest report refer to.
     pub taken: time::Instant,
-    /// Not heard for long, or a connection to it failed, since the newest report.
+    /// Whether it has been reported as silent since its newest report.
     pub silent: bool,
-    /// It will go.
+    /// Whether it is draining and will stop.
     pub leaving: bool,
     /// The pool that it belongs to.
     pub pool: PoolKey,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: ZoneKey,
     /// Its memory, in MiB.
     pub total_mib: u64,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
-    /// Requests running by the newest report.
+    /// The number of running requests in the newest report.
     pub running: u32,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it checks fencing tokens and refuses outdated ones.
     pub checks_fence: bool,
-    /// What it holds by the newest report.
+    /// The models that it holds according to the newest report.
     pub held: Vec<HeldModel>,
     /// Its orders in the replicated table.
     pub orders: Vec<orders::OpenOrder>,
-    /// Tasks proposed by this leader and not yet committed.
+    /// Tasks that this leader has proposed and that are not committed yet.
     pub proposed: Vec<Task>,
-    /// When orders were last found in the table by this leader.
+    /// When this leader last restored orders from the table.
     restored_at: time::Instant,
     event_count: u64,
 }
 
-/// What the ledger takes of a report.
+/// The parts of a report that the ledger uses, with names replaced by keys.
 #[derive(Debug)]
 pub struct ReportedState {
-    /// When the figures were taken.
+    /// The time that the figures refer to.
     pub taken: time::Instant,
-    /// What the engine holds.
+    /// The models that the engine holds.
     pub held: Vec<HeldModel>,
     /// The pool that it belongs to.
     pub pool: PoolKey,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: ZoneKey,
     /// Its memory, in MiB.
     pub total_mib: u64,
 }
 
 impl Engine {
-    /// An engine that nothing is known of.
+    /// Creates an engine about which nothing is known yet.
     #[must_use]
     pub fn new(key: EndpointKey, name: &str) -> Self {
         Self {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Whether `report` says something newer than what is known.
+    /// Whether `report` is newer than the newest known one.
     #[must_use]
     pub fn is_newer(&self, report: &endpoints::Report) -> bool {
         let incarnation = report.identity.incarnation;
@@ -133,7 +135,7 @@
                 && self.sequence.is_none_or(|known| report.sequence > known)
     }
 
-    /// Takes in a report that [`Self::is_newer`]. Returns the orders to remove from the table.
+    /// Applies a report that [`Self::is_newer`]. Returns the orders to remove from the table.
     pub fn apply_report(
         &mut self,
         report: &endpoints::Report,
@@ -158,7 +160,7 @@
         removed
     }
 
-    /// Raises the incarnation. Orders to earlier ones are settled: the engine refuses them.
+    /// Advances to a newer incarnation. Orders to earlier ones are removed, since the engine refuses them.
     fn advance_incarnation(
         &mut self,
         incarnation: endpoints::Incarnation,
@@ -173,7 +175,7 @@
         self.remove_where(|open| open.order.incarnation < incarnation)
     }
 
-    /// Notes what the report says of each order.
+    /// Records the result of each order that a report shows.
     fn record_results(&mut self, results: &[endpoints::OrderResult]) {
         self.event_count += 1;
         let event_count = self.event_count;
@@ -188,16 +190,16 @@
         }
     }
 
-    /// Removes orders that the engine refuses for good since it has accepted a later one: those that
-    /// it has not shown, and those that it shows as refused.
+    /// Removes orders that the engine will always refuse since it has accepted a later one: those that
+    /// no report has shown, and those shown as refused.
     ///
-    /// Orders sent at once overtake each other. The one that was overtaken is refused, and would be
-    /// each time it is sent; left in the table it would stand for the same task proposed anew, so
-    /// that the model is never loaded.
+    /// Orders sent concurrently may overtake each other. The engine refuses the older one each time
+    /// it is sent. If it stayed in the table, it would be returned for every new proposal of the same
+    /// task, and the model would never be loaded.
     ///
-    /// Order ids grow with fencing numbers, so they are compared in their place. An order that is
-    /// missing from a full list may have been seen and pushed out of it; then an accepted order
-    /// older than it must still be on the list to prove that it was not.
+    /// Order ids increase together with fencing tokens, so ids are compared instead. An order that is
+    /// missing from a full list may have been seen and have dropped out of it. This is ruled out only
+    /// if the list still contains an accepted order that is older.
     fn remove_superseded(&mut self, results: &[endpoints::OrderResult]) -> Vec<endpoints::OrderId> {
         if !self.checks_fence {
             return Vec::new();
@@ -217,7 +219,7 @@
         })
     }
 
-    /// Removes settled orders that a later order, seen by the engine, stands in for.
+    /// Removes settled orders that are followed by a later order that the engine has seen.
     fn remove_settled(&mut self) -> Vec<endpoints::OrderId> {
         let newest = self
             .orders
@@ -244,7 +246,7 @@
         taken
     }
 
-    /// Takes an order into the table's copy. Returns orders to remove from the table.
+    /// Adds an order of the replicated table. Returns the orders to remove from the table.
     pub fn add(
         &mut self,
         now: time::Instant,
@@ -277,18 +279,18 @@
         removed
     }
 
-    /// Takes `task` off the proposals. Whether it was there.
+    /// Removes `task` from the proposals. Returns whether it was there.
     pub fn remove_proposal(&mut self, task: Task) -> bool {
         let position = self.proposed.iter().position(|t| *t == task);
         position.map(|at| self.proposed.remove(at)).is_some()
     }
 
-    /// Marks an order that was never sent as taken back. Whether it was known and so.
+    /// Cancels an order if it was never sent. Returns whether it was.
     ///
-    /// It counts until [`Self::remove`]: a leader that took the removal for done, and ordered
-    /// something else instead, would be followed by one that finds both orders in the table. An
-    /// unload that was taken back here and made elsewhere would then be made twice, and the model be
-    /// gone.
+    /// The order still counts until [`Self::remove`]. If a leader assumed the removal to be done and
+    /// issued another order instead, the next leader could find both in the table. An unload that was
+    /// cancelled here and ordered on another engine would then happen twice, and the model would lose
+    /// its last route.
     pub fn cancel_unsent(&mut self, id: endpoints::OrderId) -> bool {
         let mut orders = self.orders.iter_mut();
         let unsent = orders
@@ -300,57 +302,57 @@
         true
     }
 
-    /// Orders that were taken back and are in the table still.
+    /// Cancelled orders that are still in the table.
     pub fn cancelled(&self) -> impl Iterator<Item = endpoints::OrderId> + '_ {
         let cancelled = self.orders.iter().filter(|open| open.cancelled);
         cancelled.map(|open| open.order.order)
     }
 
-    /// Forgets an order that was taken back and is in the table no more.
+    /// Drops a cancelled order that is no longer in the table.
     pub fn remove(&mut self, id: endpoints::OrderId) {
         self.orders
             .retain(|open| open.order.order != id || !open.cancelled);
     }
 
-    /// Whether the newest report is later than every order that was found in the table.
+    /// Whether the newest report is later than every order that this leader found in the table.
     ///
-    /// A new leader may have a report from before orders that its predecessor saw settled. What that
-    /// report shows as ready may have been unloaded since, and a model whose last route is taken on
-    /// its word is gone.
+    /// A new leader may have a report that predates orders which its predecessor saw settled. A model
+    /// that such a report shows as ready may have been unloaded since. If the leader relied on it, it
+    /// could unload the last route of that model.
     #[must_use]
     pub fn covers_restored_orders(&self) -> bool {
         let shown = |open: &orders::OpenOrder| open.seen || !open.restored;
         self.orders.iter().all(shown) || self.taken > self.restored_at
     }
 
-    /// Forgets orders and proposals, when the table is read anew or this process stops leading.
+    /// Drops all orders and proposals, when the table is restored or this process stops leading.
     pub fn clear_orders(&mut self) {
         self.orders.clear();
         self.proposed.clear();
     }
 
-    /// Tasks whose fate is unknown, those proposed included.
+    /// Tasks whose outcome is unknown, including proposed ones.
     pub fn pending(&self) -> impl Iterator<Item = Task> + '_ {
         self.unsettled()
             .map(|open| open.task)
             .chain(self.proposed.iter().copied())
     }
 
-    /// Orders whose fate is unknown.
+    /// Orders whose outcome is unknown.
     pub fn unsettled(&self) -> impl Iterator<Item = &orders::OpenOrder> {
         self.orders.iter().filter(|open| !open.is_settled())
     }
 
-    /// Whether the newest report still tells how things are.
+    /// Whether the newest report is recent enough to rely on.
     #[must_use]
     pub fn is_fresh(&self, now: time::Instant, stale_after: time::Millis) -> bool {
         self.sequence.is_some() && !self.silent && now.since(self.taken) <= stale_after
     }
 
-    /// Whether an order may be issued, as far as reports and other orders go.
+    /// Whether an order may be issued, as far as reports and other orders are concerned.
     ///
-    /// An engine that ignores fencing numbers runs a late order whenever it comes, so there the
-    /// next one waits until the last one's fate is known.
+    /// An engine that ignores fencing tokens executes a delayed order whenever it arrives. It gets the
+    /// next order only when the outcome of the previous one is known.
     #[must_use]
     pub fn takes_orders(&self, now: time::Instant, stale_after: time::Millis) -> bool {
         let at_once = if self.checks_fence {
@@ -364,22 +366,22 @@
             && self.pending().count() < at_once
     }
 
-    /// Whether the engine's pool may be changing.
+    /// Whether a change of the engine's pool may be in progress.
     #[must_use]
     pub fn changes_role(&self) -> bool {
         self.pending().any(|task| task == Task::ChangeRole)
     }
 
-    /// Memory that the newest report shows as taken, in MiB.
+    /// The memory used according to the newest report, in MiB.
     #[must_use]
     pub fn resident_mib(&self) -> u64 {
         self.held.iter().map(|held| held.memory_mib).sum()
     }
 
-    /// Memory that tasks of unknown fate may take on top, in MiB.
+    /// The additional memory that tasks of unknown outcome may use, in MiB.
     ///
-    /// A load is left out only if a report has shown both the order and the model: a model of that
-    /// name alone may stem from an earlier order, with this one still to come.
+    /// A load is excluded only if a report has shown both the order and the model. The model alone
+    /// may come from an earlier order, while this one is still to be executed.
     #[must_use]
     pub fn reserved_mib(&self) -> u64 {
         let ordered = self
@@ -392,7 +394,7 @@
             .sum()
     }
 
-    /// Memory that may still be promised, in MiB.
+    /// The memory that is neither used nor reserved, in MiB.
     #[must_use]
     pub fn free_mib(&self) -> u64 {
         self.total_mib
@@ -407,7 +409,7 @@
         }
     }
 
-    /// Whether the newest report shows `version` of `model`, in any phase.
+    /// Whether the newest report shows `version` of `model` in any phase.
     #[must_use]
     pub fn holds(&self, model: ModelKey, version: u32) -> bool {
         self.held
@@ -415,26 +417,26 @@
             .any(|held| held.model == model && held.version == version)
     }
 
-    /// Whether `version` of `model` is being taken off, or may be.
+    /// Whether an unload of `version` of `model` may be in progress.
     #[must_use]
     pub fn unloads(&self, model: ModelKey, version: u32) -> bool {
         self.pending()
             .any(|task| task == Task::Unload { model, version })
     }
 
-    /// Whether some version of `model` is there or may come.
+    /// Whether any version of `model` is held or may be loading.
     #[must_use]
     pub fn has_or_awaits(&self, model: ModelKey) -> bool {
         self.held.iter().any(|held| held.model == model) || self.awaits(model)
     }
 
-    /// Whether a load of `model` may be under way.
+    /// Whether a load of `model` may be in progress.
     #[must_use]
     pub fn awaits(&self, model: ModelKey) -> bool {
         self.pending().any(|task| task.loaded() == Some(model))
     }
 
-    /// Whether some version of `model` serves and stays.
+    /// Whether a version of `model` is ready and not being unloaded.
     #[must_use]
     pub fn serves(&self, model: ModelKey) -> bool {
         self.held.iter().any(|held| {
@@ -444,7 +446,7 @@
         })
     }
 
-    /// Whether another version of `model` than this one serves and stays.
+    /// Whether a version of `model` other than `version` is ready and not being unloaded.
     #[must_use]
     pub fn serves_besides(&self, model: ModelKey, version: u32) -> bool {
         self.held.iter().any(|held| {
