--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -1,8 +1,8 @@
-//! The memory ledger: every engine's contents and promises, and which engines are routes.
+//! The memory ledger: the models and open orders of every engine, and which engines are routes.
 //!
-//! Memory on an engine is what its newest report shows in any phase, plus every order of unknown
-//! fate at its worst case: a load counts, an unload has not freed anything yet. See [`engine`] for
-//! when an order's fate is known.
+//! The used memory of an engine is what its newest report shows in any phase, plus the worst case of
+//! every order of unknown outcome: a load counts as done, and an unload as not having freed anything
+//! yet. See [`engine`] for when the outcome of an order is known.
 
 use sageshed_types::{
     arena::{self, EndpointKey, Key, ModelKey, PoolKey, ZoneKey},
@@ -17,16 +17,16 @@
 /// The memory of one endpoint, in MiB.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Memory {
-    /// What its accelerators have.
+    /// The total memory of its accelerators.
     pub total: u64,
-    /// What the newest report shows as taken, in any phase.
+    /// The memory of all models in the newest report, in any phase.
     pub resident: u64,
-    /// What orders of unknown fate may take on top, at worst.
+    /// The additional memory that orders of unknown outcome may use at worst.
     pub reserved: u64,
 }
 
 impl Memory {
-    /// What may still be promised.
+    /// The memory that is neither used nor reserved.
     #[must_use]
     pub fn free(&self) -> u64 {
         self.total
@@ -35,18 +35,18 @@
     }
 }
 
-/// A model or adapter on offer, with keys.
+/// A model or adapter of the catalog, with names replaced by keys.
 #[derive(Debug, Clone)]
 pub struct Offer {
-    /// As the settings name it.
+    /// Its entry in the settings.
     pub model: catalog::Model,
-    /// For an adapter: what it sits on. A base that is not on offer has a key as well.
+    /// The base model of an adapter. A base that is not in the catalog has a key as well.
     pub base: Option<ModelKey>,
-    /// The pools that may hold it; empty: any.
+    /// The pools whose engines may hold it; any pool if empty.
     pub pools: Vec<PoolKey>,
 }
 
-/// Who holds what, and what was promised.
+/// The state of all engines and of the catalog.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     models: arena::Names<ModelKey>,
@@ -59,8 +59,8 @@
 }
 
 impl Ledger {
-    /// A ledger of `offered` that knows no endpoint yet. Reports older than `stale_after` count for
-    /// nothing but memory.
+    /// Creates a ledger for the models `offered`, without engines. Reports older than `stale_after`
+    /// are used only for memory.
     #[must_use]
     pub fn new(offered: &[catalog::Model], stale_after: time::Millis) -> Self {
         let mut models = arena::Names::default();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The memory of `endpoint`, if it has reported or has an order.
+    /// The memory of `endpoint`, if it has sent a report or has an order.
     #[must_use]
     pub fn memory(&self, endpoint: &str) -> Option<Memory> {
         let engine = self.engine(self.endpoints.get(endpoint)?);
@@ -98,37 +98,37 @@
         })
     }
 
-    /// Every engine known, in the order met.
+    /// All known engines, indexed by key.
     #[must_use]
     pub fn engines(&self) -> &[Engine] {
         &self.engines
     }
 
-    /// The engine behind `key`.
+    /// The engine with this key.
     #[must_use]
     pub fn engine(&self, key: EndpointKey) -> &Engine {
         &self.engines[key.index()]
     }
 
-    /// The models on offer; position and key are the same number.
+    /// The models of the catalog, indexed by key.
     #[must_use]
     pub fn offers(&self) -> &[Offer] {
         &self.offers
     }
 
-    /// What is offered under `model`, if it is.
+    /// The catalog entry of `model`, if there is one.
     #[must_use]
     pub fn offer(&self, model: ModelKey) -> Option<&Offer> {
         self.offers.get(model.index())
     }
 
-    /// The name behind a model's key.
+    /// The name of a model.
     #[must_use]
     pub fn model_name(&self, model: ModelKey) -> &str {
         self.models.name(model)
     }
 
-    /// The key of a model on offer.
+    /// The key of a model of the catalog.
     #[must_use]
     pub fn offered(&self, name: &str) -> Option<ModelKey> {
         let key = self.models.get(name)?;
@@ -141,7 +141,7 @@
         self.zones.name(zone)
     }
 
-    /// The key of an endpoint that is known.
+    /// The key of a known endpoint.
     #[must_use]
     pub fn endpoint(&self, name: &str) -> Option<EndpointKey> {
         self.endpoints.get(name)
@@ -160,7 +160,7 @@
         &mut self.engines[key.index()]
     }
 
-    /// Takes in a report. Returns the orders to remove from the table.
+    /// Applies a report. Returns the orders to remove from the table.
     pub fn report(
         &mut self,
         now: time::Instant,
@@ -195,12 +195,12 @@
         self.engines[key.index()].apply_report(report, state)
     }
 
-    /// Notes that `endpoint` has gone silent: nothing is issued there until a newer report.
+    /// Marks `endpoint` as silent: no order is issued to it until a newer report arrives.
     pub fn silent(&mut self, endpoint: &str) {
         self.of(endpoint).silent = true;
     }
 
-    /// Reads the table of open orders anew. Returns the orders to remove from it.
+    /// Replaces all orders by those of the replicated table. Returns the orders to remove from it.
     pub fn restore(
         &mut self,
         now: time::Instant,
@@ -214,7 +214,7 @@
         removed
     }
 
-    /// Takes a committed order in. Returns the orders to remove from the table.
+    /// Adds a committed order. Returns the orders to remove from the table.
     pub fn add(
         &mut self,
         now: time::Instant,
@@ -225,7 +225,7 @@
         self.of(&order.endpoint).add(now, order, task, restored)
     }
 
-    /// Turns the names of a task into keys.
+    /// Replaces the names of a task by keys.
     pub fn task(&mut self, task: &endpoints::Task) -> Task {
         match task {
             endpoints::Task::Load {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Counts a task from the moment it is proposed. Returns it with its names.
+    /// Records a proposed task, which counts from now on. Returns it with names instead of keys.
     pub fn propose(
         &mut self,
         key: EndpointKey,
@@ -278,44 +278,44 @@
         }
     }
 
-    /// The engine that has `order` in the table.
+    /// The engine that `order` of the table was issued to.
     pub fn engine_with_order(&mut self, order: endpoints::OrderId) -> Option<&mut Engine> {
         self.engines
             .iter_mut()
             .find(|e| e.orders.iter().any(|open| open.order.order == order))
     }
 
-    /// The engine called `name`, met now if it is new.
+    /// Mutable access to the engine called `name`, which is added if it is unknown.
     pub fn engine_mut(&mut self, name: &str) -> &mut Engine {
         self.of(name)
     }
 
-    /// Every engine, to be changed.
+    /// Mutable access to all engines.
     pub fn engines_mut(&mut self) -> &mut [Engine] {
         &mut self.engines
     }
 
-    /// Forgets the table of open orders.
+    /// Drops all open orders.
     pub fn clear_orders(&mut self) {
         for engine in &mut self.engines {
             engine.clear_orders();
         }
     }
 
-    /// Whether the newest report of `engine` still tells how things are.
+    /// Whether the newest report of `engine` is recent enough to rely on.
     #[must_use]
     pub fn is_fresh(&self, now: time::Instant, engine: &Engine) -> bool {
         engine.is_fresh(now, self.stale_after)
     }
 
-    /// Whether an order may be issued to `engine`, as far as reports and other orders go.
+    /// Whether an order may be issued to `engine`, as far as reports and other orders are concerned.
     #[must_use]
     pub fn takes_orders(&self, now: time::Instant, engine: &Engine) -> bool {
         engine.takes_orders(now, self.stale_after)
     }
 
-    /// Whether `engine`'s pool may hold `model`. While a change of its role is under way it counts
-    /// for models of any pool only.
+    /// Whether the pool of `engine` may hold `model`. While a change of its pool is in progress, the
+    /// engine may only hold models that are allowed in any pool.
     #[must_use]
     pub fn admits(&self, engine: &Engine, model: ModelKey) -> bool {
         self.offer(model).is_some_and(|offer| {
@@ -323,8 +323,8 @@
         })
     }
 
-    /// Whether `model` can be reached on `engine`: Ready there and staying, freshly reported, the
-    /// engine staying, and for an adapter its base likewise.
+    /// Whether `engine` is a route for `model`: a recent report shows the model as ready, neither the
+    /// model is being unloaded nor the engine leaving, and for an adapter the same holds for its base.
     #[must_use]
     pub fn is_route(&self, now: time::Instant, engine: &Engine, model: ModelKey) -> bool {
         let base = self.offer(model).and_then(|offer| offer.base);
@@ -336,10 +336,11 @@
             && base.is_none_or(|base| engine.serves(base))
     }
 
-    /// Whether an unload would leave `model` reachable. Not so if it is the last route, or if an
-    /// adapter on the engine sits on it.
+    /// Whether `version` of `model` may be unloaded from `engine`. This requires another route, and
+    /// that no adapter on the engine depends on the model. A model that is not in the catalog needs no
+    /// route.
     ///
-    /// `others` are engines that may hold the model.
+    /// `others` are the engines that may hold the model.
     pub fn may_unload(
         &self,
         now: time::Instant,
@@ -358,7 +359,7 @@
             || others.any(|key| key != engine.key && self.is_route(now, self.engine(key), model))
     }
 
-    /// Whether an adapter on `engine`, there or coming, sits on `model`.
+    /// Whether `engine` holds or is loading an adapter of `model`.
     #[must_use]
     pub fn has_adapter_of(&self, engine: &Engine, model: ModelKey) -> bool {
         let held = engine.held.iter().map(|held| held.model);
