--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -1,25 +1,26 @@
-//! A bound on the moves made for a model that stays without a route.
+//! Limits the moves that are made for a model without a route.
 //!
-//! The planner looks one move ahead. In a tight cluster two such moves can undo each other: a copy
-//! made to free one engine is taken down again to free another, and the store is kept busy for
-//! good while no model gains a route. So moves made for a model are counted until it has a route;
-//! past a bound it rests, each time twice as long, and only loads into free memory are made for it.
+//! The planner looks one move ahead. In a cluster with little free memory two such moves can undo
+//! each other: a replica loaded to free one engine is evicted again to free another, and the weight
+//! store stays busy forever without any model gaining a route. Therefore the moves made for a model
+//! are counted until it has a route. Beyond a limit they are paused, with the pause doubling each
+//! time; during a pause the model is only loaded into free memory.
 
 use sageshed_types::{
     arena::{Key, ModelKey},
     time,
 };
 
-/// Moves for one model before it rests: a family of a base with its adapters takes about 20.
+/// Moves for one model before a pause. A base model with its adapters needs about 20.
 const MOVES_BEFORE_PAUSE: u32 = 24;
 
-/// The first rest.
+/// The length of the first pause.
 const FIRST_PAUSE: time::Millis = time::Millis(600_000);
 
-/// The rest doubles at most this often.
+/// How often the pause is doubled at most.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
-/// What was done for each model without a route.
+/// The moves made for each model while it had no route.
 #[derive(Debug, Clone, Default)]
 pub struct MoveLimits {
     models: Vec<ModelMoves>,
@@ -33,7 +34,7 @@
 }
 
 impl MoveLimits {
-    /// Starts anew for `models` models.
+    /// Creates the state for `models` models, without any moves.
     #[must_use]
     pub fn new(models: usize) -> Self {
         Self {
@@ -41,13 +42,13 @@
         }
     }
 
-    /// Whether copies may be moved for `model`.
+    /// Whether replicas of other models may be moved for `model`.
     #[must_use]
     pub fn allow(&self, model: ModelKey, now: time::Instant) -> bool {
         now >= self.models[model.index()].paused_until
     }
 
-    /// Counts a plan that moved copies for `model`.
+    /// Counts a plan that moved replicas for `model`, and starts a pause at the limit.
     pub fn count(&mut self, model: ModelKey, now: time::Instant) {
         let model_moves = &mut self.models[model.index()];
         model_moves.moves += 1;
@@ -59,7 +60,7 @@
         model_moves.moves = 0;
     }
 
-    /// Forgets what was done for `model`: it has a route.
+    /// Resets the state of `model`, since it has a route.
     pub fn reset(&mut self, model: ModelKey) {
         self.models[model.index()] = ModelMoves::default();
     }
