--- a/crates/sageshed-place/src/orders.rs
+++ b/crates/sageshed-place/src/orders.rs
@@ -1,20 +1,20 @@
-//! Orders as the ledger keeps them.
+//! Orders to engines, as the ledger keeps them.
 
 use sageshed_types::{arena::ModelKey, endpoints, time};
 
-/// An order's task with the names turned into keys.
+/// The task of an order, with names replaced by keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Task {
-    /// Load a model.
+    /// Load a version of a model.
     Load {
         /// Which.
         model: ModelKey,
         /// Which version.
         version: u32,
-        /// Memory that it will take, in MiB.
+        /// The memory that it will use, in MiB.
         memory_mib: u64,
     },
-    /// Unload one.
+    /// Unload a version of a model.
     Unload {
         /// Which.
         model: ModelKey,
@@ -26,7 +26,8 @@
 }
 
 impl Task {
-    /// The memory that it may take, in MiB. An unload has not freed anything yet.
+    /// The additional memory that the task may use, in MiB. An unload counts as not having freed
+    /// anything yet.
     #[must_use]
     pub fn worst_case_mib(self) -> u64 {
         match self {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The model that it loads.
+    /// The model that the task loads, if it is a load.
     #[must_use]
     pub fn loaded(self) -> Option<ModelKey> {
         match self {
@@ -52,25 +53,25 @@
     pub order: endpoints::Order,
     /// Its task.
     pub task: Task,
-    /// A report of the incarnation meant has shown it.
+    /// Whether a report of the engine's incarnation that it is meant for has shown it.
     pub seen: bool,
-    /// How often this process was told to send it.
+    /// How often this process has been instructed to send it.
     pub sends: u32,
-    /// Found in the table by a new leader: it may have been sent any number of times.
+    /// Whether a new leader found it in the table. It may have been sent any number of times.
     pub restored: bool,
-    /// Taken back before a byte of it left, and its removal from the table not committed yet. It
-    /// counts as if it were under way, since the next leader would find and send it.
+    /// Whether it was cancelled before any byte was sent, while its removal from the table is not
+    /// committed yet. It still counts, since the next leader would find and send it.
     pub cancelled: bool,
-    /// When it was last sent, or found.
+    /// When it was last sent, or found in the table.
     pub sent: time::Instant,
-    /// Position of the commit in this leader's count.
+    /// The event count of the engine at the commit. Compared with [`Self::settled`] of other orders.
     pub(crate) committed: u64,
-    /// Position of the settlement, once it is settled.
+    /// The event count of the engine when it was settled, if it is.
     pub(crate) settled: Option<u64>,
 }
 
 impl OpenOrder {
-    /// Whether its fate is known.
+    /// Whether its outcome is known.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.settled.is_some()
