--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -1,4 +1,4 @@
-//! Events in, actions out.
+//! The state machine of placement: its events, its actions and how it handles them.
 
 use std::{collections, mem};
 
@@ -14,82 +14,83 @@
     policy,
 };
 
-/// What placement is made from.
+/// The settings of a [`Placement`].
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The models and adapters on offer.
+    /// The models and adapters that callers may ask for.
     pub models: Vec<catalog::Model>,
-    /// How to decide.
+    /// The parameters of placement.
     pub policy: policy::Policy,
 }
 
-/// Keeps a model on an endpoint: loaded there first and never unloaded from it while pinned.
+/// Pins a model to an endpoint: it is loaded there first, and never unloaded from it while pinned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pin {
-    /// The model or adapter.
+    /// The name of the model or adapter.
     pub model: String,
-    /// The endpoint.
+    /// The name of the endpoint.
     pub endpoint: String,
 }
 
-/// What placement is told.
+/// An input of [`Placement::step`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A report, straight from the endpoint or relayed; old ones do no harm.
+    /// A report, received from the endpoint or relayed. Outdated ones are ignored.
     Report(endpoints::Report),
-    /// The endpoint has not been heard for long, or a connection to it failed.
+    /// No report of the endpoint has arrived for a long time, or a connection to it failed.
     EndpointSilent {
-        /// Which.
+        /// The name of the endpoint.
         endpoint: String,
     },
-    /// A proposal of this leader is committed.
+    /// A proposal of this leader was committed.
     OrderCommitted(endpoints::Order),
-    /// This process starts to lead: every open order in the replicated table. Whether any was sent
-    /// is not known.
+    /// This process has become the leader. Contains all open orders of the replicated table; it is
+    /// unknown whether they were sent.
     OrdersRestored(Vec<endpoints::Order>),
-    /// The connection was refused before a byte of the order left.
+    /// An order was not sent: the connection was refused before any byte of it was sent.
     OrderNotSent(endpoints::OrderId),
-    /// Bytes of the order left this process.
+    /// At least part of an order was sent.
     OrderSent(endpoints::OrderId),
-    /// The removal of these from the table is committed.
+    /// The removal of these orders from the table was committed.
     OrdersRemoved(Vec<endpoints::OrderId>),
-    /// What one entry VM was asked for since it last told.
+    /// The demand at one entry VM since its last report.
     Demand {
-        /// The entry VM.
+        /// The name of the entry VM.
         from_vm: String,
-        /// By model.
+        /// The demand by model.
         demand: Vec<messages::Demand>,
     },
-    /// The operators' pins, all of them.
+    /// The complete list of the operators' pins.
     Pins(Vec<Pin>),
-    /// Time to plan.
+    /// A plan is due.
     Plan,
-    /// This process leads no longer: nothing is proposed or sent until
+    /// This process is no longer the leader. Nothing is proposed or sent until
     /// [`Event::OrdersRestored`].
     LeadershipLost,
 }
 
-/// What the daemon is to do.
+/// An instruction to the daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Give each an id and a fence, commit them, then feed [`Event::OrderCommitted`] for each.
+    /// Assign an id and a fencing token to each order, commit them, then pass in
+    /// [`Event::OrderCommitted`] for each.
     Propose(Vec<(String, endpoints::Incarnation, endpoints::Task)>),
-    /// Send it, then feed [`Event::OrderSent`] or [`Event::OrderNotSent`].
+    /// Send the order, then pass in [`Event::OrderSent`] or [`Event::OrderNotSent`].
     SendOrder(endpoints::Order),
-    /// Commit the removal of these from the table of open orders: their fate is known.
+    /// Commit the removal of these orders from the table of open orders, since their outcome is known.
     Settle(Vec<endpoints::OrderId>),
-    /// Something that an operator may ask about: why nothing was done, or what was done.
+    /// Information for operators: why nothing was done, or what was done.
     Note {
-        /// The endpoint concerned, if one is.
+        /// The name of the endpoint concerned, if any.
         endpoint: Option<String>,
-        /// The model concerned, if one is.
+        /// The name of the model concerned, if any.
         model: Option<String>,
-        /// A short sentence.
+        /// The message.
         reason: String,
     },
 }
 
-/// The ledger and the planner of the leading control process.
+/// Placement as a state machine: the ledger, the demand estimates and the planner of the leader.
 #[derive(Debug, Clone)]
 pub struct Placement {
     policy: policy::Policy,
@@ -100,16 +101,16 @@
     ranking: Vec<ModelKey>,
     pins: Vec<Pin>,
     leading: bool,
-    /// Why each engine has what it has under way, for operators.
+    /// The reason for each task in progress, for operators.
     reasons: collections::BTreeMap<(ModelKey, EndpointKey), &'static str>,
-    /// What could not be done, as last noted, so that it is noted once.
+    /// The problems of the last plan, so that each is reported once.
     problems: collections::BTreeMap<ModelKey, &'static str>,
-    /// Endpoints that were noted as blocked by a lost order.
+    /// The engines that were reported as blocked by a lost order.
     blocked: collections::BTreeSet<EndpointKey>,
 }
 
 impl Placement {
-    /// Starts knowing no endpoint. It leads only after [`Event::OrdersRestored`].
+    /// Creates a placement without engines. It is inactive until [`Event::OrdersRestored`].
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let Settings { models, policy } = settings;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes in one event and says what follows.
+    /// Processes one event and returns the resulting actions.
     pub fn step(&mut self, now: time::Instant, event: Event) -> Vec<Action> {
         match event {
             Event::Report(report) => {
@@ -171,8 +172,8 @@
         }
     }
 
-    /// Sends a committed order of this leader, or takes it back if what has come in since it was
-    /// proposed speaks against it. It was never sent, so taking it back is safe.
+    /// Sends a committed order of this leader, or cancels it if it is no longer allowed after the
+    /// events since its proposal. Cancelling is safe, since it was never sent.
     fn commit(&mut self, now: time::Instant, order: endpoints::Order) -> Vec<Action> {
         if !self.leading {
             return Vec::new();
@@ -198,7 +199,7 @@
         actions
     }
 
-    /// Whether a task may begin as things stand now, itself not counted.
+    /// Whether a task may start in the current state, without counting the task itself.
     fn still_allowed(&self, now: time::Instant, endpoint: &str, task: Task) -> bool {
         let Some(key) = self.ledger.endpoint(endpoint) else {
             return false;
@@ -228,7 +229,7 @@
         engine.orders.iter_mut().find(|open| open.order.order == id)
     }
 
-    /// Takes an order back that has certainly not been sent.
+    /// Cancels an order that was certainly not sent.
     fn cancel_unsent(&mut self, id: endpoints::OrderId) -> Vec<Action> {
         let cancelled = self
             .ledger
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Asks again for the removal of orders that were taken back: a command may get lost before it
-    /// reaches the log.
+    /// Requests the removal of cancelled orders again, since a command may get lost before it reaches
+    /// the log.
     fn repeat_cancellations(&self) -> Vec<Action> {
         let engines = self.ledger.engines().iter();
         settle(engines.flat_map(engine::Engine::cancelled).collect())
@@ -299,8 +300,8 @@
         actions
     }
 
-    /// Sends orders again that a lost message may have swallowed, where the endpoint tells a late
-    /// duplicate from a new order.
+    /// Sends orders again that may have been lost, to endpoints that can tell a delayed duplicate from
+    /// a new order.
     fn resend(&mut self, now: time::Instant) -> Vec<Action> {
         let policy = &self.policy;
         let fresh = |engine: &&mut engine::Engine| {
@@ -346,8 +347,8 @@
         .collect()
     }
 
-    /// Tells of engines that ignore fencing numbers and have not shown an order for long. If it was
-    /// lost, nothing but a restart of the engine settles it: only an operator can help.
+    /// Reports engines that ignore fencing tokens and have not shown an order for a long time. If the
+    /// order was lost, only a restart of the engine settles it, which requires an operator.
     fn note_blocked(&mut self, now: time::Instant) -> Vec<Action> {
         let lost_after = self.policy.lost_after();
         let lost = |open: &orders::OpenOrder| !open.seen && now.since(open.sent) > lost_after;
@@ -377,7 +378,7 @@
         }
     }
 
-    /// Each model on offer: its holders, what is under way and its demand.
+    /// The status of each model of the catalog: its holders, tasks in progress and demand.
     #[must_use]
     pub fn models(&self) -> Vec<messages::ModelStatus> {
         let mut statuses: Vec<messages::ModelStatus> = self
@@ -402,7 +403,7 @@
         statuses
     }
 
-    /// Adds what `engine` holds and awaits to the statuses of the models concerned.
+    /// Adds the replicas and tasks of `engine` to the statuses of the models concerned.
     fn add_status(&self, engine: &engine::Engine, statuses: &mut [messages::ModelStatus]) {
         for held in &engine.held {
             if let Some(status) = statuses.get_mut(held.model.index()) {
@@ -435,14 +436,14 @@
         }
     }
 
-    /// The memory of the endpoints.
+    /// The ledger, for queries about the memory of endpoints.
     #[must_use]
     pub fn ledger(&self) -> &ledger::Ledger {
         &self.ledger
     }
 }
 
-/// Asks for orders to be removed from the table, if there are any.
+/// Returns the action that removes orders from the table, if there are any.
 fn settle(orders: Vec<endpoints::OrderId>) -> Vec<Action> {
     if orders.is_empty() {
         return Vec::new();
