--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -1,33 +1,38 @@
-//! The planner: what to load and unload next.
+//! The planner: decides which models to load and unload next.
 //!
-//! # The order of concerns
+//! A *route* of a model is an engine on which requests for it can be served. A *replica* is a copy of
+//! a model on an engine. A *spare* replica is one that can be evicted while the model keeps a route.
 //!
-//! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, bases before adapters,
-//!    large families first. If there is no room, spare copies make way; if there are none, a copy
-//!    that is the only one of its model is first made anew elsewhere.
-//! 2. [`versions`]: outdated copies are replaced one by one, each with another route up meanwhile.
-//! 3. [`capacity`]: copies by demand. Then what is left of free memory is used to have each model in
-//!    two availability zones, unless a plan has something better to do: copies made for spread
-//!    while demand displaces others are the next to be displaced.
+//! # Priorities
 //!
-//! Each plan is made afresh from the ledger and the demand, and only as far as the store's budget
-//! goes: what could not begin now is not worth deciding now. So one plan costs one pass over the
-//! engines and their contents plus a scan of the engines for each load that begins, whether the
-//! cluster is empty or settled. The state between plans is in the ledger: a copy made elsewhere to
-//! free an engine is found there as a spare copy by the next plan.
+//! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, base models before
+//!    adapters, large families first. If there is no room, spare replicas are evicted. If there are
+//!    none, the only replica of another model is first duplicated on another engine.
+//! 2. [`versions`]: outdated replicas are replaced one by one, while another route serves.
+//! 3. [`capacity`]: replicas are added by demand. If a plan has nothing else to do, the remaining
+//!    memory is used to place each model in two availability zones. This comes last, since replicas
+//!    added for redundancy while demand causes evictions would be the next to be evicted.
 //!
-//! # What a copy is worth
+//! Each plan is made from scratch from the ledger and the demand, and only as far as the budget of
+//! the weight store allows, since a load that can't start now needs no decision now. The cost of a
+//! plan is one pass over the engines and their models plus one scan of the engines for each load that
+//! starts, whether the cluster is empty or stable. All state between plans is in the ledger: a
+//! replica that was loaded elsewhere to free an engine makes the original one a spare for the next
+//! plan.
 //!
-//! Demand for a model is spread evenly over its copies. An engine serves what it is asked for up to
-//! [`TARGET_BUSY`] of its slots in time. The gain of a copy is the rise of that sum over the
-//! engines concerned, in completions until the policy's horizon less the time to load; the loss of
-//! an eviction is its fall. A load begins if the gain exceeds the loss, raised by the hysteresis,
-//! by `move_cost` for each load and each eviction.
+//! # The value of a replica
 //!
-//! # What was ruled out
+//! Demand for a model is assumed to be spread evenly over its replicas. An engine completes requests
+//! in time up to a load of [`TARGET_BUSY`] of its slots. The gain of a replica is the increase of
+//! requests completed in time on all affected engines, from the end of the load to the policy's
+//! horizon; the loss of an eviction is the corresponding decrease. A load starts if its gain exceeds
+//! the loss, increased by the hysteresis, by at least `move_cost` for each load and eviction.
 //!
-//! An exact assignment (flow or integer program) over all engines: demand is stale by seconds, the
-//! store begins one load a second, and an optimum far from the present layout can't be reached.
+//! # Rejected alternatives
+//!
+//! An exact assignment of models to all engines (network flow or integer programming): demand
+//! figures are seconds old, the store starts one load per second, and an optimum far from the current
+//! placement can't be reached.
 
 pub mod baselines;
 pub mod capacity;
@@ -43,89 +48,89 @@
 
 use crate::{budget, demand, engine::Engine, ledger, move_limits, orders::Task, policy};
 
-/// The share of its slots up to which an engine completes requests in time.
+/// The share of busy slots up to which an engine is assumed to complete requests in time.
 pub const TARGET_BUSY: f64 = 0.8;
 
-/// A task proposed, and why.
+/// A proposed task with the reason for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
     /// The engine.
     pub endpoint: EndpointKey,
     /// The model.
     pub model: ModelKey,
-    /// The task with its names.
+    /// The name of the endpoint, its incarnation, and the task with names instead of keys.
     pub named: (String, endpoints::Incarnation, endpoints::Task),
-    /// Why.
+    /// The reason, shown to operators.
     pub reason: &'static str,
 }
 
-/// Why nothing can be done for a model.
+/// The reason why a model can't be placed as it should be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Problem {
     /// The model.
     pub model: ModelKey,
-    /// A short sentence.
+    /// The reason, shown to operators.
     pub reason: &'static str,
 }
 
-/// What came of an attempt to do something for a model.
+/// The result of an attempt to do something for a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
     /// A task was proposed.
     Started,
-    /// Something is under way that may serve the purpose.
+    /// A task in progress may serve the purpose, or the attempt is postponed to a later plan.
     Waiting,
     /// Not possible now.
     Impossible,
 }
 
-/// What a plan is made from.
+/// The inputs of a plan.
 #[derive(Debug)]
 pub struct Inputs<'a> {
-    /// The time.
+    /// The current time.
     pub now: time::Instant,
-    /// The ledger; proposals are counted in it at once.
+    /// The ledger, in which proposals are recorded immediately.
     pub ledger: &'a mut ledger::Ledger,
-    /// What is asked for.
+    /// The estimated demand for each model.
     pub demand: &'a demand::Estimator,
-    /// The store's budget.
+    /// The budget of loads from the weight store.
     pub budget: &'a mut budget::Budget,
-    /// What was done for models without a route.
+    /// The limits on moves for models without a route.
     pub move_limits: &'a mut move_limits::MoveLimits,
-    /// How to decide.
+    /// The settings of placement.
     pub policy: &'a policy::Policy,
-    /// The operators' pins.
+    /// The operators' pins, as pairs of model and engine.
     pub pins: &'a [(ModelKey, EndpointKey)],
-    /// The models on offer in the order of [`first_routes::ranking`].
+    /// The models of the catalog in the order of [`first_routes::ranking`].
     pub ranking: &'a [ModelKey],
 }
 
-/// One plan in the making.
+/// A plan that is being made.
 #[derive(Debug)]
 pub struct Planner<'a> {
     inputs: Inputs<'a>,
-    /// By model: the engines that are routes.
+    /// For each model, the engines that are routes.
     routes: Vec<Vec<EndpointKey>>,
-    /// By model: the engines where a load is under way.
+    /// For each model, the engines on which it is being loaded.
     loading_on: Vec<Vec<EndpointKey>>,
-    /// By engine: slots that the demand keeps busy.
+    /// For each engine, the number of slots that demand is expected to keep busy.
     busy_slots: Vec<f64>,
-    /// By engine: whether an order may be issued.
+    /// For each engine, whether an order may be issued to it.
     accepts_orders: Vec<bool>,
-    /// By engine: memory being freed that a model waits for, in MiB.
+    /// For each engine, the memory being freed that is already intended for a model, in MiB.
     awaited_mib: Vec<u64>,
-    /// No copies are to be moved for the model in hand: too much was moved for it in vain.
+    /// Whether no replicas may be moved for the current model, since too many moves were in vain.
     moves_paused: bool,
-    /// How often copies have been moved for a model without a route.
+    /// The number of evictions and moves that this plan has started.
     evictions: usize,
-    /// Attempts left at moving models out of the way.
+    /// The remaining attempts at moving models out of the way of others.
     move_attempts: usize,
     proposals: Vec<Proposal>,
     problems: Vec<Problem>,
 }
 
 impl<'a> Planner<'a> {
-    /// Looks at the ledger.
+    /// Prepares a plan from the current state of the ledger.
     #[must_use]
     pub fn new(inputs: Inputs<'a>) -> Self {
         let models = inputs.ledger.offers().len();
@@ -147,7 +152,7 @@
         planner
     }
 
-    /// Makes the plan.
+    /// Makes the plan. Returns the proposals, and the problems found.
     #[must_use]
     pub fn plan(mut self) -> (Vec<Proposal>, Vec<Problem>) {
         match self.inputs.policy.baseline {
@@ -200,7 +205,7 @@
         }
     }
 
-    /// The offered models that are on their way to `engine`.
+    /// The models of the catalog that are being loaded on `engine`.
     fn arriving(&self, engine: &Engine) -> Vec<ModelKey> {
         let ordered = self.under_way(engine).filter_map(Task::loaded);
         let loading = engine
@@ -215,11 +220,11 @@
             .collect()
     }
 
-    /// The tasks that `engine` can be expected to carry out.
+    /// The tasks that `engine` is expected to carry out.
     ///
-    /// An order that no report has shown for long is no longer waited for (its memory stays
-    /// reserved): on an engine that ignores fencing numbers a lost order is never sent again, and
-    /// whoever waited for it would wait for good.
+    /// An order that no report has shown for a long time is not included, although its memory stays
+    /// reserved. A lost order to an engine that ignores fencing tokens is never sent again, so
+    /// waiting for it would never end.
     fn under_way<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
         let now = self.inputs.now;
         let lost_after = self.inputs.policy.lost_after();
@@ -250,7 +255,7 @@
         self.inputs.pins.contains(&(model, key))
     }
 
-    /// Slots that demand for `model` keeps busy.
+    /// The number of slots that the demand for `model` would keep busy.
     fn slots_wanted(&self, model: ModelKey) -> f64 {
         self.inputs
             .demand
@@ -258,12 +263,12 @@
             .slots(self.inputs.policy.horizon_ms)
     }
 
-    /// Copies that serve or will.
+    /// The number of replicas that serve or are being loaded.
     fn replicas(&self, model: ModelKey) -> usize {
         self.routes[model.index()].len() + self.loading_without_route(model)
     }
 
-    /// Engines where a load is under way and no other version serves.
+    /// The number of engines on which a load is in progress and no other version serves.
     fn loading_without_route(&self, model: ModelKey) -> usize {
         let routes = &self.routes[model.index()];
         self.loading_on[model.index()]
@@ -272,7 +277,7 @@
             .count()
     }
 
-    /// Adds (1) or takes off (-1) the model's share of the engines' busy slots.
+    /// Adds (`sign` 1) or subtracts (-1) the busy slots that `model` causes on its engines.
     fn count_busy(&mut self, model: ModelKey, sign: f64) {
         let replicas = self.replicas(model);
         if replicas == 0 {
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Whether `model` may be loaded on `key` but for room.
+    /// Whether `model` may be loaded on `key` if there is enough memory.
     fn can_host(&self, key: EndpointKey, model: ModelKey) -> bool {
         let engine = self.engine(key);
         self.accepts_orders[key.index()]
@@ -298,18 +303,18 @@
             && !engine.has_or_awaits(model)
     }
 
-    /// Whether `model`'s base, if it has one, serves on `key`.
+    /// Whether the base of `model`, if it is an adapter, serves on `key`.
     fn has_base(&self, key: EndpointKey, model: ModelKey) -> bool {
         let base = self.offer(model).base;
         base.is_none_or(|base| self.engine(key).serves(base))
     }
 
-    /// Memory on `key` that nobody else waits for, in MiB.
+    /// The free memory of `key`, in MiB.
     fn room(&self, key: EndpointKey) -> u64 {
         self.engine(key).free_mib()
     }
 
-    /// Proposes to load the wanted version of `model` on `key`, which must have room.
+    /// Proposes to load the current version of `model` on `key`, which must have enough memory.
     fn load(&mut self, key: EndpointKey, model: ModelKey, reason: &'static str) -> Attempt {
         if !self.inputs.budget.allows() {
             return Attempt::Waiting;
@@ -327,7 +332,7 @@
         self.propose(key, model, task, reason)
     }
 
-    /// Proposes to take `version` of `model` off `key`, if it stays reachable.
+    /// Proposes to unload `version` of `model` from `key`, if the model keeps a route.
     fn unload(
         &mut self,
         key: EndpointKey,
