--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -1,4 +1,4 @@
-//! The planners to measure against.
+//! Simple planners that serve as baselines for measurements.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -10,8 +10,8 @@
 use planner::{Attempt, Planner};
 
 impl Planner<'_> {
-    /// Loads what requests wait for and takes off what was asked for least recently, the last route
-    /// too.
+    /// Loads models that are requested and evicts the least recently requested ones, even if this
+    /// removes the last route of a model.
     pub(super) fn on_demand(&mut self) {
         let asked = |p: &Self, m: &ModelKey| {
             let estimate = p.inputs.demand.of(*m);
@@ -54,7 +54,8 @@
         self.evict(key, evicted, version)
     }
 
-    /// The copy on `key` asked for least recently that no adapter sits on: when, which, version.
+    /// The least recently requested replica on `key` that no adapter there depends on: time of the last
+    /// request (0 if none), model and version.
     fn least_recent(&self, key: EndpointKey, keep: ModelKey) -> Option<(u64, ModelKey, u32)> {
         let base = self.offer(keep).base;
         let engine = self.engine(key);
@@ -79,7 +80,7 @@
         self.propose(key, model, task, "it was asked for least recently")
     }
 
-    /// Gives each model a route, then fills the memory with copies in turn; follows no demand.
+    /// Gives each model a route, then fills the memory with replicas evenly, regardless of demand.
     pub(super) fn even(&mut self) {
         self.ensure_routes();
         let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
