--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -1,4 +1,4 @@
-//! Copies by demand, and copies in a second availability zone.
+//! Additional replicas by demand, and replicas in a second availability zone.
 
 use std::cmp;
 
@@ -8,25 +8,26 @@
 
 use planner::{Attempt, Planner};
 
-/// Models that one plan tries to give another copy.
+/// Maximum number of models for which one plan tries to add a replica.
 const ATTEMPTS: usize = 32;
 
-/// Engines without room that are looked at closely for one load, those with most to gain first.
+/// Maximum number of engines without room for which evictions are planned for one load, those with
+/// the greatest gain first.
 const MAX_EVICTION_PLANS: usize = 8;
 
-/// Slots' worth of unserved demand below which nothing is done.
+/// Unserved demand that is ignored, in slots.
 const NEGLIGIBLE_SLOTS: f64 = 0.01;
 
-/// A load that demand speaks for.
+/// An engine on which another replica would be useful.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     key: EndpointKey,
-    /// Slots' worth of requests served in time on top.
+    /// Additional load that would be served in time, in slots.
     gain: f64,
 }
 
 impl Planner<'_> {
-    /// Gives more copies to the models that are asked for most beyond what their copies serve.
+    /// Adds replicas of the models with the most unserved demand.
     pub(super) fn capacity(&mut self) {
         let mut lacking: Vec<(f64, ModelKey)> = (0..self.routes.len())
             .map(ModelKey::from_index)
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Slots' worth of `model`'s demand that its copies can't serve in time.
+    /// The demand for `model` that its replicas can't serve in time, in slots.
     fn unserved(&self, model: ModelKey) -> f64 {
         let replicas = self.replicas(model);
         let share = self.slots_wanted(model) / replicas.max(1) as f64;
@@ -79,7 +80,7 @@
         self.displace(model, need_mib, &candidates)
     }
 
-    /// The engines where a copy of `model` would bring something.
+    /// The engines on which another replica of `model` would be useful.
     fn candidates(&self, model: ModelKey) -> Vec<Candidate> {
         let wanted = self.slots_wanted(model);
         let replicas = self.replicas(model) as f64;
@@ -95,7 +96,7 @@
             .collect()
     }
 
-    /// Puts the engine first that gains most, then one in a new availability zone.
+    /// Orders candidates by gain, then prefers a new availability zone.
     fn compare(&self, model: ModelKey, a: &Candidate, b: &Candidate) -> cmp::Ordering {
         let new_zone = |c: &Candidate| self.is_new_zone(c.key, model);
         b.gain
@@ -104,13 +105,14 @@
             .then(a.key.cmp(&b.key))
     }
 
-    /// The change on the engines that serve `model` when each gets `less` of its demand.
+    /// The additional load that is served in time on the engines that serve `model` when the demand of
+    /// each changes by `less`, which is negative; in slots.
     fn relief(&self, model: ModelKey, less: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
         routes.map(|k| self.served_change(*k, less)).sum()
     }
 
-    /// Turns slots' worth of requests into completions until the horizon, the load once made.
+    /// Converts load in slots into completed requests, from the end of a load of `model` to the horizon.
     fn completions(&self, model: ModelKey, slots: f64) -> f64 {
         let policy = self.inputs.policy;
         let load_ms = self.offer(model).model.load_ms;
@@ -118,7 +120,7 @@
         slots * span_ms / self.inputs.demand.of(model).service_ms.max(1.0)
     }
 
-    /// Takes copies of less use off an engine, if that pays.
+    /// Evicts less useful replicas from one of the candidates, if this is worth the cost.
     fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
         let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
@@ -146,9 +148,9 @@
         self.start_evictions(&eviction_plan, "it makes way for a model in greater demand")
     }
 
-    /// How long the copies to be taken off will keep their slots, in milliseconds: the slots that
-    /// they use over the rate at which the engine releases slots, taken as proportional to those in
-    /// use (Yang et al., IEEE Access 2021, OMO).
+    /// How long the replicas to be evicted keep their slots busy, in milliseconds: the number of busy
+    /// slots divided by the rate at which they are released, which is taken as proportional to that
+    /// number (Yang et al., IEEE Access 2021, OMO).
     fn drain_ms(&self, eviction_plan: &planner::room::EvictionPlan) -> f64 {
         let mut used = 0.0;
         let mut released_per_ms = 0.0;
@@ -161,8 +163,8 @@
         used / f64::max(released_per_ms, f64::MIN_POSITIVE)
     }
 
-    /// Uses free memory so that each model has `min_replicas` copies, and copies in two
-    /// availability zones if the policy says so. Nothing is displaced for it.
+    /// Uses free memory so that each model has `min_replicas` replicas, and replicas in two
+    /// availability zones if the policy requires it. Nothing is evicted for this.
     pub(super) fn spread(&mut self) {
         let ranking = self.inputs.ranking;
         let wanting = ranking.iter().filter(|m| self.wants_spread(**m));
