--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -1,4 +1,4 @@
-//! A route for each model and adapter.
+//! Gives each model and adapter a route.
 
 use std::cmp;
 
@@ -8,12 +8,12 @@
 
 use planner::{Attempt, Planner};
 
-/// Models without a route for which one plan looks for room; the others wait for the next.
+/// Maximum number of models without a route that one plan handles. The others wait for later plans.
 const ATTEMPTS: usize = 64;
 
-/// The models on offer in the order in which they get their first route: critical ones first (the
-/// base of a critical adapter is critical), then bases, then what takes most memory together with
-/// its adapters, since it is hardest to find room for.
+/// The models of the catalog in the order in which they get their first route: critical ones first
+/// (the base of a critical adapter is critical too), then base models, then those that need most
+/// memory together with their adapters, since it is hardest to find room for them.
 #[must_use]
 pub fn ranking(ledger: &ledger::Ledger) -> Vec<ModelKey> {
     let offers = ledger.offers();
@@ -40,7 +40,7 @@
 }
 
 impl Planner<'_> {
-    /// Begins a load for each model that has no route and none on its way.
+    /// Starts a load for each model that has no route and is not being loaded.
     pub(super) fn ensure_routes(&mut self) {
         let ranking = self.inputs.ranking;
         for model in ranking {
@@ -67,14 +67,15 @@
         }
     }
 
-    /// Where the turn of those that wait for an attempt begins: it moves on with time.
+    /// The offset at which the rotation through models without a route starts. It advances with time, so
+    /// that each model gets its turn.
     fn first_attempt(&self) -> usize {
         let interval = self.inputs.policy.plan_interval_ms.0.max(1);
         let plans = self.inputs.now.0 / interval;
         usize::try_from(plans).unwrap_or(0) * ATTEMPTS
     }
 
-    /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
+    /// Gives `model` a route, but moves replicas for it only as far as the move limits allow.
     fn give_route_within_limits(&mut self, model: ModelKey) -> Attempt {
         let now = self.inputs.now;
         self.moves_paused = !self.inputs.move_limits.allow(model, now);
@@ -105,8 +106,8 @@
         }
     }
 
-    /// An adapter goes where its base serves; failing that, the base gets another copy where both
-    /// have room.
+    /// Loads an adapter where its base serves. If there is no room, loads another replica of the base
+    /// on an engine with room for both.
     fn give_adapter_route(&mut self, model: ModelKey, base: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
         if let Some(key) = self.roomiest(model, need_mib) {
@@ -134,8 +135,9 @@
         }
     }
 
-    /// The engine with room for `need_mib` where `model` does best: pinned there, with room for its
-    /// adapters too, in an availability zone that has no copy yet, with most memory left.
+    /// The best engine with `need_mib` of free memory for `model`. In this order, prefers one where it
+    /// is pinned, with room for its adapters too, in an availability zone without a replica, and with
+    /// the most free memory.
     pub(super) fn roomiest(&self, model: ModelKey, need_mib: u64) -> Option<EndpointKey> {
         let family_mib = self.family_mib(model);
         self.keys()
@@ -156,7 +158,7 @@
             })
     }
 
-    /// Memory of `model` and of the adapters on it that have no route, in MiB.
+    /// The memory of `model` and of its adapters without a route, in MiB.
     fn family_mib(&self, model: ModelKey) -> u64 {
         if self.offer(model).base.is_some() {
             return self.memory(model);
@@ -168,7 +170,7 @@
         self.memory(model) + lacking.sum::<u64>()
     }
 
-    /// Whether no copy of `model` is in the availability zone of `key`.
+    /// Whether there is no replica of `model` in the availability zone of `key`.
     pub(super) fn is_new_zone(&self, key: EndpointKey, model: ModelKey) -> bool {
         let zone = self.engine(key).zone;
         let routes = self.routes[model.index()].iter();
