--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -1,4 +1,4 @@
-//! Models moved out of the way of one that has no route.
+//! Moves of models to other engines, to make room for a model without a route.
 
 use std::cmp;
 
@@ -14,28 +14,29 @@
 
 use planner::{Attempt, Planner};
 
-/// How a model that is in the way gets a copy elsewhere.
+/// The next step towards a replica on another engine for a model that is in the way.
 #[derive(Debug, Clone)]
 enum MoveStep {
     Load(ModelKey, EndpointKey),
     Evict(room::EvictionPlan),
 }
 
-/// Engines looked at closely for one model that others must move for.
+/// Maximum number of engines that are examined for one model that needs others to be moved.
 const MOVE_CANDIDATES: usize = 16;
 
-/// Engines looked at in all such attempts of one plan, which bounds its time in large clusters.
+/// Maximum number of engines scanned by all such attempts of one plan. Bounds the planning time in
+/// large clusters.
 const MOVE_SCAN_LIMIT: usize = 4_096;
 
-/// Attempts at moving models out of the way in one plan.
+/// The number of attempts at moving models out of the way in one plan.
 pub(super) fn move_attempts(engines: usize) -> usize {
     (MOVE_SCAN_LIMIT / engines.max(1)).max(1)
 }
 
 impl Planner<'_> {
-    /// Makes a copy elsewhere of a model whose only route is in the way of `model`, so that the
-    /// next plans find a spare copy here. Where that copy has no room either, spare copies make way
-    /// for it first. Longer chains of moves are not looked for.
+    /// Loads a model whose only route is in the way of `model` on another engine, so that later plans
+    /// can evict the replica here. If the other engine has no room either, spare replicas are evicted
+    /// there first. Longer chains of moves are not considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
@@ -77,7 +78,8 @@
         }
     }
 
-    /// The engines that may take `model` but for room, those with most memory to be had first.
+    /// The engines that could hold `model` if there were enough memory, those with the most memory to be
+    /// gained first.
     fn nearly_suitable(&self, model: ModelKey) -> Vec<EndpointKey> {
         let keep = self.offer(model).base;
         let mut suitable: Vec<(u64, EndpointKey)> = self
@@ -90,8 +92,8 @@
         suitable.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Memory on `key` of copies that have another route elsewhere, in MiB. Some of them may still
-    /// carry adapters that have none.
+    /// The memory on `key` of replicas that have another route elsewhere, in MiB. Some of them may be
+    /// the base of adapters that have none.
     fn redundant_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
         held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
@@ -107,8 +109,8 @@
             && self.adapters_fit_elsewhere(key, held.model)
     }
 
-    /// Whether the adapters that are only on `key` have room, all together, on another engine where
-    /// `base` serves. Without this look ahead the last of them would displace the first.
+    /// Whether all adapters of `base` that are only on `key` fit together on another engine where `base`
+    /// serves. Without this check the last of them could evict the first.
     fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
         let alone = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
@@ -119,7 +121,7 @@
         need_mib == 0 || routes.any(|k| *k != key && self.room(*k) >= need_mib)
     }
 
-    /// How `moved` and its adapters may get a copy elsewhere.
+    /// Finds a way to load `moved` and its adapters on another engine.
     fn plan_move(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
         if let Some(to) = self.roomiest(moved, memory_mib) {
             return Some(MoveStep::Load(moved, to));
@@ -137,9 +139,9 @@
             .map(MoveStep::Evict)
     }
 
-    /// The models on `key` of which one, moved elsewhere, helps `model` in, each with the memory
-    /// that it and its adapters here take, in MiB. If the copies that have another route would make
-    /// room enough, it is only adapters on these that stand in the way.
+    /// The models on `key` whose move to another engine would make room for `model`, each with the
+    /// memory that it and its adapters use here, in MiB. If the replicas with another route would free
+    /// enough memory, only their adapters are in the way.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
         let had_mib = self.room(key) + self.redundant_mib(key, keep);
@@ -163,7 +165,7 @@
             .collect()
     }
 
-    /// Memory that a copy and the adapters on it take on `key`, in MiB.
+    /// The memory that a replica and its adapters use on `key`, in MiB.
     fn local_family_mib(&self, key: EndpointKey, replica: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
         let on_top = held.filter(|other| self.is_adapter_of(other.model, replica.model));
