--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -1,4 +1,4 @@
-//! Room for a load: which copies make way.
+//! Evictions: which replicas are unloaded to make room for a load.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -9,17 +9,17 @@
 
 use planner::{Attempt, Planner};
 
-/// A copy that may be taken off an engine.
+/// A replica that may be evicted from an engine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Spare {
     pub(super) model: ModelKey,
     pub(super) version: u32,
     pub(super) memory_mib: u64,
-    /// Slots' worth of requests that would no longer be served in time.
+    /// Load that would no longer be served in time, in slots.
     pub(super) loss: f64,
 }
 
-/// Copies that together make room on an engine.
+/// Replicas of an engine that together free enough memory.
 #[derive(Debug, Clone)]
 pub(super) struct EvictionPlan {
     pub(super) key: EndpointKey,
@@ -28,7 +28,7 @@
 }
 
 impl Planner<'_> {
-    /// Takes spare copies off one engine so that `model` fits.
+    /// Evicts spare replicas from one engine so that `model` fits.
     pub(super) fn make_room(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether unloads under way on some engine will make room for `model`; claims it if so.
+    /// Whether unloads in progress on any engine will make room for `model`. If so, sets the memory aside.
     pub(super) fn await_room(&mut self, model: ModelKey, need_mib: u64) -> bool {
         let found = self.keys().find(|key| {
             let engine = self.engine(*key);
@@ -72,8 +72,8 @@
         found.is_some()
     }
 
-    /// Memory on `key` that unloads under way will free, in MiB. Orders that count as lost free
-    /// nothing: whoever waited for them would wait for good.
+    /// The memory on `key` that unloads in progress will free, in MiB. Orders that count as lost don't,
+    /// since waiting for them might never end.
     fn freed_mib(&self, key: EndpointKey) -> u64 {
         let engine = self.engine(key);
         let freeing: Vec<Task> = self.under_way(engine).collect();
@@ -86,7 +86,7 @@
         held.map(|held| held.memory_mib).sum()
     }
 
-    /// The cheapest copies to take off `key` so that `need_mib` are free, if there are enough.
+    /// The replicas on `key` with the least loss whose eviction frees `need_mib`, if there are enough.
     pub(super) fn eviction_plan(
         &self,
         key: EndpointKey,
@@ -121,8 +121,8 @@
         (missing == 0).then_some(eviction_plan)
     }
 
-    /// The copies on `key` that may go: not the last route, not pinned, not `keep`. A base goes only
-    /// if every adapter on it here may; it comes out after them.
+    /// The replicas on `key` that may be evicted: not the last route, not pinned, not `keep`. A base may
+    /// be evicted only if all its adapters on the engine may; they are unloaded first.
     fn spares(&self, key: EndpointKey, keep: Option<ModelKey>) -> Vec<Spare> {
         let engine = self.engine(key);
         let single: Vec<Spare> = engine
@@ -160,7 +160,7 @@
         spares
     }
 
-    /// The loss of the adapters on `base`, which go before it.
+    /// The loss of the adapters of `base`, which are evicted before it.
     fn loss_on_top(&self, base: ModelKey, spares: &[Spare]) -> f64 {
         let adapters = spares.iter().filter(|s| self.is_adapter_of(s.model, base));
         adapters.map(|s| s.loss).sum()
@@ -171,7 +171,7 @@
         offer.is_some_and(|offer| offer.base == Some(base))
     }
 
-    /// Whether `model` has a route besides this copy. One that is not on offer needs none.
+    /// Whether `model` has a route besides this replica. A model that is not in the catalog needs none.
     pub(super) fn stays_reachable(&self, key: EndpointKey, model: ModelKey, version: u32) -> bool {
         let Some(routes) = self.routes.get(model.index()) else {
             return true;
@@ -179,7 +179,7 @@
         routes.iter().any(|k| *k != key) || self.engine(key).serves_besides(model, version)
     }
 
-    /// Slots' worth of requests that would no longer be served in time without the copy on `key`.
+    /// The load that would no longer be served in time without the replica on `key`, in slots.
     pub(super) fn loss(&self, key: EndpointKey, model: ModelKey) -> f64 {
         let Some(routes) = self.routes.get(model.index()) else {
             return 0.0;
@@ -200,14 +200,14 @@
         (-here - elsewhere).max(0.0)
     }
 
-    /// How the slots that serve in time on `key` change when `change` is added to its load.
+    /// How the load served in time on `key` changes when its load changes by `change`, in slots.
     pub(super) fn served_change(&self, key: EndpointKey, change: f64) -> f64 {
         let most = planner::TARGET_BUSY * f64::from(self.engine(key).slots);
         let before = self.busy_slots[key.index()];
         (before + change).min(most) - before.min(most)
     }
 
-    /// Proposes the unloads of `eviction_plan` that may begin now: adapters before their base.
+    /// Proposes the unloads of `eviction_plan` that may start now, adapters before their base.
     pub(super) fn start_evictions(
         &mut self,
         eviction_plan: &EvictionPlan,
@@ -235,7 +235,7 @@
             .collect()
     }
 
-    /// Whether an unload is under way on `key`.
+    /// Whether an unload is in progress on `key`.
     pub(super) fn is_evicting(&self, key: EndpointKey) -> bool {
         let mut pending = self.engine(key).pending();
         pending.any(|task| matches!(task, Task::Unload { .. }))
