--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -1,9 +1,9 @@
-//! Replacement of outdated versions, and the operators' pins.
+//! Rolling updates of outdated versions, and the operators' pins.
 //!
-//! The new version is loaded beside the old one where both fit, else on another engine, and the old
-//! one goes once the model has another route. A single copy on an engine without room, with room
-//! nowhere else, is left as it is and said to be so: an outdated answer is better than none. One
-//! copy of a model is replaced at a time.
+//! The new version is loaded beside the old one if both fit, otherwise on another engine. The old one
+//! is unloaded once the model has another route. If a model has a single replica and there is no
+//! room anywhere, the outdated version stays and a problem is reported: a response of an outdated
+//! version is better than none. One replica of a model is replaced at a time.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -15,7 +15,7 @@
 use planner::{Attempt, Planner};
 
 impl Planner<'_> {
-    /// Replaces outdated copies.
+    /// Replaces outdated replicas.
     pub(super) fn versions(&mut self) {
         for index in 0..self.routes.len() {
             let model = ModelKey::from_index(index);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The copies of `model` that serve another version than the one wanted.
+    /// The replicas of `model` that serve a version other than the current one.
     fn outdated(&self, model: ModelKey) -> Vec<(EndpointKey, u32)> {
         let wanted = self.offer(model).model.version;
         let routes = self.routes[model.index()].iter();
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Takes the first outdated copy off that may go.
+    /// Unloads the first outdated replica that may be unloaded.
     fn drop_outdated(&mut self, model: ModelKey, outdated: &[(EndpointKey, u32)]) -> Attempt {
         for (key, version) in outdated {
             if self.unload(*key, model, *version, "a newer version is wanted") == Attempt::Started {
@@ -94,7 +94,7 @@
         Attempt::Waiting
     }
 
-    /// Loads what the operators have pinned.
+    /// Loads pinned models on their engines.
     pub(super) fn pins(&mut self) {
         for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
