--- a/crates/sageshed-place/tests/faults.rs
+++ b/crates/sageshed-place/tests/faults.rs
@@ -1,7 +1,7 @@
-//! Faults of orders and reports, one at a time.
+//! Single faults of orders and reports.
 //!
-//! Each case feeds steps to one placement and compares what the last step asks for. Orders are
-//! committed with the ids 101, 102, ... as they are proposed.
+//! Each case passes a sequence of events to one placement and checks the actions of the last one.
+//! Orders are committed with the ids 101, 102, ... in the order of their proposals.
 
 mod support;
 
@@ -11,14 +11,15 @@
 use endpoints::Phase::{Loading, Ready};
 use support::Table;
 
-/// What placement is told.
+/// A step of a test case.
 #[derive(Clone, Copy)]
 enum Step {
-    /// A report: engine, incarnation, sequence, resident, orders Done or (negative id) Running.
+    /// A report: engine, incarnation, sequence number, models, and order ids. A negative id means that
+    /// the order is running, a positive one that it is done.
     Report(&'static str, u64, u64, &'static [Held], &'static [i64]),
-    /// The table as a new leader finds it.
+    /// This process becomes the leader and finds these orders in the table.
     Restore(&'static [Found]),
-    /// Every proposal so far is committed.
+    /// All open proposals are committed.
     Commit,
     NotSent(u64),
     Silent(&'static str),
@@ -29,7 +30,7 @@
 
 type Held = (&'static str, u32, endpoints::Phase);
 
-/// An order found in the table: id, engine, incarnation, what.
+/// An order in the table: id, engine, incarnation and task.
 type Found = (u64, &'static str, u64, Do);
 
 #[derive(Clone, Copy)]
@@ -41,10 +42,10 @@
 
 struct Case {
     name: &'static str,
-    /// The models of [`model`] that are on offer.
+    /// The catalog, by the names that [`model`] knows.
     models: &'static [&'static str],
     steps: &'static [Step],
-    /// What the last step asks for.
+    /// The expected actions of the last step.
     last: &'static [&'static str],
 }
 
@@ -54,7 +55,7 @@
 const NONE: &[Held] = &[];
 const X: &[Held] = &[("x", 1, Ready)];
 
-/// Full lists of order results: 32 accepted, the oldest being 40 or 3.
+/// Full lists of order results: 32 accepted orders, the oldest with the id 40 or 3.
 const FULL: &[i64] = &[
     40, 41, 42, 43, 44, 45, 46, 47, 48, 49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63,
     64, 65, 66, 67, 68, 69, 70, 71,
@@ -65,8 +66,8 @@
 ];
 
 const CASES: &[Case] = &[
-    // An order is lost on its way to an engine that ignores fencing numbers. Sent again, the first
-    // may turn up after later orders and load what has been unloaded since: memory runs over.
+    // An order to an engine that ignores fencing tokens is lost. If it were sent again, the first copy
+    // could arrive after later orders, load a model that was unloaded since, and overcommit memory.
     Case {
         name: "unfenced: a lost order is never sent again, and nothing goes beside it",
         models: &["x", "y"],
@@ -152,7 +153,8 @@
         ],
         last: &["settle 101"],
     },
-    // The first sending of an order left, the second was refused. The first may still arrive.
+    // An order was sent once, and the connection was refused when it was sent again. The first copy
+    // may still arrive.
     Case {
         name: "fenced: a second sending that failed says nothing of the first",
         models: &["x"],
@@ -174,8 +176,8 @@
         steps: &[Restore(&[(7, "u", 1, Load("x"))]), NotSent(7)],
         last: &[],
     },
-    // The leader changes while a load is on its way to an engine that ignores fencing numbers. The
-    // new leader sends its own, and the old one arrives after it.
+    // The leader changes while a load is in transit to an engine that ignores fencing tokens. The new
+    // leader must not send its own order, since the old one may arrive after it.
     Case {
         name: "unfenced: nothing goes out after a leader change until the old order is seen done",
         models: &["x", "y"],
@@ -198,8 +200,8 @@
         ],
         last: &["propose load y on u"],
     },
-    // The old leader saw loads done that an older report, which the new leader takes for fresh,
-    // does not show. Without waiting for the last order it would give their memory away again.
+    // The old leader saw that loads were done. The new leader has an older report that does not show
+    // them. Without waiting for the last order it would use their memory for other models.
     Case {
         name: "fenced: a report that lacks the last order of the table is no ground for new ones",
         models: &["y"],
@@ -251,7 +253,7 @@
         ],
         last: &["settle 101"],
     },
-    // The engine restarts between proposal and commit.
+    // The engine restarts between the proposal and the commit.
     Case {
         name: "an order committed for an earlier start is not sent",
         models: &["x"],
@@ -303,7 +305,7 @@
         ],
         last: &[],
     },
-    // An order was seen and has since been pushed off the list of the last 32: it may be running.
+    // An order was seen and has dropped out of the list of the last 32 since: it may be running.
     Case {
         name: "fenced: an order missing from a full list is not ruled out",
         models: &[],
@@ -344,7 +346,7 @@
         ],
         last: &[],
     },
-    // Two engines hold x and one is to give it up for y. The other loses x before the commit.
+    // Two engines hold x, and one is to unload it for y. The other loses x before the commit.
     Case {
         name: "an unload that has become the last route's is taken back",
         models: &["x", "y40"],
@@ -365,8 +367,8 @@
         steps: &[Restore(&[]), Report("a", 1, 1, X, &[]), Plan],
         last: &["note y40: no engine that takes orders now can make room"],
     },
-    // x is on two engines, its adapter on one of them; x taken off that one leaves the adapter
-    // resident but unreachable.
+    // x is on two engines, and its adapter on one of them. Unloading x from that one would leave the
+    // adapter resident but unreachable.
     Case {
         name: "a base goes from under no adapter: the adapter is made elsewhere first",
         models: &["x", "x-1", "y60"],
@@ -578,7 +580,8 @@
     }
 }
 
-/// Engines `a` and `b` check fencing numbers, `u` does not; `s` is too small for another base.
+/// A report of an engine. `a` and `b` check fencing tokens, `u` does not, and `s` has too little memory
+/// for another base model.
 fn report(
     name: &str,
     incarnation: u64,
@@ -618,7 +621,7 @@
         for step in case.steps {
             last = run.step(*step);
         }
-        // Notes accompany many steps; a case that is about one expects it.
+        // Many steps produce notes. They are checked only by cases that expect one.
         if !case.last.iter().any(|l| l.starts_with("note")) {
             last.retain(|l| !l.starts_with("note"));
         }
@@ -629,8 +632,9 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// A report shows x from an earlier order while another load of x is in the table, unseen: it
-/// may come on top. What was seen and is resident is counted once.
+/// Guards against overcommitted memory: a report shows x from an earlier order while another load of x
+/// is in the table and not seen yet, which may use additional memory. A load that was seen and whose
+/// model is resident counts only once.
 #[test]
 fn a_load_counts_until_the_report_shows_order_and_model() {
     let mut run = Run::new(&["x"]);
@@ -646,9 +650,10 @@
     assert_eq!((seen.resident, seen.reserved, seen.free()), (40, 0, 24));
 }
 
-/// Two orders go out to an engine at once, and the second arrives first: the engine refuses the first
-/// for its old fencing number, now and always. Kept in the table, it would be given back each time
-/// the same load is proposed, and callers of that model would find no route for good.
+/// Guards against keeping an order that the engine will always refuse: of two concurrent orders the
+/// second arrives first, and the fencing token of the first is outdated from then on. If it stayed in
+/// the table, it would be returned for each proposal of the same load, and the model would never get a
+/// route.
 #[test]
 fn an_order_that_was_overtaken_is_settled() {
     let mut run = Run::new(&["x", "y"]);
