--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -1,9 +1,8 @@
-//! Random orders of events against a few engines.
+//! Random sequences of events with a few engines.
 //!
-//! What a user would see: an engine dies of overcommitted memory with every request on it, or a
-//! model that was reachable answers "no route". The causes looked for: an order whose fate nobody
-//! knows (lost, late, doubled, from an earlier leader) takes effect when its memory or its route
-//! has been given away.
+//! Guards against an order of unknown outcome (lost, delayed, duplicated or from an earlier leader)
+//! taking effect after its memory or route was given to another model. This would crash an engine by
+//! overcommitted memory, or leave a model without a route.
 
 mod support;
 
@@ -12,16 +11,16 @@
 
 use support::{Engine, Random, Table};
 
-/// How one run goes.
+/// The parameters of a run.
 struct Case {
     name: &'static str,
-    /// Of the six engines, those from this one on ignore fencing numbers.
+    /// The index from which on the six engines ignore fencing tokens.
     unfenced_from: usize,
-    /// Chance in twenty failures that an engine restarts. Without restarts, nothing but orders
-    /// changes what engines hold, and no order may ever take the last route.
+    /// How many of twenty failures restart an engine. Without restarts only orders change which models
+    /// engines hold, and no order may ever remove the last route of a model.
     restarts: usize,
-    /// Orders lost, in a hundred. An order lost on its way to an engine that ignores fencing
-    /// numbers blocks it until it restarts, so where none restarts, few are lost.
+    /// The percentage of orders that are lost. A lost order blocks an engine that ignores fencing
+    /// tokens until it restarts, so few are lost where engines don't restart.
     loss: usize,
     seeds: u64,
 }
@@ -59,10 +58,10 @@
 
 const EVENTS: usize = 20_000;
 
-/// Quiet rounds after which every model must have a route.
+/// Rounds without faults after which every model must have a route.
 const QUIET_ROUNDS: usize = 600;
 
-/// What a leader has asked the control group to commit, in order.
+/// A command that the leader has submitted to the control group.
 enum Pending {
     Order((String, endpoints::Incarnation, endpoints::Task)),
     Settle(Vec<endpoints::OrderId>),
@@ -76,11 +75,11 @@
     table: Table,
     controls: Vec<place::Placement>,
     leader: usize,
-    /// Proposals of the leader; those of an earlier one never commit.
+    /// Submitted commands of the leader in order. Those of earlier leaders are never committed.
     pending: Vec<Pending>,
-    /// Orders on the wire, which may still arrive, also twice.
+    /// Orders in transit, which may still arrive, possibly twice.
     wire: Vec<endpoints::Order>,
-    /// Reports on their way, with the control process that they go to.
+    /// Reports in transit, with the index of the control process that they are sent to.
     reports: Vec<(usize, endpoints::Report)>,
     lossy: bool,
     loss: usize,
@@ -173,7 +172,7 @@
     }
 
     fn deliver_report(&mut self) {
-        // Most are delivered soon, some much later than others: any may be taken.
+        // Most reports are delivered soon, but any of them may be delivered at any time.
         let recent = self.reports.len().saturating_sub(4);
         let taken = if self.random.percent(60) && recent > 0 {
             Some(self.reports.remove(recent))
@@ -193,8 +192,8 @@
         let engine = engines.find(|e| e.identity.endpoint == order.endpoint);
         let engine = engine.unwrap();
         engine.take(&order);
-        // One that ignores fencing numbers ignores order ids too; only a second sending doubles
-        // an order there.
+        // An engine that ignores fencing tokens ignores order ids too. The network does not duplicate
+        // orders to it: there, an order arrives twice only if it is sent twice.
         if engine.identity.checks_fence && self.lossy && self.random.percent(15) {
             self.wire.push(order);
         }
@@ -269,8 +268,8 @@
         self.step_at(control, place::Event::OrderSent(id));
     }
 
-    /// Whether `order` goes to an engine that ignores fencing numbers while another order there has
-    /// not come to its end.
+    /// Whether `order` is sent to an engine that ignores fencing tokens while another order there has
+    /// not ended.
     fn is_crowded(&self, order: &endpoints::Order) -> bool {
         let mut engines = self.engines.iter();
         let engine = engines.find(|e| e.identity.endpoint == order.endpoint);
@@ -323,8 +322,8 @@
         }
     }
 
-    /// Changes the leader. Any number of the old one's proposals are committed without its
-    /// learning so; the rest is lost.
+    /// Changes the leader. A random number of the old leader's commands is committed without it being
+    /// notified; the rest is lost.
     fn lead(&mut self, next: usize) {
         let kept = self.random.below(self.pending.len() + 1);
         for pending in self.pending.drain(..).take(kept) {
@@ -347,7 +346,7 @@
         self.overcommits += self.engines.iter().filter(over).count();
     }
 
-    /// The network works, and engines that a lost order blocks for good are restarted.
+    /// Runs rounds without faults. Engines that are blocked by a lost order are restarted.
     fn quiet(&mut self) {
         self.lossy = false;
         for round in 0..QUIET_ROUNDS {
@@ -375,7 +374,7 @@
         }
     }
 
-    /// An order lost on its way to an engine that ignores fencing numbers blocks it until restart.
+    /// Restarts engines that ignore fencing tokens and have not seen an order in the table.
     fn restart_blocked(&mut self) {
         let open = &self.table.open;
         for engine in &mut self.engines {
