--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -1,4 +1,4 @@
-//! What the planner makes of whole clusters whose engines do at once what they are told.
+//! The planner with whole clusters, whose engines carry out each order immediately.
 
 mod support;
 
@@ -126,7 +126,7 @@
     adapters: usize,
     memory_mib: u64,
     engine_mib: u64,
-    /// Engines that stay when the zone is lost.
+    /// Whether an availability zone is lost during the run.
     lose_zone: bool,
 }
 
@@ -173,8 +173,8 @@
     },
 ];
 
-/// A zone goes dark and the models that were only there answer "no route" until they are loaded
-/// elsewhere, where other models' second copies fill the memory and must make way.
+/// Guards against models staying without a route after the loss of an availability zone. Their new
+/// engines are full of spare replicas of other models, which must be evicted first.
 #[test]
 fn every_model_gets_a_route_and_gets_it_back_after_a_zone_is_lost() {
     for case in PACKINGS {
@@ -209,11 +209,13 @@
     }
 }
 
-/// Seeds of tight random clusters in which, a zone lost, two moves used to undo each other.
+/// Seeds of random clusters with little free memory in which, after the loss of a zone, two moves
+/// could undo each other.
 const TIGHT: &[u64] = &[1, 17, 112, 114, 175];
 
-/// The store is kept busy for good and drafts wait for it, while no model gains a route: a copy is
-/// made to free one engine and taken down again to free another. Not every model fits here.
+/// Guards against endless moves that keep the weight store busy without giving any model a route: a
+/// replica is loaded to free one engine and evicted again to free another. Not all models fit into
+/// these clusters.
 #[test]
 fn moves_in_vain_come_to_an_end() {
     for seed in TIGHT {
@@ -283,7 +285,8 @@
     },
 ];
 
-/// One model's demand rises to what four engines serve; the memory is full of others' spare copies.
+/// Demand for one model rises to the capacity of four engines, while the memory is full of spare
+/// replicas of other models.
 #[test]
 fn demand_is_followed_as_far_as_moves_are_worth_it() {
     for case in COSTS {
@@ -309,8 +312,8 @@
     }
 }
 
-/// Two models take turns in being asked for, eight seconds each. Without a slow mean of demand each
-/// turn would evict the other, and the store would do nothing but load these two.
+/// Guards against two models evicting each other when they are requested in turn for eight seconds
+/// each. Without a slow average of demand the weight store would only load these two.
 #[test]
 fn models_that_take_turns_do_not_evict_each_other() {
     let policy = place::Policy {
@@ -330,7 +333,7 @@
     assert_eq!(cluster.moves, Vec::<String>::new());
 }
 
-/// A pinned copy is idle while another model is in great demand; it stays all the same.
+/// Guards against evicting a pinned replica that is idle while another model is in great demand.
 #[test]
 fn a_pinned_copy_stays() {
     let policy = place::Policy {
