--- a/crates/sageshed-place/tests/policy.rs
+++ b/crates/sageshed-place/tests/policy.rs
@@ -1,10 +1,10 @@
-//! The settings of placement.
+//! Parsing of the placement settings.
 
 use sageshed_place as place;
 
 struct Case {
     toml: &'static str,
-    /// The move cost read, or a word that the error must name.
+    /// The parsed move cost, or a word that the error message must contain.
     read: Result<f64, &'static str>,
 }
 
