--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! A few engines, a network that loses, delays and doubles, and a control group that commits.
+//! Simulated engines, the replicated table of orders, and a random generator.
 
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use sageshed_place as place;
 use sageshed_types::{catalog, endpoints, time};
 
-/// A generator of its own, so that a seed gives the same run everywhere (`SplitMix64`).
+/// A random generator (`SplitMix64`) that gives the same numbers for a seed everywhere.
 #[derive(Debug, Clone)]
 pub struct Random(pub u64);
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// An engine that does what it is told: it checks the incarnation and, if it is one that does, the
-/// order id and the fencing number, but never its memory.
+/// A simulated engine that carries out orders. It checks the incarnation and, if it supports that, the
+/// order id and the fencing token, but never its memory.
 #[derive(Debug, Clone)]
 pub struct Engine {
     pub identity: endpoints::Identity,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes an order in. Whether it is a new one that will be carried out.
+    /// Receives an order. Returns whether it will be carried out.
     pub fn take(&mut self, order: &endpoints::Order) -> bool {
         let checks = self.identity.checks_fence;
         let known = self.orders.iter().any(|r| r.order == order.order);
@@ -153,12 +153,12 @@
         !old
     }
 
-    /// The order being carried out.
+    /// The task that is being carried out.
     pub fn task(&self) -> Option<&endpoints::Task> {
         self.accepted.first().map(|(_, task)| task)
     }
 
-    /// Carries the oldest order one step on: the first step takes effect, the second ends it.
+    /// Advances the oldest order by one step: the first step starts it, the second completes it.
     pub fn advance(&mut self) {
         let Some((id, task)) = self.accepted.first().cloned() else {
             return;
@@ -226,7 +226,7 @@
             .any(|r| r.model == model && r.version == version && r.phase == endpoints::Phase::Ready)
     }
 
-    /// Whether a request for `model` would be answered here.
+    /// Whether the engine can serve requests for `model`.
     pub fn serves(&self, model: &catalog::Model) -> bool {
         let ready = |name: &str| {
             self.resident
