--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -57,7 +57,7 @@
     /// The sequence number of the newest report; `None` without a report of this incarnation.
     pub sequence: Option<u64>,
     /// The time that the figures of the newest report refer to.
-    pub taken: time::Instant,
+    pub reported_at: time::Instant,
     /// Whether it has been reported as silent since its newest report.
     pub silent: bool,
     /// Whether it is draining and will stop.
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub struct ReportedState {
     /// The time that the figures refer to.
-    pub taken: time::Instant,
+    pub reported_at: time::Instant,
     /// The models that the engine holds.
     pub held: Vec<HeldModel>,
     /// The pool that it belongs to.
@@ -109,7 +109,7 @@
             name: name.to_owned(),
             incarnation: endpoints::Incarnation::default(),
             sequence: None,
-            taken: time::Instant::default(),
+            reported_at: time::Instant::default(),
             silent: true,
             leaving: false,
             pool: PoolKey(0),
@@ -143,7 +143,7 @@
     ) -> Vec<endpoints::OrderId> {
         let removed = self.advance_incarnation(report.identity.incarnation);
         self.sequence = Some(report.sequence);
-        self.taken = state.taken;
+        self.reported_at = state.reported_at;
         self.silent = false;
         self.leaving = report.leaving;
         self.pool = state.pool;
@@ -322,7 +322,7 @@
     #[must_use]
     pub fn covers_restored_orders(&self) -> bool {
         let shown = |open: &orders::OpenOrder| open.seen || !open.restored;
-        self.orders.iter().all(shown) || self.taken > self.restored_at
+        self.orders.iter().all(shown) || self.reported_at > self.restored_at
     }
 
     /// Drops all orders and proposals, when the table is restored or this process stops leading.
@@ -346,7 +346,7 @@
     /// Whether the newest report is recent enough to rely on.
     #[must_use]
     pub fn is_fresh(&self, now: time::Instant, stale_after: time::Millis) -> bool {
-        self.sequence.is_some() && !self.silent && now.since(self.taken) <= stale_after
+        self.sequence.is_some() && !self.silent && now.since(self.reported_at) <= stale_after
     }
 
     /// Whether an order may be issued, as far as reports and other orders are concerned.
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -177,7 +177,7 @@
             return Vec::new();
         }
         let state = engine::ReportedState {
-            taken: time::Instant(now.0.saturating_sub(report.age_ms.0)),
+            reported_at: time::Instant(now.0.saturating_sub(report.age_ms.0)),
             held: report
                 .resident
                 .iter()
