--- a/crates/sageshed-place/src/demand.rs
+++ b/crates/sageshed-place/src/demand.rs
@@ -36,7 +36,7 @@
     /// Requests that wait at entry processes because no engine holds the model.
     pub waiting: u32,
     /// When the last request for the model was reported.
-    pub asked: Option<time::Instant>,
+    pub last_request: Option<time::Instant>,
     arrived: u32,
 }
 
@@ -58,7 +58,7 @@
             slow: 0.0,
             service_ms: DEFAULT_SERVICE_MS,
             waiting: 0,
-            asked: None,
+            last_request: None,
             arrived: 0,
         }
     }
@@ -107,7 +107,7 @@
             let estimate = &mut self.models[key.index()];
             estimate.arrived = estimate.arrived.saturating_add(reported.arrived);
             if reported.arrived > 0 {
-                estimate.asked = Some(now);
+                estimate.last_request = Some(now);
             }
             if reported.arrived > 0 && reported.service_time.0 > 0 {
                 let service_ms = reported.service_time.0 as f64;
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -17,7 +17,7 @@
             let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
                 || estimate
-                    .asked
+                    .last_request
                     .is_some_and(|t| p.inputs.now.since(t) <= p.inputs.policy.plan_interval_ms)
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
@@ -66,7 +66,7 @@
                 && !self.inputs.ledger.has_adapter_of(engine, held.model)
         });
         held.map(|held| {
-            let asked = self.inputs.demand.of(held.model).asked;
+            let asked = self.inputs.demand.of(held.model).last_request;
             (asked.map_or(0, |t| t.0 + 1), held.model, held.version)
         })
         .min()
