--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -211,11 +211,11 @@
         let (Some(oldest), Some(newest)) = (accepted.clone().min(), accepted.max()) else {
             return Vec::new();
         };
-        let whole = results.len() < ORDERS_REPORTED;
+        let complete = results.len() < ORDERS_REPORTED;
         self.remove_where(|open| {
             let id = open.order.order;
-            let never_came = !open.seen && (whole || oldest < id);
-            id < newest && (never_came || refused.iter().any(|r| r.order == id))
+            let never_seen = !open.seen && (complete || oldest < id);
+            id < newest && (never_seen || refused.iter().any(|r| r.order == id))
         })
     }
 
