--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -96,11 +96,11 @@
             now,
             orders: 0,
         };
-        (0..engines).for_each(|index| cluster.tell(index));
+        (0..engines).for_each(|index| cluster.send_report(index));
         cluster
     }
 
-    fn tell(&mut self, index: usize) {
+    fn send_report(&mut self, index: usize) {
         self.reports[index].sequence += 1;
         let report = self.reports[index].clone();
         self.placement.step(self.now, place::Event::Report(report));
@@ -163,7 +163,7 @@
             order: endpoints::OrderId(self.orders),
             outcome: endpoints::OrderOutcome::Done,
         });
-        self.tell(index);
+        self.send_report(index);
     }
 
     /// Adds a base model and its adapters to each engine that does not hold them.
@@ -181,7 +181,7 @@
                     });
                 }
             }
-            self.tell(index);
+            self.send_report(index);
         }
     }
 
@@ -204,7 +204,7 @@
     fn lose(&mut self, round: usize) {
         let index = round * 7 % self.reports.len();
         self.reports[index].leaving = true;
-        self.tell(index);
+        self.send_report(index);
     }
 }
 
--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -147,9 +147,9 @@
                 self.plan(now);
             }
         }
-        let [asked, on_time, moves] = self.counts;
+        let [requested, on_time, moves] = self.counts;
         (
-            100.0 * on_time as f64 / asked as f64 / self.servers.len() as f64,
+            100.0 * on_time as f64 / requested as f64 / self.servers.len() as f64,
             moves,
         )
     }
@@ -245,7 +245,7 @@
                 self.placement.step(at, place::Event::Report(late));
             }
         }
-        let told = |index: usize| {
+        let reported = |index: usize| {
             let model = &self.models[index];
             let held = self.servers.iter().any(|s| s.engine.serves(model));
             let waiting = if held { 0 } else { self.queues[index].len() };
@@ -257,7 +257,7 @@
                 service_time: time::Millis(self.user.service_ms),
             }
         };
-        let demand = (0..self.models.len()).map(told).collect();
+        let demand = (0..self.models.len()).map(reported).collect();
         self.arrived.fill(0);
         let from_vm = "entry".to_owned();
         self.placement
--- a/crates/sageshed-place/tests/faults.rs
+++ b/crates/sageshed-place/tests/faults.rs
@@ -69,7 +69,7 @@
     // An order to an engine that ignores fencing tokens is lost. If it were sent again, the first copy
     // could arrive after later orders, load a model that was unloaded since, and overcommit memory.
     Case {
-        name: "unfenced: a lost order is never sent again, and nothing goes beside it",
+        name: "unfenced: a lost order is not sent again and blocks further orders",
         models: &["x", "y"],
         steps: &[
             Restore(&[]),
@@ -83,7 +83,7 @@
         last: &[],
     },
     Case {
-        name: "unfenced: a lost order is told of",
+        name: "unfenced: a lost order is reported to operators",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -142,7 +142,7 @@
         last: &[],
     },
     Case {
-        name: "an order that was not sent is taken back",
+        name: "an order that was not sent is cancelled",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -156,7 +156,7 @@
     // An order was sent once, and the connection was refused when it was sent again. The first copy
     // may still arrive.
     Case {
-        name: "fenced: a second sending that failed says nothing of the first",
+        name: "fenced: an order whose resending failed is not cancelled",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -171,7 +171,7 @@
         last: &[],
     },
     Case {
-        name: "a new leader knows nothing of whether an order was sent",
+        name: "an order found by a new leader is not cancelled, since it may have been sent",
         models: &["x"],
         steps: &[Restore(&[(7, "u", 1, Load("x"))]), NotSent(7)],
         last: &[],
@@ -179,7 +179,7 @@
     // The leader changes while a load is in transit to an engine that ignores fencing tokens. The new
     // leader must not send its own order, since the old one may arrive after it.
     Case {
-        name: "unfenced: nothing goes out after a leader change until the old order is seen done",
+        name: "unfenced: no order is sent after a leader change until the old one is shown as done",
         models: &["x", "y"],
         steps: &[
             Restore(&[(7, "u", 1, Load("x"))]),
@@ -190,7 +190,7 @@
         last: &[],
     },
     Case {
-        name: "unfenced: orders go out again once the old order is seen done",
+        name: "unfenced: orders are sent again once the old one is shown as done",
         models: &["x", "y"],
         steps: &[
             Restore(&[(7, "u", 1, Load("x"))]),
@@ -203,7 +203,7 @@
     // The old leader saw that loads were done. The new leader has an older report that does not show
     // them. Without waiting for the last order it would use their memory for other models.
     Case {
-        name: "fenced: a report that lacks the last order of the table is no ground for new ones",
+        name: "fenced: no order is issued by a report that lacks the last order of the table",
         models: &["y"],
         steps: &[
             Restore(&[(8, "a", 1, Unload("z"))]),
@@ -242,7 +242,7 @@
         last: &["settle 101"],
     },
     Case {
-        name: "a newer start settles the orders to the earlier one",
+        name: "a newer incarnation settles the orders to the earlier one",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -255,7 +255,7 @@
     },
     // The engine restarts between the proposal and the commit.
     Case {
-        name: "an order committed for an earlier start is not sent",
+        name: "an order committed for an earlier incarnation is not sent",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -267,7 +267,7 @@
         last: &["settle 101"],
     },
     Case {
-        name: "a late report of the earlier start is no news",
+        name: "a delayed report of an earlier incarnation is ignored",
         models: &["x"],
         steps: &[
             Restore(&[(7, "a", 2, Load("x"))]),
@@ -277,7 +277,7 @@
         last: &[],
     },
     Case {
-        name: "reports that change places do no harm",
+        name: "reordered reports are harmless",
         models: &["x"],
         steps: &[
             Restore(&[]),
@@ -348,7 +348,7 @@
     },
     // Two engines hold x, and one is to unload it for y. The other loses x before the commit.
     Case {
-        name: "an unload that has become the last route's is taken back",
+        name: "an unload that would now remove the last route is cancelled",
         models: &["x", "y40"],
         steps: &[
             Restore(&[]),
@@ -362,7 +362,7 @@
         last: &["settle 101"],
     },
     Case {
-        name: "the last route is not given up for a model without one",
+        name: "the last route of a model is not evicted for a model without one",
         models: &["x", "y40"],
         steps: &[Restore(&[]), Report("a", 1, 1, X, &[]), Plan],
         last: &["note y40: no engine that takes orders now can make room"],
@@ -370,7 +370,7 @@
     // x is on two engines, and its adapter on one of them. Unloading x from that one would leave the
     // adapter resident but unreachable.
     Case {
-        name: "a base goes from under no adapter: the adapter is made elsewhere first",
+        name: "a base is not evicted under its adapter: the adapter is first loaded elsewhere",
         models: &["x", "x-1", "y60"],
         steps: &[
             Restore(&[]),
@@ -381,7 +381,7 @@
         last: &["propose load x-1 on s"],
     },
     Case {
-        name: "a new version comes beside the old one where both fit",
+        name: "a new version is loaded beside the old one where both fit",
         models: &["v"],
         steps: &[
             Restore(&[]),
@@ -391,7 +391,7 @@
         last: &["propose load v on a"],
     },
     Case {
-        name: "the old version goes once the new one serves",
+        name: "the old version is unloaded once the new one serves",
         models: &["v"],
         steps: &[
             Restore(&[]),
@@ -401,7 +401,7 @@
         last: &["propose unload v on a"],
     },
     Case {
-        name: "the only copy is not replaced where there is no room",
+        name: "the only replica is not replaced where there is no room",
         models: &["w"],
         steps: &[
             Restore(&[]),
@@ -413,7 +413,7 @@
         ],
     },
     Case {
-        name: "of two outdated copies one goes first where there is no room",
+        name: "of two outdated replicas one is unloaded first where there is no room",
         models: &["w"],
         steps: &[
             Restore(&[]),
@@ -436,7 +436,7 @@
         last: &["propose load x on b"],
     },
     Case {
-        name: "a model of a pool goes nowhere while the engine's pool may be changing",
+        name: "a model bound to a pool is not loaded while the pool of the engine may be changing",
         models: &["p"],
         steps: &[
             Restore(&[(5, "a", 1, Role)]),
@@ -515,14 +515,14 @@
     }
 
     fn commit(&mut self) -> Vec<String> {
-        let mut asked = Vec::new();
+        let mut requested = Vec::new();
         for proposal in std::mem::take(&mut self.proposed) {
             let order = self.table.commit(proposal);
             let event = place::Event::OrderCommitted(order);
             let actions = self.placement.step(self.now, event);
-            asked.extend(actions.into_iter().flat_map(|a| self.take(a)));
+            requested.extend(actions.into_iter().flat_map(|a| self.take(a)));
         }
-        asked
+        requested
     }
 
     fn take(&mut self, action: place::Action) -> Vec<String> {
@@ -613,7 +613,7 @@
 }
 
 #[test]
-fn each_fault_is_met() {
+fn each_fault_is_handled() {
     let mut failed = Vec::new();
     for case in CASES {
         let mut run = Run::new(case.models);
@@ -667,8 +667,8 @@
         problem: "old fencing number".to_owned(),
     };
     let actions = run.placement.step(run.now, place::Event::Report(report));
-    let asked: Vec<_> = actions.into_iter().flat_map(|it| run.take(it)).collect();
-    assert_eq!(asked, ["settle 101"]);
+    let requested: Vec<_> = actions.into_iter().flat_map(|it| run.take(it)).collect();
+    assert_eq!(requested, ["settle 101"]);
     run.step(Wait(3_000));
     assert_eq!(run.step(Plan), ["propose load x on a"]);
 }
--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -153,7 +153,7 @@
             62..76 => self.advance(),
             76..84 => self.commit(),
             84..92 => self.step(place::Event::Plan),
-            92..95 => self.ask(),
+            92..95 => self.request(),
             95..97 => self.silence(),
             97 => self.drop_something(),
             _ => self.fail(),
@@ -288,10 +288,10 @@
             && others.any(|open| !ended(open.order))
     }
 
-    fn ask(&mut self) {
-        let asked = self.random.below(self.models.len());
+    fn request(&mut self) {
+        let requested = self.random.below(self.models.len());
         let demand = vec![messages::Demand {
-            model: self.models[asked].name.clone(),
+            model: self.models[requested].name.clone(),
             arrived: u32::try_from(self.random.below(400)).unwrap(),
             unserved: 0,
             waiting: 0,
--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -74,7 +74,7 @@
         (0..count).for_each(|_| self.round());
     }
 
-    fn ask(&mut self, model: &str, arrived: u32) {
+    fn request(&mut self, model: &str, arrived: u32) {
         let demand = vec![messages::Demand {
             model: model.to_owned(),
             arrived,
@@ -217,7 +217,7 @@
 /// replica is loaded to free one engine and evicted again to free another. Not all models fit into
 /// these clusters.
 #[test]
-fn moves_in_vain_come_to_an_end() {
+fn futile_moves_end() {
     for seed in TIGHT {
         let mut random = support::Random(*seed);
         let bases = 10 + random.below(8);
@@ -237,8 +237,8 @@
         assert_eq!(cluster.unreachable(), Vec::<&str>::new(), "seed {seed}");
         for round in 0..100 {
             if round % 10 == 0 {
-                let asked = format!("b{}", random.below(bases));
-                cluster.ask(&asked, 60);
+                let requested = format!("b{}", random.below(bases));
+                cluster.request(&requested, 60);
             }
             cluster.round();
         }
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn critical_models_come_first_with_the_bases_they_sit_on() {
+fn critical_models_come_first_with_their_bases() {
     let mut models = family(4, 8, 10_000);
     models[9].critical = true;
     let mut cluster = Cluster::new(models, engines(2, 80_000), place::Policy::default());
@@ -299,7 +299,7 @@
         let mut cluster = Cluster::new(models, engines(6, 30_000), policy);
         cluster.rounds(10);
         for _ in 0..60 {
-            cluster.ask("b0", 24);
+            cluster.request("b0", 24);
             cluster.round();
         }
         assert_eq!(
@@ -324,7 +324,7 @@
     cluster.rounds(10);
     for round in 0..200 {
         let hot = if round / 8 % 2 == 0 { "b0" } else { "b1" };
-        cluster.ask(hot, 24);
+        cluster.request(hot, 24);
         cluster.round();
         if round == 60 {
             cluster.moves.clear();
@@ -335,7 +335,7 @@
 
 /// Guards against evicting a pinned replica that is idle while another model is in great demand.
 #[test]
-fn a_pinned_copy_stays() {
+fn a_pinned_replica_stays() {
     let policy = place::Policy {
         spread_zones: false,
         ..place::Policy::default()
@@ -351,7 +351,7 @@
         .placement
         .step(cluster.now, place::Event::Pins(pins));
     for _ in 0..60 {
-        cluster.ask("b0", 40);
+        cluster.request("b0", 40);
         cluster.round();
     }
     assert_eq!(
