--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn queue_goes_by_priority_then_deadline() {
+fn queue_is_ordered_by_priority_then_deadline() {
     let mut harness = one_engine();
     let (running, _) = harness.arrive(|_| {});
     let (idle, actions) = harness.arrive(|f| {
@@ -50,7 +50,7 @@
 /// Guards against one caller filling the queue of a class, so that all requests of other callers in
 /// the same class are refused.
 #[test]
-fn flooding_caller_gives_way() {
+fn flooding_caller_is_displaced() {
     let mut harness = one_engine();
     harness.arrive(|_| {});
     let flood = (0..4).map(|_| harness.arrive(|_| {}).0).collect::<Vec<_>>();
@@ -68,7 +68,7 @@
     busy: bool,
     deadline: u64,
     expected: &'static str,
-    comes_back: bool,
+    retry_helps: bool,
 }
 
 #[test]
@@ -79,28 +79,28 @@
             busy: false,
             deadline: 1_500,
             expected: "send",
-            comes_back: false,
+            retry_helps: false,
         },
         Unmeetable {
             learned: 1_000,
             busy: false,
             deadline: 900,
             expected: "deadline_unmeetable not_run",
-            comes_back: false,
+            retry_helps: false,
         },
         Unmeetable {
             learned: 1_000,
             busy: true,
             deadline: 1_500,
             expected: "deadline_unmeetable not_run",
-            comes_back: true,
+            retry_helps: true,
         },
         Unmeetable {
             learned: 1_000,
             busy: true,
             deadline: 4_000,
             expected: "queue",
-            comes_back: false,
+            retry_helps: false,
         },
         // Without samples there is no estimate to refuse the request by.
         Unmeetable {
@@ -108,7 +108,7 @@
             busy: true,
             deadline: 100,
             expected: "queue",
-            comes_back: false,
+            retry_helps: false,
         },
     ];
     for case in cases {
@@ -130,8 +130,8 @@
         let back = common::refused(&actions, req).and_then(|r| r.retry_after);
         assert_eq!(
             back.is_some(),
-            case.comes_back,
-            "coming back helps only if a queue was the cause"
+            case.retry_helps,
+            "a retry helps only if a queue was the cause"
         );
     }
 }
@@ -157,7 +157,7 @@
 /// after a burst the estimated service time exceeds the deadline, and if every request is refused, no
 /// response can correct the estimate.
 #[test]
-fn wrong_estimate_is_put_right() {
+fn wrong_estimate_is_corrected() {
     let mut harness = one_engine();
     harness.train(20_000);
     harness.report(common::report("e1", 2, 1, &["sort"]));
@@ -257,14 +257,18 @@
 }
 
 #[test]
-fn caller_that_goes_frees_its_slot() {
+fn disconnected_caller_frees_its_slot() {
     let mut harness = one_engine();
     let (gone, _) = harness.arrive(|_| {});
     let (next, _) = harness.arrive(|_| {});
     let actions = harness.step(event::Event::CallerGone(gone));
     assert_eq!(common::summary(&actions, gone), "cancel");
     assert_eq!(common::summary(&actions, next), "send");
-    assert_eq!(harness.done(gone), Vec::new(), "its end is no news");
+    assert_eq!(
+        harness.done(gone),
+        Vec::new(),
+        "the end of an ended request has no effect"
+    );
     assert_eq!(harness.decider.gauges().in_flight, 1);
 }
 
@@ -354,7 +358,7 @@
 }
 
 #[test]
-fn account_names_the_candidates() {
+fn request_trace_names_the_candidates() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let mut leaving = common::report("e2", 2, 1, &["sort"]);
     leaving.leaving = true;
@@ -382,7 +386,7 @@
 fn policy_refuses_unknown_keys() {
     let known = toml::from_str::<settings::Policy>("retry_share = 0.2\nrouting = 'random'");
     assert_eq!(known.expect("valid").routing, settings::Routing::Random);
-    let error = toml::from_str::<settings::Policy>("retry_shar = 0.2").expect_err("a typing error");
+    let error = toml::from_str::<settings::Policy>("retry_shar = 0.2").expect_err("a typo");
     assert!(error.to_string().contains("retry_shar"));
 }
 
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -166,20 +166,20 @@
 /// Guards against a request that crashes engines being retried on one engine after another until the
 /// whole pool is down.
 #[test]
-fn tries_of_one_request_are_bounded() {
+fn attempts_of_one_request_are_bounded() {
     let names = ["e1", "e2", "e3", "e4", "e5"];
     let mut harness = common::Harness::with_engines(common::settings(), &names);
     let (req, mut actions) = harness.arrive(|_| {});
-    let mut tries = 0;
+    let mut attempts = 0;
     while common::sent_to(&actions, req).is_some() {
-        tries += 1;
+        attempts += 1;
         actions = harness.fail(req, MAY_HAVE_RUN, CUT);
     }
-    assert_eq!(tries, 3);
+    assert_eq!(attempts, 3);
 }
 
 #[test]
-fn no_try_after_the_deadline() {
+fn no_attempt_after_the_deadline() {
     for shed in [true, false] {
         let mut settings = common::settings();
         settings.policy.shed = shed;
@@ -329,13 +329,13 @@
     assert_eq!(common::summary(&actions, req), "send");
 }
 
-struct Away {
+struct UnavailableCase {
     what: &'static str,
     make: fn(&mut common::Harness),
 }
 
-const AWAY: &[Away] = &[
-    Away {
+const UNAVAILABLE_CASES: &[UnavailableCase] = &[
+    UnavailableCase {
         what: "leaving",
         make: |harness| {
             let mut report = common::report("e1", 2, 8, &["sort"]);
@@ -344,21 +344,21 @@
             harness.report(common::report("e1", 3, 8, &["sort"]));
         },
     },
-    Away {
-        what: "silent by the daemon's word",
+    UnavailableCase {
+        what: "reported as silent by the daemon",
         make: |harness| {
             let endpoint = harness.decider.endpoint("e1").expect("heard");
             harness.step(event::Event::EndpointSilent(endpoint));
         },
     },
-    Away {
+    UnavailableCase {
         what: "silent by the age of its report",
         make: |harness| {
             harness.advance(7_000);
             harness.report(common::report("e2", 2, 8, &["sort"]));
         },
     },
-    Away {
+    UnavailableCase {
         what: "restarted without the model",
         make: |harness| {
             let mut report = common::report("e1", 1, 8, &["draft"]);
@@ -368,7 +368,7 @@
             harness.report(common::report("e1", 9, 8, &["sort"]));
         },
     },
-    Away {
+    UnavailableCase {
         what: "unloaded, with an older report arriving late",
         make: |harness| {
             harness.report(common::report("e1", 5, 8, &["draft"]));
@@ -381,7 +381,7 @@
 /// delayed report making it look available again.
 #[test]
 fn endpoint_that_is_away_gets_no_new_work() {
-    for case in AWAY {
+    for case in UNAVAILABLE_CASES {
         let mut harness = common::Harness::new(common::settings());
         harness.report(common::report("e1", 1, 8, &["sort"]));
         harness.report(common::report("e2", 1, 8, &["sort"]));
@@ -489,8 +489,8 @@
 /// Guards against sending requests to an engine before the backoff that it requested has passed. A
 /// restarted engine has requested none.
 #[test]
-fn an_engine_that_asks_for_rest_is_left_alone_for_so_long() {
-    for (after, restarts, goes_on) in [
+fn requested_backoff_is_respected() {
+    for (after, restarts, is_used_again) in [
         (2_900, false, false),
         (3_100, false, true),
         (100, true, true),
@@ -509,6 +509,9 @@
         harness.advance(after);
         let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
-        assert_eq!(is_sent, goes_on, "after {after} ms, restarted: {restarts}");
+        assert_eq!(
+            is_sent, is_used_again,
+            "after {after} ms, restarted: {restarts}"
+        );
     }
 }
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -33,7 +33,7 @@
     waiting: collections::BTreeMap<(cmp::Reverse<u8>, u64), (usize, event::ReqId)>,
 }
 
-struct Fate {
+struct Outcome {
     due: u64,
     urgent: bool,
     on_time: Option<bool>,
@@ -45,7 +45,7 @@
     services: random::Random,
     entries: Vec<decider::Decider>,
     engines: Vec<Engine>,
-    fates: Vec<Fate>,
+    outcomes: Vec<Outcome>,
 }
 
 fn exponential(random: &mut random::Random, mean: f64) -> f64 {
@@ -68,7 +68,7 @@
         services: random::Random::new(2),
         entries: (0..ENTRIES as u64).map(decider).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
-        fates: Vec::new(),
+        outcomes: Vec::new(),
     };
     let mut arrivals = random::Random::new(1);
     let capacity = (ENGINES * SLOTS) as f64 / SERVICE;
@@ -93,9 +93,9 @@
             (0..ENTRIES).for_each(|entry| world.step(entry, event::Event::Tick));
         }
     }
-    let counted = world.fates.iter().filter(|f| COUNTED.contains(&f.due));
+    let counted = world.outcomes.iter().filter(|f| COUNTED.contains(&f.due));
     let (urgent, all) = (counted.clone().filter(|f| f.urgent), counted);
-    let on_time = |f: &&Fate| f.on_time == Some(true);
+    let on_time = |f: &&Outcome| f.on_time == Some(true);
     let most = (capacity * (COUNTED.end - COUNTED.start) as f64).min(all.clone().count() as f64);
     let urgent_share = urgent.clone().filter(on_time).count() as f64 / urgent.count() as f64;
     (all.filter(on_time).count() as f64 / most, urgent_share)
@@ -103,9 +103,9 @@
 
 impl World {
     fn arrive(&mut self, entry: usize, urgent: bool) {
-        let id = event::ReqId(self.fates.len() as u64);
+        let id = event::ReqId(self.outcomes.len() as u64);
         let (due, on_time) = (self.now + DEADLINE, None);
-        self.fates.push(Fate {
+        self.outcomes.push(Outcome {
             due,
             urgent,
             on_time,
@@ -167,10 +167,10 @@
     }
 
     fn settle(&mut self, req: event::ReqId, answered: bool) {
-        let fate = &mut self.fates[usize::try_from(req.0).expect("an index")];
-        let on_time = answered && self.now <= fate.due;
+        let outcome = &mut self.outcomes[usize::try_from(req.0).expect("an index")];
+        let on_time = answered && self.now <= outcome.due;
         assert!(
-            fate.on_time.replace(on_time).is_none(),
+            outcome.on_time.replace(on_time).is_none(),
             "one end for each request"
         );
     }
