--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -1,200 +1,203 @@
-//! Requests under which endpoints end, and which are therefore passed on no more.
+//! Requests that crash endpoints, and are therefore held: refused instead of passed on.
 //!
-//! Some request makes each endpoint crash that runs it. Its caller, who has no answer, sends it again, under
-//! another id and to another entry process. Passed on each time, it takes the whole pool down. So what ended
-//! under which request is remembered by what the request asks ([`crate::fingerprint`]), not by its id, and by all
-//! processes: an entry process tells control what it saw, control processes tell each other, and all entry
-//! processes are told of a request under which [`ENDS`] starts of endpoints have ended. It is *held*: refused at
-//! once, at every entry process, for [`KEPT`].
+//! A poison request crashes each endpoint that runs it. Its caller gets no response and sends it again,
+//! with another id and to another entry process; passed on each time, it takes down the whole pool. So
+//! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
+//! all processes together: an entry process reports what it saw to control, control processes exchange
+//! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints
+//! crashed under. It is then *held*, that is refused at once by every entry process, for [`RETENTION`].
 //!
 //! # Evidence, and how it is merged
 //!
-//! A [`Crash`] says that one start of an endpoint ended while it ran one request. Evidence only grows: that a
-//! crash happened, and that it is *cleared*, are facts that stay true, so processes merge what they hear in any
-//! order, twice or late, and come to the same. A request is held while [`ENDS`] crashes under it are not cleared.
+//! A [`Crash`] says that one instance of an endpoint ended while it ran one request. Evidence only grows:
+//! that a crash happened, and that it was *cleared*, are facts that stay true. So processes may merge what
+//! they receive in any order, repeatedly or late, and arrive at the same state. A request is held while
+//! [`CRASH_LIMIT`] crashes under it are not cleared.
 //!
-//! # Those that ran beside it
+//! # Bystanders
 //!
-//! All requests that an endpoint ran end with it, and nobody sees which of them was the cause. One that is
-//! answered whole afterwards, by any endpoint, was not: its crashes are cleared. That is so for most when they
-//! are sent a second time. What many callers ask at the same time may run at three endpoints that end at once, as
-//! with a rack; a process that has answered it within the last minute takes any crash under it for cleared, and
-//! tells the others. So a bystander is held only if it was at three endpoints that ended, and came through nowhere.
+//! All requests that an endpoint was running end with it, and nobody sees which of them was the cause. A
+//! request that any endpoint completes afterwards was not: its crashes are cleared. For most bystanders
+//! this happens when they are retried. A request that many callers send at once may run on three endpoints
+//! that end together, for instance with a rack; a process that has completed it within the last minute
+//! takes any crash under it as cleared and tells the others. So a bystander is held only if it ran on three
+//! endpoints that ended and completed nowhere.
 //!
 //! # Bounds
 //!
-//! Whoever sends requests can make entries here, at the cost of a crash for each batch that an endpoint runs.
-//! [`MOST_REQUESTS`] are remembered; the one whose last crash is the oldest gives way, one that is not held
-//! before one that is.
+//! Anyone who sends requests can create entries here, at the price of one crash for each batch that an
+//! endpoint runs. [`MAX_REQUESTS`] requests are remembered. The one with the oldest last crash is evicted
+//! first, and requests that are not held are evicted before those that are.
 
 use std::{cmp, collections};
 
 use sageshed_types::time;
 
 pub use sageshed_types::{
-    mark::Mark,
+    mark::Mark as Cursor,
     quarantine::{Crash, Fingerprint, Held},
 };
 
-/// Starts of endpoints that end under a request until it is held. One end may be anybody's, and two happen to a
-/// bystander that is sent a second time to the endpoint to which the cause went as well. Each more costs every
-/// caller an endpoint for the seconds of its restart.
-pub const ENDS: usize = 3;
+/// Crashes of endpoint instances after which a request is held. A single crash may have any cause, and two
+/// happen to a bystander that is retried on the endpoint where the poison request went as well. Each
+/// further crash costs every caller an endpoint for the seconds of its restart.
+pub const CRASH_LIMIT: usize = 3;
 
-/// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers who got no
-/// answer come back for minutes; after it the cause costs three endpoints once more.
-pub const KEPT: time::Millis = time::Millis(3_600_000);
+/// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers without a
+/// response retry for minutes. After this time, a poison request costs three endpoints once more.
+pub const RETENTION: time::Millis = time::Millis(3_600_000);
 
-/// Requests that are remembered at the most. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the
-/// smallest VMs.
-pub const MOST_REQUESTS: usize = 8_192;
+/// Requests that are remembered. One takes some 150 bytes: 1.2 MB in all, of the 160 MB of the smallest
+/// VMs.
+pub const MAX_REQUESTS: usize = 8_192;
 
-/// Requests that give way at once where there is no room for one more.
-const GIVE_WAY: usize = MOST_REQUESTS / 16;
+/// Requests that are evicted together when there is no room for another one.
+const EVICTION_BATCH: usize = MAX_REQUESTS / 16;
 
-/// Held requests that the control group keeps at the most: some 10 KB of its log for each change of them.
-const MOST_HELD_KEPT: usize = 256;
+/// Held requests that the control group persists: some 10 KB of its log for each change.
+const MAX_PERSISTED: usize = 256;
 
-/// Crashes that are remembered of one request: enough to stay held if all but three were cleared elsewhere.
-const MOST_CRASHES: usize = 2 * ENDS;
+/// Crashes that are remembered for each request: enough to keep it held if all but three were cleared
+/// elsewhere.
+const MAX_CRASHES: usize = 2 * CRASH_LIMIT;
 
-/// For how long, at the least, what was answered is known to be sound; at the most for twice that. What is asked so
-/// often that it runs at several endpoints at once is answered many times in it.
-const SOUND_FOR: time::Millis = time::Millis(30_000);
+/// How long a completed request is remembered at least; at most it is twice as long. A request that is sent
+/// so often that it runs on several endpoints at once completes many times within that.
+const SUCCESS_WINDOW: time::Millis = time::Millis(30_000);
 
-/// What was answered in that time and is remembered: some 150 KB with the span before.
-const MOST_SOUND: usize = 4_096;
+/// Completed requests that are remembered in one window: some 150 KB together with the window before.
+const MAX_SUCCESSES: usize = 4_096;
 
-/// Between two looks for what is past [`KEPT`].
-const SWEEP: time::Millis = time::Millis(10_000);
+/// Interval at which crashes older than [`RETENTION`] are removed.
+const SWEEP_INTERVAL: time::Millis = time::Millis(10_000);
 
-/// What a peer is to be told.
+/// Which crashes a peer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Telling {
-    /// All crashes: it counts them together with those that others saw.
+pub enum SyncScope {
+    /// All crashes, for peers that merge them with those of others.
     All,
-    /// Those under requests that are held, or were.
+    /// Those under requests that are or were held.
     Held,
 }
 
-/// What a piece of evidence changed.
+/// Effect of a piece of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: it was known, or is too old.
+    /// None: it was known or is too old.
     None,
-    /// It is new, and the request goes on as before.
+    /// It is new, but doesn't change whether the request is held.
     Noted,
-    /// The request is held from now on.
+    /// The request is now held.
     Held,
-    /// The request is held no more.
+    /// The request is no longer held.
     Released,
 }
 
-/// What several pieces of evidence changed.
+/// Combined effect of several pieces of evidence.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Taken {
-    /// Whether there was anything new.
-    pub is_news: bool,
-    /// Requests that are held from now on.
+pub struct MergeResult {
+    /// Whether any of them was new.
+    pub has_changes: bool,
+    /// Requests that are now held.
     pub held: Vec<Fingerprint>,
-    /// Requests that are held no more.
+    /// Requests that are no longer held.
     pub released: Vec<Fingerprint>,
 }
 
-/// What the two ends of a link between processes know of each other's crashes.
+/// Progress of the exchange of crashes with one peer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Link {
-    /// Up to where those that the peer remembers are known here.
-    pub read: Mark,
-    /// Up to where the peer was told of those that this process remembers.
-    pub told: Mark,
+pub struct PeerSync {
+    /// Up to where the peer's crashes are known here.
+    pub received: Cursor,
+    /// Up to where the peer was sent the crashes of this process.
+    pub sent: Cursor,
 }
 
-impl Link {
-    /// The peer was told of crashes up to `told`, and has answered with its own mark. One that was started anew
-    /// remembers nothing, whatever was told to the start before it, and is told all the next time.
-    pub fn answered(&mut self, told: Mark, mark: Mark) {
-        let is_known = mark.start == self.read.start;
-        self.told = if is_known { told } else { Mark::default() };
-        self.read = mark;
+impl PeerSync {
+    /// Records that the peer was sent crashes up to `sent` and replied with its own cursor. A restarted
+    /// peer has lost its state, whatever its previous start was sent, and is sent everything the next time.
+    pub fn record_exchange(&mut self, sent: Cursor, cursor: Cursor) {
+        let is_known = cursor.start == self.received.start;
+        self.sent = if is_known { sent } else { Cursor::default() };
+        self.received = cursor;
     }
 }
 
-/// What one process remembers.
+/// The crashes known to one process.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     start: u64,
     change: u64,
-    /// The change by which something of a held request was learnt last.
+    /// The last change that concerned a held request.
     held_change: u64,
     requests: collections::HashMap<Fingerprint, Suspect>,
     swept: time::Instant,
-    sound: Sound,
+    recent_successes: RecentSuccesses,
 }
 
-/// What was answered whole lately, in two spans of which the older one is forgotten as a whole.
+/// Requests that completed recently, in two windows of which the older one is dropped as a whole.
 #[derive(Debug, Clone, Default)]
-struct Sound {
-    now: collections::HashSet<Fingerprint>,
-    before: collections::HashSet<Fingerprint>,
+struct RecentSuccesses {
+    current: collections::HashSet<Fingerprint>,
+    previous: collections::HashSet<Fingerprint>,
     since: time::Instant,
 }
 
-impl Sound {
-    fn answered(&mut self, now: time::Instant, content: Fingerprint) {
-        self.turn(now);
-        if self.now.len() < MOST_SOUND {
-            self.now.insert(content);
+impl RecentSuccesses {
+    fn insert(&mut self, now: time::Instant, content: Fingerprint) {
+        self.rotate(now);
+        if self.current.len() < MAX_SUCCESSES {
+            self.current.insert(content);
         }
     }
 
-    fn knows(&mut self, now: time::Instant, content: Fingerprint) -> bool {
-        self.turn(now);
-        self.now.contains(&content) || self.before.contains(&content)
+    fn contains(&mut self, now: time::Instant, content: Fingerprint) -> bool {
+        self.rotate(now);
+        self.current.contains(&content) || self.previous.contains(&content)
     }
 
-    fn turn(&mut self, now: time::Instant) {
-        let spans = now.since(self.since).0 / SOUND_FOR.0;
+    fn rotate(&mut self, now: time::Instant) {
+        let spans = now.since(self.since).0 / SUCCESS_WINDOW.0;
         if spans == 0 {
             return;
         }
         self.since = now;
-        self.before = std::mem::take(&mut self.now);
+        self.previous = std::mem::take(&mut self.current);
         if spans > 1 {
-            self.before.clear();
+            self.previous.clear();
         }
     }
 }
 
-/// A request under which endpoints ended.
+/// A request that endpoints crashed under.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
-    crashes: Vec<Known>,
-    /// It is held, or was: entry processes were told of it.
+    crashes: Vec<KnownCrash>,
+    /// Whether it is or was held, so that entry processes were told of it.
     was_held: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct KnownCrash {
     endpoint: u64,
-    /// When it is forgotten. It may have happened before this process started, so that its clock has no
-    /// reading for that.
-    until: time::Instant,
+    /// When it expires. The crash may have happened before this process started, so that its clock can't
+    /// express that time.
+    expires_at: time::Instant,
     is_cleared: bool,
-    /// By which change it was learnt last.
+    /// The last change that affected it.
     change: u64,
 }
 
-impl Known {
-    fn counts(&self, now: time::Instant) -> bool {
-        !self.is_cleared && now < self.until
+impl KnownCrash {
+    fn is_counted(&self, now: time::Instant) -> bool {
+        !self.is_cleared && now < self.expires_at
     }
 
-    fn told(&self, now: time::Instant, content: Fingerprint) -> Crash {
+    fn to_crash(&self, now: time::Instant, content: Fingerprint) -> Crash {
         Crash {
             content,
             endpoint: self.endpoint,
-            age: time::Millis(KEPT.0.saturating_sub(self.until.since(now).0)),
+            age: time::Millis(RETENTION.0.saturating_sub(self.expires_at.since(now).0)),
             is_cleared: self.is_cleared,
         }
     }
@@ -202,51 +205,51 @@
 
 impl Suspect {
     fn is_held(&self, now: time::Instant) -> bool {
-        let counting = self.crashes.iter().filter(|it| it.counts(now));
-        counting.count() >= ENDS
+        let counting = self.crashes.iter().filter(|it| it.is_counted(now));
+        counting.count() >= CRASH_LIMIT
     }
 
-    /// When the last of its crashes is forgotten.
-    fn last(&self) -> time::Instant {
-        let all = self.crashes.iter().map(|it| it.until);
+    /// When its last crash expires.
+    fn expires(&self) -> time::Instant {
+        let all = self.crashes.iter().map(|it| it.expires_at);
         all.max().unwrap_or_default()
     }
 
-    /// What the control group keeps of it.
-    fn kept(&self, now: time::Instant, content: Fingerprint) -> Held {
-        let crashes = self.crashes.iter().filter(|it| it.counts(now));
+    /// The record that the control group persists.
+    fn to_held(&self, now: time::Instant, content: Fingerprint) -> Held {
+        let crashes = self.crashes.iter().filter(|it| it.is_counted(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
         endpoints.sort_unstable();
         Held { content, endpoints }
     }
 
-    /// By which change something of it was learnt last.
-    fn change(&self) -> u64 {
+    /// The last change that affected any of its crashes.
+    fn last_change(&self) -> u64 {
         let all = self.crashes.iter().map(|it| it.change);
         all.max().unwrap_or_default()
     }
 
-    /// Takes one piece of evidence, as of change number `change`. Returns whether it is new.
-    fn take(&mut self, now: time::Instant, crash: &Crash, change: u64) -> bool {
+    /// Merges one piece of evidence as change number `change`. Returns whether it is new.
+    fn merge(&mut self, now: time::Instant, crash: &Crash, change: u64) -> bool {
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|it| it.endpoint == crash.endpoint) {
-            let is_news = crash.is_cleared && !known.is_cleared;
-            if is_news {
+            let has_changes = crash.is_cleared && !known.is_cleared;
+            if has_changes {
                 known.is_cleared = true;
                 known.change = change;
             }
-            return is_news;
+            return has_changes;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             let cleared = self.crashes.iter().position(|it| it.is_cleared);
             let Some(at) = cleared.filter(|_| !crash.is_cleared) else {
                 return false;
             };
             self.crashes.swap_remove(at);
         }
-        self.crashes.push(Known {
+        self.crashes.push(KnownCrash {
             endpoint: crash.endpoint,
-            until: now + time::Millis(KEPT.0.saturating_sub(crash.age.0)),
+            expires_at: now + time::Millis(RETENTION.0.saturating_sub(crash.age.0)),
             is_cleared: crash.is_cleared,
             change,
         });
@@ -255,7 +258,7 @@
 }
 
 impl Quarantine {
-    /// Remembers nothing. `start` tells this start of the process from others.
+    /// Creates an empty quarantine. `start` identifies this start of the process.
     #[must_use]
     pub fn new(start: u64) -> Self {
         Self {
@@ -264,80 +267,80 @@
         }
     }
 
-    /// Up to where this process's memory is known to whom it is told now.
+    /// The cursor that a peer reaches which is sent everything now.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn cursor(&self) -> Cursor {
+        Cursor {
             start: self.start,
             change: self.change,
         }
     }
 
-    /// Whether there is something to tell a peer that knows this process's memory up to `mark`.
+    /// Whether there is anything to send to a peer that knows this process's crashes up to `cursor`.
     #[must_use]
-    pub fn has_news(&self, mark: Mark, telling: Telling) -> bool {
-        let newest = match telling {
-            Telling::All => self.change,
-            Telling::Held => self.held_change,
+    pub fn has_news(&self, cursor: Cursor, scope: SyncScope) -> bool {
+        let newest = match scope {
+            SyncScope::All => self.change,
+            SyncScope::Held => self.held_change,
         };
-        newest > mark.of(self.start)
+        newest > cursor.of(self.start)
     }
 
-    /// What a peer is to be told that knows this process's memory up to `mark`.
+    /// The crashes to send to a peer that knows those of this process up to `cursor`.
     #[must_use]
-    pub fn since(&self, now: time::Instant, mark: Mark, telling: Telling) -> Vec<Crash> {
-        if !self.has_news(mark, telling) {
+    pub fn since(&self, now: time::Instant, cursor: Cursor, scope: SyncScope) -> Vec<Crash> {
+        if !self.has_news(cursor, scope) {
             return Vec::new();
         }
-        let after = mark.of(self.start);
-        let mut told = Vec::new();
+        let after = cursor.of(self.start);
+        let mut to_send = Vec::new();
         for (content, suspect) in &self.requests {
-            let crashes = suspect.crashes.iter().map(|it| it.told(now, *content));
-            match telling {
-                // All that led to it: a peer was told nothing before it was held.
-                Telling::Held if suspect.was_held && suspect.change() > after => {
-                    told.extend(crashes);
+            let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
+            match scope {
+                // Includes all crashes of the request, since the peer was told none before it was held.
+                SyncScope::Held if suspect.was_held && suspect.last_change() > after => {
+                    to_send.extend(crashes);
                 }
-                Telling::Held => {}
-                Telling::All => {
+                SyncScope::Held => {}
+                SyncScope::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
-                    told.extend(news.map(|it| it.told(now, *content)));
+                    to_send.extend(news.map(|it| it.to_crash(now, *content)));
                 }
             }
         }
-        told
+        to_send
     }
 
-    /// Takes what another process tells, or this one has seen.
-    pub fn take_all(&mut self, now: time::Instant, crashes: &[Crash]) -> Taken {
-        let mut taken = Taken::default();
+    /// Merges the evidence of another process, or of this one.
+    pub fn merge_all(&mut self, now: time::Instant, crashes: &[Crash]) -> MergeResult {
+        let mut result = MergeResult::default();
         for crash in crashes {
-            let change = self.take(now, crash);
-            taken.is_news |= change != Change::None;
+            let change = self.merge(now, crash);
+            result.has_changes |= change != Change::None;
             match change {
                 Change::None | Change::Noted => {}
-                Change::Held => taken.held.push(crash.content),
-                Change::Released => taken.released.push(crash.content),
+                Change::Held => result.held.push(crash.content),
+                Change::Released => result.released.push(crash.content),
             }
         }
-        taken
+        result
     }
 
-    /// Takes a piece of evidence, one's own or that of another process.
-    pub fn take(&mut self, now: time::Instant, crash: &Crash) -> Change {
-        if crash.age >= KEPT {
+    /// Merges one piece of evidence, from this process or another one.
+    pub fn merge(&mut self, now: time::Instant, crash: &Crash) -> Change {
+        if crash.age >= RETENTION {
             return Change::None;
         }
         self.sweep(now);
-        self.make_room(now, crash.content);
+        self.evict_oldest(now, crash.content);
         let crash = &Crash {
-            is_cleared: crash.is_cleared || self.sound.knows(now, crash.content),
+            is_cleared: crash.is_cleared || self.recent_successes.contains(now, crash.content),
             ..*crash
         };
         let change = self.change + 1;
         let suspect = self.requests.entry(crash.content).or_default();
         let was_held = suspect.is_held(now);
-        if !suspect.take(now, crash, change) {
+        if !suspect.merge(now, crash, change) {
             return Change::None;
         }
         self.change = change;
@@ -353,10 +356,10 @@
         }
     }
 
-    /// The request was answered whole: it was the cause of none of the ends so far. Returns whether there were
-    /// any to clear.
-    pub fn answered(&mut self, now: time::Instant, content: Fingerprint) -> bool {
-        self.sound.answered(now, content);
+    /// Records that the request completed, so that it caused none of the crashes so far. Returns whether
+    /// there were any to clear.
+    pub fn record_success(&mut self, now: time::Instant, content: Fingerprint) -> bool {
+        self.recent_successes.insert(now, content);
         let Some(suspect) = self.requests.get(&content) else {
             return false;
         };
@@ -364,61 +367,62 @@
         let cleared: Vec<_> = crashes
             .map(|it| Crash {
                 is_cleared: true,
-                ..it.told(now, content)
+                ..it.to_crash(now, content)
             })
             .collect();
         for crash in &cleared {
-            self.take(now, crash);
+            self.merge(now, crash);
         }
         !cleared.is_empty()
     }
 
-    /// How much longer a request is held; none if it is not.
+    /// How much longer a request is held; none if it is not held.
     #[must_use]
     pub fn held_for(&self, now: time::Instant, content: Fingerprint) -> Option<time::Millis> {
         let suspect = self.requests.get(&content)?;
-        let crashes = suspect.crashes.iter().filter(|it| it.counts(now));
-        let mut until: Vec<_> = crashes.map(|it| it.until).collect();
+        let crashes = suspect.crashes.iter().filter(|it| it.is_counted(now));
+        let mut until: Vec<_> = crashes.map(|it| it.expires_at).collect();
         until.sort_unstable();
         until.reverse();
-        // It is held until fewer are left.
-        let end = until.get(ENDS - 1)?;
+        // The request is held until fewer than that are left.
+        let end = until.get(CRASH_LIMIT - 1)?;
         Some(end.since(now))
     }
 
-    /// How many endpoints have ended under a request, as far as it was not cleared of them.
+    /// Number of endpoints that crashed under a request and were not cleared.
     #[must_use]
-    pub fn ends(&self, now: time::Instant, content: Fingerprint) -> usize {
+    pub fn crash_count(&self, now: time::Instant, content: Fingerprint) -> usize {
         let suspect = self.requests.get(&content);
         suspect.map_or(0, |it| {
-            it.crashes.iter().filter(|it| it.counts(now)).count()
+            it.crashes.iter().filter(|it| it.is_counted(now)).count()
         })
     }
 
-    /// How many requests are held.
+    /// Number of held requests.
     #[must_use]
     pub fn count_held(&self, now: time::Instant) -> usize {
         let requests = self.requests.values();
         requests.filter(|it| it.is_held(now)).count()
     }
 
-    /// The requests that are held, in order, to be kept by the control group: [`MOST_HELD_KEPT`] at the most,
-    /// those that were held last.
+    /// The held requests that the control group persists, in order: the [`MAX_PERSISTED`] that crashed an
+    /// endpoint last.
     #[must_use]
     pub fn held(&self, now: time::Instant) -> Vec<Held> {
         let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
         let mut held: Vec<_> = held.collect();
-        held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.last()), **content));
-        held.truncate(MOST_HELD_KEPT);
+        held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.expires()), **content));
+        held.truncate(MAX_PERSISTED);
         let mut held: Vec<_> = held
             .into_iter()
-            .map(|(content, it)| it.kept(now, *content))
+            .map(|(content, it)| it.to_held(now, *content))
             .collect();
         held.sort_unstable();
         held
     }
 
-    /// Takes what the control group has kept. When it happened is not known any more: it counts from now.
+    /// Restores held requests that the control group has persisted. As the time of the crashes is unknown,
+    /// they count from now.
     pub fn restore(&mut self, now: time::Instant, held: &[Held]) {
         for it in held {
             for endpoint in &it.endpoints {
@@ -428,34 +432,34 @@
                     age: time::Millis(0),
                     is_cleared: false,
                 };
-                self.take(now, &crash);
+                self.merge(now, &crash);
             }
         }
     }
 
-    /// Forgets what is past [`KEPT`].
+    /// Removes crashes that are older than [`RETENTION`].
     fn sweep(&mut self, now: time::Instant) {
-        if now.since(self.swept) < SWEEP {
+        if now.since(self.swept) < SWEEP_INTERVAL {
             return;
         }
         self.swept = now;
         self.requests.retain(|_, suspect| {
-            suspect.crashes.retain(|it| now < it.until);
+            suspect.crashes.retain(|it| now < it.expires_at);
             !suspect.crashes.is_empty()
         });
     }
 
-    /// Makes room for one request more, and for some to come: looking for the oldest takes a look at all.
-    fn make_room(&mut self, now: time::Instant, content: Fingerprint) {
-        if self.requests.len() < MOST_REQUESTS || self.requests.contains_key(&content) {
+    /// Makes room for another request and for some more, since looking for the oldest visits all of them.
+    fn evict_oldest(&mut self, now: time::Instant, content: Fingerprint) {
+        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&content) {
             return;
         }
         let all = self.requests.iter();
         let mut all: Vec<_> = all
-            .map(|(content, it)| (it.is_held(now), it.last(), *content))
+            .map(|(content, it)| (it.is_held(now), it.expires(), *content))
             .collect();
         all.sort_unstable();
-        for (_, _, oldest) in all.iter().take(GIVE_WAY) {
+        for (_, _, oldest) in all.iter().take(EVICTION_BATCH) {
             self.requests.remove(oldest);
         }
     }
--- a/crates/sageshed-fleet/tests/pots.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -2,7 +2,10 @@
 
 use std::net;
 
-use sageshed_fleet::allowance::{Answer, Book, Draw, Given, Key, Next, Pull, Terms};
+use sageshed_fleet::allowance::{
+    AcquireReply, AcquireRequest, AllowanceTable, CollectReply, CollectRequest, Key, Next,
+    RateLimit,
+};
 use sageshed_types::time;
 
 const PER_S: f64 = 100.0;
@@ -21,7 +24,7 @@
 
 /// A fleet of twenty processes, of which one is the home and hears of the others what the test says.
 struct World {
-    home: Book,
+    coordinator: AllowanceTable,
     others: Vec<net::Ipv4Addr>,
 }
 
@@ -38,57 +41,60 @@
     fn new() -> Self {
         let entries: Vec<_> = (1..=20).map(ip).collect();
         let producers = sageshed_fleet::allowance::producers(key(), &entries);
-        let mut home = Book::new(producers[0], 1);
-        let terms = Terms {
+        let mut coordinator = AllowanceTable::new(producers[0], 1);
+        let terms = RateLimit {
             per_s: PER_S,
             burst: PER_S,
         };
-        home.set_terms([(key(), terms)]);
-        home.set_entries(at(0), &entries);
+        coordinator.set_limits([(key(), terms)]);
+        coordinator.set_entries(at(0), &entries);
         Self {
-            home,
+            coordinator,
             others: producers[1..].to_vec(),
         }
     }
 
-    fn pull(&mut self, now: time::Instant) -> Option<Pull> {
-        self.home.tick(now).pop().map(|(pull, _)| pull)
+    fn pull(&mut self, now: time::Instant) -> Option<CollectRequest> {
+        self.coordinator.tick(now).pop().map(|(pull, _)| pull)
     }
 
     /// All producers give what grows in a tenth of a second, if the home draws.
     fn draw_all(&mut self, now: time::Instant) {
         if let Some(pull) = self.pull(now) {
             for other in self.others.clone() {
-                self.home
-                    .take(now, other, &given(&pull, PER_S / 10.0 / 15.0 * 2.5));
+                self.coordinator.add_collected(
+                    now,
+                    other,
+                    &given(&pull, PER_S / 10.0 / 15.0 * 2.5),
+                );
             }
         }
     }
 
-    fn asked(&mut self, now: time::Instant, draw: Draw) -> Answer {
-        self.home.draw(now, ip(99), &draw).answer
+    fn asked(&mut self, now: time::Instant, draw: AcquireRequest) -> AcquireReply {
+        self.coordinator.acquire(now, ip(99), &draw).reply
     }
 
     fn units(&self) -> f64 {
-        self.home.pots().map(|(_, units)| units).sum()
+        self.coordinator.buckets().map(|(_, units)| units).sum()
     }
 }
 
-fn given(pull: &Pull, units: f64) -> Given {
-    Given {
+fn given(pull: &CollectRequest, units: f64) -> CollectReply {
+    CollectReply {
         id: pull.id,
         units: vec![(key(), units)],
     }
 }
 
-fn draw(id: u64, amount: f64) -> Draw {
-    Draw {
+fn draw(id: u64, amount: f64) -> AcquireRequest {
+    AcquireRequest {
         id,
         of: key(),
         amount,
         returned: 0.0,
         rank: 0,
-        named: None,
+        reported: None,
     }
 }
 
@@ -96,15 +102,15 @@
 fn a_question_that_is_asked_again_takes_once() {
     let mut world = World::full();
     let now = at(1_200);
-    assert_eq!(world.asked(now, draw(7, 15.0)), Answer::Granted);
+    assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
     let after = world.units();
     for _ in 0..3 {
-        assert_eq!(world.asked(now, draw(7, 15.0)), Answer::Granted);
+        assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
     // Another's question of the same number is another question.
-    let reply = world.home.draw(now, ip(98), &draw(7, 15.0));
-    assert_eq!(reply.answer, Answer::Granted);
+    let reply = world.coordinator.acquire(now, ip(98), &draw(7, 15.0));
+    assert_eq!(reply.reply, AcquireReply::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
 }
@@ -117,19 +123,25 @@
     let first = world.pull(at(0)).expect("a new home draws");
     let from = world.others[0];
     let before = world.units();
-    world.home.take(at(1), from, &given(&first, 1.0));
+    world
+        .coordinator
+        .add_collected(at(1), from, &given(&first, 1.0));
     let once = world.units();
     assert!(once > before);
-    world.home.take(at(2), from, &given(&first, 1.0));
+    world
+        .coordinator
+        .add_collected(at(2), from, &given(&first, 1.0));
     assert!((world.units() - once).abs() < 1e-9, "delivered twice");
     let second = world.pull(at(400)).expect("it draws again");
     assert_ne!(first.id, second.id);
     let then = world.units();
     world
-        .home
-        .take(at(401), world.others[1], &given(&first, 1.0));
+        .coordinator
+        .add_collected(at(401), world.others[1], &given(&first, 1.0));
     assert!((world.units() - then).abs() < 1e-9, "of an earlier drawing");
-    world.home.take(at(402), ip(77), &given(&second, 1.0));
+    world
+        .coordinator
+        .add_collected(at(402), ip(77), &given(&second, 1.0));
     assert!(
         (world.units() - then).abs() < 1e-9,
         "of one that was not asked"
@@ -145,7 +157,7 @@
         let now = at(1_100 + later);
         let answer = world.asked(now, draw(1, 40.0));
         assert_eq!(
-            answer == Answer::Granted,
+            answer == AcquireReply::Granted,
             !is_void,
             "after {later} ms: {answer:?}"
         );
@@ -155,12 +167,15 @@
 #[test]
 fn a_request_larger_than_the_pot_is_granted_by_a_full_one_and_paid_off() {
     let mut world = World::full();
-    assert_eq!(world.asked(at(1_105), draw(1, 250.0)), Answer::Granted);
+    assert_eq!(
+        world.asked(at(1_105), draw(1, 250.0)),
+        AcquireReply::Granted
+    );
     assert!(world.units() < -100.0);
     for round in 12..24 {
         world.draw_all(at(100 * round));
         let answer = world.asked(at(100 * round + 5), draw(round, 1.0));
-        assert_ne!(answer, Answer::Granted, "round {round}");
+        assert_ne!(answer, AcquireReply::Granted, "round {round}");
     }
 }
 
@@ -168,19 +183,19 @@
 #[test]
 fn the_less_urgent_leave_a_part_to_the_urgent() {
     let mut world = World::full();
-    let lookup = |id| Draw {
+    let lookup = |id| AcquireRequest {
         rank: 2,
         ..draw(id, 10.0)
     };
-    assert_eq!(world.asked(at(1_101), draw(1, 10.0)), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), draw(1, 10.0)), AcquireReply::Granted);
     let mut granted = 0;
-    while world.asked(at(1_101), lookup(10 + granted)) == Answer::Granted {
+    while world.asked(at(1_101), lookup(10 + granted)) == AcquireReply::Granted {
         granted += 1;
     }
     assert!(granted > 0);
     assert_eq!(
         world.asked(at(1_101), draw(2, 10.0)),
-        Answer::Granted,
+        AcquireReply::Granted,
         "for the urgent there is some"
     );
 }
@@ -197,22 +212,24 @@
     while told < 100 {
         id += 1;
         match world.asked(now, draw(id, 5.0)) {
-            Answer::Over(span) => {
+            AcquireReply::Over(span) => {
                 assert!(span >= last, "{span:?} behind {last:?}");
                 last = span;
                 told += 1;
             }
-            Answer::Granted => assert_eq!(told, 0),
-            Answer::Soon(_) => {
+            AcquireReply::Granted => assert_eq!(told, 0),
+            AcquireReply::Soon(_) => {
                 // The producers have nothing either.
-                world.home.draw(now, ip(99), &draw(id, 0.0));
+                world.coordinator.acquire(now, ip(99), &draw(id, 0.0));
                 for other in world.others.clone() {
-                    let pull = Pull {
+                    let pull = CollectRequest {
                         id,
                         of: vec![key()],
-                        named: Vec::new(),
+                        reported: Vec::new(),
                     };
-                    world.home.take(now, other, &given(&pull, 0.0));
+                    world
+                        .coordinator
+                        .add_collected(now, other, &given(&pull, 0.0));
                 }
                 if id > 1_000 {
                     return;
@@ -227,20 +244,20 @@
 #[test]
 fn what_is_given_back_is_there_again_and_never_more_than_the_burst() {
     let mut world = World::full();
-    assert_eq!(world.asked(at(1_101), draw(1, 60.0)), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), draw(1, 60.0)), AcquireReply::Granted);
     let after = world.units();
-    let back = Draw {
+    let back = AcquireRequest {
         returned: 60.0,
         ..draw(2, 0.0)
     };
-    assert_eq!(world.asked(at(1_101), back), Answer::Granted);
+    assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
     assert!(world.units() > after + 50.0);
     for id in 3..50 {
-        let back = Draw {
+        let back = AcquireRequest {
             returned: 60.0,
             ..draw(id, 0.0)
         };
-        assert_eq!(world.asked(at(1_101), back), Answer::Granted);
+        assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
     }
     assert!(world.units() <= PER_S);
 }
@@ -250,10 +267,10 @@
 fn two_homes_divide_what_a_producer_yields() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
-    let mut producer = Book::new(producers[3], 1);
-    producer.set_terms([(
+    let mut producer = AllowanceTable::new(producers[3], 1);
+    producer.set_limits([(
         key(),
-        Terms {
+        RateLimit {
             per_s: PER_S,
             burst: PER_S,
         },
@@ -261,38 +278,38 @@
     producer.set_entries(at(0), &entries);
     let mut all = 0.0;
     for ms in (0..10_000).step_by(50) {
-        let pull = Pull {
+        let pull = CollectRequest {
             id: ms,
             of: vec![key()],
-            named: Vec::new(),
+            reported: Vec::new(),
         };
-        all += producer.give(at(ms), &pull).units[0].1;
-        all += producer.give(at(ms), &pull).units[0].1;
+        all += producer.release_share(at(ms), &pull).units[0].1;
+        all += producer.release_share(at(ms), &pull).units[0].1;
     }
     let yields = PER_S * (10.0 + 0.6) / 15.0;
     assert!(all <= yields + 1e-6, "{all} of {yields}");
     assert!(all >= PER_S * 9.9 / 15.0, "{all}");
 }
 
-fn producer(entries: &[net::Ipv4Addr], place: usize) -> Book {
+fn producer(entries: &[net::Ipv4Addr], place: usize) -> AllowanceTable {
     let producers = sageshed_fleet::allowance::producers(key(), entries);
-    let mut book = Book::new(producers[place], 1);
-    let terms = Terms {
+    let mut book = AllowanceTable::new(producers[place], 1);
+    let terms = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
-    book.set_terms([(key(), terms)]);
+    book.set_limits([(key(), terms)]);
     book.set_entries(at(0), entries);
     book
 }
 
-fn gives(book: &mut Book, now: time::Instant) -> f64 {
-    let pull = Pull {
+fn gives(book: &mut AllowanceTable, now: time::Instant) -> f64 {
+    let pull = CollectRequest {
         id: now.0,
         of: vec![key()],
-        named: Vec::new(),
+        reported: Vec::new(),
     };
-    book.give(now, &pull).units[0].1
+    book.release_share(now, &pull).units[0].1
 }
 
 /// A producer stood still for ten seconds, or its home was away. It does not come back with the units of all that
@@ -331,7 +348,7 @@
 fn pot_and_producers_hold_one_burst_together() {
     let mut world = World::full();
     let later = at(1_100 + 600);
-    assert_eq!(world.asked(later, draw(1, 0.0)), Answer::Granted);
+    assert_eq!(world.asked(later, draw(1, 0.0)), AcquireReply::Granted);
     let kept_by_producers = PER_S * 0.6;
     let all = world.units() + kept_by_producers;
     assert!(all <= PER_S * 1.05, "{all}");
@@ -343,16 +360,16 @@
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut book = producer(&entries, 9);
-    let first = |book: &mut Book, now| book.question(now, key()).begin();
-    let to = |home| Next::Ask(home, time::Millis(0));
+    let first = |book: &mut AllowanceTable, now| book.acquisition(now, key()).begin();
+    let to = |coordinator| Next::Ask(coordinator, time::Millis(0));
     assert_eq!(first(&mut book, at(0)), to(producers[0]));
-    book.passed_over(at(0), producers[0]);
+    book.mark_unresponsive(at(0), producers[0]);
     assert_eq!(first(&mut book, at(500)), to(producers[1]));
     assert_eq!(first(&mut book, at(1_500)), to(producers[0]));
-    for home in &producers[..3] {
-        book.passed_over(at(2_000), *home);
+    for coordinator in &producers[..3] {
+        book.mark_unresponsive(at(2_000), *coordinator);
     }
-    assert_eq!(first(&mut book, at(2_100)), Next::Nobody);
+    assert_eq!(first(&mut book, at(2_100)), Next::Unreachable);
 }
 
 /// Few processes keep the quotas of many workspaces. What one of them draws and is given has to fit into datagrams.
@@ -362,29 +379,32 @@
     let keys: Vec<_> = (0..500)
         .map(|at| Key::of_workspace(&format!("w{at}")))
         .collect();
-    let terms = Terms {
+    let terms = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
-    let mut home = Book::new(entries[0], 1);
-    home.set_terms(keys.iter().map(|key| (*key, terms)));
-    home.set_entries(at(0), &entries);
-    let pulls = home.tick(at(1));
+    let mut coordinator = AllowanceTable::new(entries[0], 1);
+    coordinator.set_limits(keys.iter().map(|key| (*key, terms)));
+    coordinator.set_entries(at(0), &entries);
+    let pulls = coordinator.tick(at(1));
     let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
     assert!(
         pulls.len() > 3 && drawn > 150,
         "{} pulls of {drawn}",
         pulls.len()
     );
-    let mut other = Book::new(entries[1], 1);
-    other.set_terms(keys.iter().map(|key| (*key, terms)));
+    let mut other = AllowanceTable::new(entries[1], 1);
+    other.set_limits(keys.iter().map(|key| (*key, terms)));
     other.set_entries(at(0), &entries);
     for (pull, to) in &pulls {
         assert_eq!(to, &vec![entries[1]]);
         assert!(pull.of.len() <= 40, "{}", pull.of.len());
-        home.take(at(1_000), entries[1], &other.give(at(1_000), pull));
+        coordinator.add_collected(at(1_000), entries[1], &other.release_share(at(1_000), pull));
     }
-    let empty = home.pots().filter(|(_, units)| *units <= 0.0).count();
+    let empty = coordinator
+        .buckets()
+        .filter(|(_, units)| *units <= 0.0)
+        .count();
     assert_eq!(empty, 0, "each was filled");
 }
 
@@ -394,21 +414,25 @@
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0] {
         let mut world = World::full();
         let now = at(1_101);
-        let spoiled = Draw {
+        let spoiled = AcquireRequest {
             returned: bad,
             ..draw(1, bad)
         };
-        world.home.draw(now, ip(99), &spoiled);
-        let pull = Pull {
+        world.coordinator.acquire(now, ip(99), &spoiled);
+        let pull = CollectRequest {
             id: 3,
             of: vec![key()],
-            named: Vec::new(),
+            reported: Vec::new(),
         };
-        world.home.take(now, world.others[0], &given(&pull, bad));
+        world
+            .coordinator
+            .add_collected(now, world.others[0], &given(&pull, bad));
         for round in 12..20 {
             let now = at(100 * round);
             if let Some(pull) = world.pull(now) {
-                world.home.take(now, world.others[0], &given(&pull, bad));
+                world
+                    .coordinator
+                    .add_collected(now, world.others[0], &given(&pull, bad));
             }
         }
         world.draw_all(at(2_100));
@@ -431,7 +455,7 @@
         let before = world.units();
         let answer = world.asked(now, draw(1, amount));
         assert_eq!(
-            matches!(answer, Answer::Over(_)),
+            matches!(answer, AcquireReply::Over(_)),
             is_over,
             "{amount}: {answer:?}"
         );
@@ -453,6 +477,6 @@
         .filter(|it| !gone.contains(it))
         .collect();
     book.set_entries(at(1_000), &left);
-    let first = book.question(at(1_010), key()).begin();
+    let first = book.acquisition(at(1_010), key()).begin();
     assert_eq!(first, Next::Ask(producers[4], time::Millis(0)));
 }
--- a/crates/sageshed-fleet/tests/homes.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -5,9 +5,9 @@
 use std::{collections, net};
 
 use sageshed_fleet::{
-    chooser::{Ask, Choice, Chooser, Ended},
+    chooser::{AttemptOutcome, Choice, Chooser, EndpointQuery},
     dialect,
-    neighbours::{self, Place, Trouble},
+    entry_peers::{self, EngineFault, RoutingDecision},
 };
 use sageshed_types::time;
 
@@ -31,44 +31,44 @@
 }
 
 /// The home of m0, which knows `engines` that hold it.
-fn home(engines: &[&str]) -> Chooser {
-    let own = neighbours::homes(neighbours::key("m0"), &entries())[0];
+fn coordinator(engines: &[&str]) -> Chooser {
+    let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(own, &entries());
+    chooser.set_entries(own, &entries());
     for id in engines {
-        chooser.know(&support::engine(id, &["m0"]));
+        chooser.update_instance(&support::engine(id, &["m0"]));
     }
     chooser
 }
 
-fn asks(wanted: &dialect::ModelRef, tokens: u64) -> Ask<'_> {
-    Ask {
+fn asks(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
+    EndpointQuery {
         patience: time::Millis(300),
         may_be_late: true,
         ..support::ask(wanted, tokens)
     }
 }
 
-fn engine_of(place: Place) -> u64 {
-    match place {
-        Place::Engine { engine, .. } => engine,
+fn engine_of(decision: RoutingDecision) -> u64 {
+    match decision {
+        RoutingDecision::Engine { engine, .. } => engine,
         other => panic!("no engine: {other:?}"),
     }
 }
 
 fn short(id: &str) -> u64 {
-    neighbours::instance_key(&id.into())
+    entry_peers::instance_key(&id.into())
 }
 
-fn word(id: &str, micros: u64) -> neighbours::Unread {
-    neighbours::Unread {
+fn observation(id: &str, micros: u64) -> entry_peers::EngineObservation {
+    entry_peers::EngineObservation {
         engine: short(id),
-        micros,
-        kept: None,
-        pace: None,
+        pending_prefill_us: micros,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     }
 }
 
@@ -79,13 +79,13 @@
 fn requests_of_many_processes_are_spread_over_the_engines() {
     let ids: Vec<String> = (0..12).map(|it| format!("e{it}")).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut home = home(&ids);
+    let mut coordinator = coordinator(&ids);
     let wanted = m0();
     let mut picked = collections::BTreeSet::new();
     for (number, from) in entries().into_iter().take(12).enumerate() {
         let now = at(number as u64 * 2);
-        let place = home.advise(now, from, number as u64, &asks(&wanted, 3_000));
-        picked.insert(engine_of(place));
+        let decision = coordinator.route_for(now, from, number as u64, &asks(&wanted, 3_000));
+        picked.insert(engine_of(decision));
     }
     assert_eq!(picked.len(), 12);
 }
@@ -94,29 +94,31 @@
 /// free again once it has read.
 #[test]
 fn what_was_advised_counts_until_the_word_on_it_comes() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
-    let Place::Engine { estimate, .. } = home.advise(T0, from, 1, &asks(&wanted, 6_000)) else {
+    let RoutingDecision::Engine { estimate, .. } =
+        coordinator.route_for(T0, from, 1, &asks(&wanted, 6_000))
+    else {
         panic!("e1 reads nothing");
     };
     assert!(estimate >= time::Millis(300), "{estimate:?}");
     let other = entries()[10];
     assert!(matches!(
-        home.advise(at(5), other, 2, &asks(&wanted, 6_000)),
-        Place::Wait { .. }
+        coordinator.route_for(at(5), other, 2, &asks(&wanted, 6_000)),
+        RoutingDecision::Wait { .. }
     ));
-    home.hear(at(6), from, &word("e1", 316_000));
+    coordinator.apply_observation(at(6), from, &observation("e1", 316_000));
     assert!(matches!(
-        home.advise(at(300), other, 2, &asks(&wanted, 6_000)),
-        Place::Wait { .. }
+        coordinator.route_for(at(300), other, 2, &asks(&wanted, 6_000)),
+        RoutingDecision::Wait { .. }
     ));
     assert!(
-        home.hear(at(330), from, &word("e1", 0)),
+        coordinator.apply_observation(at(330), from, &observation("e1", 0)),
         "it has less to read"
     );
     assert_eq!(
-        engine_of(home.advise(at(331), other, 2, &asks(&wanted, 6_000))),
+        engine_of(coordinator.route_for(at(331), other, 2, &asks(&wanted, 6_000))),
         short("e1")
     );
 }
@@ -125,11 +127,11 @@
 /// that.
 #[test]
 fn an_advice_of_which_nothing_is_heard_is_forgotten() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
-    home.advise(T0, entries()[9], 1, &asks(&wanted, 6_000));
-    let place = home.advise(at(200), entries()[10], 2, &asks(&wanted, 6_000));
-    assert_eq!(engine_of(place), short("e1"));
+    coordinator.route_for(T0, entries()[9], 1, &asks(&wanted, 6_000));
+    let decision = coordinator.route_for(at(200), entries()[10], 2, &asks(&wanted, 6_000));
+    assert_eq!(engine_of(decision), short("e1"));
 }
 
 /// One process meets an engine that drops the model. With two requests a second in each of 195 processes, each
@@ -137,19 +139,20 @@
 #[test]
 fn an_engine_that_rejects_one_process_is_not_advised_to_others() {
     for trouble in [
-        Trouble::Rejects(neighbours::key("m0")),
-        Trouble::Lacks(neighbours::key("m0")),
+        EngineFault::Rejects(entry_peers::name_key("m0")),
+        EngineFault::Lacks(entry_peers::name_key("m0")),
     ] {
-        let mut home = home(&["e1", "e2"]);
+        let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
-        let told = neighbours::Unread {
-            trouble: Some(trouble),
-            ..word("e1", 0)
+        let told = entry_peers::EngineObservation {
+            fault: Some(trouble),
+            ..observation("e1", 0)
         };
-        home.hear(T0, entries()[3], &told);
+        coordinator.apply_observation(T0, entries()[3], &told);
         for number in 0..20 {
-            let place = home.advise(at(10 + number), entries()[7], number, &asks(&wanted, 100));
-            assert_eq!(engine_of(place), short("e2"), "{trouble:?}");
+            let decision =
+                coordinator.route_for(at(10 + number), entries()[7], number, &asks(&wanted, 100));
+            assert_eq!(engine_of(decision), short("e2"), "{trouble:?}");
         }
     }
 }
@@ -158,22 +161,26 @@
 /// its word alone must not empty the pool. Where a second process says the same, the engine is left out.
 #[test]
 fn the_word_of_one_process_leaves_no_engine_out() {
-    let mut home = home(&["e1", "e2"]);
+    let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
-    let lost = |id| neighbours::Unread {
-        trouble: Some(Trouble::Unreachable),
-        ..word(id, 0)
+    let lost = |id| entry_peers::EngineObservation {
+        fault: Some(EngineFault::Unreachable),
+        ..observation(id, 0)
     };
     for ms in [0, 5, 10] {
-        home.hear(at(ms), entries()[3], &lost("e1"));
-        home.hear(at(ms), entries()[3], &lost("e2"));
+        coordinator.apply_observation(at(ms), entries()[3], &lost("e1"));
+        coordinator.apply_observation(at(ms), entries()[3], &lost("e2"));
     }
-    let place = home.advise(at(20), entries()[7], 1, &asks(&wanted, 100));
-    assert!(matches!(place, Place::Engine { .. }), "{place:?}");
-    home.hear(at(30), entries()[4], &lost("e1"));
+    let decision = coordinator.route_for(at(20), entries()[7], 1, &asks(&wanted, 100));
+    assert!(
+        matches!(decision, RoutingDecision::Engine { .. }),
+        "{decision:?}"
+    );
+    coordinator.apply_observation(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
-        let place = home.advise(at(40 + number), entries()[7], number, &asks(&wanted, 100));
-        assert_eq!(engine_of(place), short("e2"));
+        let decision =
+            coordinator.route_for(at(40 + number), entries()[7], number, &asks(&wanted, 100));
+        assert_eq!(engine_of(decision), short("e2"));
     }
 }
 
@@ -181,20 +188,21 @@
 /// its caller leaves. The home knows how many wait and how many it sends on, and says how long that takes.
 #[test]
 fn the_home_tells_how_long_requests_wait() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
     for number in 0..10 {
         let now = at(number * 200);
-        home.hear(now, from, &word("e1", 0));
-        engine_of(home.advise(now, from, number, &asks(&wanted, 3_000)));
-        home.hear(at(number * 200 + 1), from, &word("e1", 400_000));
+        coordinator.apply_observation(now, from, &observation("e1", 0));
+        engine_of(coordinator.route_for(now, from, number, &asks(&wanted, 3_000)));
+        coordinator.apply_observation(at(number * 200 + 1), from, &observation("e1", 400_000));
     }
     let mut expected = None;
     for request in 100..150 {
-        let place = home.advise(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
-        let Place::Wait { expected: told } = place else {
-            panic!("{place:?}");
+        let decision =
+            coordinator.route_for(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
+        let RoutingDecision::Wait { expected: told } = decision else {
+            panic!("{decision:?}");
         };
         expected = told;
     }
@@ -209,65 +217,77 @@
 fn an_advice_is_followed_unless_more_is_known_here() {
     let wanted = m0();
     let mut chooser = Chooser::new("z1", 7);
-    chooser.join_groups(entries()[9], &entries());
-    chooser.know(&support::engine("e1", &["m0"]));
-    chooser.know(&support::engine("e2", &["m1"]));
+    chooser.set_entries(entries()[9], &entries());
+    chooser.update_instance(&support::engine("e1", &["m0"]));
+    chooser.update_instance(&support::engine("e2", &["m1"]));
     let ask = asks(&wanted, 100);
     let estimate = time::Millis(70);
-    let Some(Choice::Send(pick)) = chooser.follow(T0, short("e1"), estimate, &ask) else {
+    let Some(Choice::Send(pick)) = chooser.follow_decision(T0, short("e1"), estimate, &ask) else {
         panic!("e1 holds it");
     };
     assert_eq!(
         (pick.instance.name.as_str(), pick.estimate),
         ("e1", estimate)
     );
-    assert_eq!(chooser.follow(T0, short("e2"), estimate, &ask), None);
-    assert_eq!(chooser.follow(T0, short("e3"), estimate, &ask), None);
+    assert_eq!(
+        chooser.follow_decision(T0, short("e2"), estimate, &ask),
+        None
+    );
+    assert_eq!(
+        chooser.follow_decision(T0, short("e3"), estimate, &ask),
+        None
+    );
     let tried = [pick.key];
-    let again = Ask {
+    let again = EndpointQuery {
         tried: &tried,
         ..ask
     };
-    assert_eq!(chooser.follow(T0, short("e1"), estimate, &again), None);
-    chooser.ended(T0, &pick, Some(&wanted), false, Ended::Unreachable);
-    assert_eq!(chooser.follow(at(5), short("e1"), estimate, &ask), None);
+    assert_eq!(
+        chooser.follow_decision(T0, short("e1"), estimate, &again),
+        None
+    );
+    chooser.record_end(T0, &pick, Some(&wanted), false, AttemptOutcome::Unreachable);
+    assert_eq!(
+        chooser.follow_decision(at(5), short("e1"), estimate, &ask),
+        None
+    );
 }
 
 /// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
 #[test]
-fn the_home_itself_asks_nobody() {
-    let homes = neighbours::homes(neighbours::key("m0"), &entries());
+fn the_coordinator_itself_asks_nobody() {
+    let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
-        chooser.join_groups(own, &entries());
-        chooser.homes("m0")
+        chooser.set_entries(own, &entries());
+        chooser.coordinators("m0")
     };
-    assert!(asked_by(homes[0]).is_empty());
-    assert_eq!(asked_by(homes[1]), homes[..1]);
+    assert!(asked_by(coordinators[0]).is_empty());
+    assert_eq!(asked_by(coordinators[1]), coordinators[..1]);
     let other = entries()
         .into_iter()
-        .find(|it| !homes.contains(it))
+        .find(|it| !coordinators.contains(it))
         .expect("193 of them");
-    assert_eq!(asked_by(other), homes);
+    assert_eq!(asked_by(other), coordinators);
 }
 
 /// An engine reads slowly, and its answers tell so to processes that each have one request there in a while. The
 /// home hears of all of them and sends less there.
 #[test]
 fn a_home_learns_from_the_answers_of_others() {
-    let mut home = home(&["e1", "e2"]);
+    let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
-    let pace = neighbours::Pace {
-        model: neighbours::key("m0"),
+    let pace = entry_peers::TtftSample {
+        model: entry_peers::name_key("m0"),
         took: 800,
         estimated: 200,
     };
     for number in 0..60_u64 {
-        let told = neighbours::Unread {
-            pace: Some(pace),
-            ..word("e1", 0)
+        let told = entry_peers::EngineObservation {
+            ttft: Some(pace),
+            ..observation("e1", 0)
         };
-        home.hear(
+        coordinator.apply_observation(
             at(number * 20),
             entries()[usize::try_from(number).expect("small")],
             &told,
@@ -276,7 +296,7 @@
     let mut counts = [0, 0];
     for number in 0..20 {
         let now = at(2_000 + number * 500);
-        let advised = home.advise(now, entries()[7], number, &asks(&wanted, 3_000));
+        let advised = coordinator.route_for(now, entries()[7], number, &asks(&wanted, 3_000));
         counts[usize::from(engine_of(advised) == short("e2"))] += 1;
     }
     assert_eq!(counts, [0, 20]);
@@ -286,10 +306,10 @@
 /// streams a second; the home hears of all and lets more wait, or engines would stand idle while requests wait.
 #[test]
 fn a_home_learns_from_the_pauses_of_others_how_much_may_wait() {
-    let mut home = home(&["e1"]);
+    let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
-    let pauses = neighbours::Pauses {
+    let pauses = entry_peers::Pauses {
         lasted: time::Millis(500),
         longest: time::Millis(60),
         limit: time::Millis(400),
@@ -299,18 +319,19 @@
         let mut waiting = 0;
         for number in 0..12 {
             let now = at(round * 1_000 + number);
-            let place = home.advise(now, from, round * 100 + number, &asks(&wanted, 2_000));
-            if matches!(place, Place::Engine { .. }) {
+            let decision =
+                coordinator.route_for(now, from, round * 100 + number, &asks(&wanted, 2_000));
+            if matches!(decision, RoutingDecision::Engine { .. }) {
                 waiting += 1;
-                home.hear(now, from, &word("e1", waiting * 105_000));
+                coordinator.apply_observation(now, from, &observation("e1", waiting * 105_000));
             }
         }
         sent.push(waiting);
-        let told = neighbours::Unread {
+        let told = entry_peers::EngineObservation {
             pauses: Some(pauses),
-            ..word("e1", 0)
+            ..observation("e1", 0)
         };
-        home.hear(at(round * 1_000 + 500), from, &told);
+        coordinator.apply_observation(at(round * 1_000 + 500), from, &told);
     }
     assert!(sent[0] <= 4 && sent[7] >= 2 * sent[0], "{sent:?}");
 }
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -5,10 +5,10 @@
 use std::collections;
 
 use sageshed_fleet::{
-    chooser::{Choice, Chooser, Ended, Missing},
+    chooser::{AttemptOutcome, Choice, Chooser, WaitReason},
     dialect,
     directory::{self, ChangeFilter, Directory, Instance, InstanceId, MergeOutcome, State},
-    messages, neighbours,
+    entry_peers, messages,
     planner::{Action, Planner, Policy},
 };
 use sageshed_types::time;
@@ -277,28 +277,37 @@
         adapter: None,
     };
     let ask = support::ask(&wanted, 1_000);
-    chooser.know(&start(100, 900, &["m0"]));
+    chooser.update_instance(&start(100, 900, &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
         panic!("the engine is there");
     };
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&pick.instance),
-        micros: 900_000,
-        kept: None,
-        pace: None,
+    let word = entry_peers::EngineObservation {
+        engine: entry_peers::instance_key(&pick.instance),
+        pending_prefill_us: 900_000,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     let mut gone = start(100, 900, &["m0"]);
     gone.state = State::Replaced;
-    chooser.know(&gone);
-    chooser.know(&start(2_000, 1, &[]));
-    assert_eq!(chooser.choose(at(10), &ask), Choice::Wait(Missing::Model));
-    chooser.know(&start(2_000, 2, &["m0"]));
+    chooser.update_instance(&gone);
+    chooser.update_instance(&start(2_000, 1, &[]));
+    assert_eq!(
+        chooser.choose(at(10), &ask),
+        Choice::Wait(WaitReason::Model)
+    );
+    chooser.update_instance(&start(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
-    assert!(!chooser.hear(at(20), from, &word));
-    chooser.ended(at(20), &pick, Some(&wanted), false, Ended::Unreachable);
+    assert!(!chooser.apply_observation(at(20), from, &word));
+    chooser.record_end(
+        at(20),
+        &pick,
+        Some(&wanted),
+        false,
+        AttemptOutcome::Unreachable,
+    );
     let Choice::Send(next) = chooser.choose(at(30), &ask) else {
         panic!("the new start holds the model");
     };
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -6,18 +6,18 @@
 
 use super::state;
 
-/// Between two looks at the pots of this process: a part of [`allowance::DRAW_EVERY`].
+/// Between two looks at the pots of this process: a part of [`allowance::COLLECT_INTERVAL`].
 const REFILL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// The same where the configuration has no allowance.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The allowances of a configuration.
-pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::Terms)> {
+pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::RateLimit)> {
     let workspaces = config.workspaces.iter().flat_map(|it| &it.all);
     let quota = |workspace: &config::Workspace| {
         let quota = workspace.quota?;
-        let terms = allowance::Terms {
+        let terms = allowance::RateLimit {
             per_s: quota.per_s,
             burst: quota.burst,
         };
@@ -32,7 +32,7 @@
         return Vec::new();
     };
     let pots: collections::HashMap<_, _> =
-        shared.with_core(|core| core.allowances.pots().collect());
+        shared.with_core(|core| core.allowances.buckets().collect());
     let all = routing
         .workspaces
         .iter()
@@ -47,19 +47,19 @@
 /// Asks the homes of an allowance for units. Returns how it ended.
 pub(super) fn ask<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    draw: allowance::Draw,
+    draw: allowance::AcquireRequest,
 ) -> allowance::Next {
     let now = shared.clock.now();
     let (mut question, id) = shared.with_core(|core| {
         let book = &mut core.allowances;
-        (book.question(now, draw.of), book.next_id())
+        (book.acquisition(now, draw.of), book.next_id())
     });
-    let draw = allowance::Draw { id, ..draw };
+    let draw = allowance::AcquireRequest { id, ..draw };
     let mut next = question.begin();
     while let allowance::Next::Ask(home, after) = next {
         thread::sleep(after.into());
         next = match put(shared, home, draw) {
-            Some(answer) => question.answered(answer),
+            Some(answer) => question.replied(answer),
             None => unanswered(shared, &mut question),
         };
     }
@@ -68,13 +68,13 @@
 
 fn unanswered<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    question: &mut allowance::Question,
+    question: &mut allowance::Acquisition,
 ) -> allowance::Next {
-    let (next, lost) = question.unanswered();
+    let (next, lost) = question.timed_out();
     if let Some(home) = lost {
         ::log::debug!(home:% = home; "gateway: home of an allowance does not answer");
         let now = shared.clock.now();
-        shared.with_core(|core| core.allowances.passed_over(now, home));
+        shared.with_core(|core| core.allowances.mark_unresponsive(now, home));
     }
     next
 }
@@ -82,8 +82,8 @@
 fn put<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     home: net::Ipv4Addr,
-    question: allowance::Draw,
-) -> Option<allowance::Answer> {
+    question: allowance::AcquireRequest,
+) -> Option<allowance::AcquireReply> {
     let own = shared.settings.discovery.ip;
     if home == own {
         return Some(draw(shared, own, &question));
@@ -95,14 +95,14 @@
 pub(super) fn draw<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
-    question: &allowance::Draw,
-) -> allowance::Answer {
+    question: &allowance::AcquireRequest,
+) -> allowance::AcquireReply {
     let now = shared.clock.now();
-    let reply = shared.with_core(|core| core.allowances.draw(now, from, question));
+    let reply = shared.with_core(|core| core.allowances.acquire(now, from, question));
     if let Some(peers) = &shared.entry_peers {
-        peers.pull(reply.pull.into_iter().collect());
+        peers.pull(reply.collection.into_iter().collect());
     }
-    reply.answer
+    reply.reply
 }
 
 /// Gives units back that were taken and not used. A lost word costs them.
@@ -114,15 +114,15 @@
     let now = shared.clock.now();
     let (mut question, id) = shared.with_core(|core| {
         let book = &mut core.allowances;
-        (book.question(now, of), book.next_id())
+        (book.acquisition(now, of), book.next_id())
     });
-    let word = allowance::Draw {
+    let word = allowance::AcquireRequest {
         id,
         of,
         amount: 0.0,
         returned: units,
         rank: 0,
-        named: None,
+        reported: None,
     };
     let allowance::Next::Ask(home, _) = question.begin() else {
         return;
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantines requests that crash the endpoints that run them.
 
-use sageshed_fleet::{chooser, dialect, neighbours, quarantine};
+use sageshed_fleet::{chooser, dialect, entry_peers, quarantine};
 use sageshed_types::{refusal, time, verdict};
 use sageshed_upstream::{failure, probe};
 
@@ -24,13 +24,13 @@
         }
         let crash = quarantine::Crash {
             content: self.content,
-            endpoint: neighbours::instance_key(&pick.instance),
+            endpoint: entry_peers::instance_key(&pick.instance),
             age: time::Millis(0),
             is_cleared: false,
         };
         let now = shared.clock.now();
         shared.merge_crashes(&[crash]);
-        let ends = shared.with_core(|core| core.quarantine.ends(now, self.content));
+        let ends = shared.with_core(|core| core.quarantine.crash_count(now, self.content));
         ::log::info!(request = self.id(), content:% = self.content, endpoint:% = pick.instance, ends;
             "gateway: endpoint crashed while running the request");
     }
@@ -39,7 +39,7 @@
     pub(super) fn clear_crash_suspicion(&self) {
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.quarantine.answered(now, self.content));
+            .with_core(|core| core.quarantine.record_success(now, self.content));
     }
 
     /// Refuses a request that is quarantined.
@@ -53,7 +53,7 @@
             .with_core(|core| core.quarantine.held_for(now, self.content))?;
         let detail = format!(
             "{} endpoints ended while they ran this request; it is passed on no more for {} s",
-            quarantine::ENDS,
+            quarantine::CRASH_LIMIT,
             left.0 / 1_000
         );
         let refusal = self.final_refusal(verdict::Reason::Quarantined, detail);
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -41,10 +41,10 @@
                     if self.timings.record_chunk() {
                         let now = self.shared.clock.now();
                         self.shared
-                            .with_core(|core| core.chooser.heard_from(now, pick));
+                            .with_core(|core| core.chooser.record_activity(now, pick));
                     }
                     if stream.send(&whole).is_err() {
-                        self.end_attempt(pick, true, chooser::Ended::GivenUp);
+                        self.end_attempt(pick, true, chooser::AttemptOutcome::GivenUp);
                         return AttemptResult::CallerGone(ResponseSink::Streaming(stream, events));
                     }
                 }
@@ -54,7 +54,7 @@
                     if stream.send(&rest).is_err() {
                         ::log::info!(request = self.id(); "gateway: caller disconnected at the end of its stream");
                     }
-                    self.end_attempt(pick, true, chooser::Ended::Answered);
+                    self.end_attempt(pick, true, chooser::AttemptOutcome::Answered);
                     self.record_pauses(pick);
                     let exchange_status = exchange.head.status;
                     self.shared.pool.keep(pick.address, exchange);
@@ -110,7 +110,7 @@
     fn has_free_alternative(&self, pick: &chooser::Pick) -> bool {
         let mut tried = self.tried_endpoints.clone();
         tried.push(pick.key);
-        let ask = chooser::Ask {
+        let ask = chooser::EndpointQuery {
             service: self.service,
             wanted: self.wanted,
             parts: &self.passing.parts,
@@ -141,7 +141,7 @@
             limit,
         };
         self.shared
-            .with_core(|core| core.chooser.paused(now, pick, pauses));
+            .with_core(|core| core.chooser.record_pauses(now, pick, pauses));
         entry_peers::tell_pauses(self.shared, pick, pauses);
     }
 }
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -49,7 +49,7 @@
         seeds_read: sync::Mutex::new(std_time::Instant::now()),
     });
     fetch::start(shared);
-    for number in 0..links::LINKS {
+    for number in 0..links::LINK_COUNT {
         let (shared, watching) = (sync::Arc::clone(shared), sync::Arc::clone(&watching));
         let spawned = thread::Builder::new()
             .name(format!("watch-{number}"))
@@ -66,7 +66,7 @@
     /// Up to which change the directory of the control process is known here.
     mark: directory::Cursor,
     /// Up to which change each knows the crashes that the other has recorded.
-    crashes: quarantine::Link,
+    crashes: quarantine::PeerSync,
 }
 
 fn run<D: dialect::Dialect>(shared: &state::Shared<D>, watching: &WatchState, number: usize) {
@@ -90,16 +90,16 @@
             let links = locks::lock(&watching.links);
             (
                 links.wants(shared.clock.now(), number),
-                links.source() == Some(number),
+                links.endpoint_source() == Some(number),
             )
         };
-        let crashes_sent = shared.with_core(|core| core.quarantine.mark());
+        let crashes_sent = shared.with_core(|core| core.quarantine.cursor());
         match watch(shared, to, known, wants, is_source) {
             Ok(resp) => {
                 known.mark = resp.mark;
                 known
                     .crashes
-                    .answered(crashes_sent, resp.crashes_mark.unwrap_or_default());
+                    .record_exchange(crashes_sent, resp.crashes_mark.unwrap_or_default());
                 let (digest, digest_mark) = (resp.digest, resp.digest_mark);
                 let (has_more, news) = (resp.has_more, resp.news_mark);
                 let peers = apply_response(shared, watching, to, resp);
@@ -109,21 +109,21 @@
                     known.mark = mark;
                 }
                 let mut links = locks::lock(&watching.links);
-                let answer = links::Answer {
+                let answer = links::SyncReply {
                     differs,
                     has_more,
                     news,
                     peers: &peers,
                 };
-                links.answered(shared.clock.now(), number, &answer);
-                if links.source() == Some(number) {
+                links.record_reply(shared.clock.now(), number, &answer);
+                if links.endpoint_source() == Some(number) {
                     shared.fetching.prefer(to);
                 }
             }
             Err(e) => {
                 ::log::warn!(link = number, control:% = to, error:% = e;
                     "gateway: lost a control process");
-                locks::lock(&watching.links).avoid(shared.clock.now(), number, to);
+                locks::lock(&watching.links).mark_unreachable(shared.clock.now(), number, to);
                 at = None;
                 thread::sleep(RETRY_INTERVAL);
             }
@@ -161,11 +161,11 @@
         patience,
         entries: Vec::new(),
         demand,
-        crashes_known: Some(known.crashes.read),
+        crashes_known: Some(known.crashes.received),
         crashes: shared.with_core(|core| {
             let now = shared.clock.now();
-            let all = quarantine::Telling::All;
-            core.quarantine.since(now, known.crashes.told, all)
+            let all = quarantine::SyncScope::All;
+            core.quarantine.since(now, known.crashes.sent, all)
         }),
         takes_alive: false,
         leaving: shared.leaving(),
@@ -204,7 +204,7 @@
         shared.set_leader(resp.leader);
     }
     shared.record_control_contact();
-    locks::lock(&watching.links).know(resp.control);
+    locks::lock(&watching.links).add_control_vms(resp.control);
     if let Some(entries) = resp.entries {
         shared.set_entries(resp.entries_number, entries);
     }
