--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -1,11 +1,11 @@
-//! Rules: which one matches, what the checks find, and what limits let through.
+//! Rules: matching, actions, static checks and rate limits.
 
 mod common;
 
 use sageshed_decide::{event, limits, names, rules};
 use sageshed_types::{rules as types_rules, time, verdict};
 
-/// A rule written as operators write it.
+/// Parses a rule in the format that operators use.
 fn rule(text: &str) -> types_rules::Rule {
     toml::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"))
 }
@@ -45,7 +45,7 @@
     case("model = ['sort']", "dispatch", false),
     case("service = ['dispatch']", "dispatch", true),
     case("service = ['dispatch']", "sort", false),
-    // A typing error must not widen a rule to everything.
+    // A typo must not widen a rule to everything.
     case("model = ['srot']", "sort", false),
     case("caller = ['pub']", "sort", true),
     case("caller = ['council']", "sort", false),
@@ -66,12 +66,12 @@
 #[test]
 fn conditions_match() {
     for case in MATCHES {
-        let mut bench = common::Bench::new(common::settings());
+        let mut harness = common::Harness::new(common::settings());
         let rule = rule(&format!("{ROUTE}[when]\n{}", case.when));
-        bench.install(1, vec![rule]);
-        let target = bench.facts(case.target).target;
-        let (req, _) = bench.arrive(|facts| facts.target = target);
-        let by = bench
+        harness.install(1, vec![rule]);
+        let target = harness.facts(case.target).target;
+        let (req, _) = harness.arrive(|facts| facts.target = target);
+        let by = harness
             .decider
             .request_trace(req)
             .and_then(|trace| trace.rule);
@@ -133,16 +133,16 @@
     );
 }
 
-struct Act {
+struct ActionCase {
     rule: &'static str,
-    told: &'static str,
+    expected: &'static str,
 }
 
-const fn act(rule: &'static str, told: &'static str) -> Act {
-    Act { rule, told }
+const fn act(rule: &'static str, expected: &'static str) -> ActionCase {
+    ActionCase { rule, expected }
 }
 
-const ACTS: &[Act] = &[
+const ACTION_CASES: &[ActionCase] = &[
     act("do = { route = {} }", "send"),
     act("do = { route = { pool = 'callout' } }", "send"),
     act("do = { route = { pool = 'other' } }", "no_route not_run"),
@@ -158,11 +158,16 @@
 
 #[test]
 fn actions_are_done() {
-    for case in ACTS {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-        bench.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
-        let (req, actions) = bench.arrive(|_| {});
-        assert_eq!(common::told(&actions, req), case.told, "{}", case.rule);
+    for case in ACTION_CASES {
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+        harness.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
+        let (req, actions) = harness.arrive(|_| {});
+        assert_eq!(
+            common::summary(&actions, req),
+            case.expected,
+            "{}",
+            case.rule
+        );
         let refusal = common::refused(&actions, req);
         assert!(
             refusal.is_none_or(|r| r.rule.as_deref() == Some("r")),
@@ -172,39 +177,38 @@
     }
 }
 
-/// What a user would see: a crew dispatch that the caller marked as not repeatable runs twice. A rule
-/// meant for look-ups lifted the mark, which only the method had given to other requests.
+/// Guards against a rule overriding the non-repeatable mark of a caller, so that the request could run
+/// twice. A rule may only override a mark that comes from the HTTP method.
 #[test]
 fn rule_does_not_lift_a_callers_own_mark() {
-    for (by_default, told) in [(true, "send"), (false, "claim")] {
-        let mut bench = common::Bench::new(common::settings());
-        bench.report(common::service_report("s1", 1, 4));
-        bench.install(
+    for (by_default, expected) in [(true, "send"), (false, "claim")] {
+        let mut harness = common::Harness::new(common::settings());
+        harness.report(common::service_report("s1", 1, 4));
+        harness.install(
             1,
             vec![rule(
                 "id = 'r'\nnot_repeatable = false\ndo = { route = {} }",
             )],
         );
-        let target = bench.facts("dispatch").target;
-        let (req, actions) = bench.arrive(|facts| {
+        let target = harness.facts("dispatch").target;
+        let (req, actions) = harness.arrive(|facts| {
             facts.target = target;
             facts.not_repeatable = true;
             facts.not_repeatable_by_default = by_default;
         });
-        assert_eq!(common::told(&actions, req), told);
+        assert_eq!(common::summary(&actions, req), expected);
     }
 }
 
-/// What a user would see: a rule withdrawn a minute ago refuses requests again. A delayed copy of an
-/// earlier configuration arrived after the newer one.
+/// Guards against a delayed copy of an earlier configuration bringing back a withdrawn rule.
 #[test]
 fn older_revision_is_not_installed() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-    assert!(bench.install(5, Vec::new()));
-    assert!(!bench.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
-    assert_eq!(bench.decider.revision(), types_rules::Revision(5));
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    assert!(harness.install(5, Vec::new()));
+    assert!(!harness.install(4, vec![rule("id = 'old'\ndo = { refuse = {} }")]));
+    assert_eq!(harness.decider.revision(), types_rules::Revision(5));
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
 struct Checked {
@@ -318,13 +322,17 @@
 
 struct Limited {
     per: &'static str,
-    /// Caller of the second request, by index.
+    /// The index of the caller of the second request.
     second: u32,
-    told: &'static str,
+    expected: &'static str,
 }
 
-const fn limited(per: &'static str, second: u32, told: &'static str) -> Limited {
-    Limited { per, second, told }
+const fn limited(per: &'static str, second: u32, expected: &'static str) -> Limited {
+    Limited {
+        per,
+        second,
+        expected,
+    }
 }
 
 const LIMITED: &[Limited] = &[
@@ -338,16 +346,21 @@
 #[test]
 fn limits_hold_by_what_they_are_for() {
     for case in LIMITED {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let text = format!(
             "id = 'l'\ndo = {{ limit = {{ rate = 1.0, burst = 1.0, per = '{}' }} }}",
             case.per
         );
-        bench.install(1, vec![rule(&text)]);
-        bench.arrive(|_| {});
+        harness.install(1, vec![rule(&text)]);
+        harness.arrive(|_| {});
         let (req, actions) =
-            bench.arrive(|f| f.caller = sageshed_types::arena::CallerKey(case.second));
-        assert_eq!(common::told(&actions, req), case.told, "{}", case.per);
+            harness.arrive(|f| f.caller = sageshed_types::arena::CallerKey(case.second));
+        assert_eq!(
+            common::summary(&actions, req),
+            case.expected,
+            "{}",
+            case.per
+        );
         if let Some(refusal) = common::refused(&actions, req) {
             assert_eq!(
                 refusal.retry_after,
@@ -355,14 +368,14 @@
                 "when the next token comes"
             );
         }
-        bench.install(
+        harness.install(
             2,
             vec![
                 rule("id = 'n'\nwhen = {model=['draft']}\ndo = {refuse={}}"),
                 rule(&text),
             ],
         );
-        let (req, actions) = bench.arrive(|_| {});
+        let (req, actions) = harness.arrive(|_| {});
         let refused = common::refused(&actions, req).map(|r| r.reason);
         assert_eq!(
             refused,
@@ -378,34 +391,33 @@
     settings.entries = 2;
     settings.callers[0].rate = Some(8.0);
     settings.callers[0].burst = Some(4.0);
-    let mut bench = common::Bench::new(settings);
-    bench.report(common::report("e1", 1, 64, &["sort"]));
-    let told = (0..3).map(|_| {
-        let (req, actions) = bench.arrive(|_| {});
-        common::told(&actions, req)
+    let mut harness = common::Harness::new(settings);
+    harness.report(common::report("e1", 1, 64, &["sort"]));
+    let summaries = (0..3).map(|_| {
+        let (req, actions) = harness.arrive(|_| {});
+        common::summary(&actions, req)
     });
     assert_eq!(
-        told.collect::<Vec<_>>(),
+        summaries.collect::<Vec<_>>(),
         ["send", "send", "caller_limit not_run"]
     );
-    bench.pass(250);
-    let (req, actions) = bench.arrive(|_| {});
+    harness.advance(250);
+    let (req, actions) = harness.arrive(|_| {});
     assert_eq!(
-        common::told(&actions, req),
+        common::summary(&actions, req),
         "send",
         "half of 8 a second is one in 250 ms"
     );
 }
 
-/// What a user would see: an entry process that runs out of memory. A limit for each caller made a
-/// bucket for each, and none was ever dropped.
+/// Guards against running out of memory: a limit for each caller creates a bucket for each of them.
 #[test]
 fn buckets_are_bounded() {
     let mut limits = limits::Limits::new(2);
     let share = limits::Share::new(1.0, 1.0, 1);
     let mut take = |now, slot| {
         let pass = limits.take(time::Instant(now), limits::Owner::Rule(slot), share);
-        (pass == limits::Pass::Passed, limits.len())
+        (pass == limits::LimitOutcome::Within, limits.len())
     };
     assert_eq!(take(0, 1), (true, 1));
     assert_eq!(take(500, 2), (true, 2));
@@ -425,11 +437,11 @@
 
 #[test]
 fn refuse_new_refuses_and_drain_alone_does_not() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-    bench.step(event::Event::Drain);
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
-    bench.step(event::Event::RefuseNew);
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "draining not_run");
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    harness.step(event::Event::Drain);
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "send");
+    harness.step(event::Event::RefuseNew);
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "draining not_run");
 }
--- a/crates/sageshed-place/src/demand.rs
+++ b/crates/sageshed-place/src/demand.rs
@@ -1,10 +1,10 @@
-//! How much each model is asked for.
+//! Estimates the demand for each model.
 //!
-//! The rate is the greater of a fast mean and a slow one: it follows a rise within seconds and
-//! forgets a fall over tens of seconds. A load that comes late costs requests, a copy kept too long
-//! costs only memory that nobody else has claimed yet; and a burst evicts no model that pauses for
-//! less than its load time. One mean that rises fast and falls slowly was tried first: it follows
-//! the noise of single requests upwards and so takes a rarely used model for a busy one.
+//! The rate is the greater of a fast and a slow moving average: it follows a rise within seconds, and
+//! a fall over tens of seconds. A late load costs requests, while a replica that is kept too long
+//! costs only memory that no other model needs yet, and a burst does not evict a model that is idle
+//! for less than its load time. A single average that rises fast and falls slowly does not work: it
+//! follows the noise of single requests upwards and mistakes a rarely used model for a busy one.
 
 use std::collections;
 
@@ -15,33 +15,34 @@
 
 use crate::policy;
 
-/// Service time supposed of a model that no request has run on yet.
+/// Assumed service time of a model without completed requests, in milliseconds.
 const DEFAULT_SERVICE_MS: f64 = 1_000.0;
 
-/// Weight of a new service time against the mean so far.
+/// Weight of a new service time in the moving average.
 const SERVICE_WEIGHT: f64 = 0.2;
 
-/// What an entry VM said of waiting requests is forgotten after this long without word from it.
+/// How long the number of waiting requests of an entry VM is used without a new report from it.
 const WAITING_KEPT_MS: u64 = 10_000;
 
-/// The estimate for one model.
+/// The demand estimate for one model.
 #[derive(Debug, Clone, Copy)]
 pub struct Estimate {
-    /// Requests a second.
+    /// The request rate, per second.
     pub rate: f64,
     fast: f64,
     slow: f64,
-    /// Mean time that one request holds a slot, in milliseconds.
+    /// The mean time for which a request occupies a slot, in milliseconds.
     pub service_ms: f64,
-    /// Requests waiting at entry processes since no engine holds the model.
+    /// Requests that wait at entry processes because no engine holds the model.
     pub waiting: u32,
-    /// When a request last came.
-    pub asked: Option<time::Instant>,
+    /// When the last request for the model was reported.
+    pub last_request: Option<time::Instant>,
     arrived: u32,
 }
 
 impl Estimate {
-    /// Slots that the model would keep busy, the waiting requests being worked off over `horizon`.
+    /// The number of slots that the model would keep busy if the waiting requests were spread over
+    /// `horizon`.
     #[must_use]
     pub fn slots(&self, horizon: time::Millis) -> f64 {
         let backlog = f64::from(self.waiting) * 1_000.0 / (horizon.0.max(1) as f64);
@@ -57,13 +58,13 @@
             slow: 0.0,
             service_ms: DEFAULT_SERVICE_MS,
             waiting: 0,
-            asked: None,
+            last_request: None,
             arrived: 0,
         }
     }
 }
 
-/// The estimates of all models.
+/// The demand estimates for all models.
 #[derive(Debug, Clone, Default)]
 pub struct Estimator {
     models: Vec<Estimate>,
@@ -71,15 +72,15 @@
     updated: Option<time::Instant>,
 }
 
-/// What one entry VM last said of its waiting requests.
+/// The waiting requests in the last report of one entry VM.
 #[derive(Debug, Clone)]
 struct Waiting {
-    told: time::Instant,
+    reported: time::Instant,
     counts: Vec<(ModelKey, u32)>,
 }
 
 impl Estimator {
-    /// Starts with no demand for any of `models` models.
+    /// Creates an estimator for `models` models without demand.
     #[must_use]
     pub fn new(models: usize) -> Self {
         Self {
@@ -88,36 +89,42 @@
         }
     }
 
-    /// The estimate for `model`.
+    /// The demand estimate for `model`.
     #[must_use]
     pub fn of(&self, model: ModelKey) -> Estimate {
         self.models.get(model.index()).copied().unwrap_or_default()
     }
 
-    /// Takes in what one entry VM was asked for.
-    pub fn tell(
+    /// Records the demand reported by one entry VM.
+    pub fn record(
         &mut self,
         now: time::Instant,
         vm: String,
         demand: impl Iterator<Item = (ModelKey, messages::Demand)>,
     ) {
         let mut counts = Vec::new();
-        for (key, told) in demand {
+        for (key, reported) in demand {
             let estimate = &mut self.models[key.index()];
-            estimate.arrived = estimate.arrived.saturating_add(told.arrived);
-            if told.arrived > 0 {
-                estimate.asked = Some(now);
+            estimate.arrived = estimate.arrived.saturating_add(reported.arrived);
+            if reported.arrived > 0 {
+                estimate.last_request = Some(now);
             }
-            if told.arrived > 0 && told.service_time.0 > 0 {
-                let service_ms = told.service_time.0 as f64;
+            if reported.arrived > 0 && reported.service_time.0 > 0 {
+                let service_ms = reported.service_time.0 as f64;
                 estimate.service_ms += SERVICE_WEIGHT * (service_ms - estimate.service_ms);
             }
-            counts.push((key, told.waiting));
+            counts.push((key, reported.waiting));
         }
-        self.waiting.insert(vm, Waiting { told: now, counts });
+        self.waiting.insert(
+            vm,
+            Waiting {
+                reported: now,
+                counts,
+            },
+        );
     }
 
-    /// Closes the window since the last call and moves the rates.
+    /// Updates the rates with the requests recorded since the last call.
     pub fn update(&mut self, now: time::Instant, policy: &policy::Policy) {
         let Some(before) = self.updated.replace(now) else {
             return;
@@ -138,17 +145,17 @@
             estimate.waiting = 0;
         }
         self.waiting
-            .retain(|_, told| now.since(told.told).0 <= WAITING_KEPT_MS);
-        for (key, count) in self.waiting.values().flat_map(|told| &told.counts) {
+            .retain(|_, reported| now.since(reported.reported).0 <= WAITING_KEPT_MS);
+        for (key, count) in self.waiting.values().flat_map(|reported| &reported.counts) {
             self.models[key.index()].waiting += count;
         }
     }
 }
 
-/// The weight of a window of `span_ms` in a mean with the time constant `constant`.
+/// The weight of a window of `span_ms` in a moving average with the time constant `constant`.
 ///
-/// The first-order form of `1 - exp(-span / constant)`. The exponential itself differs in its last
-/// digit from one build to the next, which is enough to make two control processes plan apart.
+/// This is the first-order approximation of `1 - exp(-span / constant)`. The exact value differs in
+/// its last digit between builds, which is enough for two control processes to make different plans.
 fn weight(span_ms: f64, constant: time::Millis) -> f64 {
     span_ms / (span_ms + constant.0.max(1) as f64)
 }
