--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -1,4 +1,5 @@
-//! A request arrives: the first matching rule, limits, then admission.
+//! Arrival of a request: applies the first matching rule and the rate limits, then hands the request
+//! over to admission control.
 
 use sageshed_types::{arena, refusal, rules as types_rules, time, verdict};
 
@@ -6,23 +7,23 @@
 
 use super::{Actions, Decider, RefusalCause};
 
-/// What the rules say of a request.
+/// The result of applying the rules and rate limits to a request.
 enum RuleOutcome {
-    /// Go on with it.
+    /// The request proceeds to admission.
     Continue,
-    /// Refuse it.
+    /// The request is refused.
     Refuse(RefusalCause),
 }
 
 impl Decider {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         now: time::Instant,
         info: event::RequestInfo,
         out: &mut Actions,
     ) {
         let req = info.id;
-        let request = self.open(now, info);
+        let request = self.new_request(now, info);
         self.requests.insert(req, request);
         self.expiries.insert((self.expiry(req), req));
         if self.refusing_new {
@@ -33,13 +34,13 @@
             };
             return self.refuse(now, req, cause, out);
         }
-        match self.rule(now, req) {
+        match self.apply_rules(now, req) {
             RuleOutcome::Refuse(cause) => self.refuse(now, req, cause, out),
             RuleOutcome::Continue => self.admit_new(now, req, out),
         }
     }
 
-    fn open(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
+    fn new_request(&self, now: time::Instant, info: event::RequestInfo) -> request::Request {
         let caller = self.names.caller_row(info.caller);
         let class = info.class.unwrap_or(caller.class);
         let row = self.names.class_row(class);
@@ -62,14 +63,14 @@
             attempts: 0,
             failed_on: Vec::new(),
             verdict: verdict::Verdict::NotRun,
-            begun: false,
+            answer_started: false,
             queued: time::Millis(0),
             candidates: Vec::new(),
         }
     }
 
-    /// Finds the rule that decides and does what it says.
-    fn rule(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
+    /// Applies the first matching rule, then the limit of the caller.
+    fn apply_rules(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
@@ -80,15 +81,15 @@
         };
         self.set_rule(req, Some(&rule));
         let id = &rule.id;
-        match &rule.act {
-            rules::Act::Route { .. } => self.within_caller_limit(now, req),
-            rules::Act::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
+        match &rule.compiled_action {
+            rules::CompiledAction::Route { .. } => self.within_caller_limit(now, req),
+            rules::CompiledAction::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
                 retry_after: None,
             }),
-            rules::Act::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
-            rules::Act::Limit { limit, slot } => {
+            rules::CompiledAction::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
+            rules::CompiledAction::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
                     RuleOutcome::Continue => self.within_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Notes the rule that decided, and what it changes of the request.
+    /// Records the rule that applies to the request, and applies the properties that it sets.
     fn set_rule(&mut self, req: event::ReqId, rule: Option<&rules::Rule>) {
         let old = self.expiry(req);
         let Some(request) = self.requests.get_mut(&req) else {
@@ -124,8 +125,8 @@
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
         match self.limits.take(now, limits::Owner::Caller(caller), share) {
-            limits::Pass::Passed => RuleOutcome::Continue,
-            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
+            limits::LimitOutcome::Within => RuleOutcome::Continue,
+            limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
                 detail: format!(
                     "caller `{}` is over its limit of {rate} requests a second",
@@ -150,8 +151,8 @@
         let owner = owner(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
         match self.limits.take(now, owner, share) {
-            limits::Pass::Passed => RuleOutcome::Continue,
-            limits::Pass::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
+            limits::LimitOutcome::Within => RuleOutcome::Continue,
+            limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
                 detail: format!(
                     "rule `{id}` allows {} requests a second over all entry processes",
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The rules let it in: admits it, by way of a claim if it may not be repeated.
+    /// Counts a request that passed the rules and limits as demand, and admits it.
     fn admit_new(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         if let Some(request) = self.requests.get(&req) {
             self.demand.arrived(request.lane.target);
@@ -170,8 +171,14 @@
         self.admit(now, req, out);
     }
 
-    /// The claim is granted. The queue and the endpoints may have changed since it was asked for.
-    pub(super) fn claimed(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    /// Handles a granted claim. The request is admitted anew, since the queue and the endpoints may have
+    /// changed since the claim was requested.
+    pub(super) fn handle_claim_granted(
+        &mut self,
+        now: time::Instant,
+        req: event::ReqId,
+        out: &mut Actions,
+    ) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -196,8 +203,10 @@
     }
 }
 
-/// A rule may shorten the deadline or set one; the caller's own, if shorter, holds. It may mark a
-/// request as not repeatable, but lifts only a mark that the method gave.
+/// Applies the deadline, the repeatability and the route that a rule sets.
+///
+/// A deadline of the caller that is shorter than that of the rule takes precedence. A rule may mark
+/// any request as non-repeatable, but removes the mark only if it comes from the HTTP method.
 fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
         let asked = request.info.deadline.unwrap_or(deadline);
@@ -208,11 +217,11 @@
         Some(false) if request.info.not_repeatable_by_default => request.not_repeatable = false,
         _ => {}
     }
-    if let rules::Act::Route {
+    if let rules::CompiledAction::Route {
         pool,
         model,
         priority,
-    } = rule.act
+    } = rule.compiled_action
     {
         request.lane.pool = pool;
         request.priority = priority.unwrap_or(request.priority);
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -1,4 +1,4 @@
-//! Room for a load: which copies make way.
+//! Evictions: which replicas are unloaded to make room for a load.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -9,73 +9,75 @@
 
 use planner::{Attempt, Planner};
 
-/// A copy that may be taken off an engine.
+/// A replica that may be evicted from an engine.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Spare {
     pub(super) model: ModelKey,
     pub(super) version: u32,
     pub(super) memory_mib: u64,
-    /// Slots' worth of requests that would no longer be served in time.
+    /// Load that would no longer be served in time, in slots.
     pub(super) loss: f64,
 }
 
-/// Copies that together make room on an engine.
+/// Replicas of an engine that together free enough memory.
 #[derive(Debug, Clone)]
-pub(super) struct Clearance {
+pub(super) struct EvictionPlan {
     pub(super) key: EndpointKey,
     pub(super) spares: Vec<Spare>,
     pub(super) loss: f64,
 }
 
 impl Planner<'_> {
-    /// Takes spare copies off one engine so that `model` fits.
+    /// Evicts spare replicas from one engine so that `model` fits.
     pub(super) fn make_room(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if self.resting {
+        if self.moves_paused {
             return Attempt::Impossible;
         }
         if self.await_room(model, need_mib) {
             return Attempt::Waiting;
         }
-        let clearances = self
+        let eviction_plans = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model))
-            .filter_map(|key| self.clearance(key, model, need_mib));
-        let best = clearances.min_by(|a, b| {
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
+            .filter_map(|key| self.eviction_plan(key, model, need_mib));
+        let best = eviction_plans.min_by(|a, b| {
             a.loss
                 .total_cmp(&b.loss)
                 .then(a.spares.len().cmp(&b.spares.len()))
         });
         match best {
-            Some(clearance) => self.clear(&clearance, "it makes way for a model without a route"),
+            Some(eviction_plan) => {
+                self.start_evictions(&eviction_plan, "it makes way for a model without a route")
+            }
             None => Attempt::Impossible,
         }
     }
 
-    /// Whether unloads under way on some engine will make room for `model`; claims it if so.
+    /// Whether unloads in progress on any engine will make room for `model`. If so, sets the memory aside.
     pub(super) fn await_room(&mut self, model: ModelKey, need_mib: u64) -> bool {
         let found = self.keys().find(|key| {
             let engine = self.engine(*key);
             let freed = self.freed_mib(*key);
             freed > 0
-                && self.room(*key) + freed >= need_mib + self.claimed[key.index()]
+                && self.room(*key) + freed >= need_mib + self.awaited_mib[key.index()]
                 && !engine.leaving
-                && self.src.ledger.is_fresh(self.src.now, engine)
-                && self.src.ledger.admits(engine, model)
+                && self.inputs.ledger.is_fresh(self.inputs.now, engine)
+                && self.inputs.ledger.admits(engine, model)
                 && !engine.has_or_awaits(model)
                 && self.has_base(*key, model)
         });
         if let Some(key) = found {
-            self.claimed[key.index()] += need_mib;
+            self.awaited_mib[key.index()] += need_mib;
         }
         found.is_some()
     }
 
-    /// Memory on `key` that unloads under way will free, in MiB. Orders that count as lost free
-    /// nothing: whoever waited for them would wait for good.
+    /// The memory on `key` that unloads in progress will free, in MiB. Orders that count as lost don't,
+    /// since waiting for them might never end.
     fn freed_mib(&self, key: EndpointKey) -> u64 {
         let engine = self.engine(key);
         let freeing: Vec<Task> = self.under_way(engine).collect();
-        let frees = |held: &&engine::Held| {
+        let frees = |held: &&engine::HeldModel| {
             let (model, version) = (held.model, held.version);
             held.phase == endpoints::Phase::Unloading
                 || freeing.contains(&Task::Unload { model, version })
@@ -84,19 +86,19 @@
         held.map(|held| held.memory_mib).sum()
     }
 
-    /// The cheapest copies to take off `key` so that `need_mib` are free, if there are enough.
-    pub(super) fn clearance(
+    /// The replicas on `key` with the least loss whose eviction frees `need_mib`, if there are enough.
+    pub(super) fn eviction_plan(
         &self,
         key: EndpointKey,
         model: ModelKey,
         need_mib: u64,
-    ) -> Option<Clearance> {
+    ) -> Option<EvictionPlan> {
         let room = self.room(key)
             + self
                 .freed_mib(key)
-                .saturating_sub(self.claimed[key.index()]);
+                .saturating_sub(self.awaited_mib[key.index()]);
         let mut missing = need_mib.saturating_sub(room);
-        let mut clearance = Clearance {
+        let mut eviction_plan = EvictionPlan {
             key,
             spares: Vec::new(),
             loss: 0.0,
@@ -113,14 +115,14 @@
                 break;
             }
             missing = missing.saturating_sub(spare.memory_mib);
-            clearance.loss += spare.loss;
-            clearance.spares.push(spare);
+            eviction_plan.loss += spare.loss;
+            eviction_plan.spares.push(spare);
         }
-        (missing == 0).then_some(clearance)
+        (missing == 0).then_some(eviction_plan)
     }
 
-    /// The copies on `key` that may go: not the last route, not pinned, not `keep`. A base goes only
-    /// if every adapter on it here may; it comes out after them.
+    /// The replicas on `key` that may be evicted: not the last route, not pinned, not `keep`. A base may
+    /// be evicted only if all its adapters on the engine may; they are unloaded first.
     fn spares(&self, key: EndpointKey, keep: Option<ModelKey>) -> Vec<Spare> {
         let engine = self.engine(key);
         let single: Vec<Spare> = engine
@@ -141,9 +143,11 @@
             let adapters = engine.held.iter().map(|held| held.model);
             let awaited = engine.pending().filter_map(Task::loaded);
             adapters
-                .filter(|m| self.sits_on(*m, spare.model))
+                .filter(|m| self.is_adapter_of(*m, spare.model))
                 .all(|m| single.iter().any(|s| s.model == m))
-                && awaited.into_iter().all(|m| !self.sits_on(m, spare.model))
+                && awaited
+                    .into_iter()
+                    .all(|m| !self.is_adapter_of(m, spare.model))
         };
         let mut spares: Vec<Spare> = single.iter().filter(|s| may_go(s)).copied().collect();
         let losses: Vec<f64> = spares
@@ -156,18 +160,18 @@
         spares
     }
 
-    /// The loss of the adapters on `base`, which go before it.
+    /// The loss of the adapters of `base`, which are evicted before it.
     fn loss_on_top(&self, base: ModelKey, spares: &[Spare]) -> f64 {
-        let adapters = spares.iter().filter(|s| self.sits_on(s.model, base));
+        let adapters = spares.iter().filter(|s| self.is_adapter_of(s.model, base));
         adapters.map(|s| s.loss).sum()
     }
 
-    pub(super) fn sits_on(&self, adapter: ModelKey, base: ModelKey) -> bool {
-        let offer = self.src.ledger.offer(adapter);
+    pub(super) fn is_adapter_of(&self, adapter: ModelKey, base: ModelKey) -> bool {
+        let offer = self.inputs.ledger.offer(adapter);
         offer.is_some_and(|offer| offer.base == Some(base))
     }
 
-    /// Whether `model` has a route besides this copy. One that is not on offer needs none.
+    /// Whether `model` has a route besides this replica. A model that is not in the catalog needs none.
     pub(super) fn stays_reachable(&self, key: EndpointKey, model: ModelKey, version: u32) -> bool {
         let Some(routes) = self.routes.get(model.index()) else {
             return true;
@@ -175,18 +179,18 @@
         routes.iter().any(|k| *k != key) || self.engine(key).serves_besides(model, version)
     }
 
-    /// Slots' worth of requests that would no longer be served in time without the copy on `key`.
+    /// The load that would no longer be served in time without the replica on `key`, in slots.
     pub(super) fn loss(&self, key: EndpointKey, model: ModelKey) -> f64 {
         let Some(routes) = self.routes.get(model.index()) else {
             return 0.0;
         };
-        let copies = self.copies(model);
-        if !routes.contains(&key) || copies < 2 {
+        let replicas = self.replicas(model);
+        if !routes.contains(&key) || replicas < 2 {
             return 0.0;
         }
         let wanted = self.slots_wanted(model);
-        let less = wanted / copies as f64;
-        let more = wanted / (copies - 1) as f64 - less;
+        let less = wanted / replicas as f64;
+        let more = wanted / (replicas - 1) as f64 - less;
         let here = self.served_change(key, -less);
         let elsewhere: f64 = routes
             .iter()
@@ -196,39 +200,43 @@
         (-here - elsewhere).max(0.0)
     }
 
-    /// How the slots that serve in time on `key` change when `change` is added to its load.
+    /// How the load served in time on `key` changes when its load changes by `change`, in slots.
     pub(super) fn served_change(&self, key: EndpointKey, change: f64) -> f64 {
         let most = planner::TARGET_BUSY * f64::from(self.engine(key).slots);
-        let before = self.busy[key.index()];
+        let before = self.busy_slots[key.index()];
         (before + change).min(most) - before.min(most)
     }
 
-    /// Proposes the unloads of `clearance` that may begin now: adapters before their base.
-    pub(super) fn clear(&mut self, clearance: &Clearance, reason: &'static str) -> Attempt {
-        let mut begun = Attempt::Impossible;
+    /// Proposes the unloads of `eviction_plan` that may start now, adapters before their base.
+    pub(super) fn start_evictions(
+        &mut self,
+        eviction_plan: &EvictionPlan,
+        reason: &'static str,
+    ) -> Attempt {
+        let mut result = Attempt::Impossible;
         let mut order = Vec::new();
-        for spare in &clearance.spares {
-            order.extend(self.adapters_on(clearance.key, spare.model));
+        for spare in &eviction_plan.spares {
+            order.extend(self.adapters_on(eviction_plan.key, spare.model));
             order.push((spare.model, spare.version));
         }
         for (model, version) in order {
-            if self.unload(clearance.key, model, version, reason) == Attempt::Begun {
-                begun = Attempt::Begun;
-                self.cleared += 1;
+            if self.unload(eviction_plan.key, model, version, reason) == Attempt::Started {
+                result = Attempt::Started;
+                self.evictions += 1;
             }
         }
-        begun
+        result
     }
 
     fn adapters_on(&self, key: EndpointKey, base: ModelKey) -> Vec<(ModelKey, u32)> {
         let held = self.engine(key).held.iter();
-        held.filter(|held| self.sits_on(held.model, base))
+        held.filter(|held| self.is_adapter_of(held.model, base))
             .map(|held| (held.model, held.version))
             .collect()
     }
 
-    /// Whether an unload is under way on `key`.
-    pub(super) fn is_clearing(&self, key: EndpointKey) -> bool {
+    /// Whether an unload is in progress on `key`.
+    pub(super) fn is_evicting(&self, key: EndpointKey) -> bool {
         let mut pending = self.engine(key).pending();
         pending.any(|task| matches!(task, Task::Unload { .. }))
     }
