--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -202,11 +202,11 @@
         }
         match (&held.state, end) {
             (ClaimState::Running, claims::ExecutionOutcome::Ran { answer }) => {
-                self.ran(key, answer)
+                self.ran(key, answer);
             }
             // The process was wrongly declared gone and now reports the outcome. The expiry stays.
             (ClaimState::Unknown, claims::ExecutionOutcome::Ran { answer }) => {
-                self.keep_answer(&key, answer)
+                self.keep_answer(&key, answer);
             }
             (ClaimState::Running, claims::ExecutionOutcome::Unknown) => self.unknown(key),
             (ClaimState::Ran { .. }, claims::ExecutionOutcome::Ran { .. })
--- a/src/sageshed/entry/claims.rs
+++ b/src/sageshed/entry/claims.rs
@@ -129,7 +129,7 @@
                     return Ok(answer);
                 }
                 Ok(messages::LeaderReply::NotLeader { leader }) => {
-                    *locks::lock(&self.leader) = leader
+                    *locks::lock(&self.leader) = leader;
                 }
                 Ok(messages::LeaderReply::Unknown) => {}
                 Err(e) => {
