--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -1,28 +1,28 @@
-//! Which engine loads or unloads which weights and adapters. Run by the control process that leads.
+//! Placement of weights and adapters on engines. Run by the control process that leads.
 //!
-//! # The load pattern
+//! # Load pattern
 //!
-//! A few models take most of the requests and many take few. Which ones these are changes within
-//! seconds, while weights take up to ten seconds from the store, which is slow and shared. So
+//! A few models get most of the requests, and many get few. Which ones these are changes within seconds, while
+//! loading weights from the weight store takes up to ten seconds, and the store is slow and shared. Therefore
 //!
-//! * each model keeps a copy somewhere: a rare one that has to be fetched costs its callers a load;
-//! * what is left of the memory goes to the models with the most work for each copy;
-//! * a copy moves only where the work of a model is more than its copies can bear
-//!   ([`Policy::add_replica_above`]) and another can give one up ([`Policy::drop_replica_below`]); between the two nothing moves;
-//! * an engine that has a copy of the weights in its own memory or on its own disk goes first.
+//! * each model keeps a replica somewhere, since a request for a model without one waits for a load;
+//! * the remaining memory goes to the models with the most work per replica;
+//! * a replica is added only where the work per replica of a model exceeds [`Policy::add_replica_above`], and evicted
+//!   where that of its model would stay below [`Policy::drop_replica_below`]; between the two nothing changes;
+//! * an engine that has the weights cached in its host's memory or on its disk is preferred.
 //!
-//! # What an engine may hold
+//! # Memory of an engine
 //!
-//! An engine that is told to load more than fits crashes with all that it runs. Its memory is counted
-//! at its worst: what it said it holds, plus each load that it may still carry out, less nothing for
-//! an unload until it shows. Orders to one engine go one after the other, each with the number of
-//! orders that the engine has accepted before, so a delayed one does nothing behind a newer one.
+//! An engine that is ordered to load more than fits crashes with all its requests. Its memory is therefore bounded
+//! from above: what it reports to hold, plus each load that it may still execute; the memory of an unload counts as
+//! used until the engine reports that the model is gone. Orders to one engine are sent one after the other, each
+//! with the number of orders that the engine has accepted before, so a delayed order has no effect after a newer one.
 //!
 //! # One leader
 //!
-//! Engines that check no fence would obey two leaders. A leader that was cut off stops to order when
-//! its quorum is gone; a new one begins only a lease after it was elected ([`leadership`]), and counts the
-//! store's budget as just spent by the one before.
+//! Engines that don't check the fencing token would execute the orders of two leaders. A leader that is cut off stops
+//! giving orders when it loses its majority; a new one gives its first order a lease after its election
+//! ([`leadership`]), and counts the store's budget as just spent by its predecessor.
 
 mod adapters;
 mod demand;
@@ -39,26 +39,25 @@
 
 use crate::{config, dialect, directory, messages};
 
-/// How a planner decides.
+/// The parameters of a planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// How long after its election a leader gives its first order.
+    /// How long after its election a leader waits before its first order.
     pub lease: time::Millis,
-    /// Over this span the store's loads are counted.
+    /// Window over which loads from the weight store are counted.
     pub store_window: time::Millis,
-    /// The part of an engine's reading that a copy of a model may need before another is loaded. At three
-    /// tenths nearly every model of a busy pool is short of copies all day, and copies change places
-    /// without end.
+    /// Work per replica, in busy engines, above which another replica of a model is loaded. With 0.3 nearly every
+    /// model of a busy pool is short of replicas all day, and replicas are moved without end.
     pub add_replica_above: f64,
-    /// The part that the copies of a model may need after one of them is given up.
+    /// Work per remaining replica, in busy engines, up to which a replica of a model may be evicted.
     pub drop_replica_below: f64,
-    /// The part of the work of the model before it, in the order of their work, for which a busy model
-    /// is given copies. Demand moves on down that order within seconds, and a load takes longer.
+    /// Share of the work of the model ranked before it, by work, for which a busy model gets replicas in advance.
+    /// Demand moves down that ranking within seconds, and a load takes longer.
     pub anticipated_share: f64,
-    /// Loads from the store under way at once, beyond which each takes longer.
+    /// Maximum number of concurrent loads from the weight store; more of them slow each other down.
     pub max_store_loads: usize,
-    /// Engines that are asked for their reports at once. A new leader knows no engine's count of orders, and
-    /// asks first where an order is due.
+    /// Maximum number of concurrent report requests. A new leader doesn't know how many orders each engine has
+    /// accepted, and asks those first for which an order is due.
     pub max_report_requests: usize,
 }
 
@@ -76,83 +75,84 @@
     }
 }
 
-/// What a full engine weighs against an empty one, in engines kept busy: less than anything else.
+/// Cost of a full engine compared with an empty one, in busy engines. Below all other costs, so that it only breaks
+/// ties.
 const FILL_COST: f64 = 0.01;
 
-/// Models that a summary names.
+/// Number of models that a summary names.
 const SUMMARY_MODELS: usize = 4;
 
-/// Wants that are kept while no engine can take them.
+/// Maximum number of requests for adapters that are kept while no engine can load them.
 const MAX_ADAPTER_REQUESTS: usize = 256;
 
-/// How long a want is kept: whoever waits asks again.
+/// How long a request for an adapter is kept. Entry processes repeat it while requests wait for the adapter.
 const ADAPTER_REQUEST_TTL: time::Millis = time::Millis(1_500);
 
-/// What the planner wants done.
+/// An action that the caller of the planner is to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an order; the answer goes to [`Planner::handle_order_response`].
+    /// Send an order; the response goes to [`Planner::handle_order_response`].
     Order(dialect::Order),
-    /// Ask an engine for its report; it goes to [`Planner::handle_report`].
+    /// Request an engine's report; it goes to [`Planner::handle_report`].
     AskReport {
-        /// The start of the engine that is meant.
+        /// The engine's instance.
         instance: directory::InstanceId,
-        /// Where it is.
+        /// Its address.
         address: net::SocketAddrV4,
     },
-    /// Tell the directory what an engine holds or unloads by an order.
+    /// Apply the effect of an order to the engine's record in the directory.
     Amend {
-        /// The engine.
+        /// The engine's instance.
         instance: directory::InstanceId,
-        /// The order that it has carried out, or is about to.
+        /// The task that it has executed, or is about to execute.
         task: dialect::Task,
     },
 }
 
-/// Between two calls to an engine that has named a limit.
+/// Interval between two calls to an engine that has announced a rate limit.
 const LIMITED_CALL_INTERVAL: time::Millis = time::Millis(1_000);
 
-/// What a leader sees of one service, for its log.
+/// Summary of one service for the leader's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
     /// The service.
     pub service: String,
-    /// Engines that take work.
+    /// Number of engines that take new work.
     pub engines: usize,
-    /// Of these, the ones that could take an order about weights now.
+    /// Number of these that could take an order about weights now.
     pub free_for_orders: usize,
-    /// Models that need another copy, the one that needs it most first.
+    /// Models that need another replica, in decreasing order of need.
     pub short_of_replicas: Vec<String>,
     /// The models with the most work.
     pub busiest: Vec<ModelLoad>,
     /// Whether the weight store may begin a load now.
     pub store_is_free: bool,
-    /// Engines that all its requests keep busy, as a number of engines.
+    /// Number of engines that all its requests keep busy.
     pub work: f64,
-    /// Wants of adapters that are not served yet.
+    /// Number of pending requests for adapters.
     pub wants: usize,
 }
 
-/// A model as a leader sees it, for its log.
+/// Load of one model for the leader's log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelLoad {
     /// Its name.
     pub model: String,
-    /// Engines that hold it and are not told to drop it.
+    /// Number of engines that hold it and are not ordered to unload it.
     pub replicas: usize,
-    /// Engines that load it.
+    /// Number of engines that load it or reserve memory for it.
     pub loading: usize,
-    /// Engines that its requests keep busy, as a number of engines.
+    /// Number of engines that its requests keep busy.
     pub work: f64,
 }
 
-/// Plans for all services with engines.
+/// Plans the placement for all services with engines.
 #[derive(Debug)]
 pub struct Planner {
     policy: Policy,
     holder: String,
     fence: u64,
-    /// While this process leads.
+    /// Present while this process leads.
     leadership: Option<leadership::Leadership>,
     engines: collections::BTreeMap<directory::InstanceId, engine::Engine>,
     demand: demand::DemandHistory,
@@ -162,7 +162,7 @@
     restarts: restarts::Restarts,
 }
 
-/// The engines of one service as they are at one moment.
+/// The ready engines of one service at one moment.
 struct Pool<'a> {
     service: &'a str,
     offer: &'a config::EnginePool,
@@ -170,7 +170,7 @@
 }
 
 impl Planner {
-    /// A planner that does not lead. `holder` names this process in its orders.
+    /// A planner of a process that doesn't lead. `holder` names this process in its orders.
     #[must_use]
     pub fn new(policy: Policy, holder: &str) -> Self {
         Self {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// This process leads from now on, with a fence above that of every leader before.
+    /// This process leads from now on, with a fencing token above that of every previous leader.
     pub fn start_leading(&mut self, now: time::Instant, fence: u64) {
         let leadership = leadership::Leadership::elected(now, self.policy.lease);
         self.fence = fence;
@@ -195,28 +195,28 @@
         self.engines.clear();
         self.reservations.clear();
         self.restarts.start_leading(leadership.orders_from());
-        // The leader before may have begun loads up to the moment from which this one may order.
+        // The previous leader may have begun loads up to the moment from which this one may give orders.
         self.store.assume_all_spent(leadership.orders_from());
     }
 
-    /// This process leads no longer.
+    /// This process no longer leads.
     pub fn stop_leading(&mut self) {
         self.leadership = None;
         self.adapter_requests.clear();
     }
 
-    /// Whether it leads.
+    /// Whether this process leads.
     #[must_use]
     pub fn is_leading(&self) -> bool {
         self.leadership.is_some()
     }
 
-    /// Takes what callers asked an entry process for.
+    /// Adds the demand that an entry process has counted.
     pub fn add_demand(&mut self, now: time::Instant, demand: &[messages::Demand]) {
         self.demand.add(now, demand);
     }
 
-    /// Takes an entry's word that a request waits for an adapter.
+    /// Adds an entry process's request for an adapter that one of its requests waits for.
     pub fn request_adapter(&mut self, now: time::Instant, req: messages::AdapterReq) {
         self.demand
             .record_adapter_use(now, &req.service, &req.model, &req.adapter);
@@ -227,12 +227,12 @@
         }
     }
 
-    /// Takes the engines that are there and were started anew lately.
+    /// Sets the present instances that have recently replaced another instance of their endpoint.
     pub fn set_restarted(&mut self, restarted: Vec<directory::InstanceId>) {
         self.restarts.set_restarted(restarted);
     }
 
-    /// Takes the answer to an order; none where none came in time.
+    /// Handles the response to an order; none where none came in time.
     pub fn handle_order_response(
         &mut self,
         now: time::Instant,
@@ -247,31 +247,31 @@
             order.task,
             dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..)
         );
-        // What is loaded shows once it had the time to arrive.
+        // A loaded adapter is shown only once it has had the time to load; see `correct_records`.
         if is_taken && unloads {
             return vec![amend(&order.instance, &order.task)];
         }
         Vec::new()
     }
 
-    /// Takes an engine's report; none where none came.
+    /// Handles an engine's report; none where none came.
     pub fn handle_report(
         &mut self,
         now: time::Instant,
         instance: &directory::InstanceId,
         report: Option<dialect::Report>,
     ) {
-        // A report of another start under the same name says nothing of this one.
+        // A report of another instance of the same endpoint says nothing about this one.
         let is_own = |it: &dialect::Report| it.born.is_none() || it.born == instance.born;
         if let Some(engine) = self.engines.get_mut(instance) {
             engine.apply_report(now, report.filter(is_own));
         }
     }
 
-    /// Takes what an engine says of itself in an answer.
+    /// Applies the notice that came with an engine's response.
     ///
-    /// Of one that takes no more than so many requests from all VMs together, orders and questions count like
-    /// requests, and no entry process counts them: one a second leaves the rest to callers.
+    /// At an engine with a rate limit, orders and report requests count like requests of callers, but no entry
+    /// process counts them. One a second leaves the rest of the limit to callers.
     pub fn apply_notice(
         &mut self,
         now: time::Instant,
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Decides what to do now, by the configuration and the instances that are there.
+    /// Plans the next actions for the configuration and the present instances.
     pub fn tick(
         &mut self,
         now: time::Instant,
@@ -300,21 +300,21 @@
             return Vec::new();
         }
         self.update_engines(now, instances);
-        let mut actions = self.correct(now, instances);
+        let mut actions = self.correct_records(now, instances);
         for service in &config.services {
             let Some(offer) = &service.engines else {
                 continue;
             };
-            let pool = pool_of(service, offer, instances);
+            let pool = ready_pool(service, offer, instances);
             actions.extend(self.request_reports(now, &pool));
-            actions.extend(self.resend(now, &pool));
+            actions.extend(self.resend_orders(now, &pool));
             actions.extend(self.serve_adapter_requests(now, &pool));
-            actions.extend(self.place(now, &pool));
+            actions.extend(self.place_weights(now, &pool));
         }
         actions
     }
 
-    /// What is seen now of each service with engines.
+    /// The summaries of all services with engines.
     #[must_use]
     pub fn summary(
         &self,
@@ -324,7 +324,7 @@
     ) -> Vec<Summary> {
         let pools = config.services.iter().filter_map(|service| {
             let offer = service.engines.as_ref()?;
-            Some(pool_of(service, offer, instances))
+            Some(ready_pool(service, offer, instances))
         });
         pools.map(|pool| self.summary_of(now, &pool)).collect()
     }
@@ -350,7 +350,7 @@
         }
     }
 
-    /// Keeps an account of each engine that is there, and of no other.
+    /// Updates the state of the present engines, and removes that of the others.
     fn update_engines(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
         let present: collections::HashSet<&directory::InstanceId> =
             instances.iter().map(|it| &it.id).collect();
@@ -368,9 +368,13 @@
             .retain(|it| now.since(it.at) < ADAPTER_REQUEST_TTL);
     }
 
-    /// Corrects what engines announce by the orders that they have taken: shows adapters once they had
-    /// the time to arrive, and hides models that are on their way out.
-    fn correct(&self, now: time::Instant, instances: &[&directory::Instance]) -> Vec<Action> {
+    /// Corrects the records of engines by the orders that they have accepted: adds adapters once they have had the
+    /// time to load, and removes models that are being unloaded.
+    fn correct_records(
+        &self,
+        now: time::Instant,
+        instances: &[&directory::Instance],
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in instances {
             let Some(engine) = self.engines.get(&instance.id) else {
@@ -384,21 +388,21 @@
         actions
     }
 
-    /// Asks engines whose count of orders is not known, those first from which something is waited for.
+    /// Requests the reports that are due, first from engines with pending orders or requested adapters.
     fn request_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
-        let under_way = self.engines.values().filter(|it| it.awaits_report(now));
+        let in_flight = self.engines.values().filter(|it| it.awaits_report(now));
         let room = self
             .policy
             .max_report_requests
-            .saturating_sub(under_way.count());
-        let wanted = self.adapter_requests.iter().map(|it| &it.req);
-        let wanted: collections::BTreeSet<&str> = wanted
+            .saturating_sub(in_flight.count());
+        let requested = self.adapter_requests.iter().map(|it| &it.req);
+        let requested: collections::BTreeSet<&str> = requested
             .filter(|it| it.service == pool.service)
             .map(|it| it.model.as_str())
             .collect();
         let is_urgent = |instance: &directory::Instance, engine: &engine::Engine| {
             let mut models = instance.models.iter();
-            engine.has_pending_orders() || models.any(|it| wanted.contains(it.model.as_str()))
+            engine.has_pending_orders() || models.any(|it| requested.contains(it.model.as_str()))
         };
         let mut urgent = Vec::new();
         let mut others = Vec::new();
@@ -428,8 +432,8 @@
         actions
     }
 
-    /// Gives orders again that were lost on their way.
-    fn resend(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    /// Sends orders again that were not executed.
+    fn resend_orders(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in &pool.instances {
             let engine = self.engines.get_mut(&instance.id);
@@ -447,19 +451,19 @@
         actions
     }
 
-    /// Has weights loaded and unloaded.
-    fn place(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
+    /// Gives the orders that load and unload weights.
+    fn place_weights(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let orders = self.continue_reservations(now, pool);
         let mut actions: Vec<Action> = orders.into_iter().map(Action::Order).collect();
         for model in weights::PoolState::new(self, now, pool).short_of_replicas() {
-            // The order before may have changed what the next one finds.
+            // Computed anew, since the previous order has changed it.
             let state = weights::PoolState::new(self, now, pool);
             let Some((id, task)) = state.next_step(model) else {
                 continue;
             };
-            let makes_room = matches!(task, dialect::Task::Unload(_));
+            let frees_memory = matches!(task, dialect::Task::Unload(_));
             let order = self.order(now, pool, &id, task);
-            if order.is_some() && makes_room {
+            if order.is_some() && frees_memory {
                 self.reserve(now, id, &model.name);
             }
             actions.extend(order.map(Action::Order));
@@ -467,7 +471,7 @@
         actions
     }
 
-    /// Makes an order out of a task, if the engine can take one now.
+    /// Makes an order for a task, if the engine can take one now.
     fn order(
         &mut self,
         now: time::Instant,
@@ -500,16 +504,16 @@
     }
 }
 
-fn pool_of<'a>(
+fn ready_pool<'a>(
     service: &'a config::Service,
     offer: &'a config::EnginePool,
     instances: &[&'a directory::Instance],
 ) -> Pool<'a> {
-    let own = |it: &&&directory::Instance| it.service == service.name && it.is_ready();
+    let is_ready = |it: &&&directory::Instance| it.service == service.name && it.is_ready();
     Pool {
         service: &service.name,
         offer,
-        instances: instances.iter().filter(own).copied().collect(),
+        instances: instances.iter().filter(is_ready).copied().collect(),
     }
 }
 
