--- a/crates/sageshed-fleet/src/directory/index.rs
+++ b/crates/sageshed-fleet/src/directory/index.rs
@@ -10,31 +10,31 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
     changes: collections::BTreeMap<u64, InstanceId>,
-    news: collections::BTreeMap<u64, InstanceId>,
+    updates: collections::BTreeMap<u64, InstanceId>,
     addresses: collections::HashMap<net::SocketAddrV4, Vec<InstanceId>>,
     short_keys: collections::HashMap<u64, InstanceId>,
 }
 
 impl Index {
     /// The change numbered `after` takes the place of the one numbered `before`, which may be zero for none.
-    pub(super) fn change(&mut self, id: &InstanceId, before: u64, after: u64) {
+    pub(super) fn record_change(&mut self, id: &InstanceId, before: u64, after: u64) {
         self.changes.remove(&before);
         self.changes.insert(after, id.clone());
     }
 
     /// The same for one that is news.
-    pub(super) fn news(&mut self, id: &InstanceId, before: u64, after: u64) {
-        self.news.remove(&before);
-        self.news.insert(after, id.clone());
+    pub(super) fn record_update(&mut self, id: &InstanceId, before: u64, after: u64) {
+        self.updates.remove(&before);
+        self.updates.insert(after, id.clone());
     }
 
     /// Gets to know an instance, or a new address of it.
-    pub(super) fn arrive(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
+    pub(super) fn add_address(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
         self.short_keys.insert(id.short_key(), id.clone());
         self.addresses.entry(address).or_default().push(id.clone());
     }
 
-    pub(super) fn depart(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
+    pub(super) fn remove_address(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
         let Some(there) = self.addresses.get_mut(&address) else {
             return;
         };
@@ -50,12 +50,12 @@
         id: &InstanceId,
         address: net::SocketAddrV4,
         changed: u64,
-        news: u64,
+        update: u64,
     ) {
         self.changes.remove(&changed);
-        self.news.remove(&news);
+        self.updates.remove(&update);
         self.short_keys.remove(&id.short_key());
-        self.depart(id, address);
+        self.remove_address(id, address);
     }
 
     /// The instance with a short key.
@@ -64,19 +64,19 @@
     }
 
     /// The instances at an address.
-    pub(super) fn at(&self, address: net::SocketAddrV4) -> &[InstanceId] {
+    pub(super) fn by_address(&self, address: net::SocketAddrV4) -> &[InstanceId] {
         self.addresses.get(&address).map_or(&[], Vec::as_slice)
     }
 
     /// The instances whose last change comes after the one numbered `from`, in the order of these.
-    pub(super) fn after(
+    pub(super) fn changes_after(
         &self,
         from: u64,
         filter: ChangeFilter,
     ) -> impl Iterator<Item = (u64, &InstanceId)> {
         let numbered = match filter {
             ChangeFilter::All => &self.changes,
-            ChangeFilter::Updates => &self.news,
+            ChangeFilter::Updates => &self.updates,
         };
         let after = numbered.range(from.saturating_add(1)..);
         after.map(|(number, id)| (*number, id))
--- a/crates/sageshed-fleet/src/directory/instance.rs
+++ b/crates/sageshed-fleet/src/directory/instance.rs
@@ -119,7 +119,7 @@
 
 impl Instance {
     /// What is known of an instance of which nothing but its end was heard.
-    pub(super) fn gone(id: InstanceId) -> Self {
+    pub(super) fn tombstone(id: InstanceId) -> Self {
         Self {
             id,
             service: String::new(),
@@ -176,14 +176,18 @@
             return 0;
         }
         let models = self.models.iter().map(|it| {
-            let adapters = sum(it.adapters.iter().map(fixed_hash));
+            let adapters = unordered_hash(it.adapters.iter().map(fixed_hash));
             fixed_hash(&(&it.model, it.version, adapters))
         });
-        let copies = |list: &[String]| sum(list.iter().map(fixed_hash));
+        let cached = |list: &[String]| unordered_hash(list.iter().map(fixed_hash));
         fixed_hash(&(
             &self.id,
             (self.address, self.slots, self.state),
-            (sum(models), copies(&self.in_memory), copies(&self.on_disk)),
+            (
+                unordered_hash(models),
+                cached(&self.in_memory),
+                cached(&self.on_disk),
+            ),
         ))
     }
 
@@ -216,7 +220,7 @@
 
 impl Record {
     /// The instance's own word, that came just now.
-    pub(super) fn fresh(instance: Instance) -> Self {
+    pub(super) fn announced_now(instance: Instance) -> Self {
         Self {
             instance,
             amended: 0,
@@ -226,7 +230,7 @@
     }
 
     /// By which of two records of one instance is newer.
-    pub(super) fn number(&self) -> (u64, u64) {
+    pub(super) fn version(&self) -> (u64, u64) {
         (self.instance.sequence, self.amended)
     }
 }
@@ -272,7 +276,7 @@
 }
 
 /// The same for lists that differ in their order only.
-fn sum(hashes: impl Iterator<Item = u64>) -> u64 {
+fn unordered_hash(hashes: impl Iterator<Item = u64>) -> u64 {
     hashes.fold(0, u64::wrapping_add)
 }
 
--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -32,7 +32,7 @@
 pub const REFRESH_INTERVAL: time::Millis = time::Millis(2_000);
 
 /// An instance whose first word here has at most this number was just started.
-const FIRST_WORDS: u64 = 3;
+const FIRST_ANNOUNCEMENTS: u64 = 3;
 
 /// How long one instance must be silent before another, which may have died before it, takes its place:
 /// its own words may have gone to other control processes, which pass them on every [`REFRESH_INTERVAL`].
@@ -55,10 +55,10 @@
     /// The change by which it was passed on last, be it as a sign of life.
     changed: u64,
     /// The change by which there was news of it last.
-    news: u64,
-    passed_on: time::Instant,
+    update: u64,
+    published: time::Instant,
     /// Whether it has ever said that it leaves. It takes no work again, whatever comes later.
-    leaves: bool,
+    leaving: bool,
     /// Of one that another start has replaced: since when it has spoken while the other was silent.
     contends_since: Option<time::Instant>,
 }
@@ -69,7 +69,7 @@
     start: u64,
     change: u64,
     /// The change by which there was news last.
-    news: u64,
+    last_update: u64,
     digest: u64,
     entries: collections::BTreeMap<InstanceId, Entry>,
     index: index::Index,
@@ -128,14 +128,14 @@
     pub fn update_cursor(&self) -> Cursor {
         Cursor {
             start: self.start,
-            change: self.news,
+            change: self.last_update,
         }
     }
 
     /// Whether there is news for a peer that knows this directory up to `cursor`.
     #[must_use]
     pub fn has_updates(&self, cursor: Cursor) -> bool {
-        cursor.start != self.start || self.news > cursor.change
+        cursor.start != self.start || self.last_update > cursor.change
     }
 
     /// Equal for directories in which the same instances are there and hold the same, and hardly ever for
@@ -148,25 +148,25 @@
     /// Takes an instance's own word, that came just now.
     pub fn announce(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
         let (id, address) = (instance.id.clone(), instance.address);
-        let is_first = instance.sequence <= FIRST_WORDS;
-        let offer = self.take_word(now, instance);
-        if !matches!(offer, MergeOutcome::Stale | MergeOutcome::Full) {
-            self.replace_at(now, &id, address, is_first);
+        let is_first = instance.sequence <= FIRST_ANNOUNCEMENTS;
+        let outcome = self.apply_announcement(now, instance);
+        if !matches!(outcome, MergeOutcome::Stale | MergeOutcome::Full) {
+            self.end_rivals_at(now, &id, address, is_first);
         }
-        offer
+        outcome
     }
 
-    fn take_word(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
-        let mut record = Record::fresh(instance);
+    fn apply_announcement(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
+        let mut record = Record::announced_now(instance);
         if let Some(entry) = self.entries.get(&record.instance.id) {
             record.amended = entry.amended;
             record.rank = entry.rank;
         }
-        let offer = self.merge(now, record.clone());
-        if offer == MergeOutcome::Stale && self.has_outlived(now, &record) {
-            return self.put_back(now, record);
+        let outcome = self.merge(now, record.clone());
+        if outcome == MergeOutcome::Stale && self.has_outlived(now, &record) {
+            return self.reinstate(now, record);
         }
-        offer
+        outcome
     }
 
     /// Takes the other endpoints at `address` for gone: one that crashed and was started anew there under
@@ -174,7 +174,7 @@
     ///
     /// A word of an instance that died long ago may arrive late and must not end the one that lives
     /// there now. So either it is among the first words of its instance, or the other was silent.
-    fn replace_at(
+    fn end_rivals_at(
         &mut self,
         now: time::Instant,
         id: &InstanceId,
@@ -187,7 +187,7 @@
             let is_there = other.address == address && !other.has_ended();
             is_there && other.id.name != id.name && (is_first || is_silent)
         };
-        let there = self.index.at(address).iter();
+        let there = self.index.by_address(address).iter();
         let there = there.filter_map(|it| self.entries.get(it));
         let rivals = there.filter(is_rival);
         let rivals: Vec<InstanceId> = rivals.map(|it| it.instance.id.clone()).collect();
@@ -208,20 +208,20 @@
             return;
         }
         if entry.instance.state == State::Silent {
-            return self.confirm_silent(now, &id, alive);
+            return self.revive(now, &id, alive);
         }
         entry.heard = entry.heard.max(heard_at(now, alive.age));
         if alive.sequence == entry.instance.sequence {
             return;
         }
         sync::Arc::make_mut(&mut entry.instance).sequence = alive.sequence;
-        if now.since(entry.passed_on) >= REFRESH_INTERVAL {
-            self.note_alive(now, &id);
+        if now.since(entry.published) >= REFRESH_INTERVAL {
+            self.record_refresh(now, &id);
         }
     }
 
     /// An instance that was taken for gone lives.
-    fn confirm_silent(&mut self, now: time::Instant, id: &InstanceId, alive: LivenessRefresh) {
+    fn revive(&mut self, now: time::Instant, id: &InstanceId, alive: LivenessRefresh) {
         let Some(mut record) = self.record(now, id) else {
             return;
         };
@@ -241,7 +241,7 @@
         cursor: Cursor,
     ) -> Option<LivenessRefresh> {
         let entry = self.entries.get(id)?;
-        let is_known = cursor.start == self.start && entry.news <= cursor.change;
+        let is_known = cursor.start == self.start && entry.update <= cursor.change;
         (is_known && entry.instance.is_ready()).then(|| LivenessRefresh {
             key: id.short_key(),
             sequence: entry.instance.sequence,
@@ -252,38 +252,38 @@
     /// Takes what another directory passes on.
     pub fn merge(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let Some(entry) = self.entries.get(&record.instance.id) else {
-            return self.first_word(now, record);
+            return self.merge_first(now, record);
         };
         match entry.instance.state {
             State::Gone => MergeOutcome::Stale,
-            State::Replaced => self.word_of_replaced(now, record),
+            State::Replaced => self.merge_replaced(now, record),
             State::Ready | State::Leaving | State::Silent => self.update(now, record),
         }
     }
 
     /// The first word of an instance.
-    fn first_word(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
+    fn merge_first(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         if self.entries.len() >= MAX_INSTANCES {
             return MergeOutcome::Full;
         }
-        match self.succeeds(now, &record) {
-            succession::First::Lives => self.insert(now, record),
-            succession::First::Succeeds(before) => {
+        match self.compare_first(now, &record) {
+            succession::FirstRecord::Lives => self.insert(now, record),
+            succession::FirstRecord::Succeeds(before) => {
                 self.replace(now, &before);
                 self.insert(now, record)
             }
-            succession::First::Ends(current) => {
+            succession::FirstRecord::Ends(current) => {
                 self.mark_gone(now, &current);
                 MergeOutcome::Changed
             }
-            succession::First::Preceded => MergeOutcome::Stale,
+            succession::FirstRecord::Preceded => MergeOutcome::Stale,
         }
     }
 
     fn insert(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
-        let leaves = self.is_leaving(&id) || record.instance.state == State::Leaving;
-        if leaves && record.instance.state == State::Ready {
+        let leaving = self.is_leaving(&id) || record.instance.state == State::Leaving;
+        if leaving && record.instance.state == State::Ready {
             record.instance.state = State::Leaving;
         }
         let entry = Entry {
@@ -291,52 +291,52 @@
             rank: record.rank,
             heard: heard_at(now, record.age),
             changed: 0,
-            news: 0,
-            passed_on: now,
-            leaves,
+            update: 0,
+            published: now,
+            leaving,
             contends_since: None,
             instance: sync::Arc::new(record.instance),
         };
         self.digest ^= entry.instance.digest();
-        if let Some(before) = self.put(&id, entry) {
+        if let Some(before) = self.insert_entry(&id, entry) {
             self.digest ^= before.instance.digest();
         }
-        self.note_news(now, &id);
+        self.record_update(now, &id);
         MergeOutcome::New
     }
 
     /// Keeps an entry that has no number of a change yet.
-    fn put(&mut self, id: &InstanceId, entry: Entry) -> Option<Entry> {
+    fn insert_entry(&mut self, id: &InstanceId, entry: Entry) -> Option<Entry> {
         let address = entry.instance.address;
         let before = self.entries.insert(id.clone(), entry);
         if let Some(it) = &before {
             let address = it.instance.address;
-            self.index.forget(id, address, it.changed, it.news);
+            self.index.forget(id, address, it.changed, it.update);
         }
-        self.index.arrive(id, address);
+        self.index.add_address(id, address);
         before
     }
 
     /// Passes an instance on as news.
-    fn note_news(&mut self, now: time::Instant, id: &InstanceId) {
+    fn record_update(&mut self, now: time::Instant, id: &InstanceId) {
         self.change += 1;
-        self.news = self.change;
+        self.last_update = self.change;
         if let Some(entry) = self.entries.get_mut(id) {
-            self.index.change(id, entry.changed, self.change);
-            self.index.news(id, entry.news, self.change);
+            self.index.record_change(id, entry.changed, self.change);
+            self.index.record_update(id, entry.update, self.change);
             entry.changed = self.change;
-            entry.news = self.change;
-            entry.passed_on = now;
+            entry.update = self.change;
+            entry.published = now;
         }
     }
 
     /// Passes on that an instance is alive.
-    fn note_alive(&mut self, now: time::Instant, id: &InstanceId) {
+    fn record_refresh(&mut self, now: time::Instant, id: &InstanceId) {
         self.change += 1;
         if let Some(entry) = self.entries.get_mut(id) {
-            self.index.change(id, entry.changed, self.change);
+            self.index.record_change(id, entry.changed, self.change);
             entry.changed = self.change;
-            entry.passed_on = now;
+            entry.published = now;
         }
     }
 
@@ -347,18 +347,18 @@
             return MergeOutcome::Stale;
         };
         let known = (entry.instance.sequence, entry.amended);
-        if record.instance.state == State::Leaving && record.number() <= known {
+        if record.instance.state == State::Leaving && record.version() <= known {
             // A later word, which went elsewhere, does not undo it: it was said in an answer, and the
             // announcement of it is still to come.
-            let offer = self.mark_leaving(now, &id);
-            return if offer {
+            let outcome = self.mark_leaving(now, &id);
+            return if outcome {
                 MergeOutcome::Changed
             } else {
                 MergeOutcome::Stale
             };
         }
-        entry.leaves |= record.instance.state == State::Leaving;
-        if entry.leaves && record.instance.state == State::Ready {
+        entry.leaving |= record.instance.state == State::Leaving;
+        if entry.leaving && record.instance.state == State::Ready {
             record.instance.state = State::Leaving;
         }
         let goes = record.instance.state == State::Gone;
@@ -368,8 +368,8 @@
         entry.rank = entry.rank.max(record.rank);
         // Two directories that hold different words under the same numbers must not exchange them for
         // ever: only a higher number replaces what is held.
-        if record.number() <= known && !goes {
-            let is_same = record.number() == known;
+        if record.version() <= known && !goes {
+            let is_same = record.version() == known;
             return if is_same {
                 MergeOutcome::Confirmed
             } else {
@@ -377,21 +377,21 @@
             };
         }
         let is_news = entry.instance.differs(&record.instance) || record.amended > entry.amended;
-        let is_due = now.since(entry.passed_on) >= REFRESH_INTERVAL;
+        let is_due = now.since(entry.published) >= REFRESH_INTERVAL;
         entry.amended = entry.amended.max(record.amended);
         self.digest ^= entry.instance.digest() ^ record.instance.digest();
         let (before, address) = (entry.instance.address, record.instance.address);
         if before != address {
-            self.index.depart(&id, before);
-            self.index.arrive(&id, address);
+            self.index.remove_address(&id, before);
+            self.index.add_address(&id, address);
         }
         entry.instance = sync::Arc::new(record.instance);
         if is_news {
-            self.note_news(now, &id);
+            self.record_update(now, &id);
             return MergeOutcome::Changed;
         }
         if is_due {
-            self.note_alive(now, &id);
+            self.record_refresh(now, &id);
         }
         MergeOutcome::Confirmed
     }
@@ -414,7 +414,7 @@
         amend(sync::Arc::make_mut(&mut entry.instance));
         self.digest ^= entry.instance.digest();
         entry.amended += 1;
-        self.note_news(now, id);
+        self.record_update(now, id);
         true
     }
 
@@ -424,10 +424,10 @@
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
         };
-        if entry.leaves || entry.instance.state == State::Gone {
+        if entry.leaving || entry.instance.state == State::Gone {
             return false;
         }
-        entry.leaves = true;
+        entry.leaving = true;
         if entry.instance.state == State::Ready {
             self.amend(now, id, |it| it.state = State::Leaving);
         }
@@ -445,8 +445,8 @@
     /// It is passed on also where the instance is not known here: a control process that was just started
     /// knows none, and others still do.
     pub fn deregister(&mut self, now: time::Instant, id: &InstanceId) {
-        let record = Record::fresh(Instance::gone(id.clone()));
-        match self.meant_by(now, &record) {
+        let record = Record::announced_now(Instance::tombstone(id.clone()));
+        match self.deregistered_instance(now, &record) {
             Some(meant) => drop(self.mark_gone(now, &meant)),
             None if self.entries.contains_key(id) => {}
             None => drop(self.merge(now, record)),
@@ -475,7 +475,7 @@
         self.entries.retain(|id, entry| {
             let is_kept = entry.instance.is_present() || now.since(entry.heard) < ENDED_RETENTION;
             if !is_kept {
-                index.forget(id, entry.instance.address, entry.changed, entry.news);
+                index.forget(id, entry.instance.address, entry.changed, entry.update);
             }
             is_kept
         });
@@ -504,7 +504,7 @@
         };
         let mut changes: Vec<_> = self
             .index
-            .after(from, filter)
+            .changes_after(from, filter)
             .take(most.saturating_add(1))
             .collect();
         let is_last = changes.len() <= most;
@@ -570,7 +570,7 @@
     #[must_use]
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         let entry = self.entries.get(id);
-        entry.is_some_and(|it| it.leaves || it.instance.state == State::Gone)
+        entry.is_some_and(|it| it.leaving || it.instance.state == State::Gone)
     }
 
     /// The starts that are there of endpoints that ended and were started again lately.
--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -11,7 +11,7 @@
 //! set back, the start that lives seems to be the earlier one; a control process that hears it itself
 //! then raises its rank, once
 //!
-//! * it has spoken for [`CONTENDING`], and
+//! * it has spoken for [`CONTENTION_TIME`], and
 //! * the one that seems later was silent for [`super::RIVAL_SILENCE`] all the while.
 //!
 //! A start that lives does both: it announces itself about every second. Words that were held up by a
@@ -23,21 +23,21 @@
 use sageshed_types::time;
 
 use super::{
-    Directory, Entry, FIRST_WORDS, Instance, InstanceId, MergeOutcome, RIVAL_SILENCE, Record,
-    State, heard_at,
+    Directory, Entry, FIRST_ANNOUNCEMENTS, Instance, InstanceId, MergeOutcome, RIVAL_SILENCE,
+    Record, State, heard_at,
 };
 
 /// For how long a start must speak before it takes the place of a silent one that seems later: two
 /// announcements, which come every 1.2 s. Those that a cut held up arrive within some milliseconds.
-const CONTENDING: time::Millis = time::Millis(2_000);
+const CONTENTION_TIME: time::Millis = time::Millis(2_000);
 
 /// Starts of one endpoint that are kept. One that crashes every second for a while has some more, and the
 /// oldest of these are known by their births without being kept.
-const STARTS_KEPT: usize = 8;
+const MAX_INSTANCES_PER_ENDPOINT: usize = 8;
 
 /// What the first word of a start means.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum First {
+pub(super) enum FirstRecord {
     /// No other start of its endpoint is there.
     Lives,
     /// It replaces this one.
@@ -51,10 +51,10 @@
 impl Directory {
     /// The start of the endpoint `name` that has not ended, if one is known.
     pub(super) fn current(&self, name: &str) -> Option<&Entry> {
-        self.starts(name).find(|it| !it.instance.has_ended())
+        self.instances_of(name).find(|it| !it.instance.has_ended())
     }
 
-    fn starts(&self, name: &str) -> impl Iterator<Item = &Entry> {
+    fn instances_of(&self, name: &str) -> impl Iterator<Item = &Entry> {
         let first = InstanceId::new(name, None);
         self.entries
             .range(first..)
@@ -63,18 +63,18 @@
     }
 
     /// What the first word of a start means.
-    pub(super) fn succeeds(&self, now: time::Instant, record: &Record) -> First {
+    pub(super) fn compare_first(&self, now: time::Instant, record: &Record) -> FirstRecord {
         let Some(current) = self.current(&record.instance.id.name) else {
-            return First::Lives;
+            return FirstRecord::Lives;
         };
         if record.instance.has_ended() {
-            let meant = self.meant_by(now, record);
-            return meant.map_or(First::Lives, First::Ends);
+            let meant = self.deregistered_instance(now, record);
+            return meant.map_or(FirstRecord::Lives, FirstRecord::Ends);
         }
         if is_later(record, current) {
-            First::Succeeds(current.instance.id.clone())
+            FirstRecord::Succeeds(current.instance.id.clone())
         } else {
-            First::Preceded
+            FirstRecord::Preceded
         }
     }
 
@@ -83,7 +83,11 @@
     /// A word without a time of birth means the start that is known, unless that has spoken since or was
     /// just born in the place of another: then the word is of the one before, and came late. Taken for
     /// the new one's, it would keep that out for [`super::ENDED_RETENTION`].
-    pub(super) fn meant_by(&self, now: time::Instant, record: &Record) -> Option<InstanceId> {
+    pub(super) fn deregistered_instance(
+        &self,
+        now: time::Instant,
+        record: &Record,
+    ) -> Option<InstanceId> {
         let id = &record.instance.id;
         let current = self.current(&id.name)?;
         let known = &current.instance.id;
@@ -94,9 +98,9 @@
             return (id == known).then(|| known.clone());
         }
         let has_spoken_since = current.heard > heard_at(now, record.age);
-        let is_young = current.instance.sequence <= FIRST_WORDS;
+        let is_young = current.instance.sequence <= FIRST_ANNOUNCEMENTS;
         let was_replaced = |it: &Entry| it.instance.state == State::Replaced;
-        let is_late = is_young && self.starts(&id.name).any(was_replaced);
+        let is_late = is_young && self.instances_of(&id.name).any(was_replaced);
         (!has_spoken_since && !is_late).then(|| known.clone())
     }
 
@@ -106,7 +110,7 @@
     }
 
     /// A further word of a start that another has replaced.
-    pub(super) fn word_of_replaced(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
+    pub(super) fn merge_replaced(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let rival = self.current(&id.name);
         let comes_back = match rival {
@@ -134,7 +138,7 @@
     /// long enough while the other was silent.
     pub(super) fn has_outlived(&mut self, now: time::Instant, record: &Record) -> bool {
         let id = &record.instance.id;
-        if !record.instance.is_present() || !self.keeps_contender(now, record) {
+        if !record.instance.is_present() || !self.track_contender(now, record) {
             return false;
         }
         let rival = self.current(&id.name).map(|it| it.heard);
@@ -152,17 +156,17 @@
         entry.heard = now;
         sync::Arc::make_mut(&mut entry.instance).sequence = record.instance.sequence;
         let is_silent = rival.is_none_or(|heard| now.since(heard) >= RIVAL_SILENCE);
-        is_silent && now.since(since) >= CONTENDING
+        is_silent && now.since(since) >= CONTENTION_TIME
     }
 
     /// Keeps a start in mind that seems to have ended before the one that is known, unless many are kept.
     /// Others are not told.
-    fn keeps_contender(&mut self, now: time::Instant, record: &Record) -> bool {
+    fn track_contender(&mut self, now: time::Instant, record: &Record) -> bool {
         let id = &record.instance.id;
         if self.entries.contains_key(id) {
             return true;
         }
-        if self.starts(&id.name).count() >= STARTS_KEPT {
+        if self.instances_of(&id.name).count() >= MAX_INSTANCES_PER_ENDPOINT {
             return false;
         }
         let entry = Entry {
@@ -174,19 +178,23 @@
             rank: record.rank,
             heard: now,
             changed: 0,
-            news: 0,
-            passed_on: now,
-            leaves: record.instance.state == State::Leaving,
+            update: 0,
+            published: now,
+            leaving: record.instance.state == State::Leaving,
             contends_since: Some(now),
         };
-        self.put(id, entry);
+        self.insert_entry(id, entry);
         true
     }
 
     /// Puts a start that was replaced back into its place, with a rank by which all others take it in.
-    pub(super) fn put_back(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
+    pub(super) fn reinstate(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let name = record.instance.id.name.clone();
-        let highest = self.starts(&name).map(|it| it.rank).max().unwrap_or(0);
+        let highest = self
+            .instances_of(&name)
+            .map(|it| it.rank)
+            .max()
+            .unwrap_or(0);
         if let Some(rival) = self.current(&name).map(|it| it.instance.id.clone()) {
             self.replace(now, &rival);
         }
