--- a/crates/sageshed-fleet/src/directory/index.rs
+++ b/crates/sageshed-fleet/src/directory/index.rs
@@ -1,12 +1,13 @@
-//! Instances by their changes and by their addresses.
+//! Indexes of the instances by change, address and hash.
 //!
-//! A control process looks up what is new for each of hundreds of watchers and who else is at an address for each
-//! announcement. Both cost what they find, whatever the number of instances.
+//! A control process looks up the changes for each of hundreds of watchers, and the other endpoints at an address for
+//! each announcement. The cost of both depends on the results only, not on the number of instances.
 
 use std::{collections, net};
 
 use super::{ChangeFilter, InstanceId};
 
+/// Indexes of the instances of one directory.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Index {
     changes: collections::BTreeMap<u64, InstanceId>,
@@ -16,24 +17,25 @@
 }
 
 impl Index {
-    /// The change numbered `after` takes the place of the one numbered `before`, which may be zero for none.
+    /// Replaces the change `before` of an instance by `after`; zero stands for none.
     pub(super) fn record_change(&mut self, id: &InstanceId, before: u64, after: u64) {
         self.changes.remove(&before);
         self.changes.insert(after, id.clone());
     }
 
-    /// The same for one that is news.
+    /// Replaces the update `before` of an instance by `after`; zero stands for none.
     pub(super) fn record_update(&mut self, id: &InstanceId, before: u64, after: u64) {
         self.updates.remove(&before);
         self.updates.insert(after, id.clone());
     }
 
-    /// Gets to know an instance, or a new address of it.
+    /// Adds an instance, or a new address of it.
     pub(super) fn add_address(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
         self.short_keys.insert(id.short_key(), id.clone());
         self.addresses.entry(address).or_default().push(id.clone());
     }
 
+    /// Removes an instance from an address.
     pub(super) fn remove_address(&mut self, id: &InstanceId, address: net::SocketAddrV4) {
         let Some(there) = self.addresses.get_mut(&address) else {
             return;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Forgets an instance with these numbers of changes.
+    /// Removes an instance with its address, its latest change and its latest update.
     pub(super) fn forget(
         &mut self,
         id: &InstanceId,
@@ -58,7 +60,7 @@
         self.remove_address(id, address);
     }
 
-    /// The instance with a short key.
+    /// The instance with this [`InstanceId::short_key`].
     pub(super) fn by_short_key(&self, key: u64) -> Option<&InstanceId> {
         self.short_keys.get(&key)
     }
@@ -68,7 +70,7 @@
         self.addresses.get(&address).map_or(&[], Vec::as_slice)
     }
 
-    /// The instances whose last change comes after the one numbered `from`, in the order of these.
+    /// The instances whose latest change comes after change `from`, with the numbers of these changes, in their order.
     pub(super) fn changes_after(
         &self,
         from: u64,
--- a/crates/sageshed-fleet/src/directory/instance.rs
+++ b/crates/sageshed-fleet/src/directory/instance.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself, and the record by which directories pass it on.
+//! An endpoint's announcement of itself, and the record in which directories pass it on.
 
 use std::{
     fmt,
@@ -9,22 +9,22 @@
 use sageshed_types::time;
 use serde::{Deserialize, Serialize};
 
-/// Names one start of an endpoint.
+/// Identifies one instance of an endpoint: one run of its process.
 ///
-/// An endpoint that crashes may start again under the name that it had. It then holds nothing, and what
-/// was sent or ordered before concerns a process that is no more, so everything that is believed of an
-/// endpoint is kept by this pair. Ordered by name, then by time of start.
+/// An endpoint that crashes may be started again under the same name. It then holds nothing, and earlier requests and
+/// orders concern a process that no longer exists, so all state of endpoints is kept by this pair. Ordered by name,
+/// then by start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId {
-    /// The name of the endpoint, the same in each of its starts.
+    /// The name of the endpoint, the same for all its instances.
     pub name: String,
-    /// When it was started, in milliseconds of Unix time by its own clock, which may jump. None where
-    /// it does not say so; its starts are then known by their names alone.
+    /// When it was started, in milliseconds of Unix time by its own clock, which may jump. None where the endpoint
+    /// doesn't tell; its instances are then identified by the name alone.
     pub born: Option<u64>,
 }
 
 impl InstanceId {
-    /// The start at `born` of the endpoint `name`.
+    /// The instance of the endpoint `name` that was started at `born`.
     #[must_use]
     pub fn new(name: &str, born: Option<u64>) -> Self {
         let name = name.to_owned();
@@ -33,19 +33,19 @@
 }
 
 impl InstanceId {
-    /// A number by which processes name it to each other in few bytes: the same on every version of them.
+    /// A hash that identifies the instance in messages between processes. It is the same in all their versions.
     #[must_use]
     pub fn short_key(&self) -> u64 {
         let mut hasher = fnv::FnvHasher::default();
         hasher.write(self.name.as_bytes());
-        // No name holds this byte.
+        // Separates the fields: no name contains this byte.
         hasher.write(&[0xff]);
         hasher.write(&self.born.unwrap_or(0).to_le_bytes());
         hasher.finish()
     }
 }
 
-/// A start of an endpoint that does not say when it was.
+/// An instance of an endpoint that doesn't tell its start time.
 impl From<&str> for InstanceId {
     fn from(name: &str) -> Self {
         Self::new(name, None)
@@ -61,43 +61,43 @@
     }
 }
 
-/// One start of an endpoint, by its own word.
+/// One instance of an endpoint, as it announces itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
     /// Its id, never used by another.
     pub id: InstanceId,
-    /// The service that it is part of.
+    /// The service that it belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// Where it listens for requests.
     pub address: net::SocketAddrV4,
-    /// Where it stands.
+    /// Its availability zone.
     pub availability_zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub state: State,
-    /// How much longer it is slow after its start.
+    /// Remaining time in which it is slow after its start.
     pub warming: time::Millis,
-    /// Where it will be gone at short notice: how long it had left when it said so.
+    /// Time until it ends, if it leaves at short notice, as of the announcement.
     pub remaining: Option<time::Millis>,
-    /// Counts its announcements.
+    /// Number of its announcement, counted from its start.
     pub sequence: u64,
     /// The models in its accelerators' memory.
     pub models: Vec<Resident>,
-    /// Models with a copy of their weights in its host's memory.
+    /// Models whose weights are cached in its host's memory.
     pub in_memory: Vec<String>,
-    /// Models with a copy of their weights on its disk.
+    /// Models whose weights are cached on its disk.
     pub on_disk: Vec<String>,
 }
 
-/// A model that an engine holds.
+/// A model in the memory of an engine's accelerators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
     /// The model.
     pub model: String,
     /// The version of its weights.
     pub version: u64,
-    /// Its adapters there.
+    /// The adapters loaded for it.
     pub adapters: Vec<String>,
 }
 
@@ -105,20 +105,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// It takes new work.
     Ready,
-    /// It will stop and takes no new work.
+    /// It is about to stop and takes no new work.
     Leaving,
-    /// It has stopped, or says that it is about to.
+    /// It has deregistered, or is known to have ended.
     Gone,
-    /// Nothing was heard of it for long. It may be cut off from control and is back by its next word.
+    /// It has not announced itself for long. It may be cut off from the control processes; its next announcement
+    /// makes it present again.
     Silent,
-    /// Another start of the same endpoint has taken its place.
+    /// Another instance of the same endpoint has replaced it.
     Replaced,
 }
 
 impl Instance {
-    /// What is known of an instance of which nothing but its end was heard.
+    /// An instance of which nothing but its end is known.
     pub(super) fn tombstone(id: InstanceId) -> Self {
         Self {
             id,
@@ -136,13 +137,13 @@
         }
     }
 
-    /// The model that it holds, if it does.
+    /// The loaded model of this name, if it is loaded.
     #[must_use]
     pub fn resident(&self, model: &str) -> Option<&Resident> {
         self.models.iter().find(|it| it.model == model)
     }
 
-    /// Whether it holds `model`, and `adapter` of it if one is asked for.
+    /// Whether `model` is loaded, and `adapter` of it if one is given.
     #[must_use]
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
         let Some(resident) = self.resident(model) else {
@@ -151,13 +152,13 @@
         adapter.is_none_or(|name| resident.adapters.iter().any(|it| it == name))
     }
 
-    /// Whether it is there, as far as is known.
+    /// Whether it is running, as far as is known.
     #[must_use]
     pub fn is_present(&self) -> bool {
         matches!(self.state, State::Ready | State::Leaving)
     }
 
-    /// Whether it has ended, by its own word or that of a later start.
+    /// Whether it has ended, as it has said itself or as a later instance shows.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         matches!(self.state, State::Gone | State::Replaced)
@@ -169,8 +170,7 @@
         self.state == State::Ready
     }
 
-    /// A number that is equal for words that say the same, but for their count, and hardly ever for others.
-    /// Zero for one that is not there.
+    /// A hash of what matters to others, without the sequence number; zero for an instance that isn't present.
     pub(super) fn digest(&self) -> u64 {
         if !self.is_present() {
             return 0;
@@ -191,7 +191,7 @@
         ))
     }
 
-    /// Whether two words of one instance differ in more than their number.
+    /// Whether two announcements of one instance differ in what makes an update.
     pub(super) fn differs(&self, other: &Self) -> bool {
         let warms = |it: &Self| it.warming > time::Millis(0);
         self.state != other.state
@@ -208,18 +208,19 @@
 /// An instance as one directory passes it to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its latest word.
+    /// Its newest announcement, with amendments.
     pub instance: Instance,
-    /// Counts what the leader did to it that its own word does not show yet.
+    /// Number of amendments, such as those by which the leader shows the effect of its orders.
     pub amended: u64,
-    /// Grows when a start is found to live though another of its endpoint seemed to be later.
+    /// Raised when the instance is found to be running though another one of its endpoint seemed to be later; see
+    /// `succession`.
     pub rank: u32,
-    /// How old the word is.
+    /// Age of the announcement.
     pub age: time::Millis,
 }
 
 impl Record {
-    /// The instance's own word, that came just now.
+    /// The record of an announcement that was received just now.
     pub(super) fn announced_now(instance: Instance) -> Self {
         Self {
             instance,
@@ -229,21 +230,21 @@
         }
     }
 
-    /// By which of two records of one instance is newer.
+    /// The version of the record: of two records of one instance the one with the higher version is newer.
     pub(super) fn version(&self) -> (u64, u64) {
         (self.instance.sequence, self.amended)
     }
 }
 
-/// A word of an instance that says nothing new, as one directory passes it to another.
+/// An announcement that brings no update, as one directory passes it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub struct LivenessRefresh {
     /// The instance, by [`InstanceId::short_key`].
     pub key: u64,
-    /// The number of its latest announcement.
+    /// The sequence number of its newest announcement.
     pub sequence: u64,
-    /// How old that is.
+    /// Age of that announcement.
     pub age: time::Millis,
 }
 
@@ -260,27 +261,27 @@
     }
 }
 
-/// What an announcement or record was.
+/// Outcome of an announcement or of the merge of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The first of its instance.
+    /// It is the first one of its instance.
     New,
-    /// It changes what is believed.
+    /// It changes what is known of the instance.
     Changed,
-    /// It confirms what is believed.
+    /// It confirms what is known.
     Confirmed,
-    /// It is older than what is known, or of an instance that has ended.
+    /// It is older than what is known, or its instance has ended.
     Stale,
-    /// It is of another instance, and as many are known as are kept.
+    /// It is the first one of its instance, and [`super::MAX_INSTANCES`] are already known.
     Full,
 }
 
-/// The same for lists that differ in their order only.
+/// Combines hashes regardless of their order.
 fn unordered_hash(hashes: impl Iterator<Item = u64>) -> u64 {
     hashes.fold(0, u64::wrapping_add)
 }
 
-/// The same on every process of one build: the standard library's hasher with its fixed keys.
+/// A hash that is the same in all processes of one build: the standard library's hasher with its fixed keys.
 fn fixed_hash<T: hash::Hash>(value: &T) -> u64 {
     let mut hasher = hash::DefaultHasher::new();
     value.hash(&mut hasher);
--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -1,13 +1,14 @@
-//! What is believed of each endpoint, by its own announcements.
+//! The endpoints that announce themselves, as one process knows them.
 //!
-//! Announcements come to any control process, late and out of order. Each carries a number that grows
-//! within one start of an endpoint (an [`Instance`]), so the newest word of an instance is known from the
-//! word itself, whichever way it came. An instance that says that it goes never comes back: its id is
-//! kept for [`ENDED_RETENTION`], longer than an announcement may be delayed. Which of several starts of one
-//! endpoint lives is decided by [`succession`].
+//! Announcements may reach any control process, late and out of order. Each carries a sequence number that grows
+//! within one instance of an endpoint (one run of its process, an [`Instance`]), so the newest announcement of an
+//! instance is known whichever way it came. An instance that deregisters never comes back: its id is kept for
+//! [`ENDED_RETENTION`], longer than an announcement may be delayed. Which of several instances of one endpoint is
+//! running is decided in [`succession`].
 //!
-//! A directory counts its changes. A peer that says up to which change it knows this directory gets
-//! what came after ([`Directory::records_after`]).
+//! A directory numbers its changes. A peer that names the change up to which it knows this directory, its
+//! [`Cursor`], gets the later ones ([`Directory::records_after`]). Changes are of two kinds: updates, which change
+//! what is known of an instance, and refreshes, which only tell that it is still alive.
 
 mod index;
 mod instance;
@@ -23,53 +24,57 @@
     Instance, InstanceId, LivenessRefresh, MergeOutcome, Record, Resident, State,
 };
 
-/// How long the id of an instance that has ended is remembered. Announcements were seen to arrive
-/// after a cut of the network of about ten seconds; this is several times that.
+/// How long an instance that has ended is remembered. Announcements have arrived after a network partition of about
+/// ten seconds; this is several times that.
 pub const ENDED_RETENTION: time::Millis = time::Millis(60_000);
 
-/// How often the word of an instance that says nothing new is passed on, so that others know that it
-/// lives.
+/// How often an instance whose announcements bring no update is passed on, so that others know that it is alive.
 pub const REFRESH_INTERVAL: time::Millis = time::Millis(2_000);
 
-/// An instance whose first word here has at most this number was just started.
+/// Sequence number up to which the first announcement received of an instance shows that it has just started.
 const FIRST_ANNOUNCEMENTS: u64 = 3;
 
-/// How long one instance must be silent before another, which may have died before it, takes its place:
-/// its own words may have gone to other control processes, which pass them on every [`REFRESH_INTERVAL`].
+/// How long an instance must be silent before another one, which may have ended before it, takes its place. Its
+/// announcements may have gone to other control processes, which pass them on every [`REFRESH_INTERVAL`].
 const RIVAL_SILENCE: time::Millis = time::Millis(5_000);
 
-/// How long an instance may be silent before it is taken for gone. Several announcements, which may
-/// be late by seconds.
+/// How long an instance may be silent before it counts as gone: several announcements, which may be late by seconds.
 pub const SILENCE_TIMEOUT: time::Millis = time::Millis(12_000);
 
-/// Instances that are kept at the most: twice the endpoints of the largest fleet that is aimed for. One
-/// takes about a kilobyte, and whoever can reach the port can announce any number of them.
+/// Maximum number of instances that are kept: twice the endpoints of the largest intended fleet. Each takes about a
+/// kilobyte, and anyone who can reach the port can announce any number of them.
 pub const MAX_INSTANCES: usize = 20_000;
 
+/// What is known of one instance; see [`Record`] for the fields that both have.
 #[derive(Debug, Clone)]
 struct Entry {
     instance: sync::Arc<Instance>,
     amended: u64,
     rank: u32,
+    /// When its newest announcement was received.
     heard: time::Instant,
-    /// The change by which it was passed on last, be it as a sign of life.
+    /// Number of its latest change, be it an update or a refresh.
     changed: u64,
-    /// The change by which there was news of it last.
+    /// Number of its latest update.
     update: u64,
+    /// When its latest change was numbered.
     published: time::Instant,
-    /// Whether it has ever said that it leaves. It takes no work again, whatever comes later.
+    /// Whether it has ever said that it is leaving. It gets no new work from then on, whatever it announces later.
     leaving: bool,
-    /// Of one that another start has replaced: since when it has spoken while the other was silent.
+    /// Of a replaced instance: since when it has announced itself while the other one was silent.
     contends_since: Option<time::Instant>,
 }
 
 /// The instances that one process knows.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
+    /// When this process was started; tells its cursors from those of an earlier one.
     start: u64,
+    /// Number of the latest change.
     change: u64,
-    /// The change by which there was news last.
+    /// Number of the latest update.
     last_update: u64,
+    /// XOR of the digests of all instances.
     digest: u64,
     entries: collections::BTreeMap<InstanceId, Entry>,
     index: index::Index,
@@ -78,34 +83,34 @@
 /// A change of a directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Of which instance.
+    /// The instance that changed.
     pub id: InstanceId,
-    /// Its number, which no other change has.
+    /// The number of the change, unique within this directory.
     pub number: u64,
 }
 
-/// Some of what a peer does not know yet.
+/// A bounded number of changes that a peer doesn't know yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeBatch {
-    /// The changes, in their order.
+    /// The changes, in the order of their numbers.
     pub changes: Vec<Change>,
-    /// Up to where the directory is known with them.
+    /// The cursor of a peer that has received them.
     pub cursor: Cursor,
-    /// Whether there are no more.
+    /// Whether no changes follow.
     pub is_last: bool,
 }
 
-/// What a peer is to be passed on.
+/// Which changes a peer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeFilter {
-    /// What is new, and which instances live.
+    /// Updates and refreshes.
     All,
-    /// What is new.
+    /// Updates only.
     Updates,
 }
 
 impl Directory {
-    /// An empty directory of the process that was started at `start`.
+    /// An empty directory of a process that was started at `start`.
     #[must_use]
     pub fn new(start: u64) -> Self {
         Self {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Up to where this directory is known to whom it is shown now.
+    /// The cursor of a peer that knows the whole directory.
     #[must_use]
     pub fn cursor(&self) -> Cursor {
         Cursor {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// The last change that was news.
+    /// The cursor of the latest update.
     #[must_use]
     pub fn update_cursor(&self) -> Cursor {
         Cursor {
@@ -132,20 +137,20 @@
         }
     }
 
-    /// Whether there is news for a peer that knows this directory up to `cursor`.
+    /// Whether there are updates for a peer at `cursor`.
     #[must_use]
     pub fn has_updates(&self, cursor: Cursor) -> bool {
         cursor.start != self.start || self.last_update > cursor.change
     }
 
-    /// Equal for directories in which the same instances are there and hold the same, and hardly ever for
-    /// others.
+    /// A digest of the present instances and what they hold. Equal for directories that agree on these, and almost
+    /// never for others.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes an instance's own word, that came just now.
+    /// Applies an announcement that an instance has just sent.
     pub fn announce(&mut self, now: time::Instant, instance: Instance) -> MergeOutcome {
         let (id, address) = (instance.id.clone(), instance.address);
         let is_first = instance.sequence <= FIRST_ANNOUNCEMENTS;
@@ -169,11 +174,11 @@
         outcome
     }
 
-    /// Takes the other endpoints at `address` for gone: one that crashed and was started anew there under
-    /// another name says nothing more.
+    /// Marks the other endpoints at `address` as gone. An endpoint that crashed and was started again at its address
+    /// under another name doesn't deregister the old name.
     ///
-    /// A word of an instance that died long ago may arrive late and must not end the one that lives
-    /// there now. So either it is among the first words of its instance, or the other was silent.
+    /// A late announcement of an instance that ended long ago must not end the one that runs there now. So the
+    /// announcement must be among the first ones of its instance, or the other instance must have been silent.
     fn end_rivals_at(
         &mut self,
         now: time::Instant,
@@ -196,7 +201,7 @@
         }
     }
 
-    /// Takes another directory's word that an instance is alive and has said nothing new.
+    /// Applies another directory's refresh of an instance.
     pub fn confirm(&mut self, now: time::Instant, alive: LivenessRefresh) {
         let Some(id) = self.index.by_short_key(alive.key).cloned() else {
             return;
@@ -220,7 +225,7 @@
         }
     }
 
-    /// An instance that was taken for gone lives.
+    /// Makes a silent instance present again.
     fn revive(&mut self, now: time::Instant, id: &InstanceId, alive: LivenessRefresh) {
         let Some(mut record) = self.record(now, id) else {
             return;
@@ -231,8 +236,8 @@
         self.merge(now, record);
     }
 
-    /// The word that an instance is alive, for a peer that knows all else of it: one with this mark, if it takes new
-    /// work.
+    /// The refresh of an instance for a peer at `cursor`; none where the peer needs its record, or the instance
+    /// isn't ready.
     #[must_use]
     pub fn alive(
         &self,
@@ -249,7 +254,7 @@
         })
     }
 
-    /// Takes what another directory passes on.
+    /// Merges a record of another directory.
     pub fn merge(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let Some(entry) = self.entries.get(&record.instance.id) else {
             return self.merge_first(now, record);
@@ -261,7 +266,7 @@
         }
     }
 
-    /// The first word of an instance.
+    /// Merges the first record of an instance.
     fn merge_first(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         if self.entries.len() >= MAX_INSTANCES {
             return MergeOutcome::Full;
@@ -305,7 +310,7 @@
         MergeOutcome::New
     }
 
-    /// Keeps an entry that has no number of a change yet.
+    /// Inserts an entry whose change has no number yet. Returns the one that it replaces.
     fn insert_entry(&mut self, id: &InstanceId, entry: Entry) -> Option<Entry> {
         let address = entry.instance.address;
         let before = self.entries.insert(id.clone(), entry);
@@ -317,7 +322,7 @@
         before
     }
 
-    /// Passes an instance on as news.
+    /// Numbers an update of an instance.
     fn record_update(&mut self, now: time::Instant, id: &InstanceId) {
         self.change += 1;
         self.last_update = self.change;
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Passes on that an instance is alive.
+    /// Numbers a refresh of an instance.
     fn record_refresh(&mut self, now: time::Instant, id: &InstanceId) {
         self.change += 1;
         if let Some(entry) = self.entries.get_mut(id) {
@@ -340,7 +345,7 @@
         }
     }
 
-    /// A further word of an instance that has not ended.
+    /// Merges a further record of an instance that has not ended.
     fn update(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -348,8 +353,8 @@
         };
         let known = (entry.instance.sequence, entry.amended);
         if record.instance.state == State::Leaving && record.version() <= known {
-            // A later word, which went elsewhere, does not undo it: it was said in an answer, and the
-            // announcement of it is still to come.
+            // A newer announcement that says otherwise doesn't undo it: the instance may have said so in a response,
+            // and will announce it later.
             let outcome = self.mark_leaving(now, &id);
             return if outcome {
                 MergeOutcome::Changed
@@ -366,8 +371,8 @@
             entry.heard = entry.heard.max(heard_at(now, record.age));
         }
         entry.rank = entry.rank.max(record.rank);
-        // Two directories that hold different words under the same numbers must not exchange them for
-        // ever: only a higher number replaces what is held.
+        // Only a higher version replaces the known record. Otherwise two directories with different records of the
+        // same version would exchange them forever.
         if record.version() <= known && !goes {
             let is_same = record.version() == known;
             return if is_same {
@@ -396,8 +401,8 @@
         MergeOutcome::Confirmed
     }
 
-    /// Notes what the instance's own word does not show yet, as an adapter that the leader had it
-    /// load. Returns false where the instance is not known or has ended.
+    /// Amends an instance by what its announcements don't show yet, such as an adapter that the leader has ordered
+    /// it to load. Returns false where the instance is unknown or has ended.
     pub fn amend(
         &mut self,
         now: time::Instant,
@@ -418,8 +423,8 @@
         true
     }
 
-    /// Notes that an instance has said that it leaves, be it in an announcement or in an answer. Returns whether
-    /// that is new.
+    /// Marks an instance as leaving, as it has said in an announcement or in a response. Returns whether that is
+    /// new.
     pub fn mark_leaving(&mut self, now: time::Instant, id: &InstanceId) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
@@ -434,16 +439,16 @@
         true
     }
 
-    /// Notes that an instance has gone. Returns false where it is not known, or has ended already.
+    /// Marks an instance as gone. Returns false where it is unknown or has already ended.
     pub fn mark_gone(&mut self, now: time::Instant, id: &InstanceId) -> bool {
         self.amend(now, id, |it| it.state = State::Gone)
     }
 
-    /// Takes an endpoint's own word that the start `id` of it goes. One without a time of birth means the
-    /// start that is known.
+    /// Deregisters the instance `id` at its own request. Without a start time it means the known instance of the
+    /// endpoint.
     ///
-    /// It is passed on also where the instance is not known here: a control process that was just started
-    /// knows none, and others still do.
+    /// A deregistration of an unknown instance is passed on as well: a control process that has just started knows
+    /// no instances, while others still do.
     pub fn deregister(&mut self, now: time::Instant, id: &InstanceId) {
         let record = Record::announced_now(Instance::tombstone(id.clone()));
         match self.deregistered_instance(now, &record) {
@@ -453,8 +458,8 @@
         }
     }
 
-    /// Takes those for gone that were silent for [`SILENCE_TIMEOUT`], and forgets those that ended long ago.
-    /// Returns the ids of the former.
+    /// Marks the instances as silent that have not announced themselves for [`SILENCE_TIMEOUT`], and removes those
+    /// that ended long ago. Returns the ids of the former.
     pub fn expire(&mut self, now: time::Instant) -> Vec<InstanceId> {
         self.forget_ended(now);
         let silent: Vec<InstanceId> = self
@@ -469,7 +474,7 @@
         silent
     }
 
-    /// Forgets the instances that are not there for long.
+    /// Removes the instances that have been absent for [`ENDED_RETENTION`].
     pub fn forget_ended(&mut self, now: time::Instant) {
         let index = &mut self.index;
         self.entries.retain(|id, entry| {
@@ -481,7 +486,7 @@
         });
     }
 
-    /// What changed after `cursor`; everything where the mark is of another start.
+    /// The records that changed after `cursor`; all of them where the cursor belongs to an earlier process.
     #[must_use]
     pub fn records_after(
         &self,
@@ -494,7 +499,7 @@
         records.collect()
     }
 
-    /// The first `most` changes after `cursor`, and up to where the directory is known with them.
+    /// The first `most` changes after `cursor`.
     #[must_use]
     pub fn changes_after(&self, cursor: Cursor, filter: ChangeFilter, most: usize) -> ChangeBatch {
         let from = if cursor.start == self.start {
@@ -525,7 +530,7 @@
         }
     }
 
-    /// What is passed on of an instance.
+    /// The record of an instance that is passed on to other directories.
     #[must_use]
     pub fn record(&self, now: time::Instant, id: &InstanceId) -> Option<Record> {
         let entry = self.entries.get(id)?;
@@ -537,7 +542,7 @@
         })
     }
 
-    /// The instances that have not gone, with how long each was silent.
+    /// The present instances, with the time since each was last heard from.
     pub fn present(&self, now: time::Instant) -> impl Iterator<Item = (&Instance, time::Millis)> {
         self.entries
             .values()
@@ -545,7 +550,7 @@
             .map(move |entry| (&*entry.instance, now.since(entry.heard)))
     }
 
-    /// The instances that have not gone, to be looked at while the directory goes on to change.
+    /// The present instances, for reading while the directory changes.
     #[must_use]
     pub fn snapshot(&self) -> Vec<sync::Arc<Instance>> {
         let instances = self.entries.values().map(|it| &it.instance);
@@ -553,27 +558,27 @@
         present.map(sync::Arc::clone).collect()
     }
 
-    /// The start of the endpoint `name` that is there, if one is known.
+    /// The present instance of the endpoint `name`, if one is known.
     #[must_use]
     pub fn current_instance(&self, name: &str) -> Option<&Instance> {
         let entry = self.current(name)?;
         entry.instance.is_present().then_some(&*entry.instance)
     }
 
-    /// What is known of this start.
+    /// The instance with this id, whether it is present or not.
     #[must_use]
     pub fn instance(&self, id: &InstanceId) -> Option<&Instance> {
         self.entries.get(id).map(|it| &*it.instance)
     }
 
-    /// Whether this start said that it stops.
+    /// Whether this instance has said that it is leaving, or has deregistered.
     #[must_use]
     pub fn is_leaving(&self, id: &InstanceId) -> bool {
         let entry = self.entries.get(id);
         entry.is_some_and(|it| it.leaving || it.instance.state == State::Gone)
     }
 
-    /// The starts that are there of endpoints that ended and were started again lately.
+    /// The present instances of endpoints that have recently been restarted.
     #[must_use]
     pub fn restarted(&self) -> Vec<InstanceId> {
         let ended = self.entries.values().filter(|it| it.instance.has_ended());
@@ -586,7 +591,7 @@
     }
 }
 
-/// When a word that is so old now was heard.
+/// When an announcement of this age was received.
 fn heard_at(now: time::Instant, age: time::Millis) -> time::Instant {
     time::Instant(now.0.saturating_sub(age.0))
 }
--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -1,22 +1,23 @@
-//! Which of several starts of one endpoint lives.
+//! Which of several instances of one endpoint is running.
 //!
-//! An endpoint that crashed may be back within a second under its name. What is believed of the start
-//! before must end at once: requests would be sent to it for models that the new start does not hold, and
-//! its words, with higher numbers than the new ones, would hide these. And words of the start before
-//! may arrive seconds late, at a process that has or hasn't heard of either.
+//! An endpoint that crashed may be back within a second under the same name. What is known of the previous instance
+//! must be dropped at once: otherwise requests would be sent for models that the new instance doesn't hold, and the
+//! old announcements, which have higher sequence numbers, would hide the new ones. Announcements of the previous
+//! instance may also arrive seconds late, at processes that know both instances, one of them or none.
 //!
-//! Starts are ordered by their rank, then by the time of birth that they tell; one that tells none comes
-//! first. Of the starts that a directory hears of, the last in this order lives, in whatever order their
-//! words and records come. Births order starts as long as the clock of their VM does not jump. Where it was
-//! set back, the start that lives seems to be the earlier one; a control process that hears it itself
-//! then raises its rank, once
+//! Instances are ordered by rank, then by the start time that they announce; one without a start time comes first.
+//! Of the instances that a directory hears of, the last one in this order is the running one, in whatever order
+//! their announcements and records arrive. Start times order instances correctly as long as the clock of their VM
+//! doesn't jump. If it was set back, the running instance seems to be the earlier one. A control process that
+//! receives its announcements then raises its rank, once
 //!
-//! * it has spoken for [`CONTENTION_TIME`], and
-//! * the one that seems later was silent for [`super::RIVAL_SILENCE`] all the while.
+//! * it has announced itself for [`CONTENTION_TIME`], and
+//! * the seemingly later one was silent for [`super::RIVAL_SILENCE`] meanwhile.
 //!
-//! A start that lives does both: it announces itself about every second. Words that were held up by a
-//! cut arrive in one burst, and the living start speaks between them. So a clock that was set back keeps a
-//! restarted endpoint out for some five seconds, and late words never end a start that lives for longer.
+//! A running instance passes this test, since it announces itself about every second. Announcements that were held
+//! up by a network partition arrive in one burst, and the running instance announces itself between them. So a clock
+//! that was set back excludes a restarted endpoint for some five seconds, and late announcements never exclude a
+//! running instance for longer.
 
 use std::sync;
 
@@ -27,33 +28,34 @@
     Record, State, heard_at,
 };
 
-/// For how long a start must speak before it takes the place of a silent one that seems later: two
-/// announcements, which come every 1.2 s. Those that a cut held up arrive within some milliseconds.
+/// How long an instance must announce itself before it takes the place of a silent one that seems later: two
+/// announcements, which come every 1.2 s. Those held up by a network partition arrive within milliseconds.
 const CONTENTION_TIME: time::Millis = time::Millis(2_000);
 
-/// Starts of one endpoint that are kept. One that crashes every second for a while has some more, and the
-/// oldest of these are known by their births without being kept.
+/// Maximum number of instances of one endpoint that are kept as contenders. An endpoint that crashes every second for
+/// a while has more of them, but the older ones are recognized by their start times without being kept.
 const MAX_INSTANCES_PER_ENDPOINT: usize = 8;
 
-/// What the first word of a start means.
+/// What the first record of an instance means for the other instances of its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum FirstRecord {
-    /// No other start of its endpoint is there.
+    /// No other instance of the endpoint is running.
     Lives,
-    /// It replaces this one.
+    /// The instance replaces this one.
     Succeeds(InstanceId),
-    /// An endpoint goes, and its word names no start: it is this one.
+    /// It is a deregistration without a start time, which means this instance.
     Ends(InstanceId),
-    /// Another start is there that seems to be later.
+    /// Another instance is running that seems to be later.
     Preceded,
 }
 
 impl Directory {
-    /// The start of the endpoint `name` that has not ended, if one is known.
+    /// The instance of the endpoint `name` that has not ended, if one is known.
     pub(super) fn current(&self, name: &str) -> Option<&Entry> {
         self.instances_of(name).find(|it| !it.instance.has_ended())
     }
 
+    /// All known instances of the endpoint `name`.
     fn instances_of(&self, name: &str) -> impl Iterator<Item = &Entry> {
         let first = InstanceId::new(name, None);
         self.entries
@@ -62,7 +64,7 @@
             .take_while(move |it| it.instance.id.name == name)
     }
 
-    /// What the first word of a start means.
+    /// Compares the first record of an instance with the other instances of its endpoint.
     pub(super) fn compare_first(&self, now: time::Instant, record: &Record) -> FirstRecord {
         let Some(current) = self.current(&record.instance.id.name) else {
             return FirstRecord::Lives;
@@ -78,11 +80,11 @@
         }
     }
 
-    /// The start that an endpoint's word means by which it goes, where that is known and has not ended.
+    /// The instance that a deregistration means, if it is known and has not ended.
     ///
-    /// A word without a time of birth means the start that is known, unless that has spoken since or was
-    /// just born in the place of another: then the word is of the one before, and came late. Taken for
-    /// the new one's, it would keep that out for [`super::ENDED_RETENTION`].
+    /// A deregistration without a start time means the known instance, unless that one has announced itself since or
+    /// has just replaced another one: then it is a late deregistration of the previous instance. If it were applied
+    /// to the new instance, it would exclude that one for [`super::ENDED_RETENTION`].
     pub(super) fn deregistered_instance(
         &self,
         now: time::Instant,
@@ -104,12 +106,12 @@
         (!has_spoken_since && !is_late).then(|| known.clone())
     }
 
-    /// Another start of its endpoint takes the place of `id`.
+    /// Marks `id` as replaced by another instance of its endpoint.
     pub(super) fn replace(&mut self, now: time::Instant, id: &InstanceId) {
         self.amend(now, id, |it| it.state = State::Replaced);
     }
 
-    /// A further word of a start that another has replaced.
+    /// Merges a further record of a replaced instance.
     pub(super) fn merge_replaced(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let rival = self.current(&id.name);
@@ -134,8 +136,8 @@
         MergeOutcome::Stale
     }
 
-    /// Whether a start whose word came just now, and that another has replaced or precedes, has spoken for
-    /// long enough while the other was silent.
+    /// Whether an instance that has just announced itself, and that is replaced or seems earlier than another one,
+    /// has announced itself for long enough while the other was silent.
     pub(super) fn has_outlived(&mut self, now: time::Instant, record: &Record) -> bool {
         let id = &record.instance.id;
         if !record.instance.is_present() || !self.track_contender(now, record) {
@@ -159,8 +161,8 @@
         is_silent && now.since(since) >= CONTENTION_TIME
     }
 
-    /// Keeps a start in mind that seems to have ended before the one that is known, unless many are kept.
-    /// Others are not told.
+    /// Keeps an instance that seems to be earlier than the known one, unless many are kept. It is not passed on to
+    /// peers. Returns whether it is kept.
     fn track_contender(&mut self, now: time::Instant, record: &Record) -> bool {
         let id = &record.instance.id;
         if self.entries.contains_key(id) {
@@ -187,7 +189,7 @@
         true
     }
 
-    /// Puts a start that was replaced back into its place, with a rank by which all others take it in.
+    /// Makes a replaced instance the running one again, with a rank by which all peers accept it.
     pub(super) fn reinstate(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let name = record.instance.id.name.clone();
         let highest = self
@@ -203,7 +205,7 @@
     }
 }
 
-/// Whether the start of `record` comes behind a known one.
+/// Whether the instance of `record` comes after a known one in the order of instances.
 fn is_later(record: &Record, known: &Entry) -> bool {
     let known = (known.rank, known.instance.id.born);
     (record.rank, record.instance.id.born) > known
