--- a/crates/sageshed-fleet/src/config.rs
+++ b/crates/sageshed-fleet/src/config.rs
@@ -1,22 +1,22 @@
-//! The configuration of a fleet: routes, services and limits under a number that only grows.
+//! The configuration of a fleet: its routes, services, workspaces and limits, under a version that only grows.
 
 use std::collections;
 
 use derive_more::{Display, Error};
 use sageshed_types::{secret, time};
 
-/// A whole configuration, valid by [`FleetConfig::check`].
+/// A complete configuration; [`FleetConfig::check`] tells whether it is consistent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetConfig {
-    /// The operator's number. The highest takes effect.
+    /// The operator's version number. The highest version takes effect.
     pub version: u64,
-    /// Which requests go where.
+    /// The routes, which map requests to services.
     pub routes: Vec<Route>,
-    /// What can be reached.
+    /// The services with their endpoints' settings.
     pub services: Vec<Service>,
-    /// Who may ask; none where nobody is asked who he is.
+    /// The workspaces; none where callers are not authenticated.
     pub workspaces: Option<Workspaces>,
-    /// Bounds on callers.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
 }
 
@@ -25,7 +25,7 @@
 pub struct Workspaces {
     /// The workspaces.
     pub all: Vec<Workspace>,
-    /// Each key with the place of its holder among them, in the order in which they stand.
+    /// Each key with the index of its workspace in `all`, in the order of the configuration.
     pub keys: Vec<(secret::KeyDigest, usize)>,
 }
 
@@ -34,20 +34,20 @@
 pub struct Workspace {
     /// Its name.
     pub name: String,
-    /// The rank of its requests, instead of that of their routes; zero is the most urgent.
+    /// The priority of its requests, instead of that of their routes; zero is the most urgent.
     pub priority: Option<u8>,
-    /// What it may use; none: any amount.
+    /// Its quota; none where it is not limited.
     pub quota: Option<Quota>,
 }
 
-/// What a workspace may use, over all entry processes together.
+/// The quota of a workspace, over all entry processes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
     /// What is counted.
     pub unit: Unit,
     /// Units a second.
     pub per_s: f64,
-    /// Units that may come at once after a pause.
+    /// Units that may be used at once after a pause.
     pub burst: f64,
 }
 
@@ -56,65 +56,64 @@
 pub enum Unit {
     /// Each request as one.
     Requests,
-    /// The tokens of a request, read and written.
+    /// The tokens of a request, in its prompt and its output.
     Tokens {
-        /// The count of a request that names none.
+        /// Tokens that count for a request that declares none.
         default_tokens: u64,
     },
 }
 
-/// What may be done again with a request.
+/// The kind of a route's requests, which decides whether they may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// Any number of times.
+    /// It may be run any number of times.
     Idempotent,
-    /// NonIdempotent, once an endpoint may have seen it.
+    /// It is not retried once an endpoint may have seen it.
     NonIdempotent,
-    /// A stream of events; it may go on elsewhere behind the last event that came.
+    /// A stream of events that another endpoint can resume after the last event received.
     ResumableStream,
-    /// A stream of events that can't go on elsewhere.
+    /// A stream of events that can't be resumed.
     Stream,
 }
 
 impl RequestKind {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
     }
 
-    /// Whether a request whose fate is unknown may be sent to a second endpoint.
+    /// Whether a request whose outcome is unknown may be sent to another endpoint.
     #[must_use]
     pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// One route.
+/// A route: which requests it takes, how they are handled, and the services that they go to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Its name, for logs and metrics.
     pub name: String,
-    /// The host that the request names.
+    /// The host of its requests.
     pub host: String,
-    /// What its path begins with; begins and ends with a slash.
+    /// The prefix of their paths; begins and ends with a slash.
     pub prefix: String,
-    /// What may be done again.
+    /// The kind of its requests.
     pub kind: RequestKind,
-    /// The longest time until the final answer.
+    /// Maximum time until the complete response.
     pub timeout: time::Millis,
-    /// The time to the answer, or to the first event, that is still in time.
+    /// Target for the time to the response, or to the first event of a stream.
     pub latency_target: time::Millis,
-    /// The longest pause between two events of its streams that is still in time; none where it streams
-    /// nothing.
+    /// Target for the time between two events of a stream; none where it has no streams.
     pub max_event_gap: Option<time::Millis>,
-    /// Its rank among the kinds of requests; zero is the most urgent.
+    /// The priority of its requests; zero is the most urgent.
     pub priority: u8,
-    /// Where it goes, with the weight of each.
+    /// The services that its requests go to.
     pub targets: Vec<Target>,
-    /// Endpoints that one request may be sent to at the most.
+    /// Maximum number of endpoints that one request is sent to.
     pub attempts: u32,
-    /// Whether it takes requests that show no key.
+    /// Whether it takes requests without a key.
     pub is_public: bool,
 }
 
@@ -123,7 +122,7 @@
 pub struct Target {
     /// The service.
     pub service: String,
-    /// Its share is this over the sum of all.
+    /// Its share of the requests is this weight divided by the sum of all weights of the route.
     pub weight: u32,
 }
 
@@ -132,26 +131,26 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that one of its endpoints takes from all callers together.
+    /// Maximum number of connections to one of its endpoints, over all callers together.
     pub max_connections: u32,
-    /// Set where its endpoints are model engines.
+    /// Present where its endpoints are model engines.
     pub engines: Option<EnginePool>,
 }
 
-/// What the engines of one service have in common.
+/// The common properties of the engines of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EnginePool {
-    /// Requests that run at once on one engine.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into the memory of one engine.
+    /// Capacity of one engine's KV cache, in tokens.
     pub kv_cache_tokens: u64,
-    /// Megabytes of weights and adapters that one engine holds.
+    /// Megabytes of weights and adapters that one engine can hold.
     pub weights_mb: f64,
-    /// Adapters that one engine holds.
+    /// Number of adapters that one engine can hold.
     pub adapter_slots: u32,
-    /// Loads that the weight store begins in a second, over all engines.
+    /// Loads a second that the weight store can begin, over all engines.
     pub loads_per_s: f64,
-    /// What is offered.
+    /// The models on offer.
     pub models: Vec<Model>,
 }
 
@@ -162,63 +161,63 @@
     pub name: String,
     /// Megabytes of its weights.
     pub weights_mb: f64,
-    /// A load from the weight store.
+    /// Time of a load from the weight store.
     pub store_load: time::Millis,
-    /// A load from the engine's own disk.
+    /// Time of a load from the disk of the engine's host.
     pub disk_load: time::Millis,
-    /// A load from the engine's own memory.
+    /// Time of a load from the memory of the engine's host.
     pub memory_load: time::Millis,
     /// Megabytes of each adapter.
     pub adapter_mb: f64,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// From the first byte of a request to the end of its head.
+    /// Maximum time from the first byte of a request to the end of its head.
     pub head_timeout: time::Millis,
-    /// How long a connection may stay without a request.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: time::Millis,
 }
 
-/// Why a configuration is not valid.
+/// Why a configuration is inconsistent.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum ConfigError {
-    /// A route leads nowhere.
+    /// A route names a service that doesn't exist.
     #[display("route {route} names the service {service}, which the configuration does not have")]
     UnknownService {
         /// The route.
         route: String,
-        /// What it names.
+        /// The missing service.
         service: String,
     },
-    /// Two routes take the same requests.
+    /// Two routes have the same host and path prefix.
     #[display("routes {first} and {second} have the same host and path prefix")]
     DuplicateRoute {
-        /// The one that comes first.
+        /// The first of them in the configuration.
         first: String,
-        /// The other.
+        /// The other one.
         second: String,
     },
-    /// A route that no request could take.
+    /// All targets of a route have weight zero.
     #[display("the weights of route {route} add up to zero")]
     ZeroWeight {
         /// The route.
         route: String,
     },
-    /// Two workspaces hold the same key, so that nobody could tell who asks.
+    /// Two workspaces have the same key, which then can't identify either of them.
     #[display("the workspaces {first} and {second} share a key; give each its own")]
     SharedKey {
-        /// The one that comes first.
+        /// The first of them in the configuration.
         first: String,
-        /// The other.
+        /// The other one.
         second: String,
     },
-    /// A route whose requests are over before they begin.
+    /// The timeout of a route is zero.
     #[display("the timeout of route {route} is zero")]
     ZeroTimeout {
         /// The route.
@@ -227,11 +226,11 @@
 }
 
 impl FleetConfig {
-    /// Checks what the parts of a configuration say of each other.
+    /// Checks the consistency of the configuration.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong.
+    /// The first inconsistency found.
     pub fn check(&self) -> Result<(), ConfigError> {
         let services: collections::HashSet<&str> =
             self.services.iter().map(|it| it.name.as_str()).collect();
--- a/crates/sageshed-fleet/src/dialect.rs
+++ b/crates/sageshed-fleet/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What the fleet needs to know of the protocol that callers, endpoints and operators speak.
+//! The interface to the protocol that callers, endpoints and operators use.
 //!
-//! An implementation holds names, formats and paths, and decides nothing: it turns what came into the
-//! types below, and these into what goes out.
+//! An implementation of [`Dialect`] knows the protocol's names, formats and paths and makes no decisions: it decodes
+//! requests and responses into the types below, and encodes these.
 
 use std::{fmt, net};
 
@@ -10,132 +10,132 @@
 
 use crate::{config, directory};
 
-/// Something that came and can't be understood.
+/// A request, response or body that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{what}: {problem}")]
 pub struct DecodeError {
-    /// What it should have been.
+    /// What was to be decoded.
     pub what: &'static str,
-    /// What is wrong with it.
+    /// Why it can't be decoded.
     pub problem: String,
 }
 
-/// What a caller's request says of itself besides method, path and body.
+/// What the headers of a caller's request say, besides those of HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The caller's id of this request, echoed in its answer.
+    /// The caller's id of this request, echoed in the response.
     pub id: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller will wait for the response.
     pub deadline: Option<time::Millis>,
-    /// The model that it is for.
+    /// The model that the request is for.
     pub model: Option<ModelRef>,
     /// Tokens in its prompt.
     pub prompt_tokens: u64,
-    /// Tokens that it may generate.
+    /// Tokens that it may generate at most.
     pub output_tokens: u64,
-    /// The parts of its prompt, in order. Other requests may begin with the same ones.
+    /// The parts of its prompt, in order. Requests that begin with the same parts can share a cached prefix.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has of an earlier answer to this request.
+    /// Id of the last event that the caller has received of an earlier response to this request.
     pub resume_after: Option<String>,
 }
 
-/// A model, or an adapter of it.
+/// A reference to a model, or to an adapter of it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelRef {
     /// The model.
     pub model: String,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is requested.
     pub adapter: Option<String>,
 }
 
-/// A part of a prompt.
+/// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content: equal for equal parts.
+    /// Identifies its content: equal for equal parts.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// What goes to an endpoint besides what the caller sent.
+/// What the system adds to a request that it sends to an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamMetadata<'a> {
-    /// The start of the endpoint that is meant. Another endpoint must refuse, as one that was given the
-    /// address of an endpoint that has gone.
+    /// The instance that the request is meant for. Another endpoint must refuse it, such as one that got the address
+    /// of an endpoint that has gone.
     pub instance: &'a directory::InstanceId,
-    /// What is left of the time.
+    /// Time left until the request's deadline.
     pub time_left: time::Millis,
-    /// From 0, first, to 9; none leaves it to the engine.
+    /// Urgency from 0, the most urgent, to 9; none leaves it to the engine.
     pub urgency: Option<u8>,
-    /// The last event that came, where an answer goes on.
+    /// Id of the last event that was received, where a stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// The name of the workspace that sends it, where that is known.
+    /// The name of the workspace that sends the request, if known.
     pub workspace: Option<&'a str>,
 }
 
-/// What the head of an endpoint's answer says.
+/// What the head of an endpoint's response says.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseMetadata<'a> {
-    /// The id of the request that it answers.
+    /// The id of the request that it responds to.
     pub id: Option<&'a str>,
-    /// What it says of the request.
+    /// Whether the endpoint has run the request.
     pub execution: ExecutionStatus,
-    /// Its load, where it tells.
+    /// The endpoint's load, if it tells.
     pub load: Option<Load>,
-    /// The name of the endpoint that answered, where it tells.
+    /// The name of the endpoint that responded, if it tells.
     pub endpoint: Option<&'a str>,
-    /// What it says of itself.
+    /// What the endpoint says about itself.
     pub notice: Notice,
 }
 
 impl ResponseMetadata<'_> {
-    /// Whether this is the answer of the start `id`, as far as it can be told.
+    /// Whether the response comes from the endpoint of instance `id`, as far as it tells.
     #[must_use]
     pub fn is_of(&self, id: &directory::InstanceId) -> bool {
         match self.endpoint {
             Some(name) => name == id.name,
-            // One that was not meant answers so, and need not say who it is.
+            // Another endpoint responds with this status, and need not give its name.
             None => self.execution != ExecutionStatus::Misdirected,
         }
     }
 }
 
-/// What an endpoint says of itself in an answer, whatever it answers to.
+/// What an endpoint says about itself in any response.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Notice {
-    /// Requests a second that it takes from all VMs together. None where it names no limit.
+    /// Its rate limit in requests a second, over all VMs together; none where it announces none.
     pub limit: Option<f64>,
-    /// It will stop and takes no new work.
+    /// It is about to stop and takes no new work.
     pub is_leaving: bool,
-    /// It has turned a request away and wants none for so long from the VM that sent it.
+    /// It has rejected a request and asks the VM that sent it for a pause of this length.
     pub retry_after: Option<time::Millis>,
 }
 
-/// What an endpoint's answer says of the request.
+/// What a response says about the execution of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionStatus {
-    /// The endpoint ran it and vouches for the answer.
+    /// The endpoint has run it and signs the response.
     Verified,
-    /// Nobody vouches for the answer, or its body is not as the endpoint made it.
+    /// The response is not signed, or its body is not as the endpoint has made it.
     Unverified,
-    /// The endpoint did not run it and never will.
+    /// The endpoint has not run it and never will.
     NotRun,
-    /// The same, since it is not the start of the endpoint that was meant, or does not hold the model.
+    /// The same, because the request was meant for another instance, or the endpoint doesn't hold the model.
     Misdirected,
 }
 
-/// What an endpoint says of its load.
+/// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Number of requests that it runs.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests that wait there.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// A call that comes to a control process from outside.
+/// A request to a control process by an endpoint or operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlRequest {
     /// An endpoint announces itself.
@@ -143,7 +143,7 @@
         /// Its name.
         endpoint: String,
     },
-    /// An endpoint says that it stops.
+    /// An endpoint deregisters.
     Leave {
         /// Its name.
         endpoint: String,
@@ -154,16 +154,16 @@
     Read,
 }
 
-/// What an engine is to do.
+/// What an engine is ordered to do.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Task {
     /// Load the weights of a model.
     Load(String),
-    /// Drop a model, with its adapters, once its requests are done.
+    /// Unload a model with its adapters, once its requests are done.
     Unload(String),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a loaded model, given as model and adapter.
     LoadAdapter(String, String),
-    /// Drop an adapter.
+    /// Unload an adapter, given as model and adapter.
     UnloadAdapter(String, String),
 }
 
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Whether it is about weights, of which an engine takes one order at a time.
+    /// Whether it is about weights, for which an engine executes one order at a time.
     #[must_use]
     pub fn is_weights(&self) -> bool {
         matches!(self, Self::Load(_) | Self::Unload(_))
@@ -200,22 +200,22 @@
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The start of the engine that is meant.
+    /// The engine's instance.
     pub instance: directory::InstanceId,
-    /// Where it is.
+    /// Its address.
     pub address: net::SocketAddrV4,
     /// What to do.
     pub task: Task,
-    /// Orders that it has accepted so far. It refuses where it has accepted another since, so an
-    /// order that was delayed does nothing behind a newer one.
+    /// Number of orders that the engine has accepted before this one. It refuses the order if it has accepted another
+    /// one since, so a delayed order has no effect after a newer one.
     pub accepted_before: u64,
-    /// Who orders.
+    /// The process that gives the order.
     pub holder: String,
-    /// Grows from leader to leader.
+    /// Fencing token, which grows from leader to leader.
     pub fence: u64,
 }
 
-/// A call that goes out.
+/// A request that a control process sends to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutboundRequest {
     /// The method.
@@ -228,105 +228,104 @@
     pub body: Vec<u8>,
 }
 
-/// What an engine answers to an order.
+/// An engine's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResponse {
-    /// It carries it out.
+    /// It executes the order.
     Accepted,
-    /// It was so already, or is done.
+    /// It has executed the order, or there was nothing to do.
     Done,
-    /// It refuses: it carries out another order, or has accepted one that the sender doesn't know.
+    /// Refused: it executes another order, or has accepted one that the sender doesn't know of.
     Conflict,
-    /// It refuses: a later leader has ordered.
+    /// Refused: a later leader has given orders.
     Fenced,
-    /// It refuses: another start of the engine is meant.
+    /// Refused: another instance is meant.
     OtherInstance,
-    /// It refuses for another reason.
+    /// Refused for another reason, with this status.
     Refused(u16),
 }
 
-/// What an engine reports of itself when asked.
+/// An engine's report of itself, on request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
-    /// When the start that reports was born, where it says so; see [`directory::InstanceId::born`].
+    /// The start time of the reporting instance, if it tells; see [`directory::InstanceId::born`].
     pub born: Option<u64>,
-    /// Orders that it has accepted since its start.
+    /// Number of orders that it has accepted since its start.
     pub accepted: u64,
-    /// Whether it carries out an order about weights.
+    /// Whether it executes an order about weights.
     pub is_busy: bool,
-    /// The models that it holds.
+    /// The loaded models with their adapters.
     pub models: Vec<directory::Resident>,
-    /// Adapters on their way to it, as model and adapter.
+    /// The adapters that it is loading, as model and adapter.
     pub adapters_pending: Vec<(String, String)>,
 }
 
 /// The names and formats of one protocol.
 pub trait Dialect: Copy + Send + Sync + fmt::Debug + 'static {
-    /// Reads a caller's headers, which `get` finds by name.
+    /// Decodes the headers of a caller's request, which `get` returns by name.
     ///
     /// # Errors
     ///
-    /// If a header has a value that it can't have.
+    /// If the value of a header is invalid.
     fn request_metadata<'h>(
         &self,
         get: impl Fn(&str) -> Option<&'h str>,
     ) -> Result<RequestMetadata, DecodeError>;
 
-    /// Whether a caller's header of this name stays here, since the system sets it or since only the
-    /// system may use it.
+    /// Whether a header of this name is removed from a caller's request, because only the system may set it.
     fn strips_header(&self, name: &str) -> bool;
 
-    /// The headers that go to an endpoint besides the caller's.
+    /// The headers that the system adds to a request to an endpoint.
     fn upstream_headers(&self, metadata: &UpstreamMetadata<'_>) -> Vec<(&'static str, String)>;
 
-    /// Reads the head of an endpoint's answer.
+    /// Decodes the head of an endpoint's response.
     fn response_metadata<'h>(
         &self,
         status: u16,
         get: impl Fn(&str) -> Option<&'h str>,
     ) -> ResponseMetadata<'h>;
 
-    /// The id of the last whole event in `events`, which end with a whole one.
+    /// The id of the last event in `events`, which consist of complete events only.
     fn last_event_id(&self, events: &[u8]) -> Option<String>;
 
-    /// What a call from outside is, if it is one.
+    /// The request to a control process that this method and path stand for, if any.
     fn control_request(&self, method: &str, path: &str) -> Option<ControlRequest>;
 
-    /// Reads an announcement.
+    /// Decodes the announcement of an endpoint.
     ///
     /// # Errors
     ///
-    /// If it is not one.
+    /// If the name of the endpoint or the body is invalid.
     fn announcement(&self, endpoint: &str, body: &[u8])
     -> Result<directory::Instance, DecodeError>;
 
-    /// Reads which start of an endpoint says that it stops.
+    /// Decodes a deregistration: the instance that stops.
     ///
     /// # Errors
     ///
-    /// If that can't be told.
+    /// If the name of the endpoint or the body is invalid.
     fn leaving(&self, endpoint: &str, body: &[u8]) -> Result<directory::InstanceId, DecodeError>;
 
-    /// Reads a configuration, which may still be invalid by [`config::FleetConfig::check`].
+    /// Decodes a configuration, which may still be invalid by [`config::FleetConfig::check`].
     ///
     /// # Errors
     ///
-    /// If it is not one, or not whole.
+    /// If the body is not a complete configuration.
     fn config(&self, body: &[u8]) -> Result<config::FleetConfig, DecodeError>;
 
-    /// The call that gives an order.
+    /// The request that gives an order.
     fn order(&self, order: &Order) -> OutboundRequest;
 
-    /// What the status of the answer to an order means.
+    /// The meaning of the status of a response to an order.
     fn order_response(&self, status: u16) -> OrderResponse;
 
-    /// The call that asks an engine for its report.
+    /// The request for an engine's report.
     fn report_request(&self, instance: &directory::InstanceId) -> OutboundRequest;
 
-    /// Reads a report.
+    /// Decodes an engine's report.
     ///
     /// # Errors
     ///
-    /// If it is not one.
+    /// If the body is not a report.
     fn report(&self, body: &[u8]) -> Result<Report, DecodeError>;
 }
