--- a/crates/sageshed-fleet/src/config_history.rs
+++ b/crates/sageshed-fleet/src/config_history.rs
@@ -1,4 +1,4 @@
-//! The configurations that a control process has sent lately, so that it can send what changed.
+//! The recent configurations of a control process, against which it compresses newer ones.
 
 use std::{collections, io, sync};
 
@@ -6,67 +6,67 @@
 
 use crate::{compression, messages, transfer};
 
-/// Bytes of configurations that are kept beside the newest. In a storm of changes entry processes hold one of the last
-/// few versions, the older the larger they are.
-const KEPT_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum bytes of configurations that are kept besides the newest. During frequent changes entry processes hold one
+/// of the last few versions; with larger configurations, which take longer to transfer, they are further behind.
+const MAX_OLD_BYTES: usize = 16 * 1024 * 1024;
 
-/// Configurations that are kept at the most.
-const KEPT: usize = 64;
+/// Maximum number of configurations that are kept.
+const MAX_DOCUMENTS: usize = 64;
 
-/// The configurations that were sent last, and what is being fetched of them.
+/// The recent configurations, and the payloads that are being fetched.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
-    /// The last one is the newest.
+    /// The configurations, the newest last.
     documents: collections::VecDeque<sync::Arc<document::Document>>,
     payloads: transfer::Sender,
 }
 
-/// What to answer one who fetches.
+/// The reply to a process that fetches a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FetchReply {
-    /// The next chunk of its transfer, or of another one to the newest from the beginning.
+    /// The next chunk of its transfer, or the first chunk of a transfer of the newest configuration.
     Chunk(transfer::Chunk),
-    /// It holds the newest.
+    /// It already holds the newest configuration.
     Nothing,
-    /// The payload of its transfer has to be made first.
+    /// The payload has to be compressed first.
     Compress(CompressionJob),
 }
 
-/// A payload to be made. That takes a while for a large configuration.
+/// A payload to be compressed, which takes some time for a large configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompressionJob {
     newest: sync::Arc<document::Document>,
-    /// What its receiver holds; an empty one if that is not known here.
+    /// The configuration that the receiver holds; an empty one if it is not known here.
     before: sync::Arc<document::Document>,
 }
 
 impl CompressionJob {
-    /// Makes the payload.
+    /// Compresses the payload.
     pub fn run(&self) -> io::Result<Vec<u8>> {
         compression::compress(&self.newest, &self.before)
     }
 }
 
 impl ConfigHistory {
-    /// Keeps the newest configuration.
+    /// Adds a configuration, if it is newer than all others.
     pub fn keep(&mut self, newest: &document::Document) {
         let last = self.documents.back().map_or(0, |it| it.version);
         if last >= newest.version {
             return;
         }
         self.documents.push_back(sync::Arc::new(newest.clone()));
-        while self.documents.len() > KEPT || self.old_bytes() > KEPT_BYTES {
+        while self.documents.len() > MAX_DOCUMENTS || self.old_bytes() > MAX_OLD_BYTES {
             self.documents.pop_front();
         }
     }
 
-    /// Keeps the payload that was made.
+    /// Keeps the payload of a job for the receivers that fetch it.
     pub fn keep_payload(&mut self, now: time::Instant, job: &CompressionJob, bytes: Vec<u8>) {
         let id = transfer::TransferId::new(job.before.version, job.newest.version, &bytes);
         self.payloads.keep(now, id, bytes);
     }
 
-    /// What to answer one who fetches.
+    /// The reply to a process that fetches a configuration.
     pub fn answer(&mut self, now: time::Instant, req: &messages::ConfigReq) -> FetchReply {
         let under_way = req
             .transfer
@@ -87,7 +87,7 @@
                 before: before.map(sync::Arc::clone).unwrap_or_default(),
             });
         };
-        // Another control process may have sent what comes before.
+        // Another control process may have sent the chunks before this offset.
         let offset = if req.transfer == Some(id) {
             req.offset
         } else {
@@ -97,7 +97,7 @@
         chunk.map_or(FetchReply::Nothing, FetchReply::Chunk)
     }
 
-    /// Bytes of all but the newest.
+    /// Bytes of all configurations but the newest.
     fn old_bytes(&self) -> usize {
         let old = self.documents.iter().rev().skip(1);
         old.map(|it| it.text.len()).sum()
--- a/crates/sageshed-fleet/src/demand_counter.rs
+++ b/crates/sageshed-fleet/src/demand_counter.rs
@@ -1,7 +1,7 @@
-//! What callers asked for, summed up until it is told to the leader.
+//! Counters of the callers' demand, which are sent to the leader.
 //!
-//! Entry processes tell it to a control process near them, which tells the leader for all of these: the
-//! messages that reach the leader grow with the control processes, not with the entry processes.
+//! Entry processes send their demand to a control process near them, which sends the sums to the leader. The number of
+//! messages to the leader thus grows with the control processes, not with the entry processes.
 
 use std::collections;
 
@@ -9,26 +9,27 @@
 
 use crate::messages;
 
-/// Models that are counted between two tellings. More than the largest fleet has; names come from callers.
+/// Maximum number of models that are counted between two messages: more than the largest fleet has. A bound is needed
+/// since names come from callers.
 const MAX_MODELS: usize = 2_048;
 
-/// How long what nobody could be told is kept. A leader reckons demand over four seconds; with all that
-/// came in an outage told at its end, it would see a rise that is none, and load for it.
+/// How long demand is kept that could not be sent. The leader averages demand over four seconds; if the demand of a
+/// whole outage were sent at its end, it would look like a rise, and the leader would load models for it.
 const MAX_UNSENT_AGE: time::Millis = time::Millis(1_500);
 
-/// Adapters of one model that are named in one telling.
+/// Maximum number of adapters of one model in one message.
 const MAX_ADAPTERS: usize = 64;
 
-/// Demand that was not told yet.
+/// The demand that was not sent yet.
 #[derive(Debug, Default)]
 pub struct DemandCounter {
     models: collections::HashMap<(String, String), messages::Demand>,
-    /// Since when nobody could be told.
+    /// Since when sending has failed.
     unsent_since: Option<time::Instant>,
 }
 
 impl DemandCounter {
-    /// Counts a request for a model, and perhaps an adapter of it.
+    /// Counts a request for a model, or for an adapter of it.
     pub fn add_request(&mut self, service: &str, model: &str, request: &RequestDemand<'_>) {
         let Some(demand) = self.demand_of(service, model) else {
             return;
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Adds what another process has counted.
+    /// Adds the demand that another process has counted.
     pub fn add(&mut self, counted: Vec<messages::Demand>) {
         for it in counted {
             let Some(demand) = self.demand_of(&it.service, &it.model) else {
@@ -60,17 +61,17 @@
         }
     }
 
-    /// Takes out what was counted, to tell it. Then follows [`Self::mark_sent`] or [`Self::restore`].
+    /// Takes out the demand to send it. The caller then calls [`Self::mark_sent`] or [`Self::restore`].
     pub fn take(&mut self) -> Vec<messages::Demand> {
         self.models.drain().map(|(_, demand)| demand).collect()
     }
 
-    /// What was taken out was told.
+    /// Notes that the demand that was taken out has been sent.
     pub fn mark_sent(&mut self) {
         self.unsent_since = None;
     }
 
-    /// What was taken out could not be told. It is kept for [`MAX_UNSENT_AGE`].
+    /// Puts back the demand that could not be sent, unless sending has failed for longer than [`MAX_UNSENT_AGE`].
     pub fn restore(&mut self, now: time::Instant, counted: Vec<messages::Demand>) {
         let since = *self.unsent_since.get_or_insert(now);
         if now.since(since) <= MAX_UNSENT_AGE {
@@ -96,14 +97,14 @@
     }
 }
 
-/// What one request asks for.
+/// The demand of one request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestDemand<'a> {
-    /// Microseconds that an engine needs to read its prompt, less what it keeps of it.
+    /// Microseconds of engine time for the prefill of its prompt, without the cached prefix.
     pub prefill_us: u64,
-    /// Tokens that it may generate.
+    /// Tokens that it may generate at most.
     pub output_tokens: u64,
-    /// The adapter of the model, if one is asked for.
+    /// The adapter of the model, if one is requested.
     pub adapter: Option<&'a str>,
 }
 
--- a/crates/sageshed-fleet/src/lib.rs
+++ b/crates/sageshed-fleet/src/lib.rs
@@ -1,8 +1,7 @@
-//! The pure half of a fleet whose configuration an operator replaces as a whole.
+//! The decision logic of a fleet whose configuration an operator replaces as a whole.
 //!
-//! A fleet is a set of services, each with endpoints that announce themselves, and routes that say
-//! which requests go where. Nothing here does I/O, reads a clock or starts a thread: time and random
-//! numbers are handed in.
+//! A fleet is a set of services, each with endpoints that announce themselves, and routes that map requests to
+//! services. Nothing here does I/O, reads a clock or starts a thread: time and random numbers are arguments.
 //!
 //! | module | decides |
 //! |---|---|
--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -1,11 +1,10 @@
-//! What control and entry processes of a fleet tell each other.
+//! Messages between the control and entry processes of a fleet.
 //!
-//! An entry process asks a few control processes what is new ([`WatchReq`]) and each keeps the call
-//! until there is something ([`WatchResp`]). One of them, near by, passes endpoints on; the others
-//! tell by a digest whether that one knows what they know. All tell the number of the newest configuration; the
-//! entry process fetches it by calls of its own ([`ConfigReq`]), so that news does not wait for it. Control processes
-//! watch each other the same way, so an announcement that one of them took is known to all within a
-//! round trip.
+//! An entry process watches a few control processes by long polling: each holds the call ([`WatchReq`]) until it has
+//! an update ([`WatchResp`]). One of them, preferably near by, sends the endpoints; the others send a digest, which
+//! tells whether that one knows what they know. All send the version of the newest configuration; the entry process
+//! fetches it by separate calls ([`ConfigReq`]), so that updates don't wait for it. Control processes watch each
+//! other the same way, so an announcement that one of them receives is known to all within a round trip.
 
 use std::net;
 
@@ -14,19 +13,20 @@
 
 use crate::{directory, quarantine, transfer};
 
-/// Paths on the port of a control process for the system's other processes.
+/// Paths on the port of a control process for the system's own processes.
 pub mod paths {
-    /// [`super::WatchReq`] to [`super::WatchResp`].
+    /// Takes a [`super::WatchReq`], returns a [`super::WatchResp`].
     pub const WATCH: &str = "/v1/fleet/watch";
-    /// [`super::ConfigReq`] to [`super::ConfigResp`].
+    /// Takes a [`super::ConfigReq`], returns a [`super::ConfigResp`].
     pub const CONFIG: &str = "/v1/fleet/config";
-    /// [`super::AdapterReq`] to [`super::AdapterResp`], of an entry process. Any control process passes it on to the leader.
+    /// Takes a [`super::AdapterReq`] of an entry process, returns a [`super::AdapterResp`]. Any control process
+    /// forwards it to the leader.
     pub const ADAPTER: &str = "/v1/fleet/want";
-    /// The same, of a control process.
+    /// The same, forwarded by a control process.
     pub const LEADER_ADAPTER: &str = "/v1/fleet/want-of-leader";
 }
 
-/// Who watches.
+/// The kind of process that watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Watcher {
@@ -36,138 +36,138 @@
     Control,
 }
 
-/// What of the directory a watcher wants.
+/// How much of the directory a watcher asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DirectoryDetail {
-    /// What is new, and which instances live, though they say nothing new.
+    /// Updates, and refreshes of instances without updates.
     All,
-    /// What is new.
+    /// Updates only.
     News,
-    /// The digest alone.
+    /// Only the digest.
     Digest,
 }
 
-/// A control process and where it is.
+/// A control process and its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlVm {
     /// Its address.
     pub ip: net::Ipv4Addr,
-    /// Its availability zone, where that is known.
+    /// Its availability zone, if known.
     pub availability_zone: Option<String>,
 }
 
-/// A record as it travels: one that can't be read is passed over, and those beside it are not lost.
+/// An encoded [`directory::Record`]. Each is encoded on its own, so that one that can't be decoded is skipped without
+/// losing the others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EncodedRecord(#[serde(with = "serde_bytes")] pub Vec<u8>);
 
-/// Asks what is new.
+/// Asks for what is new; held until there is something.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchReq {
-    /// What asks.
+    /// The kind of the watcher.
     pub watcher: Watcher,
     /// Its address.
     pub ip: net::Ipv4Addr,
     /// Its availability zone.
     pub availability_zone: String,
-    /// What of the directory it wants.
+    /// How much of the directory it asks for.
     pub wants: DirectoryDetail,
-    /// The version of the configuration in force there; zero for none.
+    /// The version of the configuration that it uses; zero for none.
     pub config: u64,
-    /// The newest version that it was told of, and fetches if it does not hold it. None from a process that takes
-    /// configurations out of the answer.
+    /// The newest version that it knows of, and fetches if it doesn't hold it. None from a process that expects
+    /// configurations in the response.
     #[serde(default)]
     pub config_told: Option<u64>,
-    /// Up to where it knows the directory of the one that it asks.
+    /// Its cursor in the directory of the control process that it asks.
     pub mark: directory::Cursor,
-    /// The list of entry processes that it knows, by the number that came with it.
+    /// The number of the list of entry processes that it knows; see [`WatchResp::entries_number`].
     pub entries_known: u64,
-    /// How long the call may be kept.
+    /// How long the call may be held.
     pub patience: time::Millis,
-    /// Of a control process: the entry processes that it hears itself.
+    /// Of a control process: the entry processes that watch it.
     pub entries: Vec<net::Ipv4Addr>,
-    /// What callers asked for since the last call that was answered: of an entry process its own callers, of
-    /// a control process those of entry processes that told it.
+    /// The demand since the last call that succeeded: of an entry process that of its own callers, of a control
+    /// process that of the entry processes which have reported to it.
     pub demand: Vec<Demand>,
-    /// Up to where it knows of the one that it asks which requests endpoints have ended under; none if it does
-    /// not take that.
+    /// Its cursor in the crashes that the control process knows; none if it doesn't take crashes.
     #[serde(default)]
     pub crashes_known: Option<quarantine::Mark>,
-    /// Of an entry process: crashes that the one it asks was not told of.
+    /// Of an entry process: crashes that the control process was not told of.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
     /// Whether it takes [`WatchResp::alive`].
     #[serde(default)]
     pub takes_alive: bool,
-    /// Of an entry process: endpoints that have said in answers that they leave.
+    /// Of an entry process: endpoints that have said in responses that they are leaving.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<directory::InstanceId>,
 }
 
-/// What callers asked of one model.
+/// The demand for one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The service.
     pub service: String,
     /// The model.
     pub model: String,
-    /// Requests that came.
+    /// Number of requests.
     pub requests: u32,
-    /// Microseconds that an engine needs to read their prompts, less what it keeps of them.
+    /// Microseconds of engine time for the prefill of their prompts, without their cached prefixes.
     #[serde(rename = "reading_us")]
     pub prefill_us: u64,
-    /// Tokens that they may generate.
+    /// Tokens that they may generate at most.
     pub output_tokens: u64,
-    /// Requests that wait now, since no engine can take them.
+    /// Number of requests that wait because no engine can take them.
     pub waiting: u32,
-    /// Adapters of the model that were asked for.
+    /// Adapters of the model that were requested.
     pub adapters: Vec<String>,
 }
 
-/// What is new.
+/// What is new since the watcher's cursors.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResp {
-    /// The control processes that the answering one knows, itself included.
+    /// The control processes that the responding one knows, itself included.
     pub control: Vec<ControlVm>,
-    /// The one that leads, if it knows.
+    /// The leader, if known.
     pub leader: Option<net::Ipv4Addr>,
     /// The number of the list of entry processes: equal for equal lists.
     pub entries_number: u64,
-    /// The entry processes, where the list is not the one that is known.
+    /// The entry processes, if the watcher knows another list.
     pub entries: Option<Vec<net::Ipv4Addr>>,
-    /// The number of the newest configuration that the answering one holds; zero for none.
+    /// The version of the newest configuration that the responding process holds; zero for none.
     #[serde(default)]
     pub newest_config: u64,
-    /// That configuration, where it is newer and the watcher does not fetch it.
+    /// That configuration, if it is newer than the watcher's and the watcher doesn't fetch configurations.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub config: Option<document::Document>,
-    /// Up to where the directory is known with this answer.
+    /// The watcher's cursor in the directory after this response.
     pub mark: directory::Cursor,
     /// The digest of the directory; see [`directory::Directory::digest`].
     pub digest: u64,
-    /// Up to where the directory is known to one that has this digest too; none from a process that does not
-    /// tell.
+    /// The cursor of a watcher whose directory has the same digest; none from a process that doesn't send it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub digest_mark: Option<directory::Cursor>,
-    /// The last change of the directory that was news; none from a process that does not tell.
+    /// The cursor of the directory's latest update; none from a process that doesn't send it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub news_mark: Option<directory::Cursor>,
-    /// Up to where other control processes are known with this answer, for one that takes endpoints.
+    /// The cursors in other control processes' directories up to which this one knows them, for a watcher that takes
+    /// endpoints.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub peers: Vec<(net::Ipv4Addr, directory::Cursor)>,
-    /// What changed in it since the mark of the question, as [`directory::Record`].
+    /// The records that changed after the watcher's cursor.
     pub records: Vec<EncodedRecord>,
-    /// Instances of which nothing changed but that they were heard since, for one that wants all.
+    /// Refreshes of instances without updates, for a watcher that asks for [`DirectoryDetail::All`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub alive: Vec<directory::LivenessRefresh>,
-    /// Whether there is more of that, for the next question.
+    /// Whether more records or refreshes follow, to be asked for by the next call.
     #[serde(default)]
     pub has_more: bool,
-    /// Up to where crashes are known with this answer; none from a process that does not tell.
+    /// The watcher's cursor in the crashes after this response; none from a process that doesn't send it.
     #[serde(default)]
     pub crashes_mark: Option<quarantine::Mark>,
-    /// What was learnt of them since the mark of the question: for an entry process those under requests that are
-    /// held.
+    /// The crashes that became known after the watcher's cursor; for an entry process only those of quarantined
+    /// requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
 }
@@ -177,22 +177,22 @@
 pub struct ConfigReq {
     /// The version whose text is held; zero for none.
     pub text_held: u64,
-    /// The transfer that is under way.
+    /// The transfer in progress.
     pub transfer: Option<transfer::TransferId>,
-    /// Bytes of it that have come.
+    /// Number of its bytes already received.
     pub offset: u64,
-    /// Bytes of the chunk at the most.
+    /// Maximum number of bytes of the chunk.
     pub most: usize,
 }
 
 /// A chunk of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigResp {
-    /// Of the transfer that is under way, or of another one from its beginning; none where nothing newer is held.
+    /// A chunk of the transfer in progress, or the first chunk of another one; none where nothing newer is held.
     pub chunk: Option<transfer::Chunk>,
 }
 
-/// Asks the leader to load an adapter for a request that waits.
+/// Asks the leader to load an adapter that a request waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AdapterReq {
     /// The service.
@@ -201,19 +201,19 @@
     pub model: String,
     /// The adapter of that model.
     pub adapter: String,
-    /// The engine on which it is wanted, if any will not do.
+    /// The engine that is to load it; none if any engine will do.
     pub engine: Option<directory::InstanceId>,
 }
 
-/// What became of a [`AdapterReq`].
+/// The response to an [`AdapterReq`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdapterResp {
-    /// The leader sees to it; the directory will show the outcome.
+    /// The leader has accepted it; the directory will show the outcome.
     Taken,
-    /// This process does not lead.
+    /// This process is not the leader.
     NotLeader {
-        /// Who does, if it knows.
+        /// The leader, if known.
         leader: Option<net::Ipv4Addr>,
     },
 }
--- a/crates/sageshed-fleet/src/transfer.rs
+++ b/crates/sageshed-fleet/src/transfer.rs
@@ -1,9 +1,9 @@
-//! How a configuration gets from a control process to an entry process: in chunks, each by a call of its own.
+//! Transfer of a configuration from a control process to an entry process, in chunks that are fetched one by one.
 //!
-//! A configuration may take longer on the link of an entry process's VM than any call may last, and callers'
-//! requests share that link. So one chunk at a time is on its way. A call that runs out of time costs its chunk;
-//! what came before stays, and any control process that makes the same bytes can send the rest. The sender keeps
-//! what is being fetched while newer versions come, or a storm of changes would begin each transfer anew.
+//! A configuration may take longer on the link of an entry process's VM than any call may last, and callers' requests
+//! share that link. So one chunk at a time is in flight. A call that times out costs only its chunk: the received
+//! ones are kept, and any control process that makes the same bytes can send the rest. The sender keeps payloads that
+//! are being fetched while newer versions arrive; otherwise frequent changes would restart each transfer.
 
 use std::{collections, net, sync};
 
@@ -14,42 +14,43 @@
 
 use crate::versions;
 
-/// Bytes of a chunk at the most: 13 ms on a link of 10 Mbit/s, by which callers' requests are delayed.
+/// Maximum size of a chunk. On a link of 10 Mbit/s it takes 13 ms, by which callers' requests are delayed.
 pub const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Bytes of a chunk on a slow link. With fewer the configuration would come too late.
+/// Minimum size of a chunk on a slow link. With smaller chunks the configuration would arrive too late.
 const SLOW_LINK_CHUNK_BYTES: usize = 4 * 1024;
 
-/// Bytes of a chunk where no larger one came within the time of a call.
-const SMALLEST_CHUNK_BYTES: usize = 1_024;
+/// Minimum size of a chunk after calls that timed out.
+const MIN_CHUNK_BYTES: usize = 1_024;
 
-/// Chunks that take longer become smaller: news of endpoints queues behind them, and is given up after twice as long.
-const SLOW: time::Millis = time::Millis(200);
+/// Time of a chunk above which the next ones are smaller. Updates of endpoints queue behind chunks, and are given up
+/// after twice this time.
+const SLOW_CHUNK: time::Millis = time::Millis(200);
 
-/// Bytes of a transfer at the most.
+/// Maximum size of a transfer.
 const MAX_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Payloads that a sender keeps.
-const KEPT: usize = 8;
+/// Maximum number of payloads that a sender keeps.
+const MAX_PAYLOADS: usize = 8;
 
-/// How long a payload is kept that nobody asks for.
-const KEPT_FOR: time::Millis = time::Millis(5_000);
+/// How long a payload is kept after it was last asked for.
+const PAYLOAD_RETENTION: time::Millis = time::Millis(5_000);
 
-/// Tells one transfer from others. Equal for equal bytes, whoever sends them.
+/// Identifies a transfer. Equal for equal bytes, whichever process sends them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferId {
     /// The version whose text the receiver holds; zero for none.
     pub from: u64,
     /// The version that is transferred.
     pub version: u64,
-    /// Bytes in all.
+    /// Total number of bytes.
     pub length: u64,
-    /// The beginning of the SHA-256 of all bytes.
+    /// The first eight bytes of the SHA-256 of all bytes.
     pub check: u64,
 }
 
 impl TransferId {
-    /// Of the transfer of `bytes`.
+    /// The id of the transfer of `bytes`.
     #[must_use]
     pub fn new(from: u64, version: u64, bytes: &[u8]) -> Self {
         Self {
@@ -61,31 +62,31 @@
     }
 }
 
-/// Some of the bytes of a transfer.
+/// A chunk of a transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Of which transfer.
+    /// The transfer.
     pub id: TransferId,
-    /// Bytes that come before these.
+    /// Number of bytes of the transfer before this chunk.
     pub offset: u64,
     /// The bytes.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-/// All bytes of a transfer.
+/// The bytes of a transfer, or those received of it so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Payload {
-    /// Of which transfer.
+    /// The transfer.
     pub id: TransferId,
     /// The bytes.
     pub bytes: Vec<u8>,
 }
 
-/// The payloads that a sender keeps for those that fetch them.
+/// The payloads that a control process keeps for the receivers that fetch them.
 #[derive(Debug, Default)]
 pub struct Sender {
-    /// In the order in which they were asked for last.
+    /// The payloads, the most recently requested last.
     kept: Vec<Kept>,
 }
 
@@ -97,10 +98,11 @@
 }
 
 impl Sender {
-    /// Keeps a payload.
+    /// Keeps a payload, and removes old ones.
     pub fn keep(&mut self, now: time::Instant, id: TransferId, bytes: Vec<u8>) {
-        self.kept.retain(|it| now.since(it.asked) < KEPT_FOR);
-        if self.kept.len() >= KEPT {
+        self.kept
+            .retain(|it| now.since(it.asked) < PAYLOAD_RETENTION);
+        if self.kept.len() >= MAX_PAYLOADS {
             self.kept.remove(0);
         }
         let bytes = bytes.into();
@@ -111,14 +113,14 @@
         });
     }
 
-    /// The transfer from one version to another, if its payload is kept.
+    /// The transfer of `version` to a receiver that holds `from`, if its payload is kept.
     #[must_use]
     pub fn find(&self, from: u64, version: u64) -> Option<TransferId> {
         let mut ids = self.kept.iter().map(|it| it.id);
         ids.find(|it| it.from == from && it.version == version)
     }
 
-    /// At most `most` bytes of a transfer from `offset` on. None where its payload is not kept, or ends before.
+    /// At most `most` bytes of a transfer from `offset` on; none where its payload is not kept or ends before.
     pub fn chunk(
         &mut self,
         now: time::Instant,
@@ -141,52 +143,52 @@
     }
 }
 
-/// What a receiver is to do next.
+/// The next step of a receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
     /// Ask for a chunk.
     Ask {
-        /// Whom.
+        /// The control process to ask.
         to: net::Ipv4Addr,
-        /// The transfer that is under way.
+        /// The transfer in progress.
         transfer: Option<TransferId>,
-        /// Bytes of it that have come.
+        /// Number of its bytes already received.
         offset: u64,
-        /// Bytes of the chunk at the most.
+        /// Maximum number of bytes of the chunk.
         most: usize,
     },
-    /// Wait until a control process tells of a newer version.
+    /// Wait until a control process announces a newer version.
     Wait,
 }
 
-/// What became of a chunk.
+/// Outcome of a chunk that was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChunkOutcome {
-    /// There is more to fetch.
+    /// More chunks are to be fetched.
     More,
-    /// It was the last one.
+    /// It was the last one of this payload.
     Whole(Payload),
 }
 
-/// A chunk that is not of the transfer that it was asked for.
+/// Why a chunk is rejected, with what was received of its transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum ChunkError {
-    /// It does not continue what has come.
-    #[display("chunk does not continue what has come")]
+    /// It doesn't follow the bytes received so far, or is empty.
+    #[display("chunk does not follow the bytes received so far")]
     Gap,
-    /// The transfer is larger than any configuration.
+    /// The transfer is larger than any configuration may be.
     #[display("transfer of {_0} bytes is too large")]
     TooLarge(#[error(not(source))] u64),
-    /// The bytes are not those that were announced.
+    /// The bytes don't match the checksum in the id.
     #[display("checksum of the transfer does not match")]
     Spoiled,
 }
 
-/// Fetches the newest configuration that any control process tells of.
+/// Fetches the newest configuration that any control process announces.
 #[derive(Debug)]
 pub struct Receiver {
-    /// The newest version that each control process has told of, but for those that did not send it.
-    told: collections::BTreeMap<net::Ipv4Addr, u64>,
+    /// The newest version that each control process has announced, without those that failed to send it.
+    announced: collections::BTreeMap<net::Ipv4Addr, u64>,
     versions: versions::VersionHistory,
     partial: Option<Payload>,
     most: usize,
@@ -195,7 +197,7 @@
 impl Default for Receiver {
     fn default() -> Self {
         Self {
-            told: collections::BTreeMap::new(),
+            announced: collections::BTreeMap::new(),
             versions: versions::VersionHistory::default(),
             partial: None,
             most: CHUNK_BYTES,
@@ -204,20 +206,20 @@
 }
 
 impl Receiver {
-    /// A control process tells that it holds `version`. Returns whether that is the newest so far.
+    /// Notes that a control process holds `version`. Returns whether that is the newest so far.
     pub fn note_version(&mut self, now: time::Instant, by: net::Ipv4Addr, version: u64) -> bool {
-        let is_news = version > self.newest();
+        let is_newest = version > self.newest();
         self.versions.note(now, version);
         if version > 0 {
-            self.told.insert(by, version);
+            self.announced.insert(by, version);
         }
-        is_news
+        is_newest
     }
 
-    /// The newest version that any control process has told of; zero if none has.
+    /// The newest version that any control process has announced; zero if none has.
     #[must_use]
     pub fn newest(&self) -> u64 {
-        self.told.values().copied().max().unwrap_or(0)
+        self.announced.values().copied().max().unwrap_or(0)
     }
 
     /// For how long a newer version than `held` has been known; none if `held` is the newest.
@@ -226,7 +228,8 @@
         self.versions.behind(now, held)
     }
 
-    /// Whom to ask for what, where version `held` is there already and `near` is the best reached.
+    /// The next step of a receiver that holds version `held`. Of control processes with the newest version it prefers
+    /// `near`.
     pub fn next(&mut self, held: u64, near: Option<net::Ipv4Addr>) -> NextStep {
         if self
             .partial
@@ -235,7 +238,10 @@
         {
             self.partial = None;
         }
-        let newer = self.told.iter().filter(|(_, version)| **version > held);
+        let newer = self
+            .announced
+            .iter()
+            .filter(|(_, version)| **version > held);
         let best = newer.max_by_key(|(ip, version)| (**version, Some(**ip) == near));
         let Some((to, _)) = best else {
             return NextStep::Wait;
@@ -249,13 +255,14 @@
         }
     }
 
-    /// A control process has answered with a chunk after so long.
+    /// Takes a chunk that was received after `took`, and adapts the size of the next ones.
     ///
-    /// Another transfer than the one under way begins anew: its sender no longer has what was being fetched.
+    /// A chunk of another transfer than the one in progress replaces it: its sender no longer has the payload that
+    /// was being fetched.
     pub fn take(&mut self, chunk: &Chunk, took: time::Millis) -> Result<ChunkOutcome, ChunkError> {
-        self.most = if took > SLOW {
+        self.most = if took > SLOW_CHUNK {
             (self.most / 2).max(SLOW_LINK_CHUNK_BYTES.min(self.most))
-        } else if took.0 < SLOW.0 / 2 {
+        } else if took.0 < SLOW_CHUNK.0 / 2 {
             (self.most * 2).min(CHUNK_BYTES)
         } else {
             self.most
@@ -284,19 +291,20 @@
         Ok(ChunkOutcome::Whole(partial))
     }
 
-    /// A control process has nothing newer, though it told so: it was started anew.
+    /// Notes that a control process has nothing newer, though it has announced a version: it was restarted.
     pub fn has_nothing_newer(&mut self, ip: net::Ipv4Addr) {
-        self.told.remove(&ip);
+        self.announced.remove(&ip);
     }
 
-    /// A control process did not answer in time, or not as it should: it is asked no more until it tells of a version
-    /// again. What has come stays, and smaller chunks are asked for.
+    /// Notes that a control process did not respond in time, or sent an invalid response. It is not asked again until
+    /// it announces a version. The received chunks are kept, and the next ones are smaller.
     pub fn mark_failed(&mut self, ip: net::Ipv4Addr) {
-        self.told.remove(&ip);
-        self.most = (self.most / 2).max(SMALLEST_CHUNK_BYTES);
+        self.announced.remove(&ip);
+        self.most = (self.most / 2).max(MIN_CHUNK_BYTES);
     }
 }
 
+/// The first eight bytes of the SHA-256 of `bytes`.
 fn check(bytes: &[u8]) -> u64 {
     let digest = sha2::Sha256::digest(bytes);
     u64::from_le_bytes(std::array::from_fn(|at| digest[at]))
--- a/crates/sageshed-fleet/src/versions.rs
+++ b/crates/sageshed-fleet/src/versions.rs
@@ -1,12 +1,12 @@
-//! How far the configuration that a process holds is behind the newest one.
+//! For how long a process has been behind the newest configuration.
 
 use std::collections;
 
 use sageshed_types::time;
 
-/// VersionHistory that are remembered. One that holds an older version than all of them is taken to be behind since the
-/// oldest of them.
-const KEPT: usize = 256;
+/// Maximum number of versions that are remembered. A process that holds an older version than all of them counts as
+/// behind since the oldest of them.
+const MAX_VERSIONS: usize = 256;
 
 /// When each of the latest versions became known.
 #[derive(Debug, Default)]
@@ -15,12 +15,12 @@
 }
 
 impl VersionHistory {
-    /// Notes that a version exists. An older one than the newest changes nothing.
+    /// Notes that a version exists. A version older than the newest has no effect.
     pub fn note(&mut self, now: time::Instant, version: u64) {
         if version <= self.newest() {
             return;
         }
-        if self.known.len() == KEPT {
+        if self.known.len() == MAX_VERSIONS {
             self.known.pop_front();
         }
         self.known.push_back((version, now));
