--- a/crates/sageshed-fleet/src/lib.rs
+++ b/crates/sageshed-fleet/src/lib.rs
@@ -3,27 +3,28 @@
 //! A fleet is a set of services, each with endpoints that announce themselves, and routes that map requests to
 //! services. Nothing here does I/O, reads a clock or starts a thread: time and random numbers are arguments.
 //!
-//! | module | decides |
+//! | module | purpose |
 //! |---|---|
-//! | [`config`] | whether a configuration is valid |
+//! | [`config`] | the configuration and its consistency check |
 //! | [`routes`] | which route a request takes |
-//! | [`config_history`] | what an entry process is sent of a configuration that is newer than its own |
-//! | [`compression`] | how a configuration is compressed for one who holds another |
-//! | [`directory`] | what is believed of each endpoint, and what changed since a peer last asked |
-//! | [`chooser`] | which endpoint a request goes to, whether it waits, or is turned away |
-//! | [`backlog`] | how long what waits for an engine will wait |
-//! | [`allowance`] | what may still be used of a bound that holds over all entry processes |
-//! | [`budget`] | whether a request may be sent a second time |
-//! | [`fingerprint`] | whether two requests are the same but for their ids |
-//! | [`neighbours`] | which entry processes tell each other what they send to an engine |
-//! | [`quarantine`] | which requests are passed on no more, since endpoints ended under them |
-//! | [`transfer`] | which chunks of a configuration are fetched, and from whom |
-//! | [`versions`] | how far a held configuration is behind the newest |
-//! | [`workspaces`] | who sends a request, by the key that it shows |
+//! | [`config_history`] | recent configurations, against which newer ones are compressed |
+//! | [`compression`] | compression of a configuration for a process that holds another one |
+//! | [`transfer`] | transfer of a configuration in chunks |
+//! | [`versions`] | how long a process has been behind the newest configuration |
+//! | [`directory`] | the known endpoints, and what changed since a peer last asked |
+//! | [`links`] | which control processes an entry process watches |
+//! | [`chooser`] | which endpoint a request is sent to, or whether it waits or is refused |
+//! | [`backlog`] | the requests that wait for an engine, and for how long they will wait |
+//! | [`allowance`] | rate limits that hold over all entry processes |
+//! | [`budget`] | the retry budget |
+//! | [`neighbours`] | what entry processes tell each other about the engines that they use |
+//! | [`quarantine`] | requests that are no longer forwarded, because endpoints crashed while running them |
+//! | [`fingerprint`] | whether two requests are the same except for their ids |
+//! | [`workspaces`] | the workspace of a request, by its key |
+//! | [`demand_counter`] | the callers' demand, counted for the leader |
 //! | [`planner`] | which engine loads or unloads which weights and adapters |
-//!
-//! [`messages`] are what control and entry processes tell each other, [`dialect`] is what the fleet
-//! needs to know of the protocol that callers, endpoints and operators speak.
+//! | [`messages`] | messages between control and entry processes |
+//! | [`dialect`] | the interface to the protocol of callers, endpoints and operators |
 
 pub mod allowance;
 pub mod backlog;
