--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Which engine is ordered what, by replaying what a leader sees.
+//! Orders of the planner, in simulations of a leader and its engines.
 
 mod support;
 
@@ -12,33 +12,36 @@
 };
 use sageshed_types::time;
 
-/// An engine as it really is, and the leader that orders it, with time in steps of 50 ms.
-struct World {
+/// Simulates a leader and its engines in steps of [`STEP`].
+struct Simulation {
     planner: Planner,
     config: config::FleetConfig,
     now: time::Instant,
     engines: collections::BTreeMap<String, Engine>,
     orders: Vec<(time::Instant, Order)>,
-    /// Whether engines answer orders; they carry them out all the same.
-    answers: bool,
-    /// Orders that are lost on their way from now on.
+    /// Whether engines respond to orders; they execute them in either case.
+    responds: bool,
+    /// Number of the next orders that are lost on the network.
     lost: usize,
 }
 
+/// The actual state of an engine.
 struct Engine {
+    /// What the directory knows of it.
     instance: directory::Instance,
+    /// Number of accepted orders.
     accepted: u64,
-    /// Weights on their way, with when they are there.
+    /// The model that is being loaded, with the end of the load.
     loading: Option<(String, time::Instant)>,
     adapters: collections::BTreeSet<(String, String)>,
 }
 
-/// Prompt tokens that an engine of these tests reads in a second.
+/// Prefill throughput of an engine.
 const ENGINE_TOKENS_PER_S: u64 = 19_000;
 
 const STEP: time::Millis = time::Millis(50);
 
-impl World {
+impl Simulation {
     fn new(engines: &[(&str, &[&str])]) -> Self {
         let mut planner = Planner::new(Policy::default(), "10.0.0.1");
         let now = time::Instant(100_000);
@@ -58,7 +61,7 @@
             now,
             engines: engines.collect(),
             orders: Vec::new(),
-            answers: true,
+            responds: true,
             lost: 0,
         }
     }
@@ -68,14 +71,14 @@
         while self.now < until {
             self.now = self.now + STEP;
             self.finish_loads();
-            let shown: Vec<_> = self
+            let known: Vec<_> = self
                 .engines
                 .values()
                 .map(|it| it.instance.clone())
                 .collect();
-            let shown: Vec<_> = shown.iter().collect();
-            let actions = self.planner.tick(self.now, &self.config, &shown);
-            self.carry_out(actions);
+            let known: Vec<_> = known.iter().collect();
+            let actions = self.planner.tick(self.now, &self.config, &known);
+            self.apply(actions);
         }
     }
 
@@ -89,7 +92,7 @@
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::AskReport { instance, .. } => {
@@ -98,22 +101,22 @@
                 }
                 Action::Order(order) => {
                     self.orders.push((self.now, order.clone()));
-                    let answer = self.obey(&order);
+                    let answer = self.execute(&order);
                     let more = self.planner.handle_order_response(self.now, &order, answer);
-                    self.carry_out(more);
+                    self.apply(more);
                 }
                 Action::Amend { instance, task } => {
                     let engine = self
                         .engines
                         .get_mut(&instance.name)
                         .expect("a known engine");
-                    engine.show(&task);
+                    engine.amend(&task);
                 }
             }
         }
     }
 
-    fn obey(&mut self, order: &Order) -> Option<OrderResponse> {
+    fn execute(&mut self, order: &Order) -> Option<OrderResponse> {
         let now = self.now;
         if self.lost > 0 {
             self.lost -= 1;
@@ -141,14 +144,14 @@
                 engine.adapters.remove(&(model.clone(), adapter.clone()));
             }
         }
-        engine.check();
-        self.answers.then_some(match order.task {
+        engine.assert_fits();
+        self.responds.then_some(match order.task {
             Task::UnloadAdapter(..) => OrderResponse::Done,
             _ => OrderResponse::Accepted,
         })
     }
 
-    fn ask(&mut self, model: &str, tokens: u64) {
+    fn add_demand(&mut self, model: &str, tokens: u64) {
         let demand = messages::Demand {
             service: support::ENGINES.to_owned(),
             model: model.to_owned(),
@@ -161,7 +164,7 @@
         self.planner.add_demand(self.now, &[demand]);
     }
 
-    fn want(&mut self, adapter: &str) {
+    fn request_adapter(&mut self, adapter: &str) {
         let want = messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m0".to_owned(),
@@ -179,12 +182,12 @@
 }
 
 impl Engine {
-    /// An engine crashes that is told to load more than fits.
-    fn check(&self) {
+    /// Fails if the engine was ordered to load more than fits, by which it would crash.
+    fn assert_fits(&self) {
         let held = self.instance.models.len() + usize::from(self.loading.is_some());
-        assert!(held <= 3, "weights of {held} models on room for three");
+        assert!(held <= 3, "weights of {held} models in memory for three");
         let adapters = self.adapters.len();
-        assert!(adapters <= 2, "{adapters} adapters on two places");
+        assert!(adapters <= 2, "{adapters} adapters in two slots");
     }
 
     fn report(&self) -> Report {
@@ -202,28 +205,28 @@
         }
     }
 
-    fn show(&mut self, task: &Task) {
+    fn amend(&mut self, task: &Task) {
         if let Task::UnloadAdapter(model, adapter) = task {
-            let shown = self.instance.models.iter_mut();
-            for resident in shown.filter(|it| it.model == *model) {
+            let known = self.instance.models.iter_mut();
+            for resident in known.filter(|it| it.model == *model) {
                 resident.adapters.retain(|it| it != adapter);
             }
         }
         if let Task::LoadAdapter(model, adapter) = task {
-            let shown = self
+            let known = self
                 .instance
                 .models
                 .iter_mut()
                 .find(|it| it.model == *model);
-            shown
+            known
                 .expect("it holds the model")
                 .adapters
                 .push(adapter.clone());
         }
     }
 
-    /// An announcement that was made before the latest adapters arrived.
-    fn announce_old(&mut self) {
+    /// Applies an announcement that was sent before the adapters were loaded.
+    fn announce_outdated(&mut self) {
         self.instance.sequence += 1;
         for resident in &mut self.instance.models {
             resident.adapters.clear();
@@ -231,104 +234,117 @@
     }
 }
 
-/// A leader was cut off and another is elected. The old one may have given orders until its lease ran
-/// out, so the new one waits for that long before its first.
+/// A leader is cut off and another one is elected. The old one may have given orders until its lease expired, so the
+/// new one waits for that long before its first order.
 #[test]
 fn a_new_leader_orders_nothing_within_the_lease_of_the_one_before() {
-    let mut world = World::new(&[("e1", &["m0"])]);
-    let elected = world.now;
-    world.run(10_000);
-    let (first, _) = world.orders.first().expect("it orders in the end");
+    let mut simulation = Simulation::new(&[("e1", &["m0"])]);
+    let elected = simulation.now;
+    simulation.run(10_000);
+    let (first, _) = simulation
+        .orders
+        .first()
+        .expect("it gives an order in the end");
     assert!(first.since(elected) > Policy::default().lease, "{first:?}");
 }
 
-/// The adapters of a model are asked for one after the other. An announcement that was made before
-/// the first arrived takes it out of the directory again. The engine has two places: a third adapter
-/// on top of two crashes it with all that it runs.
+/// The adapters of a model are requested one after the other. An announcement that was sent before the first one was
+/// loaded removes it from the directory again. The engine has two adapter slots: a third adapter in addition to two
+/// would crash it.
 #[test]
-fn adapters_that_an_old_announcement_hides_still_take_their_places() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"])]);
-    world.run(4_000);
+fn adapters_that_an_outdated_announcement_hides_still_take_their_slots() {
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"])]);
+    simulation.run(4_000);
     for adapter in ["a1", "a2", "a3", "a4"] {
-        world.want(adapter);
-        world.run(50);
-        world.engines.get_mut("e1").expect("there").announce_old();
-        world.run(2_000);
+        simulation.request_adapter(adapter);
+        simulation.run(50);
+        simulation
+            .engines
+            .get_mut("e1")
+            .expect("there")
+            .announce_outdated();
+        simulation.run(2_000);
     }
-    let loads = world
+    let loads = simulation
         .tasks()
         .iter()
         .filter(|it| it.contains("load m0/"))
         .count();
-    assert!(loads >= 4, "{:?}", world.tasks());
+    assert!(loads >= 4, "{:?}", simulation.tasks());
 }
 
-/// A request waits for an adapter. It is loaded where the model is, and shown to entry processes when
-/// it had the time to arrive.
+/// A request waits for an adapter. The adapter is loaded where the model is, and known to entry processes once it has
+/// had the time to load.
 #[test]
 fn an_adapter_is_loaded_once_for_all_who_wait_for_it() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m3"])]);
-    world.run(4_000);
-    let before = world.orders.len();
-    world.want("a1");
-    world.run(50);
-    world.want("a1");
-    world.run(200);
-    let new: Vec<_> = world.tasks().split_off(before);
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m3"])]);
+    simulation.run(4_000);
+    let before = simulation.orders.len();
+    simulation.request_adapter("a1");
+    simulation.run(50);
+    simulation.request_adapter("a1");
+    simulation.run(200);
+    let new: Vec<_> = simulation.tasks().split_off(before);
     assert_eq!(new, ["e1 load m0/a1"]);
-    assert!(world.engines["e1"].instance.holds("m0", Some("a1")));
+    assert!(simulation.engines["e1"].instance.holds("m0", Some("a1")));
 }
 
-/// Demand moves to a model with one copy. The others have copies to spare, the engines have no room:
-/// a copy is given up and the model loaded in its place, without ever more on an engine than fits.
+/// Demand moves to a model with one replica. The other models have spare replicas, and the engines have no free memory:
+/// a replica is evicted and the model loaded in its place, and no engine ever holds more than fits.
 #[test]
-fn a_model_with_more_work_than_its_copy_bears_gets_another() {
-    let mut world = World::new(&[
+fn a_model_with_more_work_than_its_replica_bears_gets_another() {
+    let mut simulation = Simulation::new(&[
         ("e1", &["m0", "m1", "m2"]),
         ("e2", &["m0", "m1", "m2"]),
         ("e3", &["m0", "m1", "m3"]),
     ]);
     for _ in 0..400 {
-        world.ask("m3", 1_000);
-        world.run(50);
+        simulation.add_demand("m3", 1_000);
+        simulation.run(50);
     }
-    let holders = world.engines.values();
-    let copies = holders.filter(|it| it.instance.holds("m3", None)).count();
-    assert!(copies >= 2, "{:?}", world.tasks());
+    let holders = simulation.engines.values();
+    let replicas = holders.filter(|it| it.instance.holds("m3", None)).count();
+    assert!(replicas >= 2, "{:?}", simulation.tasks());
     for model in ["m0", "m1", "m2", "m3"] {
-        let held = world
+        let held = simulation
             .engines
             .values()
             .any(|it| it.instance.holds(model, None));
-        assert!(held, "no copy of {model} is left: {:?}", world.tasks());
+        assert!(
+            held,
+            "no replica of {model} is left: {:?}",
+            simulation.tasks()
+        );
     }
 }
 
-/// An engine is told to drop a model, and announces it until the requests that run there are done.
-/// Shown to entry processes, they would send it requests for the model, and it would reject each.
+/// An engine is ordered to unload a model, and announces it until its running requests are done. If entry processes saw
+/// it, they would send requests for the model to the engine, which would reject each.
 #[test]
-fn a_model_on_its_way_out_is_hidden_though_its_engine_announces_it() {
-    let mut world = World::new(&[
+fn a_model_that_is_being_unloaded_is_hidden_though_its_engine_announces_it() {
+    let mut simulation = Simulation::new(&[
         ("e1", &["m0", "m1", "m2"]),
         ("e2", &["m0", "m1", "m2"]),
         ("e3", &["m0", "m1", "m3"]),
     ]);
     let is_unload = |(_, order): &(time::Instant, Order)| matches!(order.task, Task::Unload(_));
-    while !world.orders.iter().any(is_unload) {
-        world.ask("m3", 1_000);
-        world.run(50);
+    while !simulation.orders.iter().any(is_unload) {
+        simulation.add_demand("m3", 1_000);
+        simulation.run(50);
     }
-    let (_, order) = world
+    let (_, order) = simulation
         .orders
         .iter()
         .find(|it| is_unload(it))
         .cloned()
         .expect("an unload");
     let model = order.task.model().to_owned();
-    let mut announced = world.engines[&order.instance.name].instance.clone();
+    let mut announced = simulation.engines[&order.instance.name].instance.clone();
     announced.models.push(support::resident(&model, &[]));
-    world.now = world.now + STEP;
-    let actions = world.planner.tick(world.now, &world.config, &[&announced]);
+    simulation.now = simulation.now + STEP;
+    let actions = simulation
+        .planner
+        .tick(simulation.now, &simulation.config, &[&announced]);
     let hidden = Action::Amend {
         instance: order.instance,
         task: order.task,
@@ -336,107 +352,115 @@
     assert!(actions.contains(&hidden), "{actions:?}");
 }
 
-/// All callers ask for a model that no engine holds; two copies bear its work. Room is made for two, out of spare
-/// copies. Were it not counted as made for that model, each engine would drop something in the same
-/// moment, and what was dropped would be loaded again by the store that the model needs.
+/// All requests are for a model that no engine holds; two replicas can handle them. Memory is freed for two, by
+/// evicting spare replicas. If that memory were not reserved for the model, each engine would evict a replica at the
+/// same time, and the evicted ones would be loaded again from the store that the model needs.
 #[test]
-fn room_is_made_for_as_many_copies_as_are_needed() {
-    let mut world = World::new(&[
+fn memory_is_freed_for_as_many_replicas_as_are_needed() {
+    let mut simulation = Simulation::new(&[
         ("e1", &["m0", "m1", "m2"]),
         ("e2", &["m0", "m1", "m2"]),
         ("e3", &["m0", "m1", "m2"]),
         ("e4", &["m0", "m1", "m2"]),
     ]);
-    world.run(4_000);
+    simulation.run(4_000);
     for _ in 0..400 {
-        world.ask("m3", 1_400);
-        world.run(50);
+        simulation.add_demand("m3", 1_400);
+        simulation.run(50);
     }
-    let unloads = world
+    let unloads = simulation
         .tasks()
         .iter()
         .filter(|it| it.contains("unload"))
         .count();
-    assert_eq!(unloads, 2, "{:?}", world.tasks());
-    let holders = world.engines.values();
-    let copies = holders.filter(|it| it.instance.holds("m3", None)).count();
-    assert_eq!(copies, 2, "{:?}", world.tasks());
+    assert_eq!(unloads, 2, "{:?}", simulation.tasks());
+    let holders = simulation.engines.values();
+    let replicas = holders.filter(|it| it.instance.holds("m3", None)).count();
+    assert_eq!(replicas, 2, "{:?}", simulation.tasks());
 }
 
-/// Prompts of a rare model come singly, and each keeps an engine busy for a second. One of them is no
-/// rise of demand: a copy loaded for it would take the room of a busy model.
+/// Prompts of a rarely used model come singly, and each keeps an engine busy for a second. One of them is no rise of
+/// demand: a replica loaded for it would take the memory of a busy model.
 #[test]
 fn a_single_prompt_is_no_rise_of_demand() {
-    let mut world = World::new(&[("e1", &["m0", "m1"]), ("e2", &["m2", "m3"])]);
-    world.run(4_000);
-    world.ask("m1", ENGINE_TOKENS_PER_S);
-    world.run(4_000);
-    assert_eq!(world.tasks(), Vec::<String>::new());
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"]), ("e2", &["m2", "m3"])]);
+    simulation.run(4_000);
+    simulation.add_demand("m1", ENGINE_TOKENS_PER_S);
+    simulation.run(4_000);
+    assert_eq!(simulation.tasks(), Vec::<String>::new());
     for _ in 0..16 {
-        world.ask("m1", ENGINE_TOKENS_PER_S / 10);
-        world.run(50);
+        simulation.add_demand("m1", ENGINE_TOKENS_PER_S / 10);
+        simulation.run(50);
     }
-    assert_eq!(world.tasks(), ["e2 load m1"], "sixteen in a second are one");
+    assert_eq!(
+        simulation.tasks(),
+        ["e2 load m1"],
+        "sixteen in a second are a rise"
+    );
 }
 
-/// Callers ask for more than all engines can read, so each copy of each model has more work than it
-/// should. One model has a single copy with four times the work of the copies of another. A copy of
-/// that one must give way, or the callers of the first are turned away while others hardly wait.
+/// The demand exceeds the capacity of all engines, so each replica of each model has more work than it should. One
+/// model has a single replica with four times the work of another model's replicas. A replica of the latter must be
+/// evicted, or requests for the first model are refused while others hardly wait.
 #[test]
-fn under_overload_a_copy_goes_where_it_has_most_work() {
-    let mut world = World::new(&[
+fn under_overload_a_replica_is_moved_to_the_model_with_most_work() {
+    let mut simulation = Simulation::new(&[
         ("e1", &["m0", "m1", "m2"]),
         ("e2", &["m0", "m1", "m2"]),
         ("e3", &["m0", "m1", "m3"]),
     ]);
     for _ in 0..400 {
         for (model, tokens) in [("m0", 900), ("m1", 900), ("m2", 900), ("m3", 2_000)] {
-            world.ask(model, tokens);
+            simulation.add_demand(model, tokens);
         }
-        world.run(50);
+        simulation.run(50);
     }
-    let holders = world.engines.values();
-    let copies = holders.filter(|it| it.instance.holds("m3", None)).count();
-    assert!(copies >= 2, "{:?}", world.tasks());
-    let moves = world.orders.len();
-    assert!(moves <= 6, "copies go to and fro: {:?}", world.tasks());
+    let holders = simulation.engines.values();
+    let replicas = holders.filter(|it| it.instance.holds("m3", None)).count();
+    assert!(replicas >= 2, "{:?}", simulation.tasks());
+    let moves = simulation.orders.len();
+    assert!(
+        moves <= 6,
+        "replicas are moved back and forth: {:?}",
+        simulation.tasks()
+    );
 }
 
-/// Without demand nothing moves: each move costs the store and delays others.
+/// Without demand no replicas are moved, since each load takes capacity of the store and delays others.
 #[test]
 fn nothing_moves_without_demand() {
-    let mut world = World::new(&[("e1", &["m0", "m1"]), ("e2", &["m2", "m3"])]);
-    world.run(30_000);
-    assert_eq!(world.tasks(), Vec::<String>::new());
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"]), ("e2", &["m2", "m3"])]);
+    simulation.run(30_000);
+    assert_eq!(simulation.tasks(), Vec::<String>::new());
 }
 
-/// A model without any copy is loaded before anybody asks for it: its first callers would wait for
-/// the whole load.
+/// A model without any replica is loaded before it is requested; otherwise its first requests would wait for the whole
+/// load.
 #[test]
-fn a_model_without_a_copy_is_loaded() {
-    let mut world = World::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
-    world.run(20_000);
-    assert_eq!(world.tasks(), ["e2 load m3"]);
+fn a_model_without_a_replica_is_loaded() {
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
+    simulation.run(20_000);
+    assert_eq!(simulation.tasks(), ["e2 load m3"]);
 }
 
-/// One engine has room for one more model. Nobody asks for the model without a copy, and one with a
-/// single copy has more work than that bears. Were the idle one loaded first, the engine would take
-/// no other order for nine seconds.
+/// One engine has memory for one more model. There is no demand for the model without a replica, and another one has
+/// more work than its single replica can handle. If the idle one were loaded first, the engine would accept no other
+/// order for nine seconds.
 #[test]
-fn an_idle_model_without_a_copy_waits_for_one_that_is_short() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m2"])]);
+fn an_idle_model_without_a_replica_waits_for_one_that_is_short() {
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m2"])]);
     for _ in 0..100 {
-        world.ask("m0", 1_000);
-        world.run(50);
+        simulation.add_demand("m0", 1_000);
+        simulation.run(50);
     }
     assert_eq!(
-        world.tasks().first().map(String::as_str),
+        simulation.tasks().first().map(String::as_str),
         Some("e2 load m0")
     );
 }
 
-/// Five engines come back empty and could all load at once. The store begins one load a second; more
-/// in five seconds would slow down every load in the fleet.
+/// Five engines are restarted without models and could all load at the same time. The store can begin one load a
+/// second; more within five seconds would slow down all loads of the fleet.
 #[test]
 fn loads_from_the_store_stay_inside_its_budget() {
     let engines: [(&str, &[&str]); 5] = [
@@ -446,15 +470,15 @@
         ("e4", &[]),
         ("e5", &[]),
     ];
-    let mut world = World::new(&engines);
+    let mut simulation = Simulation::new(&engines);
     for _ in 0..1_200 {
         for model in ["m0", "m1", "m2", "m3"] {
-            world.ask(model, 2_000);
+            simulation.add_demand(model, 2_000);
         }
-        world.run(50);
+        simulation.run(50);
     }
-    let loads: Vec<time::Instant> = world.orders.iter().map(|(at, _)| *at).collect();
-    assert!(loads.len() >= 5, "{:?}", world.tasks());
+    let loads: Vec<time::Instant> = simulation.orders.iter().map(|(at, _)| *at).collect();
+    assert!(loads.len() >= 5, "{:?}", simulation.tasks());
     for from in &loads {
         let within = loads
             .iter()
@@ -463,135 +487,133 @@
     }
 }
 
-/// The answer to a load is lost on its way, and the engine carries it out. The next order must not
-/// count the memory as free.
+/// The response to a load is lost, and the engine executes it. The next order must not count the memory as free.
 #[test]
-fn an_order_without_an_answer_counts_until_its_fate_is_known() {
-    let mut world = World::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
-    world.answers = false;
+fn an_order_without_a_response_counts_until_its_outcome_is_known() {
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
+    simulation.responds = false;
     for _ in 0..400 {
         for model in ["m0", "m1", "m2", "m3"] {
-            world.ask(model, 1_000);
+            simulation.add_demand(model, 1_000);
         }
-        world.run(50);
+        simulation.run(50);
     }
-    let tasks = world.tasks();
+    let tasks = simulation.tasks();
     assert!(tasks.iter().any(|it| it.ends_with("load m3")), "{tasks:?}");
 }
 
-/// An engine takes orders of one leader while another has just been elected. What it is busy with
-/// shows in no account of the new one, so it gets no order until it is done.
+/// An engine executes an order of one leader while another one has just been elected. The new leader doesn't know that
+/// order, so it sends none until the engine is done.
 #[test]
 fn an_engine_that_is_busy_for_an_earlier_leader_gets_no_order() {
-    let mut world = World::new(&[("e1", &["m0", "m1"])]);
-    let until = world.now + time::Millis(9_000);
-    let engine = world.engines.get_mut("e1").expect("there");
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"])]);
+    let until = simulation.now + time::Millis(9_000);
+    let engine = simulation.engines.get_mut("e1").expect("there");
     engine.loading = Some(("m2".to_owned(), until));
     engine.accepted = 1;
-    world.run(8_500);
-    assert_eq!(world.tasks(), Vec::<String>::new());
-    world.run(10_000);
-    let tasks = world.tasks();
+    simulation.run(8_500);
+    assert_eq!(simulation.tasks(), Vec::<String>::new());
+    simulation.run(10_000);
+    let tasks = simulation.tasks();
     assert!(
         tasks.len() <= 1,
-        "m3 fits only where another goes: {tasks:?}"
+        "m3 fits only if another model is unloaded: {tasks:?}"
     );
 }
 
-/// Whoever watches orders must see who gave them and behind which they stand.
+/// An order names its sender, the fencing token and the number of orders accepted before.
 #[test]
 fn orders_name_their_holder_fence_and_what_came_before() {
-    let mut world = World::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
-    world.engines.get_mut("e2").expect("there").accepted = 6;
-    world.run(20_000);
-    let (_, order) = world.orders.first().expect("m3 is loaded");
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1"]), ("e2", &["m2"])]);
+    simulation.engines.get_mut("e2").expect("there").accepted = 6;
+    simulation.run(20_000);
+    let (_, order) = simulation.orders.first().expect("m3 is loaded");
     assert_eq!(order.holder, "10.0.0.1");
     assert_eq!((order.fence, order.accepted_before), (4, 6));
     assert_eq!(dialect::Task::Load("m3".to_owned()), order.task);
 }
 
-/// The order for an adapter is lost on its way, and a request waits for it. It is given again behind
-/// the same number, so that the first does nothing should it arrive after all, and not only when
-/// nothing can come of the first any more.
+/// The order for an adapter is lost, and a request waits for the adapter. The order is sent again with the same number
+/// of accepted orders, so that only one of them has an effect should the first arrive after all; it is not delayed
+/// until the first can no longer be executed.
 #[test]
 fn an_order_that_was_lost_is_given_again_behind_the_same_number() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m3"])]);
-    world.run(4_000);
-    world.lost = 2;
-    world.want("a1");
-    world.run(1_000);
-    let behind: Vec<u64> = world
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m3"])]);
+    simulation.run(4_000);
+    simulation.lost = 2;
+    simulation.request_adapter("a1");
+    simulation.run(1_000);
+    let behind: Vec<u64> = simulation
         .orders
         .iter()
         .map(|(_, it)| it.accepted_before)
         .collect();
-    assert_eq!(behind, [0, 0, 0], "{:?}", world.tasks());
-    assert!(world.engines["e1"].instance.holds("m0", Some("a1")));
+    assert_eq!(behind, [0, 0, 0], "{:?}", simulation.tasks());
+    assert!(simulation.engines["e1"].instance.holds("m0", Some("a1")));
 }
 
-/// Engines are lost for good, and the only one left has places for three of four models. The one
-/// without a copy is asked for. It must take the place of one that nobody asks for, or its callers are
-/// turned away for ever.
+/// Engines are lost for good, and the only one left has memory for three of four models. The model without a replica is
+/// requested. It must replace a model without demand, or its requests are refused forever.
 #[test]
-fn with_fewer_places_than_models_the_one_asked_for_takes_the_place_of_an_idle_one() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"])]);
-    world.run(4_000);
+fn with_memory_for_fewer_models_a_requested_one_replaces_an_idle_one() {
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"])]);
+    simulation.run(4_000);
     assert_eq!(
-        world.tasks(),
+        simulation.tasks(),
         Vec::<String>::new(),
-        "nobody asks for anything yet"
+        "there is no demand yet"
     );
     for _ in 0..400 {
-        world.ask("m0", 400);
-        world.ask("m3", 100);
-        world.run(50);
+        simulation.add_demand("m0", 400);
+        simulation.add_demand("m3", 100);
+        simulation.run(50);
     }
-    let engine = &world.engines["e1"].instance;
-    assert!(engine.holds("m3", None), "{:?}", world.tasks());
+    let engine = &simulation.engines["e1"].instance;
+    assert!(engine.holds("m3", None), "{:?}", simulation.tasks());
     assert!(
         engine.holds("m0", None),
-        "the busy one stays: {:?}",
-        world.tasks()
+        "the busy model stays: {:?}",
+        simulation.tasks()
     );
-    let moves = world.orders.len();
+    let moves = simulation.orders.len();
     assert!(
         moves <= 3,
-        "models take each other's place in turn: {:?}",
-        world.tasks()
+        "models evict each other in turn: {:?}",
+        simulation.tasks()
     );
 }
 
-/// A leader is cut off and another elected. The one before had two adapters loaded, and the engine's
-/// announcements with them went to control processes on the other side. The new leader must learn of
-/// them before it orders another: a third on two places crashes the engine.
+/// A leader is cut off and another one elected. The old one has loaded two adapters, and the engine's announcements of
+/// them went to control processes on the other side of the partition. The new leader must learn of them before it loads
+/// another: a third adapter in two slots crashes the engine.
 #[test]
 fn a_new_leader_counts_the_adapters_of_the_one_before() {
-    let mut world = World::new(&[("e1", &["m0", "m1", "m2"])]);
-    let engine = world.engines.get_mut("e1").expect("there");
+    let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"])]);
+    let engine = simulation.engines.get_mut("e1").expect("there");
     engine.accepted = 2;
     for adapter in ["a1", "a2"] {
         engine
             .adapters
             .insert(("m0".to_owned(), adapter.to_owned()));
     }
-    world.run(3_000);
-    world.want("a3");
-    world.run(3_000);
-    world.want("a3");
-    world.run(2_000);
-    let adapters = &world.engines["e1"].adapters;
+    simulation.run(3_000);
+    simulation.request_adapter("a3");
+    simulation.run(3_000);
+    simulation.request_adapter("a3");
+    simulation.run(2_000);
+    let adapters = &simulation.engines["e1"].adapters;
     let wanted = ("m0".to_owned(), "a3".to_owned());
-    assert!(adapters.contains(&wanted), "{:?}", world.tasks());
+    assert!(adapters.contains(&wanted), "{:?}", simulation.tasks());
 }
 
-/// An engine that names a limit counts a leader's calls like requests, and no entry process knows of them. It is called
-/// once a second at most, however much is wanted of it.
+/// An engine with a rate limit counts a leader's calls like requests, and no entry process knows of them. It is called
+/// at most once a second, however many adapters are requested.
 #[test]
 fn an_engine_with_a_limit_is_called_once_a_second() {
-    let mut world = World::new(&[("e1", &["m1"])]);
-    world.run(5_000);
-    let id = world.engines["e1"].instance.id.clone();
-    let begun = world.now;
+    let mut simulation = Simulation::new(&[("e1", &["m1"])]);
+    simulation.run(5_000);
+    let id = simulation.engines["e1"].instance.id.clone();
+    let started = simulation.now;
     for round in 0..40 {
         let want = messages::AdapterReq {
             service: "engines".to_owned(),
@@ -599,53 +621,62 @@
             adapter: format!("a{}", round % 4),
             engine: Some(id.clone()),
         };
-        world.planner.request_adapter(world.now, want);
-        let before = world.orders.len();
-        world.run(100);
-        if world.orders.len() > before {
+        simulation.planner.request_adapter(simulation.now, want);
+        let before = simulation.orders.len();
+        simulation.run(100);
+        if simulation.orders.len() > before {
             let notice = dialect::Notice {
                 limit: Some(1.0),
                 ..dialect::Notice::default()
             };
-            world.planner.apply_notice(world.now, &id, notice);
+            simulation.planner.apply_notice(simulation.now, &id, notice);
         }
     }
-    let seconds = world.now.since(begun).0 / 1_000;
-    let orders = world.orders.iter().filter(|(at, _)| *at >= begun).count();
+    let seconds = simulation.now.since(started).0 / 1_000;
+    let orders = simulation
+        .orders
+        .iter()
+        .filter(|(at, _)| *at >= started)
+        .count();
     assert!(orders > 0, "none");
     let most = usize::try_from(seconds).expect("few") + 1;
     assert!(orders <= most, "{orders} orders in {seconds} s");
 }
 
-/// An engine turns an order away and wants three seconds of rest. Nothing is asked of it meanwhile.
+/// An engine rejects an order with a `Retry-After` of three seconds. It is not called meanwhile.
 #[test]
-fn an_engine_at_rest_is_not_called() {
-    let mut world = World::new(&[("e1", &["m1"])]);
-    world.run(5_000);
-    let id = world.engines["e1"].instance.id.clone();
+fn an_engine_is_not_called_before_its_retry_after() {
+    let mut simulation = Simulation::new(&[("e1", &["m1"])]);
+    simulation.run(5_000);
+    let id = simulation.engines["e1"].instance.id.clone();
     let notice = dialect::Notice {
         retry_after: Some(time::Millis(3_000)),
         ..dialect::Notice::default()
     };
-    world.planner.apply_notice(world.now, &id, notice);
-    let (rests_until, before) = (world.now + time::Millis(3_000), world.orders.len());
+    simulation.planner.apply_notice(simulation.now, &id, notice);
+    let (paused_until, before) = (
+        simulation.now + time::Millis(3_000),
+        simulation.orders.len(),
+    );
     let want = messages::AdapterReq {
         service: "engines".to_owned(),
         model: "m1".to_owned(),
         adapter: "a1".to_owned(),
         engine: Some(id.clone()),
     };
-    while world.orders.len() == before && world.now < rests_until + time::Millis(1_000) {
-        // Requests that wait say so again and again.
-        world.planner.request_adapter(world.now, want.clone());
-        world.run(200);
+    while simulation.orders.len() == before && simulation.now < paused_until + time::Millis(1_000) {
+        // Entry processes repeat the request while requests wait for the adapter.
+        simulation
+            .planner
+            .request_adapter(simulation.now, want.clone());
+        simulation.run(200);
     }
-    let first = world.orders.get(before).map(|(at, _)| *at);
-    assert!(first.is_some_and(|at| at >= rests_until), "{first:?}");
+    let first = simulation.orders.get(before).map(|(at, _)| *at);
+    assert!(first.is_some_and(|at| at >= paused_until), "{first:?}");
 }
 
-/// Guards against a leader that asks thousands of engines for their reports before it gives the one order that a
-/// request waits for: at some two hundred questions a second that took longer than the request had.
+/// Guards against a leader that requests the reports of thousands of engines before it gives the one order that a
+/// request waits for: at some two hundred reports a second that took longer than the request's deadline.
 #[test]
 fn a_new_leader_asks_first_where_a_request_waits() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
@@ -671,12 +702,12 @@
             engine: None,
         },
     );
-    let asked = asked_by(&planner.tick(now, &config, &engines));
-    assert_eq!(asked.first().map(String::as_str), Some("e1999"));
-    assert_eq!(asked.len(), Policy::default().max_report_requests);
+    let requested = report_requests(&planner.tick(now, &config, &engines));
+    assert_eq!(requested.first().map(String::as_str), Some("e1999"));
+    assert_eq!(requested.len(), Policy::default().max_report_requests);
 
-    // Nobody else is asked until answers come.
-    assert!(asked_by(&planner.tick(now + STEP, &config, &engines)).is_empty());
+    // No other engine is asked before reports arrive.
+    assert!(report_requests(&planner.tick(now + STEP, &config, &engines)).is_empty());
     let report = Report {
         models: vec![support::resident("m3", &[])],
         ..Report::default()
@@ -685,10 +716,10 @@
     let actions = planner.tick(now + STEP, &config, &engines);
     let loads_adapter = |it: &Action| matches!(it, Action::Order(order) if matches!(&order.task, Task::LoadAdapter(..)));
     assert!(actions.iter().any(loads_adapter), "{actions:?}");
-    assert_eq!(asked_by(&actions).len(), 1);
+    assert_eq!(report_requests(&actions).len(), 1);
 }
 
-/// Guards against engines that give no report and take up the questions of all others.
+/// Guards against engines that don't answer report requests and use up the concurrent ones of all others.
 #[test]
 fn an_engine_that_gives_no_report_is_asked_ever_more_rarely() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
@@ -707,10 +738,10 @@
             }
         }
     }
-    assert!((4..=8).contains(&asked), "{asked} questions in 30 s");
+    assert!((4..=8).contains(&asked), "{asked} report requests in 30 s");
 }
 
-fn asked_by(actions: &[Action]) -> Vec<String> {
+fn report_requests(actions: &[Action]) -> Vec<String> {
     let asked = actions.iter().filter_map(|it| match it {
         Action::AskReport { instance, .. } => Some(instance.name.clone()),
         _ => None,
