--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that crash and are back under the name that they had.
+//! Endpoints that crash and are restarted under the same name.
 
 mod support;
 
@@ -19,8 +19,8 @@
     T0 + time::Millis(ms)
 }
 
-/// The start at `born` of engine e1 that holds `models`, in its announcement number `sequence`.
-fn start(born: u64, sequence: u64, models: &[&str]) -> Instance {
+/// The instance of engine e1 that was started at `born` and holds `models`, in its announcement number `sequence`.
+fn instance(born: u64, sequence: u64, models: &[&str]) -> Instance {
     Instance {
         id: InstanceId::new("e1", Some(born)),
         sequence,
@@ -28,12 +28,12 @@
     }
 }
 
-fn born(directory: &Directory) -> Option<u64> {
+fn current_start(directory: &Directory) -> Option<u64> {
     directory.current_instance("e1").and_then(|it| it.id.born)
 }
 
-/// What a directory hears: the start at `born` says its word number `sequence` after `ms`.
-struct Word {
+/// An announcement that a directory receives after `ms`, of the instance that was started at `born`.
+struct Announcement {
     ms: u64,
     born: u64,
     sequence: u64,
@@ -41,113 +41,128 @@
 
 struct Case {
     name: &'static str,
-    words: Vec<Word>,
-    /// The start that is believed to live at the end.
-    lives: u64,
+    announcements: Vec<Announcement>,
+    /// The start time of the instance that is expected to be current at the end.
+    current: u64,
 }
 
-fn word(ms: u64, born: u64, sequence: u64) -> Word {
-    Word { ms, born, sequence }
+fn announcement(ms: u64, born: u64, sequence: u64) -> Announcement {
+    Announcement { ms, born, sequence }
 }
 
-/// Words of the start at `born` from `ms` on, one each 1.2 s.
-fn beats(ms: u64, born: u64, count: u64) -> Vec<Word> {
-    let beat = |n| word(ms + (n - 1) * 1_200, born, n);
-    (1..=count).map(beat).collect()
+/// Announcements of the instance that was started at `born`, one every 1.2 s from `ms` on.
+fn announcements(ms: u64, born: u64, count: u64) -> Vec<Announcement> {
+    let nth = |n| announcement(ms + (n - 1) * 1_200, born, n);
+    (1..=count).map(nth).collect()
 }
 
-fn joined(mut a: Vec<Word>, b: Vec<Word>) -> Vec<Word> {
+fn merged(mut a: Vec<Announcement>, b: Vec<Announcement>) -> Vec<Announcement> {
     a.extend(b);
     a.sort_by_key(|it| it.ms);
     a
 }
 
-/// An engine crashes and is back under its name. Its words and late ones of the start before come in
-/// any order, at a process that heard the start before or did not. Whichever is believed gets the
-/// requests, so it must be the one that lives.
+/// An engine crashes and is restarted. Announcements of both instances, some of them late, arrive in any order, at a
+/// process that knew the previous instance or did not. The current instance gets the requests, so it must be the
+/// running one.
 #[test]
-fn the_start_that_lives_is_believed() {
+fn the_running_instance_is_current() {
     let cases = [
         Case {
-            name: "back at once, with a lower count",
-            words: vec![word(0, 100, 500), word(1_500, 1_600, 1)],
-            lives: 1_600,
+            name: "restarted at once, with a lower sequence number",
+            announcements: vec![announcement(0, 100, 500), announcement(1_500, 1_600, 1)],
+            current: 1_600,
         },
         Case {
-            name: "back within two milliseconds",
-            words: vec![word(0, 100, 500), word(2, 102, 1)],
-            lives: 102,
+            name: "restarted within two milliseconds",
+            announcements: vec![announcement(0, 100, 500), announcement(2, 102, 1)],
+            current: 102,
         },
         Case {
-            name: "a late word of the start before, which was known",
-            words: vec![
-                word(0, 100, 500),
-                word(1_500, 1_600, 1),
-                word(2_000, 100, 501),
+            name: "a late announcement of the previous instance, which was known",
+            announcements: vec![
+                announcement(0, 100, 500),
+                announcement(1_500, 1_600, 1),
+                announcement(2_000, 100, 501),
             ],
-            lives: 1_600,
+            current: 1_600,
         },
         Case {
-            name: "a late first word of the start before, which was not known",
-            words: vec![word(0, 1_600, 40), word(10, 100, 1)],
-            lives: 1_600,
+            name: "a late first announcement of the previous instance, which was not known",
+            announcements: vec![announcement(0, 1_600, 40), announcement(10, 100, 1)],
+            current: 1_600,
         },
         Case {
-            name: "words of the start before that a cut held up, in a burst while the new one is silent",
-            words: joined(
-                vec![word(0, 1_600, 40)],
-                (0..9).map(|n| word(7_000 + n, 100, 500 + n)).collect(),
+            name: "delayed announcements of the previous instance, in a burst while the new one is silent",
+            announcements: merged(
+                vec![announcement(0, 1_600, 40)],
+                (0..9)
+                    .map(|n| announcement(7_000 + n, 100, 500 + n))
+                    .collect(),
             ),
-            lives: 1_600,
+            current: 1_600,
         },
         Case {
-            name: "three starts, the middle one late",
-            words: vec![
-                word(0, 100, 9),
-                word(10, 300, 1),
-                word(20, 200, 1),
-                word(30, 200, 2),
+            name: "three instances, the middle one late",
+            announcements: vec![
+                announcement(0, 100, 9),
+                announcement(10, 300, 1),
+                announcement(20, 200, 1),
+                announcement(30, 200, 2),
             ],
-            lives: 300,
+            current: 300,
         },
         Case {
-            name: "a clock that went back between two starts",
-            words: joined(vec![word(0, 9_000, 500)], beats(1_000, 4_000, 6)),
-            lives: 4_000,
+            name: "a clock that was set back between two instances",
+            announcements: merged(
+                vec![announcement(0, 9_000, 500)],
+                announcements(1_000, 4_000, 6),
+            ),
+            current: 4_000,
         },
         Case {
-            name: "the same, before the silence of the start before is long enough",
-            words: joined(vec![word(0, 9_000, 500)], beats(1_000, 4_000, 4)),
-            lives: 9_000,
+            name: "the same, before the previous instance was silent for long enough",
+            announcements: merged(
+                vec![announcement(0, 9_000, 500)],
+                announcements(1_000, 4_000, 4),
+            ),
+            current: 9_000,
         },
         Case {
-            name: "a clock that went back, and a late word of the start before at a process that never knew it",
-            words: joined(beats(0, 4_000, 12), vec![word(4_000, 9_000, 3)]),
-            lives: 4_000,
+            name: "a clock that was set back, and a late announcement of an unknown previous instance",
+            announcements: merged(
+                announcements(0, 4_000, 12),
+                vec![announcement(4_000, 9_000, 3)],
+            ),
+            current: 4_000,
         },
     ];
     for case in cases {
         let mut directory = Directory::new(1);
-        for it in &case.words {
-            directory.announce(at(it.ms), start(it.born, it.sequence, &["m0"]));
+        for it in &case.announcements {
+            directory.announce(at(it.ms), instance(it.born, it.sequence, &["m0"]));
         }
-        assert_eq!(born(&directory), Some(case.lives), "{}", case.name);
+        assert_eq!(
+            current_start(&directory),
+            Some(case.current),
+            "{}",
+            case.name
+        );
         let known = directory.records_after(at(0), directory::Cursor::default(), ChangeFilter::All);
         let there = known.iter().filter(|it| it.instance.is_present()).count();
         assert_eq!(there, 1, "{}", case.name);
     }
 }
 
-/// The control process that heard the new start passes it on, and one that still holds the start before
-/// under a far higher count passes that on. Both have to end with the new one, whichever record comes
-/// first.
+/// One control process passes on the new instance, another one still has the previous instance with a far higher
+/// sequence number and passes that on. Both have to end with the new one, whichever record comes first.
 #[test]
-fn directories_agree_on_the_later_start_in_both_orders() {
+fn directories_agree_on_the_later_instance_in_both_orders() {
     for new_first in [true, false] {
         let (mut a, mut b) = (Directory::new(1), Directory::new(2));
-        a.announce(T0, start(100, 900, &["m0"]));
-        b.announce(T0, start(100, 900, &["m0"]));
-        a.announce(at(10), start(2_000, 1, &[]));
+        a.announce(T0, instance(100, 900, &["m0"]));
+        b.announce(T0, instance(100, 900, &["m0"]));
+        a.announce(at(10), instance(2_000, 1, &[]));
         let of_a = a.records_after(at(20), directory::Cursor::default(), ChangeFilter::All);
         let of_b = b.records_after(at(20), directory::Cursor::default(), ChangeFilter::All);
         let mut fresh = Directory::new(3);
@@ -161,41 +176,45 @@
             fresh.merge(at(20), record);
         }
         for directory in [&a, &b, &fresh] {
-            assert_eq!(born(directory), Some(2_000), "new first: {new_first}");
+            assert_eq!(
+                current_start(directory),
+                Some(2_000),
+                "new first: {new_first}"
+            );
             assert!(
                 !directory
                     .current_instance("e1")
-                    .expect("it is there")
+                    .expect("it is present")
                     .holds("m0", None)
             );
         }
     }
 }
 
-/// A start says that it leaves; the next one under its name has begun before that word arrives, late. It
-/// lives, and must not be ended by it.
+/// An instance deregisters, and the next one has started before the deregistration arrives. It must not end the next
+/// one.
 #[test]
-fn a_late_word_that_a_start_leaves_does_not_end_the_next_one() {
+fn a_late_deregistration_does_not_end_the_next_instance() {
     let leaving = [
-        ("it names its start", InstanceId::new("e1", Some(100))),
-        ("it does not", InstanceId::new("e1", None)),
+        ("it names its start time", InstanceId::new("e1", Some(100))),
+        ("it names no start time", InstanceId::new("e1", None)),
     ];
     for (name, id) in leaving {
         let mut directory = Directory::new(1);
-        directory.announce(T0, start(100, 900, &["m0"]));
-        directory.announce(at(10), start(2_000, 1, &[]));
+        directory.announce(T0, instance(100, 900, &["m0"]));
+        directory.announce(at(10), instance(2_000, 1, &[]));
         directory.deregister(at(20), &id);
-        assert_eq!(born(&directory), Some(2_000), "{name}");
+        assert_eq!(current_start(&directory), Some(2_000), "{name}");
     }
 }
 
-/// An engine says that it leaves, without its time of birth, and announces itself once more before it
-/// has stopped. It must get no new work, also from processes that a control process tells which was
-/// just started and does not know the engine.
+/// An engine deregisters without its start time, and announces itself once more before it has stopped. It must get no
+/// new work, not even from processes that hear of it from a control process which has just started and doesn't know the
+/// engine.
 #[test]
-fn a_start_that_leaves_stays_out_though_its_word_names_no_birth() {
+fn a_deregistered_instance_stays_out_though_it_named_no_start_time() {
     let mut known = Directory::new(1);
-    known.announce(T0, start(100, 900, &["m0"]));
+    known.announce(T0, instance(100, 900, &["m0"]));
     let mut fresh = Directory::new(2);
     fresh.deregister(at(10), &"e1".into());
     for record in fresh.records_after(at(20), directory::Cursor::default(), ChangeFilter::All) {
@@ -204,46 +223,46 @@
     assert!(known.current_instance("e1").is_none());
     for (n, ms) in [(901, 1_000), (902, 2_200), (903, 3_400), (904, 4_600)] {
         assert_eq!(
-            known.announce(at(ms), start(100, n, &["m0"])),
+            known.announce(at(ms), instance(100, n, &["m0"])),
             MergeOutcome::Stale
         );
     }
     assert!(known.current_instance("e1").is_none());
     assert_eq!(
-        known.announce(at(5_000), start(9_000, 1, &[])),
+        known.announce(at(5_000), instance(9_000, 1, &[])),
         MergeOutcome::New
     );
 }
 
-/// Words without a time of birth come from older software, or from a writer that goes wrong. They do not
-/// end a start that is known to live.
+/// Announcements without a start time come from older software or a faulty sender. They don't end an instance that is
+/// known to be running.
 #[test]
-fn a_word_without_a_birth_does_not_end_a_start_that_tells_its_own() {
+fn an_announcement_without_a_start_time_does_not_end_an_instance_with_one() {
     let mut directory = Directory::new(1);
-    directory.announce(T0, start(100, 900, &["m0"]));
+    directory.announce(T0, instance(100, 900, &["m0"]));
     for n in 1..=9 {
         let mut other = support::engine("e1", &["m3"]);
         other.sequence = 5_000 + n;
         directory.announce(at(n * 1_200), other);
-        directory.announce(at(n * 1_200 + 1), start(100, 900 + n, &["m0"]));
+        directory.announce(at(n * 1_200 + 1), instance(100, 900 + n, &["m0"]));
     }
-    assert_eq!(born(&directory), Some(100));
+    assert_eq!(current_start(&directory), Some(100));
     assert!(
         directory
             .current_instance("e1")
-            .expect("it is there")
+            .expect("it is present")
             .holds("m0", None)
     );
 }
 
-/// Somebody announces endless starts of one endpoint, and endless endpoints. Neither may take the memory of
-/// the process, or the place of those that it knows.
+/// A sender announces any number of instances of one endpoint, and any number of endpoints. Neither may exhaust the
+/// memory of the process, or displace the instances that it knows.
 #[test]
-fn what_is_kept_is_bounded() {
+fn the_number_of_kept_instances_is_bounded() {
     let mut directory = Directory::new(1);
-    directory.announce(T0, start(1_000_000, 900, &["m0"]));
+    directory.announce(T0, instance(1_000_000, 900, &["m0"]));
     for born in 0..1_000 {
-        directory.announce(T0, start(born, 1, &[]));
+        directory.announce(T0, instance(born, 1, &[]));
     }
     let mut refused = 0;
     for n in 0..=directory::MAX_INSTANCES {
@@ -259,27 +278,26 @@
     assert!(refused > 0);
     let all = directory.records_after(T0, directory::Cursor::default(), ChangeFilter::All);
     assert!(all.len() <= directory::MAX_INSTANCES);
-    assert_eq!(born(&directory), Some(1_000_000));
+    assert_eq!(current_start(&directory), Some(1_000_000));
     assert_eq!(
-        directory.announce(at(1_200), start(1_000_000, 901, &["m0"])),
+        directory.announce(at(1_200), instance(1_000_000, 901, &["m0"])),
         MergeOutcome::Confirmed
     );
 }
 
-/// An entry process has requests at an engine that crashes and is back. What it believed of the engine
-/// concerns the start before: the models, the beginnings of prompts that it kept, what others have
-/// there, and that it failed.
+/// An entry process has requests at an engine that crashes and is restarted. What it knows of the engine concerns the
+/// previous instance: its models, its cached prefixes, the requests of other entry processes there, and its failure.
 #[test]
-fn an_entry_process_believes_nothing_of_the_start_before() {
+fn an_entry_process_keeps_nothing_of_the_previous_instance() {
     let mut chooser = Chooser::new("z1", 7);
     let wanted = dialect::ModelRef {
         model: "m0".to_owned(),
         adapter: None,
     };
     let ask = support::ask(&wanted, 1_000);
-    chooser.know(&start(100, 900, &["m0"]));
+    chooser.know(&instance(100, 900, &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
-        panic!("the engine is there");
+        panic!("the engine is present");
     };
     let word = neighbours::Unread {
         engine: neighbours::instance_key(&pick.instance),
@@ -290,12 +308,12 @@
         pauses: None,
         trouble: None,
     };
-    let mut gone = start(100, 900, &["m0"]);
+    let mut gone = instance(100, 900, &["m0"]);
     gone.state = State::Replaced;
     chooser.know(&gone);
-    chooser.know(&start(2_000, 1, &[]));
+    chooser.know(&instance(2_000, 1, &[]));
     assert_eq!(chooser.choose(at(10), &ask), Choice::Wait(Missing::Model));
-    chooser.know(&start(2_000, 2, &["m0"]));
+    chooser.know(&instance(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
     assert!(!chooser.hear(at(20), from, &word));
     chooser.ended(at(20), &pick, Some(&wanted), false, Ended::Unreachable);
@@ -307,7 +325,7 @@
     assert!(next.estimate < time::Millis(200), "{:?}", next.estimate);
 }
 
-/// A leader for one engine at a time, with nothing but what it asks for.
+/// A leader for one engine, which gets nothing but the reports that it requests.
 struct Leader {
     planner: Planner,
     now: time::Instant,
@@ -320,8 +338,8 @@
         Self { planner, now: T0 }
     }
 
-    /// Runs for `span` with requests for m3, and reports for the engine as `accepted` says. Returns its
-    /// orders, with when they were given, which nobody answers.
+    /// Runs for `span` with demand for m3 and reports of `accepted` orders. Returns the orders with their times; they
+    /// get no responses.
     fn run(
         &mut self,
         span: u64,
@@ -362,17 +380,17 @@
     }
 }
 
-/// An order to load a model gets no answer, and the engine crashes and is back under its name. The order
-/// may be carried out twelve seconds later, by the new start, whose count of orders is what it was. With
-/// one more model loaded meanwhile its memory would be overcommitted, so it is given no order until then.
+/// An order to load a model gets no response, and the engine crashes and is restarted. The order may be executed twelve
+/// seconds later by the new instance, which has accepted the same number of orders. With one more model loaded
+/// meanwhile its memory would be overcommitted, so it gets no order until then.
 #[test]
-fn a_start_is_given_no_order_while_one_to_the_start_before_may_be_carried_out() {
+fn an_instance_gets_no_order_while_one_to_the_previous_instance_may_be_executed() {
     let mut leader = Leader::new();
-    let orders = leader.run(4_000, &start(100, 900, &["m0"]), 0);
+    let orders = leader.run(4_000, &instance(100, 900, &["m0"]), 0);
     let (given, order) = orders.last().cloned().expect("m3 is to be loaded");
     leader.planner.handle_order_response(given, &order, None);
     let crashed = leader.now;
-    let orders = leader.run(20_000, &start(2_000, 1, &[]), 0);
+    let orders = leader.run(20_000, &instance(2_000, 1, &[]), 0);
     let (first, _) = orders.first().expect("it is loaded in the end");
     assert!(
         first.since(given) >= time::Millis(12_000),
@@ -380,12 +398,12 @@
     );
 }
 
-/// The same, with a new leader: it does not know what the one before ordered, and that the engine was
-/// started again it hears from its directory.
+/// The same with a new leader. It doesn't know the orders of the previous one, and learns of the restart from its
+/// directory.
 #[test]
-fn a_new_leader_gives_a_restarted_engine_no_order_while_those_before_may_be_carried_out() {
+fn a_new_leader_gives_a_restarted_engine_no_order_while_earlier_ones_may_be_executed() {
     let mut leader = Leader::new();
-    let engine = start(2_000, 1, &[]);
+    let engine = instance(2_000, 1, &[]);
     leader.planner.set_restarted(vec![engine.id.clone()]);
     let orders = leader.run(20_000, &engine, 0);
     let (first, _) = orders.first().expect("it is loaded in the end");
@@ -398,13 +416,13 @@
     );
 }
 
-/// A leader asks an engine for its report, and the start that answers is the next one. Its count says
-/// nothing of orders to the start before, and none is given by it.
+/// A leader requests the report of an engine, and the next instance responds. Its number of accepted orders says
+/// nothing about the previous instance, so no order is given by it.
 #[test]
-fn the_report_of_another_start_is_not_taken() {
+fn the_report_of_another_instance_is_ignored() {
     let mut planner = Planner::new(Policy::default(), "10.0.0.1");
     planner.start_leading(T0, 4);
-    let engine = start(100, 900, &["m0"]);
+    let engine = instance(100, 900, &["m0"]);
     let report = dialect::Report {
         born: Some(2_000),
         ..dialect::Report::default()
@@ -432,10 +450,10 @@
     assert_eq!(orders, 0);
 }
 
-/// A hundred engines crash and come back at random, words come late by seconds, in any order and to any of
-/// three directories, which tell each other. Once all is quiet each holds the start that lives.
+/// An engine crashes and is restarted at random times, and its announcements arrive seconds late, in any order, at any
+/// of three directories, which pass them on to each other. In the end each directory must have the running instance.
 #[test]
-fn after_any_order_of_words_the_living_start_is_known_everywhere() {
+fn after_announcements_in_any_order_all_directories_have_the_running_instance() {
     for seed in 1..=40_u64 {
         let mut random = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
         let mut draw = |below: u64| {
@@ -444,7 +462,7 @@
             random ^= random << 17;
             random % below
         };
-        let mut words: collections::BTreeMap<(u64, u64), (usize, Instance)> =
+        let mut announcements: collections::BTreeMap<(u64, u64), (usize, Instance)> =
             collections::BTreeMap::new();
         let (mut now, mut last) = (0, 0);
         for _ in 0..4 {
@@ -454,7 +472,7 @@
                 let late = if draw(4) == 0 { draw(8_000) } else { draw(20) };
                 let heard = now + n * 1_200 + late;
                 let to = usize::try_from(draw(3)).expect("small");
-                words.insert((heard, draw(1 << 40)), (to, start(last, n, &["m0"])));
+                announcements.insert((heard, draw(1 << 40)), (to, instance(last, n, &["m0"])));
             }
             now += lives_for + draw(3_000);
         }
@@ -462,10 +480,10 @@
         for n in 1..=end / 1_200 {
             let to = usize::try_from(draw(3)).expect("small");
             let heard = now + n * 1_200;
-            words.insert((heard, 0), (to, start(last, 20 + n, &["m0"])));
+            announcements.insert((heard, 0), (to, instance(last, 20 + n, &["m0"])));
         }
         let mut all = [Directory::new(1), Directory::new(2), Directory::new(3)];
-        for ((ms, _), (to, instance)) in words {
+        for ((ms, _), (to, instance)) in announcements {
             all[to].announce(at(ms), instance);
             for from in 0..3 {
                 let records = all[from].records_after(
@@ -484,7 +502,7 @@
             }
         }
         for directory in &all {
-            assert_eq!(born(directory), Some(last), "seed {seed}");
+            assert_eq!(current_start(directory), Some(last), "seed {seed}");
         }
     }
 }
