--- a/crates/sageshed-fleet/tests/directory.rs
+++ b/crates/sageshed-fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What is believed of endpoints, and how two directories agree.
+//! The endpoint directory, and how two directories come to agree.
 
 mod support;
 
@@ -11,9 +11,8 @@
     T0 + time::Millis(ms)
 }
 
-/// An engine says that it leaves and is taken out everywhere. An announcement that it had sent
-/// before, held up by a cut of the network, arrives ten seconds later: callers must not be sent to
-/// an engine that has gone.
+/// An engine deregisters. An announcement that it had sent before, held up by a network partition, arrives ten seconds
+/// later: requests must not be sent to an engine that has gone.
 #[test]
 fn a_late_announcement_does_not_bring_an_instance_back() {
     let mut directory = Directory::new(1);
@@ -25,10 +24,10 @@
     assert!(directory.current_instance("e1").is_none());
 }
 
-/// A control process that was just started hears first that an instance leaves, of which it knows
-/// nothing yet. The other processes still know it, so the word must be passed on.
+/// A control process that has just started receives the deregistration of an instance that it doesn't know. The other
+/// processes still know the instance, so the deregistration must be passed on.
 #[test]
-fn the_word_of_an_unknown_instance_that_it_leaves_is_passed_on() {
+fn a_deregistration_of_an_unknown_instance_is_passed_on() {
     let mut fresh = Directory::new(2);
     fresh.deregister(T0, &"e1".into());
     let mut other = Directory::new(1);
@@ -39,45 +38,57 @@
     assert!(other.current_instance("e1").is_none());
 }
 
-/// An engine says that it leaves in an answer to an entry process. Announcements that are on their way, words of control
-/// processes that were cut off, and its being out of sight for a while do not bring it back: each of these
-/// comes with a higher number than what was known when it spoke. Another start of it takes work.
+/// An engine says in a response to an entry process that it is leaving. Announcements in flight, records of control
+/// processes that were cut off, and a period of silence don't make it ready again, although each comes with a higher
+/// sequence number than the one known at the time of the response. Another instance of the endpoint takes new work.
 #[test]
-fn an_instance_that_has_said_that_it_leaves_takes_no_work_again() {
+fn an_instance_that_is_leaving_gets_no_work_again() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
     let id = engine.id.clone();
     assert!(directory.mark_leaving(at(10), &id));
-    assert!(!directory.mark_leaving(at(20), &id), "it is known");
+    assert!(!directory.mark_leaving(at(20), &id), "it is already known");
     let state = |directory: &Directory| directory.instance(&id).map(|it| it.state);
     assert_eq!(state(&directory), Some(State::Leaving));
     engine.sequence = 7;
     directory.announce(at(30), engine.clone());
-    assert_eq!(state(&directory), Some(State::Leaving), "announced later");
+    assert_eq!(
+        state(&directory),
+        Some(State::Leaving),
+        "announced as ready later"
+    );
     let mut elsewhere = Directory::new(2);
     engine.sequence = 9;
     elsewhere.announce(at(40), engine.clone());
     exchange(&mut directory, &mut elsewhere, at(50));
-    assert_eq!(state(&directory), Some(State::Leaving), "told by another");
-    assert_eq!(state(&elsewhere), Some(State::Leaving), "the other is told");
+    assert_eq!(
+        state(&directory),
+        Some(State::Leaving),
+        "after a record of another process"
+    );
+    assert_eq!(
+        state(&elsewhere),
+        Some(State::Leaving),
+        "at the other process"
+    );
     assert_eq!(directory.digest(), elsewhere.digest());
     directory.expire(at(50) + directory::SILENCE_TIMEOUT);
     assert_eq!(state(&directory), Some(State::Silent));
     engine.sequence = 20;
     directory.announce(at(60) + directory::SILENCE_TIMEOUT, engine.clone());
-    assert_eq!(state(&directory), Some(State::Leaving), "out of sight");
+    assert_eq!(state(&directory), Some(State::Leaving), "after its silence");
     assert!(directory.is_leaving(&id));
     engine.id.born = Some(99);
     engine.sequence = 1;
     directory.announce(at(70) + directory::SILENCE_TIMEOUT, engine);
-    let other = directory.current_instance("e1").expect("another start");
+    let other = directory.current_instance("e1").expect("another instance");
     assert_eq!(other.state, State::Ready);
 }
 
-/// The word that an engine leaves comes behind a later announcement, which went to another control process.
+/// The announcement that an engine is leaving arrives after a newer one that went to another control process.
 #[test]
-fn the_word_that_an_instance_leaves_holds_though_a_later_one_came_first() {
+fn a_leaving_announcement_holds_though_a_newer_one_arrived_first() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     engine.sequence = 8;
@@ -96,36 +107,35 @@
 }
 
 #[test]
-fn older_words_are_ignored_and_equal_ones_change_nothing() {
+fn older_announcements_are_ignored_and_equal_ones_change_nothing() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     engine.sequence = 5;
     directory.announce(T0, engine.clone());
-    let mark = directory.cursor();
+    let cursor = directory.cursor();
     let mut older = support::engine("e1", &["m1"]);
     older.sequence = 4;
     assert_eq!(directory.announce(at(10), older), MergeOutcome::Stale);
     assert_eq!(directory.announce(at(10), engine), MergeOutcome::Confirmed);
-    assert_eq!(directory.cursor(), mark);
-    let known = directory.current_instance("e1").expect("it is there");
+    assert_eq!(directory.cursor(), cursor);
+    let known = directory.current_instance("e1").expect("it is present");
     assert!(known.holds("m0", None));
 }
 
-/// Two control processes that watch each other hold different words of one instance under the same
-/// numbers. Were each to take the other's, they would exchange them for ever, and every entry process
-/// would be woken by each exchange.
+/// Two control processes that watch each other have different records of one instance with the same version. If each
+/// took the other's, they would exchange them forever, and each exchange would wake every entry process.
 #[test]
-fn two_directories_do_not_exchange_equal_numbers_for_ever() {
+fn two_directories_do_not_exchange_equal_versions_forever() {
     let mut a = Directory::new(1);
     let mut b = Directory::new(2);
     a.announce(T0, support::engine("e1", &["m0"]));
     b.announce(T0, support::engine("e1", &["m1"]));
-    let mut marks = (directory::Cursor::default(), directory::Cursor::default());
+    let mut cursors = (directory::Cursor::default(), directory::Cursor::default());
     let mut exchanged = 0;
     for round in 0..20 {
-        let from_a = a.records_after(at(round), marks.0, ChangeFilter::All);
-        let from_b = b.records_after(at(round), marks.1, ChangeFilter::All);
-        marks = (a.cursor(), b.cursor());
+        let from_a = a.records_after(at(round), cursors.0, ChangeFilter::All);
+        let from_b = b.records_after(at(round), cursors.1, ChangeFilter::All);
+        cursors = (a.cursor(), b.cursor());
         exchanged += from_a.len() + from_b.len();
         for record in from_a {
             b.merge(at(round), record);
@@ -137,11 +147,11 @@
     assert_eq!(exchanged, 2);
 }
 
-/// The leader had an adapter loaded and shows it at once. The engine's next announcement goes to
-/// another control process, which has not heard of the adapter. Both must end with the same record,
-/// and a later change by the leader must still reach the other.
+/// The leader has ordered an adapter and amends the engine's record at once. The engine's next announcement goes to
+/// another control process, which doesn't know of the adapter. Both must end with the same record, and a later
+/// amendment by the leader must still reach the other.
 #[test]
-fn changes_by_the_leader_and_announcements_elsewhere_come_together() {
+fn amendments_by_the_leader_and_announcements_elsewhere_are_merged() {
     let (mut leader, mut other) = (Directory::new(1), Directory::new(2));
     let mut engine = support::engine("e1", &["m0"]);
     leader.announce(T0, engine.clone());
@@ -157,7 +167,7 @@
     });
     exchange(&mut leader, &mut other, at(5));
     assert_eq!(leader.current_instance("e1"), other.current_instance("e1"));
-    let known = other.current_instance("e1").expect("it is there");
+    let known = other.current_instance("e1").expect("it is present");
     assert!(known.holds("m0", Some("a2")));
 }
 
@@ -175,21 +185,21 @@
 }
 
 #[test]
-fn a_peer_gets_what_changed_since_its_mark_and_all_after_a_restart() {
+fn a_peer_gets_the_changes_after_its_cursor_and_all_after_a_restart() {
     let mut directory = Directory::new(1);
     directory.announce(T0, support::engine("e1", &["m0"]));
-    let mark = directory.cursor();
+    let cursor = directory.cursor();
     directory.announce(at(1), support::engine("e2", &["m0"]));
-    let ids = |mark| -> Vec<String> {
-        let records = directory.records_after(at(2), mark, ChangeFilter::All);
+    let ids = |cursor| -> Vec<String> {
+        let records = directory.records_after(at(2), cursor, ChangeFilter::All);
         records.into_iter().map(|it| it.instance.id.name).collect()
     };
-    assert_eq!(ids(mark), ["e2"]);
-    let of_another_start = directory::Cursor {
+    assert_eq!(ids(cursor), ["e2"]);
+    let of_another_process = directory::Cursor {
         start: 7,
         change: 99,
     };
-    assert_eq!(ids(of_another_start), ["e1", "e2"]);
+    assert_eq!(ids(of_another_process), ["e1", "e2"]);
 }
 
 #[test]
@@ -218,8 +228,8 @@
     );
 }
 
-/// An engine crashes and is back two seconds later at the same address, under another id. Requests
-/// for the old one are refused there, so it must not be offered until its silence has been noticed.
+/// An engine crashes and is restarted two seconds later at the same address under another name. Requests for the old
+/// one are refused there, so it must be removed at once and not only after its silence.
 #[test]
 fn an_instance_that_starts_again_at_an_address_replaces_the_one_before() {
     let mut directory = Directory::new(1);
@@ -232,34 +242,34 @@
     assert!(directory.current_instance("f1").is_some());
 }
 
-/// An announcement of an engine that died long ago arrives late, at a control process that never knew
-/// it. The engine that lives at its address now must stay.
+/// An announcement of an engine that ended long ago arrives late, at a control process that never knew it. The engine
+/// that runs at its address now must stay.
 #[test]
-fn a_late_word_of_an_unknown_instance_does_not_end_the_one_at_its_address() {
+fn a_late_announcement_of_an_unknown_instance_does_not_end_the_one_at_its_address() {
     let mut directory = Directory::new(1);
-    let mut alive = support::engine("e1", &["m0"]);
-    alive.sequence = 40;
-    directory.announce(T0, alive.clone());
-    let mut dead = support::engine("f1", &[]);
-    dead.address = alive.address;
-    dead.sequence = 90;
-    directory.announce(at(1_000), dead);
+    let mut running = support::engine("e1", &["m0"]);
+    running.sequence = 40;
+    directory.announce(T0, running.clone());
+    let mut ended = support::engine("f1", &[]);
+    ended.address = running.address;
+    ended.sequence = 90;
+    directory.announce(at(1_000), ended);
     assert!(directory.current_instance("e1").is_some());
-    for beat in 1..=6 {
-        alive.sequence += 1;
-        directory.announce(at(1_000 + beat * 1_200), alive.clone());
+    for round in 1..=6 {
+        running.sequence += 1;
+        directory.announce(at(1_000 + round * 1_200), running.clone());
     }
     assert!(
         directory.current_instance("f1").is_none(),
-        "the dead one said nothing more"
+        "the ended one announced nothing more"
     );
     assert!(directory.current_instance("e1").is_some());
 }
 
-/// An engine is cut off from control for a while and serves on. Its silence takes it out, and its next
-/// word brings it back: taken for gone for good, it would stand idle until it is started anew.
+/// An engine is cut off from the control processes for a while and goes on serving. It is removed for its silence, and
+/// its next announcement makes it present again: otherwise it would be idle until it is restarted.
 #[test]
-fn an_instance_that_was_cut_off_from_control_is_back_by_its_next_word() {
+fn an_instance_that_was_cut_off_from_control_is_back_with_its_next_announcement() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
@@ -285,42 +295,42 @@
     assert!(directory.current_instance("e1").is_some() && other.current_instance("e1").is_some());
 }
 
-/// 195 entry processes watch a control process, and engines announce themselves 65 times a second with nothing
-/// new. Signs of life must reach the other control processes, which would take the engines for gone, and
-/// must wake no entry process.
+/// 195 entry processes watch a control process, and engines send 65 announcements a second without updates. Refreshes
+/// must reach the other control processes, which would otherwise mark the engines as silent, and must wake no entry
+/// process.
 #[test]
-fn signs_of_life_are_no_news() {
+fn refreshes_are_no_updates() {
     let mut directory = Directory::new(1);
     let mut engine = support::engine("e1", &["m0"]);
     directory.announce(T0, engine.clone());
-    let mark = directory.cursor();
-    for beat in 1..=5 {
+    let cursor = directory.cursor();
+    for round in 1..=5 {
         engine.sequence += 1;
-        directory.announce(at(beat * 1_200), engine.clone());
+        directory.announce(at(round * 1_200), engine.clone());
     }
-    assert!(!directory.has_updates(mark));
+    assert!(!directory.has_updates(cursor));
     assert!(
         directory
-            .records_after(at(6_000), mark, ChangeFilter::Updates)
+            .records_after(at(6_000), cursor, ChangeFilter::Updates)
             .is_empty()
     );
-    let alive = directory.records_after(at(6_000), mark, ChangeFilter::All);
+    let alive = directory.records_after(at(6_000), cursor, ChangeFilter::All);
     assert!(alive[0].age < time::Millis(2_500), "{:?}", alive[0].age);
     engine.sequence += 1;
     engine.state = State::Leaving;
     directory.announce(at(7_000), engine);
-    assert!(directory.has_updates(mark));
+    assert!(directory.has_updates(cursor));
     assert_eq!(
         directory
-            .records_after(at(7_000), mark, ChangeFilter::Updates)
+            .records_after(at(7_000), cursor, ChangeFilter::Updates)
             .len(),
         1
     );
     assert!(directory.has_updates(directory::Cursor::default()));
 }
 
-/// An entry process tells by one number whether a control process knows something else than it does. The number
-/// must not depend on the way on which, or the order in which, the same was heard.
+/// An entry process compares digests to see whether a control process knows something else. The digest must not depend
+/// on how or in which order the same records were received.
 #[test]
 fn directories_that_know_the_same_have_the_same_digest() {
     let mut a = Directory::new(1);
@@ -340,7 +350,11 @@
     of_two.sequence = 9;
     of_two.models.reverse();
     b.announce(at(50), of_two);
-    assert_eq!(a.digest(), b.digest(), "a later word that says the same");
+    assert_eq!(
+        a.digest(),
+        b.digest(),
+        "a newer announcement without updates"
+    );
     a.amend(at(60), &"e2".into(), |it| {
         it.models[0].adapters.push("a1".to_owned());
     });
@@ -355,99 +369,100 @@
     assert_eq!(a.digest(), empty);
 }
 
-/// Two control processes, of which the first hears an engine and tells the second in short words.
+/// Two control processes, of which the first receives announcements and passes them on to the second, as refreshes
+/// where possible.
 struct Pair {
-    hears: Directory,
-    is_told: Directory,
-    mark: directory::Cursor,
+    sender: Directory,
+    receiver: Directory,
+    cursor: directory::Cursor,
 }
 
 impl Pair {
-    /// Tells what is new, and returns how many records and how many short words that took.
-    fn tell(&mut self, now: time::Instant) -> (usize, usize) {
-        let portion = self
-            .hears
-            .changes_after(self.mark, ChangeFilter::All, usize::MAX);
-        let mut told = (0, 0);
-        for change in &portion.changes {
-            if let Some(alive) = self.hears.alive(now, &change.id, self.mark) {
-                self.is_told.confirm(now, alive);
-                told.1 += 1;
-            } else if let Some(record) = self.hears.record(now, &change.id) {
-                self.is_told.merge(now, record);
-                told.0 += 1;
+    /// Passes on all changes. Returns the number of records and the number of refreshes that were sent.
+    fn pass_on(&mut self, now: time::Instant) -> (usize, usize) {
+        let batch = self
+            .sender
+            .changes_after(self.cursor, ChangeFilter::All, usize::MAX);
+        let mut sent = (0, 0);
+        for change in &batch.changes {
+            if let Some(alive) = self.sender.alive(now, &change.id, self.cursor) {
+                self.receiver.confirm(now, alive);
+                sent.1 += 1;
+            } else if let Some(record) = self.sender.record(now, &change.id) {
+                self.receiver.merge(now, record);
+                sent.0 += 1;
             }
         }
-        self.mark = portion.cursor;
-        told
+        self.cursor = batch.cursor;
+        sent
     }
 }
 
-/// Guards against control processes that tell each other each engine's whole record every two seconds: with ten of them
-/// and thousands of engines these were most of the bytes between zones.
+/// Guards against control processes that send each other the full record of each engine every two seconds: with ten
+/// control processes and thousands of engines these were most of the traffic between zones.
 #[test]
-fn an_engine_that_says_nothing_new_is_passed_on_in_a_short_word() {
+fn an_engine_without_updates_is_passed_on_as_a_refresh() {
     let mut pair = Pair {
-        hears: Directory::new(1),
-        is_told: Directory::new(2),
-        mark: directory::Cursor::default(),
+        sender: Directory::new(1),
+        receiver: Directory::new(2),
+        cursor: directory::Cursor::default(),
     };
     let mut now = time::Instant(100_000);
     let mut engine = support::engine("e1", &["m0"]);
-    pair.hears.announce(now, engine.clone());
-    assert_eq!(pair.tell(now), (1, 0));
+    pair.sender.announce(now, engine.clone());
+    assert_eq!(pair.pass_on(now), (1, 0));
     // For longer than an engine may be silent.
     for _ in 0..12 {
         now = now + directory::REFRESH_INTERVAL;
         engine.sequence += 1;
-        pair.hears.announce(now, engine.clone());
-        assert_eq!(pair.tell(now), (0, 1));
-        assert!(pair.is_told.expire(now).is_empty());
+        pair.sender.announce(now, engine.clone());
+        assert_eq!(pair.pass_on(now), (0, 1));
+        assert!(pair.receiver.expire(now).is_empty());
     }
-    // What is new is told whole, and so is everything to one that knows nothing.
+    // An update is sent as a full record, and so is everything to a peer that knows nothing.
     now = now + directory::REFRESH_INTERVAL;
     engine.sequence += 1;
     engine.models = vec![support::resident("m1", &["a1"])];
-    pair.hears.announce(now, engine.clone());
-    assert_eq!(pair.tell(now), (1, 0));
-    assert_eq!(pair.is_told.digest(), pair.hears.digest());
-    pair.mark = directory::Cursor::default();
-    assert_eq!(pair.tell(now), (1, 0));
+    pair.sender.announce(now, engine.clone());
+    assert_eq!(pair.pass_on(now), (1, 0));
+    assert_eq!(pair.receiver.digest(), pair.sender.digest());
+    pair.cursor = directory::Cursor::default();
+    assert_eq!(pair.pass_on(now), (1, 0));
 
-    // An engine that was taken for gone is back by its next sign of life.
+    // A refresh makes a silent engine present again.
     now = now + directory::SILENCE_TIMEOUT;
-    assert_eq!(pair.is_told.expire(now).len(), 1);
+    assert_eq!(pair.receiver.expire(now).len(), 1);
     engine.sequence += 1;
-    pair.hears.announce(now, engine);
-    assert_eq!(pair.tell(now), (0, 1));
-    assert_eq!(pair.is_told.digest(), pair.hears.digest());
-    assert_eq!(pair.is_told.present(now).count(), 1);
+    pair.sender.announce(now, engine);
+    assert_eq!(pair.pass_on(now), (0, 1));
+    assert_eq!(pair.receiver.digest(), pair.sender.digest());
+    assert_eq!(pair.receiver.present(now).count(), 1);
 }
 
-/// Guards against a late sign of life that brings back an engine which has gone, or a word older than what is known.
+/// Guards against a late refresh that makes an engine present which has gone, or that lowers its sequence number.
 #[test]
-fn a_late_sign_of_life_undoes_nothing() {
-    let mut hears = Directory::new(1);
-    let mut is_told = Directory::new(2);
+fn a_late_refresh_undoes_nothing() {
+    let mut sender = Directory::new(1);
+    let mut receiver = Directory::new(2);
     let now = time::Instant(100_000);
     let mut engine = support::engine("e1", &["m0"]);
     engine.sequence = 7;
-    hears.announce(now, engine.clone());
-    let mark = hears.cursor();
-    let late = hears.alive(now, &engine.id, mark).expect("it is alive");
+    sender.announce(now, engine.clone());
+    let cursor = sender.cursor();
+    let late = sender.alive(now, &engine.id, cursor).expect("it is alive");
     engine.sequence = 9;
-    is_told.announce(now, engine.clone());
-    is_told.confirm(now, late);
-    assert_eq!(is_told.instance(&engine.id).map(|it| it.sequence), Some(9));
-    is_told.deregister(now, &engine.id);
-    is_told.confirm(now, late);
-    assert_eq!(is_told.present(now).count(), 0);
-    // One that is leaving is always told whole.
-    hears.mark_leaving(now, &engine.id);
-    assert_eq!(hears.alive(now, &engine.id, hears.cursor()), None);
+    receiver.announce(now, engine.clone());
+    receiver.confirm(now, late);
+    assert_eq!(receiver.instance(&engine.id).map(|it| it.sequence), Some(9));
+    receiver.deregister(now, &engine.id);
+    receiver.confirm(now, late);
+    assert_eq!(receiver.present(now).count(), 0);
+    // A leaving instance is always sent as a full record.
+    sender.mark_leaving(now, &engine.id);
+    assert_eq!(sender.alive(now, &engine.id, sender.cursor()), None);
 }
 
-/// The short keys of two versions that run side by side have to agree.
+/// The short keys must be the same in all versions, which may run side by side.
 #[test]
 fn short_keys_stay() {
     let id = directory::InstanceId::new("i-7f3a91c2", Some(1_792_159_519_619));
