--- a/crates/sageshed-fleet/tests/compression.rs
+++ b/crates/sageshed-fleet/tests/compression.rs
@@ -1,10 +1,11 @@
-//! Configurations that are compressed for one who holds another.
+//! Compression of configurations against another one.
 
 use sageshed_fleet::compression;
 use sageshed_types::document::Document;
 
-/// Bytes that a change may take: with 44,000 a day one every two seconds, at 3 KB a second for each VM.
-const MOST_BYTES: usize = 6_000;
+/// Maximum bytes of a change: 44,000 changes a day, one every two seconds, are to take at most 3 KB a second for each
+/// VM.
+const MAX_CHANGE_BYTES: usize = 6_000;
 
 fn document(version: u64, text: &str) -> Document {
     Document {
@@ -13,7 +14,7 @@
     }
 }
 
-/// Two texts.
+/// The text of the receiver and the new text.
 struct Case {
     name: &'static str,
     before: String,
@@ -34,7 +35,7 @@
         case("the same", "abc", "abc"),
         case("from nothing", "", "abc"),
         case("to nothing", "abc", ""),
-        case("one put in", "[1,2,3]", "[1,2,9,3]"),
+        case("one inserted", "[1,2,3]", "[1,2,9,3]"),
         case("characters of several bytes", "a\u{e4}b", "a\u{f6}\u{1e4}b"),
         case("all of a large one", "", &many),
         case("the end of a large one", &many, &(many.clone() + "x")),
@@ -53,8 +54,8 @@
     }
 }
 
-/// Guards against changes whose bytes grow with the size of the configuration: edits stand far apart, as the version
-/// stands at the beginning.
+/// Guards against changes whose size grows with that of the configuration. The edits are far apart, since each change
+/// also edits the version at the beginning.
 #[test]
 fn edits_far_apart_take_few_bytes() {
     let many = |edited: usize| -> String {
@@ -66,15 +67,15 @@
     let before = document(3, &format!("3 {} end", many(100_000)));
     let after = document(7, &format!("7 {} END", many(150_000)));
     let bytes = compression::compress(&after, &before).expect("it can be compressed");
-    assert!(bytes.len() < MOST_BYTES, "{} bytes", bytes.len());
+    assert!(bytes.len() < MAX_CHANGE_BYTES, "{} bytes", bytes.len());
     let got = compression::decompress(7, &bytes, &before);
     assert_eq!(got.expect("it fits"), after);
 }
 
-/// An entry process holds another text than the control process takes it for, or the bytes were spoiled. It must not put
-/// a configuration in force that no operator has sent.
+/// An entry process holds another text than the control process assumes, or the bytes are corrupted. It must not use a
+/// configuration that no operator has sent.
 #[test]
-fn a_change_that_does_not_fit_makes_nothing() {
+fn a_change_that_does_not_fit_is_rejected() {
     let text = |last: &str| {
         let keys: Vec<_> = (0..500).map(|it| format!("key-{it}")).collect();
         format!("{{\"keys\":[{},{last}]}}", keys.join(","))
@@ -93,9 +94,9 @@
         "no text"
     );
     for at in 0..bytes.len() {
-        let mut spoiled = bytes.clone();
-        spoiled[at] ^= 1;
-        let got = compression::decompress(7, &spoiled, &before);
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 1;
+        let got = compression::decompress(7, &corrupted, &before);
         assert!(
             got.is_err() || got.is_ok_and(|it| it.text == text("b")),
             "byte {at}"
--- a/crates/sageshed-fleet/tests/config.rs
+++ b/crates/sageshed-fleet/tests/config.rs
@@ -1,55 +1,55 @@
-//! Which configurations are valid, and which route a request takes.
+//! The check of configurations, and the choice of a route and a target.
 
 mod support;
 
 use sageshed_fleet::{config, routes};
 
-/// A configuration that is spoiled, and what is said of it.
+/// An invalid change of a valid configuration, and a part of the error message.
 struct Case {
     name: &'static str,
-    spoil: fn(&mut config::FleetConfig),
-    says: &'static str,
+    change: fn(&mut config::FleetConfig),
+    message: &'static str,
 }
 
 #[test]
-fn an_invalid_configuration_is_told_what_is_wrong() {
+fn an_invalid_configuration_is_rejected_with_the_reason() {
     let cases = [
         Case {
             name: "unknown service",
-            spoil: |it| it.routes[0].targets[0].service = "nowhere".to_owned(),
-            says: "names the service nowhere",
+            change: |it| it.routes[0].targets[0].service = "nowhere".to_owned(),
+            message: "names the service nowhere",
         },
         Case {
             name: "same host and prefix",
-            spoil: |it| {
+            change: |it| {
                 let mut again = it.routes[0].clone();
                 again.name = "again".to_owned();
                 it.routes.push(again);
             },
-            says: "have the same host and path prefix",
+            message: "have the same host and path prefix",
         },
         Case {
-            name: "no weight",
-            spoil: |it| it.routes[0].targets[0].weight = 0,
-            says: "add up to zero",
+            name: "weights of zero",
+            change: |it| it.routes[0].targets[0].weight = 0,
+            message: "add up to zero",
         },
         Case {
-            name: "no time",
-            spoil: |it| it.routes[0].timeout.0 = 0,
-            says: "timeout of route",
+            name: "a timeout of zero",
+            change: |it| it.routes[0].timeout.0 = 0,
+            message: "timeout of route",
         },
     ];
     assert_eq!(support::config().check(), Ok(()));
     for case in cases {
         let mut config = support::config();
-        (case.spoil)(&mut config);
+        (case.change)(&mut config);
         let error = config.check().expect_err(case.name).to_string();
-        assert!(error.contains(case.says), "{}: {error}", case.name);
+        assert!(error.contains(case.message), "{}: {error}", case.name);
     }
 }
 
 /// A request and the route that it takes.
-struct Asked {
+struct Request {
     host: &'static str,
     path: &'static str,
     route: Option<&'static str>,
@@ -69,17 +69,17 @@
         route("short", "a.example", "/x/"),
         route("other", "b.example", "/x/"),
     ]);
-    let asked = |host, path, route| Asked { host, path, route };
+    let request = |host, path, route| Request { host, path, route };
     let cases = [
-        asked("a.example", "/x/y/z", Some("deep")),
-        asked("a.example", "/x/y/", Some("deep")),
-        asked("a.example", "/x/y", Some("short")),
-        asked("a.example", "/xy/", Some("all")),
-        asked("A.EXAMPLE:80", "/x/1", Some("short")),
-        asked("b.example", "/x/y/z", Some("other")),
-        asked("b.example", "/", None),
-        asked("c.example", "/x/", None),
-        asked("a.example", "*", None),
+        request("a.example", "/x/y/z", Some("deep")),
+        request("a.example", "/x/y/", Some("deep")),
+        request("a.example", "/x/y", Some("short")),
+        request("a.example", "/xy/", Some("all")),
+        request("A.EXAMPLE:80", "/x/1", Some("short")),
+        request("b.example", "/x/y/z", Some("other")),
+        request("b.example", "/", None),
+        request("c.example", "/x/", None),
+        request("a.example", "*", None),
     ];
     for case in cases {
         let found = table.find(case.host, case.path);
--- a/crates/sageshed-fleet/tests/demand_counter.rs
+++ b/crates/sageshed-fleet/tests/demand_counter.rs
@@ -1,4 +1,4 @@
-//! What callers asked for, until the leader is sent.
+//! Demand of callers, counted until it is sent to the leader.
 
 use sageshed_fleet::{
     demand_counter::{DemandCounter, RequestDemand},
@@ -14,9 +14,9 @@
     adapter: Some("a1"),
 };
 
-/// Two entry processes tell a control process near them, which tells the leader for both.
+/// Two entry processes send their demand to a control process near them, which sends the sum to the leader.
 #[test]
-fn what_several_processes_counted_is_summed_up() {
+fn demand_of_several_processes_is_summed_up() {
     let mut relay = DemandCounter::default();
     for _ in 0..2 {
         let mut entry = DemandCounter::default();
@@ -34,10 +34,10 @@
     assert_eq!((sent[1].requests, sent[1].waiting), (0, 2));
 }
 
-/// There is no leader for ten seconds. What was asked for at their beginning is no demand of now: sent at
-/// the end, it would look like a rise, and copies would be loaded for it.
+/// There is no leader for ten seconds. The demand from their beginning is outdated: sent at the end, it would look like
+/// a rise, and replicas would be loaded for it.
 #[test]
-fn what_nobody_could_be_told_for_long_is_forgotten() {
+fn demand_that_could_not_be_sent_for_long_is_dropped() {
     let mut counter = DemandCounter::default();
     for step in 0..20 {
         counter.add_request("s", "m1", &REQUEST);
@@ -56,11 +56,10 @@
     );
 }
 
-/// A process that goes wrong tells absurd numbers and endless names. Sums stay sums, and what is kept is
-/// bounded.
+/// A faulty process sends extreme numbers and any number of names. Sums don't overflow, and what is kept is bounded.
 #[test]
-fn absurd_numbers_and_names_do_no_harm() {
-    let absurd = messages::Demand {
+fn extreme_numbers_and_names_do_no_harm() {
+    let extreme = messages::Demand {
         service: "s".to_owned(),
         model: "m1".to_owned(),
         requests: u32::MAX,
@@ -70,11 +69,11 @@
         adapters: (0..5_000).map(|n| format!("a{n}")).collect(),
     };
     let mut counter = DemandCounter::default();
-    counter.add(vec![absurd.clone(), absurd.clone()]);
+    counter.add(vec![extreme.clone(), extreme.clone()]);
     let names = (0..9_000).map(|n| messages::Demand {
         model: format!("x{n}"),
         adapters: Vec::new(),
-        ..absurd.clone()
+        ..extreme.clone()
     });
     counter.add(names.collect());
     counter.add_request("s", "m1", &REQUEST);
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet: one service of engines with four models, one plain service.
+//! A small fleet for tests: one service of engines with four models, and one plain service.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 pub mod allowances;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A request to the engines that has ten seconds and waits for nothing.
+/// A request to the engines with a deadline of ten seconds that waits for nothing.
 pub fn ask(wanted: &dialect::ModelRef, tokens: u64) -> chooser::Ask<'_> {
     chooser::Ask {
         service: ENGINES,
@@ -106,6 +106,7 @@
     instance(id, ENGINES, models)
 }
 
+/// An endpoint of `service` that holds `models`, in its first announcement.
 pub fn instance(id: &str, service: &str, models: &[&str]) -> directory::Instance {
     let last = id.bytes().last().unwrap_or(1);
     directory::Instance {
--- a/crates/sageshed-fleet/tests/transfer.rs
+++ b/crates/sageshed-fleet/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Which chunks of a configuration are fetched, and what becomes of them.
+//! Transfer of configurations in chunks.
 
 use std::net;
 
@@ -9,44 +9,44 @@
 
 const NOW: Instant = Instant(10_000);
 
-/// How long a chunk takes on an idle link.
+/// Time of a chunk on an idle link.
 const QUICK: Millis = Millis(13);
 
 fn ip(last: u8) -> net::Ipv4Addr {
     net::Ipv4Addr::new(10, 0, 0, last)
 }
 
-/// Bytes of a configuration that takes several chunks.
+/// A payload of several chunks.
 fn bytes() -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(7);
     (0..CHUNK_BYTES * 5 / 2).map(|_| random.u8(..)).collect()
 }
 
-fn outgoing(from: u64, version: u64, bytes: &[u8]) -> (Sender, TransferId) {
-    let mut outgoing = Sender::default();
+fn sender(from: u64, version: u64, bytes: &[u8]) -> (Sender, TransferId) {
+    let mut sender = Sender::default();
     let id = TransferId::new(from, version, bytes);
-    outgoing.keep(NOW, id, bytes.to_vec());
-    (outgoing, id)
+    sender.keep(NOW, id, bytes.to_vec());
+    (sender, id)
 }
 
-/// What is asked for next: whom, from which byte on, and how many.
+/// The next chunk to ask for: the control process, the offset and the maximum size.
 fn asked(next: NextStep) -> (net::Ipv4Addr, u64, usize) {
     match next {
         NextStep::Ask {
             to, offset, most, ..
         } => (to, offset, most),
-        NextStep::Wait => panic!("nothing is asked for"),
+        NextStep::Wait => panic!("there is nothing to ask for"),
     }
 }
 
-/// Fetches until nothing is left to do. Returns what came, and how many chunks it took.
-fn fetch(incoming: &mut Receiver, outgoing: &mut Sender, id: TransferId) -> (Payload, usize) {
+/// Fetches the whole payload. Returns it with the number of chunks.
+fn fetch(receiver: &mut Receiver, sender: &mut Sender, id: TransferId) -> (Payload, usize) {
     for count in 1.. {
-        let (_, offset, most) = asked(incoming.next(0, None));
-        let chunk = outgoing.chunk(NOW, id, offset, most).expect("a chunk");
-        match incoming
+        let (_, offset, most) = asked(receiver.next(0, None));
+        let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
+        match receiver
             .take(&chunk, QUICK)
-            .expect("it continues what has come")
+            .expect("it follows the received bytes")
         {
             ChunkOutcome::More => {}
             ChunkOutcome::Whole(payload) => return (payload, count),
@@ -56,167 +56,170 @@
 }
 
 #[test]
-fn a_configuration_comes_in_pieces() {
+fn a_configuration_is_received_in_chunks() {
     let bytes = bytes();
-    let (mut outgoing, id) = outgoing(0, 7, &bytes);
-    let mut incoming = Receiver::default();
-    assert_eq!(incoming.next(0, None), NextStep::Wait);
-    assert!(incoming.note_version(NOW, ip(1), 7), "it is news");
-    assert!(
-        !incoming.note_version(NOW, ip(2), 7),
-        "another tells the same"
-    );
-    let (payload, count) = fetch(&mut incoming, &mut outgoing, id);
+    let (mut sender, id) = sender(0, 7, &bytes);
+    let mut receiver = Receiver::default();
+    assert_eq!(receiver.next(0, None), NextStep::Wait);
+    assert!(receiver.note_version(NOW, ip(1), 7), "it is the newest");
+    assert!(!receiver.note_version(NOW, ip(2), 7), "it is already known");
+    let (payload, count) = fetch(&mut receiver, &mut sender, id);
     assert_eq!(payload, Payload { id, bytes });
     assert_eq!(count, 3);
-    assert_eq!(incoming.next(7, None), NextStep::Wait);
+    assert_eq!(receiver.next(7, None), NextStep::Wait);
 }
 
-/// Guards against a transfer that begins anew whenever a call runs out of time.
+/// Guards against a transfer that restarts whenever a call times out.
 #[test]
-fn what_has_come_stays_when_a_call_runs_out_of_time() {
+fn received_chunks_are_kept_when_a_call_times_out() {
     let bytes = bytes();
-    let (mut outgoing, id) = outgoing(0, 7, &bytes);
-    let mut incoming = Receiver::default();
-    incoming.note_version(NOW, ip(1), 7);
-    incoming.note_version(NOW, ip(2), 7);
-    let (first, offset, most) = asked(incoming.next(0, Some(ip(1))));
+    let (mut sender, id) = sender(0, 7, &bytes);
+    let mut receiver = Receiver::default();
+    receiver.note_version(NOW, ip(1), 7);
+    receiver.note_version(NOW, ip(2), 7);
+    let (first, offset, most) = asked(receiver.next(0, Some(ip(1))));
     assert_eq!(first, ip(1));
-    let chunk = outgoing.chunk(NOW, id, offset, most).expect("a chunk");
-    incoming.take(&chunk, QUICK).expect("the first one");
-    incoming.mark_failed(ip(1));
-    let (second, offset, fewer) = asked(incoming.next(0, Some(ip(1))));
+    let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
+    receiver.take(&chunk, QUICK).expect("the first one");
+    receiver.mark_failed(ip(1));
+    let (second, offset, fewer) = asked(receiver.next(0, Some(ip(1))));
     assert_eq!((second, offset), (ip(2), CHUNK_BYTES as u64));
     assert!(fewer < most, "{fewer}");
-    assert_eq!(fetch(&mut incoming, &mut outgoing, id).0.bytes, bytes);
+    assert_eq!(fetch(&mut receiver, &mut sender, id).0.bytes, bytes);
 }
 
-/// Guards against a storm of changes in which each newer version begins the transfer anew.
+/// Guards against frequent changes in which each newer version restarts the transfer.
 #[test]
-fn a_transfer_goes_on_while_newer_versions_come() {
+fn a_transfer_continues_while_newer_versions_arrive() {
     let bytes = bytes();
-    let (mut outgoing, id) = outgoing(0, 7, &bytes);
-    let mut incoming = Receiver::default();
-    incoming.note_version(NOW, ip(1), 7);
-    let chunk = outgoing.chunk(NOW, id, 0, CHUNK_BYTES).expect("a chunk");
-    incoming.take(&chunk, QUICK).expect("the first one");
+    let (mut sender, id) = sender(0, 7, &bytes);
+    let mut receiver = Receiver::default();
+    receiver.note_version(NOW, ip(1), 7);
+    let chunk = sender.chunk(NOW, id, 0, CHUNK_BYTES).expect("a chunk");
+    receiver.take(&chunk, QUICK).expect("the first one");
     for version in 8..=1_000 {
-        incoming.note_version(NOW, ip(1), version);
-        outgoing.keep(NOW, TransferId::new(7, version, &[1]), vec![1]);
-        assert!(outgoing.chunk(NOW, id, 0, 1).is_some(), "it is kept");
+        receiver.note_version(NOW, ip(1), version);
+        sender.keep(NOW, TransferId::new(7, version, &[1]), vec![1]);
+        assert!(sender.chunk(NOW, id, 0, 1).is_some(), "it is kept");
     }
-    let (payload, _) = fetch(&mut incoming, &mut outgoing, id);
+    let (payload, _) = fetch(&mut receiver, &mut sender, id);
     assert_eq!(payload.id.version, 7);
     assert_ne!(
-        incoming.next(7, None),
+        receiver.next(7, None),
         NextStep::Wait,
-        "a newer one is there"
+        "a newer one is known"
     );
 }
 
-/// A chunk that is not what was asked for, and what is said of it.
+/// An invalid change of a chunk, and the error.
 struct Case {
     name: &'static str,
-    spoil: fn(&mut Chunk),
+    change: fn(&mut Chunk),
     error: ChunkError,
 }
 
 #[test]
-fn a_piece_that_does_not_fit_is_refused() {
+fn an_invalid_chunk_is_rejected() {
     let cases = [
         Case {
             name: "a gap",
-            spoil: |it| it.offset += 1,
+            change: |it| it.offset += 1,
             error: ChunkError::Gap,
         },
         Case {
             name: "no bytes",
-            spoil: |it| it.bytes.clear(),
+            change: |it| it.bytes.clear(),
             error: ChunkError::Gap,
         },
         Case {
             name: "too large",
-            spoil: |it| it.id.length = u64::MAX,
+            change: |it| it.id.length = u64::MAX,
             error: ChunkError::TooLarge(u64::MAX),
         },
         Case {
-            name: "spoiled",
-            spoil: |it| it.bytes[1] ^= 1,
+            name: "corrupted",
+            change: |it| it.bytes[1] ^= 1,
             error: ChunkError::Spoiled,
         },
     ];
     let bytes = vec![1, 2, 3];
     for case in cases {
-        let (mut outgoing, id) = outgoing(0, 7, &bytes);
-        let mut incoming = Receiver::default();
-        incoming.note_version(NOW, ip(1), 7);
-        let mut chunk = outgoing.chunk(NOW, id, 0, CHUNK_BYTES).expect("a chunk");
-        (case.spoil)(&mut chunk);
+        let (mut sender, id) = sender(0, 7, &bytes);
+        let mut receiver = Receiver::default();
+        receiver.note_version(NOW, ip(1), 7);
+        let mut chunk = sender.chunk(NOW, id, 0, CHUNK_BYTES).expect("a chunk");
+        (case.change)(&mut chunk);
         assert_eq!(
-            incoming.take(&chunk, QUICK),
+            receiver.take(&chunk, QUICK),
             Err(case.error),
             "{}",
             case.name
         );
-        assert_eq!(fetch(&mut incoming, &mut outgoing, id).0.bytes, bytes);
+        assert_eq!(fetch(&mut receiver, &mut sender, id).0.bytes, bytes);
     }
 }
 
-/// Guards against an entry process that asks on and on for what a control process no longer has.
+/// Guards against an entry process that asks again and again for a version that a control process no longer has.
 #[test]
-fn a_control_process_that_has_nothing_newer_is_asked_no_more() {
-    let mut incoming = Receiver::default();
-    incoming.note_version(NOW, ip(1), 7);
-    incoming.has_nothing_newer(ip(1));
-    assert_eq!(incoming.next(0, None), NextStep::Wait);
+fn a_control_process_that_has_nothing_newer_is_not_asked_again() {
+    let mut receiver = Receiver::default();
+    receiver.note_version(NOW, ip(1), 7);
+    receiver.has_nothing_newer(ip(1));
+    assert_eq!(receiver.next(0, None), NextStep::Wait);
 }
 
 #[test]
-fn whoever_has_the_newest_is_asked_and_of_these_the_near_one() {
-    let mut incoming = Receiver::default();
-    incoming.note_version(NOW, ip(1), 7);
-    incoming.note_version(NOW, ip(2), 8);
-    incoming.note_version(NOW, ip(3), 8);
-    assert_eq!(asked(incoming.next(0, Some(ip(2)))).0, ip(2));
-    assert_eq!(asked(incoming.next(0, Some(ip(3)))).0, ip(3));
-    let first = asked(incoming.next(0, Some(ip(1)))).0;
+fn the_nearest_control_process_with_the_newest_version_is_asked() {
+    let mut receiver = Receiver::default();
+    receiver.note_version(NOW, ip(1), 7);
+    receiver.note_version(NOW, ip(2), 8);
+    receiver.note_version(NOW, ip(3), 8);
+    assert_eq!(asked(receiver.next(0, Some(ip(2)))).0, ip(2));
+    assert_eq!(asked(receiver.next(0, Some(ip(3)))).0, ip(3));
+    let first = asked(receiver.next(0, Some(ip(1)))).0;
     assert_ne!(first, ip(1), "the near one has an older version");
-    incoming.mark_failed(ip(2));
-    incoming.mark_failed(ip(3));
-    assert_eq!(asked(incoming.next(0, None)).0, ip(1));
-    incoming.note_version(NOW, ip(3), 8);
-    assert_eq!(asked(incoming.next(0, None)).0, ip(3), "it is heard again");
+    receiver.mark_failed(ip(2));
+    receiver.mark_failed(ip(3));
+    assert_eq!(asked(receiver.next(0, None)).0, ip(1));
+    receiver.note_version(NOW, ip(3), 8);
+    assert_eq!(
+        asked(receiver.next(0, None)).0,
+        ip(3),
+        "it has announced a version again"
+    );
 }
 
 #[test]
-fn payloads_that_nobody_asks_for_are_forgotten() {
-    let mut outgoing = Sender::default();
+fn payloads_that_are_not_requested_are_removed() {
+    let mut sender = Sender::default();
     let first = TransferId::new(0, 1, &[1]);
-    outgoing.keep(NOW, first, vec![1]);
-    assert_eq!(outgoing.find(0, 1), Some(first));
+    sender.keep(NOW, first, vec![1]);
+    assert_eq!(sender.find(0, 1), Some(first));
     for version in 2..100 {
-        outgoing.keep(
+        sender.keep(
             Instant(NOW.0 + version),
             TransferId::new(0, version, &[1]),
             vec![1],
         );
     }
-    assert_eq!(outgoing.find(0, 1), None);
-    assert!(outgoing.chunk(NOW, first, 0, 1).is_none());
+    assert_eq!(sender.find(0, 1), None);
+    assert!(sender.chunk(NOW, first, 0, 1).is_none());
 }
 
-/// Guards against chunks that fill a slow link for so long that news of endpoints is given up.
+/// Guards against chunks that fill a slow link for so long that updates of endpoints are given up.
 #[test]
-fn pieces_that_take_long_become_smaller() {
+fn chunks_that_take_long_become_smaller() {
     let bytes = vec![1; CHUNK_BYTES * 20];
-    let (mut outgoing, id) = outgoing(0, 7, &bytes);
-    let mut incoming = Receiver::default();
-    incoming.note_version(NOW, ip(1), 7);
+    let (mut sender, id) = sender(0, 7, &bytes);
+    let mut receiver = Receiver::default();
+    receiver.note_version(NOW, ip(1), 7);
     let mut sizes = Vec::new();
     for took in [Millis(900), Millis(500), Millis(150), QUICK, QUICK, QUICK] {
-        let (_, offset, most) = asked(incoming.next(0, None));
-        let chunk = outgoing.chunk(NOW, id, offset, most).expect("a chunk");
-        incoming.take(&chunk, took).expect("it continues");
+        let (_, offset, most) = asked(receiver.next(0, None));
+        let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
+        receiver
+            .take(&chunk, took)
+            .expect("it follows the received bytes");
         sizes.push(most);
     }
     let (whole, half, quarter) = (CHUNK_BYTES, CHUNK_BYTES / 2, CHUNK_BYTES / 4);
--- a/crates/sageshed-fleet/tests/versions.rs
+++ b/crates/sageshed-fleet/tests/versions.rs
@@ -1,9 +1,9 @@
-//! How far a held configuration is behind the newest.
+//! For how long a process has been behind the newest configuration.
 
 use sageshed_fleet::versions::VersionHistory;
 use sageshed_types::time::{Instant, Millis};
 
-/// What is held at which time, and for how long it has been out of date.
+/// The version that is held at some time, and for how long it has been outdated.
 struct Case {
     name: &'static str,
     at: u64,
@@ -17,7 +17,7 @@
     assert_eq!(versions.behind(Instant(0), 0), None, "nothing is known");
     versions.note(Instant(1_000), 5);
     versions.note(Instant(2_000), 9);
-    // Late news of an older one.
+    // An older version that becomes known late.
     versions.note(Instant(3_000), 7);
     assert_eq!(versions.newest(), 9);
     let cases = [
@@ -28,7 +28,7 @@
             behind: Some(3_000),
         },
         Case {
-            name: "holds the one before",
+            name: "holds the previous one",
             at: 4_000,
             held: 5,
             behind: Some(2_000),
@@ -52,9 +52,9 @@
     }
 }
 
-/// A storm of changes must not take memory without bound.
+/// Frequent changes must not take memory without bound.
 #[test]
-fn old_versions_are_forgotten() {
+fn old_versions_are_removed() {
     let mut versions = VersionHistory::default();
     for version in 1..=10_000 {
         versions.note(Instant(version), version);
