--- a/crates/sageshed-fleet/tests/demand_counter.rs
+++ b/crates/sageshed-fleet/tests/demand_counter.rs
@@ -41,8 +41,8 @@
     let mut counter = DemandCounter::default();
     for step in 0..20 {
         counter.add_request("s", "m1", &REQUEST);
-        let counted = counter.take();
-        counter.restore(T0 + time::Millis(step * 500), counted);
+        let taken = counter.take();
+        counter.restore(T0 + time::Millis(step * 500), taken);
     }
     counter.add_request("s", "m1", &REQUEST);
     let sent = counter.take();
