--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -1,83 +1,85 @@
-//! What endpoints ask of those who send to them.
+//! Limits and pauses that endpoints request from those that send to them.
 //!
-//! An endpoint in need names in its answers how many requests a second it takes from all VMs together. No process
-//! sees all of these, so that the limit is an allowance ([`allowance`](crate::allowance)): whoever was told of
-//! it asks for a unit before each sending, and leaves the endpoint alone for as long as it is told.
+//! An overloaded endpoint reports in its responses how many requests per second it accepts from all VMs
+//! together. No process sees all of these requests, so the limit is enforced as an
+//! [`allowance`](crate::allowance): each process that knows of the limit acquires a unit before each
+//! request, and sends nothing to the endpoint for as long as it is told.
 //!
-//! One that turns a request away may want rest from the VM that sent it. That is between these two: no other process
-//! is told.
+//! An endpoint that rejects a request may ask the sending VM to pause. Only that VM pauses; no other
+//! process is told.
 //!
-//! It is kept by the start of an endpoint and apart from what else is known of it, since an endpoint that control
-//! loses sight of for a while is forgotten with all that was learnt, and holds others to its word all the same.
+//! This state is kept by instance, apart from the other state of an endpoint. An endpoint that control
+//! loses sight of for a while is removed together with everything learned about it, but its limit still
+//! applies.
 
 use std::collections;
 
 use sageshed_types::{arena, time};
 
-use super::{Ask, Chooser, Missing};
+use super::{Chooser, EndpointQuery, WaitReason};
 use crate::{allowance, dialect, directory};
 
-/// The smallest limit that is kept to, in requests a second. Of one that names none at all nothing would ever be
-/// heard again.
-const LEAST_PER_S: f64 = 0.25;
+/// The lowest limit that is applied, in requests per second. With a limit of zero nothing would be sent,
+/// and no response could ever lift the limit.
+const MIN_RATE_PER_S: f64 = 0.25;
 
-/// Requests that may go to an endpoint with a limit at once. Half of what comes within seconds comes in pairs and
-/// clumps; what is not used meanwhile is lost.
+/// Requests that may go to a limited endpoint at once. Half of the requests that are seconds apart on
+/// average arrive in pairs or small bursts, and capacity that is not used meanwhile is lost.
 const BURST: f64 = 2.0;
 
-/// Between two counts of what was sent to an endpoint with a limit.
-const COUNTED_EVERY: time::Millis = time::Millis(4_000);
+/// Interval at which the requests sent to a limited endpoint are reported.
+const COUNT_INTERVAL: time::Millis = time::Millis(4_000);
 
-/// How long what an endpoint has said is kept once it is gone.
-const KEPT: time::Millis = time::Millis(60_000);
+/// How long the state of an instance is kept after the endpoint is gone.
+const RETENTION: time::Millis = time::Millis(60_000);
 
-/// What is new of the limit of an endpoint.
+/// A change of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// It names this one, in requests a second, and named none or another before.
+    /// It reported this limit in requests per second, and none or another one before.
     Named(f64),
-    /// It names none any more.
+    /// It no longer reports a limit.
     Lifted,
-    /// It has been sent so many requests by this process in the span since they were counted last.
+    /// This process has sent it so many requests in the time since the last count.
     Sent(u64, time::Millis),
 }
 
-/// A limit that an endpoint has named, and what this process has sent there since.
+/// A limit that an endpoint reported, and the requests that this process has sent since.
 #[derive(Debug, Clone, Copy)]
 struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     per_s: f64,
-    heard: time::Instant,
-    /// Requests that were sent since `counted_from`.
+    heard_at: time::Instant,
+    /// Requests sent since `counted_from`.
     sent: u64,
     counted_from: time::Instant,
 }
 
-/// What one start of an endpoint has said.
+/// Limit and pauses of one instance of an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-struct Said {
+struct InstanceState {
     limit: Option<Limit>,
-    /// By its limit it is not this process's turn before.
+    /// By the limit, this process may not send before this time.
     closed_until: time::Instant,
-    /// It rests from this process until then.
+    /// The endpoint asked this process to pause until this time.
     rests_until: time::Instant,
-    heard: time::Instant,
+    heard_at: time::Instant,
 }
 
-/// What endpoints have said that asked for something.
+/// Limits and pauses of all instances that requested any.
 #[derive(Debug, Default)]
 pub(super) struct Backpressure {
-    by_start: collections::HashMap<directory::InstanceId, Said>,
+    by_instance: collections::HashMap<directory::InstanceId, InstanceState>,
 }
 
 impl Backpressure {
-    /// How much longer nothing is to go to this start.
+    /// How much longer nothing may be sent to this instance.
     fn closed_for(&self, now: time::Instant, id: &directory::InstanceId) -> Option<time::Millis> {
-        if self.by_start.is_empty() {
+        if self.by_instance.is_empty() {
             return None;
         }
-        let said = self.by_start.get(id)?;
-        let until = said.closed_until.max(said.rests_until);
+        let state = self.by_instance.get(id)?;
+        let until = state.closed_until.max(state.rests_until);
         (now < until).then(|| until.since(now))
     }
 
@@ -86,16 +88,17 @@
     }
 
     fn limit(&mut self, id: &directory::InstanceId) -> Option<&mut Limit> {
-        if self.by_start.is_empty() {
+        if self.by_instance.is_empty() {
             return None;
         }
-        self.by_start.get_mut(id)?.limit.as_mut()
+        self.by_instance.get_mut(id)?.limit.as_mut()
     }
 }
 
 impl Chooser {
-    /// Takes what an answer to a request that was sent to the start `id` says of it. Returns what is new of its limit.
-    pub fn heed(
+    /// Applies the notice in a response to a request that was sent to the instance `id`. Returns the change
+    /// of its limit, if any.
+    pub fn apply_notice(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
@@ -108,90 +111,92 @@
             self.rest(now, id, span);
         }
         match answered.notice.limit {
-            Some(per_s) => self.limited(now, id, per_s),
-            // A rejection may be too short to say all.
+            Some(per_s) => self.set_limit(now, id, per_s),
+            // A rejection may be too short to include the limit.
             None if answered.execution != dialect::ExecutionStatus::Verified => None,
-            None => self.unlimited(id),
+            None => self.clear_limit(id),
         }
     }
 
-    /// A start of an endpoint has named a limit in an answer. Returns what is new.
-    pub fn limited(
+    /// Records the limit that an instance reported in a response. Returns the change, if any.
+    pub fn set_limit(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
         per_s: f64,
     ) -> Option<Change> {
-        self.forget_said(now);
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        let before = said.limit.map(|it| it.per_s);
-        let limit = said.limit.get_or_insert(Limit {
+        self.expire(now);
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard_at = now;
+        let before = state.limit.map(|it| it.per_s);
+        let limit = state.limit.get_or_insert(Limit {
             per_s,
-            heard: now,
+            heard_at: now,
             sent: 0,
             counted_from: now,
         });
         limit.per_s = per_s;
-        limit.heard = now;
+        limit.heard_at = now;
         (before != Some(per_s)).then_some(Change::Named(per_s))
     }
 
-    /// A start of an endpoint has answered without naming a limit. Returns what is new.
-    pub fn unlimited(&mut self, id: &directory::InstanceId) -> Option<Change> {
-        if self.backpressure.by_start.is_empty() {
+    /// Records that an instance responded without a limit. Returns the change, if any.
+    pub fn clear_limit(&mut self, id: &directory::InstanceId) -> Option<Change> {
+        if self.backpressure.by_instance.is_empty() {
             return None;
         }
-        let said = self.backpressure.by_start.get_mut(id)?;
-        said.limit.take()?;
-        said.closed_until = time::Instant(0);
+        let state = self.backpressure.by_instance.get_mut(id)?;
+        state.limit.take()?;
+        state.closed_until = time::Instant(0);
         Some(Change::Lifted)
     }
 
-    /// The terms by which requests may go to this start, where it has named a limit.
-    pub fn limit_of(
+    /// Rate and burst at which requests may go to this instance, if it reported a limit.
+    pub fn limit(
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
-    ) -> Option<allowance::Named> {
+    ) -> Option<allowance::ReportedLimit> {
         let limit = self.backpressure.limit(id)?;
-        Some(allowance::Named {
-            terms: allowance::Terms {
-                per_s: limit.per_s.max(LEAST_PER_S),
+        Some(allowance::ReportedLimit {
+            limit: allowance::RateLimit {
+                per_s: limit.per_s.max(MIN_RATE_PER_S),
                 burst: BURST,
             },
-            age: now.since(limit.heard),
+            age: now.since(limit.heard_at),
         })
     }
 
-    /// Nothing goes to this start for `span`, when it is this process's turn. Of several turns the first counts.
+    /// Holds back requests to this instance for `span`, until it is this process's turn. The earliest of
+    /// several turns counts.
     pub fn close(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        let is_closed = now < said.closed_until;
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard_at = now;
+        let is_closed = now < state.closed_until;
         let until = now + span;
-        said.closed_until = if is_closed {
-            until.min(said.closed_until)
+        state.closed_until = if is_closed {
+            until.min(state.closed_until)
         } else {
             until
         };
     }
 
-    /// This start has turned a request away and wants none from this process for `span`. Of several such words the
-    /// one holds that lasts longest: it does not take an earlier one back.
+    /// Holds back requests to this instance for `span`, as it rejected one and asked this process to pause.
+    /// The longest of several pauses counts: a later response does not shorten an earlier one.
     pub fn rest(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
-        self.forget_said(now);
-        let said = self.backpressure.by_start.entry(id.clone()).or_default();
-        said.heard = now;
-        said.rests_until = said.rests_until.max(now + span);
+        self.expire(now);
+        let state = self.backpressure.by_instance.entry(id.clone()).or_default();
+        state.heard_at = now;
+        state.rests_until = state.rests_until.max(now + span);
     }
 
-    /// A request goes to this start. Returns a count where it has a limit and one is due.
-    pub fn sends(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
+    /// Counts a request that is sent to this instance. Returns the count if the instance is limited and a
+    /// report is due.
+    pub fn count_send(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
         let limit = self.backpressure.limit(id)?;
         limit.sent += 1;
         let span = now.since(limit.counted_from);
-        if span < COUNTED_EVERY {
+        if span < COUNT_INTERVAL {
             return None;
         }
         let sent = limit.sent;
@@ -200,18 +205,18 @@
         Some(Change::Sent(sent, span))
     }
 
-    /// How many endpoints that are there have named a limit.
+    /// Number of known endpoints that reported a limit.
     #[must_use]
     pub fn count_limited(&self) -> usize {
-        let said = self.backpressure.by_start.iter();
-        let limited = said.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
+        let state = self.backpressure.by_instance.iter();
+        let limited = state.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
         limited.count()
     }
 
-    /// Endpoints of the service to which nothing goes now, since they asked for that.
+    /// Endpoints of the service that nothing may be sent to now, because they asked for it.
     #[must_use]
-    pub fn closed(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
-        if self.backpressure.by_start.is_empty() {
+    pub fn closed_endpoints(&self, now: time::Instant, service: &str) -> Vec<arena::EndpointKey> {
+        if self.backpressure.by_instance.is_empty() {
             return Vec::new();
         }
         let all = self.by_service.get(service).into_iter().flatten().copied();
@@ -228,32 +233,32 @@
         self.backpressure.closed_for(now, &endpoint.instance.id)
     }
 
-    /// What a request lacks for which nothing was found: the first endpoint that opens, where there is one that
-    /// could take it then.
-    pub(super) fn missing_or_closed(
+    /// Why a request has to wait. Where endpoints that could take it are only held back, that is when the
+    /// first of them opens; otherwise it is `missing`.
+    pub(super) fn wait_reason(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
-        missing: Missing,
-    ) -> Missing {
-        if !matches!(missing, Missing::Endpoint | Missing::Model) {
+        query: &EndpointQuery<'_>,
+        missing: WaitReason,
+    ) -> WaitReason {
+        if !matches!(missing, WaitReason::Endpoint | WaitReason::Model) {
             return missing;
         }
-        let closed = self.closed(now, ask.service).into_iter();
+        let closed = self.closed_endpoints(now, query.service).into_iter();
         let fitting = closed.filter(|key| {
-            self.is_sound(now, *key, ask)
-                && ask
+            self.is_eligible(now, *key, query)
+                && query
                     .wanted
                     .is_none_or(|wanted| self.holds(now, *key, wanted))
         });
         let opens = fitting.filter_map(|key| self.closed_for(now, key)).min();
-        opens.map_or(missing, Missing::Allowance)
+        opens.map_or(missing, WaitReason::Allowance)
     }
 
-    fn forget_said(&mut self, now: time::Instant) {
+    fn expire(&mut self, now: time::Instant) {
         let known = &self.by_id;
         self.backpressure
-            .by_start
-            .retain(|id, it| known.contains_key(id) || now.since(it.heard) < KEPT);
+            .by_instance
+            .retain(|id, it| known.contains_key(id) || now.since(it.heard_at) < RETENTION);
     }
 }
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -1,32 +1,33 @@
-//! Which endpoint a request goes to, whether it waits here, or is turned away.
+//! Selects the endpoint of a request, or decides that the request waits in this process or is refused.
 //!
-//! Each entry process decides for itself by what it knows: what the directory says of each endpoint,
-//! what it has sent there itself and what the endpoints said of their load in their latest answers.
-//! The measure is the estimated time until the answer, or its first event, comes.
+//! Each entry process decides on its own, from the directory's records of the endpoints, the requests that
+//! it has sent to them and the load that they reported in their latest responses. It compares estimates of
+//! the time until the response, or its first event, arrives.
 //!
 //! # Engines
 //!
-//! On a model engine it is the reading of prompts that runs out first, not the places: an engine
-//! reads some twenty tokens a millisecond, so a request with 1,800 tokens of its own takes a tenth of
-//! a second of the whole engine, while sixty others generate beside it. So the estimate counts tokens
-//! to be read, less those of prompt parts that the engine was sent before and still keeps.
+//! A model engine runs out of prefill throughput before it runs out of slots: it prefills some twenty
+//! tokens per millisecond, so that a request with 1,800 uncached tokens occupies the whole engine for a
+//! tenth of a second while sixty others generate beside it. The estimate therefore counts the tokens to
+//! prefill, less those of prompt parts that the engine has processed before and still holds in its prefix
+//! cache.
 //!
 //! # Failing endpoints
 //!
-//! Each failure adds to a score that halves every second and a half. The score lengthens the
-//! estimate, so an endpoint that fails a part of its requests gets fewer, and one that recovers comes
-//! back by itself. One that can't be reached at all is left out for a while that grows.
+//! Each failure adds to a score with a half-life of 1.5 seconds. The score is a penalty on the estimate, so
+//! that an endpoint that fails some of its requests gets fewer of them and recovers its share as the score
+//! decays. An endpoint that can't be reached is ejected for a time that grows with each failure.
 
-mod advice;
-mod ask;
 mod backpressure;
+pub mod coordinators;
 mod endpoint;
-pub mod homes;
-mod kept;
-mod lines;
 mod outcomes;
-mod pauses;
-mod reading;
+mod prefill_limit;
+mod prefill_speed;
+mod prefix_cache;
+mod query;
+mod routing;
+mod wait_estimates;
 
 use std::{collections, net};
 
@@ -34,48 +35,49 @@
 
 use self::endpoint::Endpoint;
 pub use self::{
-    ask::{Ask, Choice, Ended, Missing, Pick, Policy, Read, Routing},
     backpressure::Change,
+    query::{AttemptOutcome, Choice, EndpointQuery, Pick, Policy, Prefill, Routing, WaitReason},
 };
-pub use crate::neighbours::Pauses;
-use crate::{config, dialect, directory, neighbours};
+pub use crate::entry_peers::Pauses;
+use crate::{config, dialect, directory, entry_peers};
 
-/// A request to an engine costs this at least, in milliseconds: one step of its batch.
-const STEP_MS: f64 = 10.0;
+/// Minimum cost of a request to an engine in milliseconds: one step of its batch.
+const BATCH_STEP_MS: f64 = 10.0;
 
-/// What a way to another availability zone adds, in milliseconds: the way there and back, and a bit
-/// so that equal endpoints are taken near by.
-const FAR_MS: f64 = 4.0;
+/// Cost of sending to another availability zone in milliseconds: the round trip, and a margin by which the
+/// local one of two equal endpoints is preferred.
+const CROSS_ZONE_MS: f64 = 4.0;
 
-/// The same for one that took requests and never answered: each that finds out that it still does not
-/// costs its caller the whole time.
-const SILENT_EJECTION: time::Millis = time::Millis(5_000);
+/// Ejection time of an endpoint that accepted requests and never responded. Each request that finds it
+/// still silent costs its caller the full timeout.
+const SILENT_EJECTION_TIME: time::Millis = time::Millis(5_000);
 
-/// How long an engine that said that it does not hold a model is not asked for it again, unless it
-/// announces itself anew.
-const DENIAL: time::Millis = time::Millis(500);
+/// How long an engine that denied holding a model is not selected for it, unless a new directory record of
+/// it arrives.
+const MODEL_DENIAL_TTL: time::Millis = time::Millis(500);
 
-/// The longest span that is reckoned with, in milliseconds, of an endpoint that never answers.
-const LONGEST_MS: f64 = 1e9;
+/// Upper bound of an estimate in milliseconds, for endpoints that never respond.
+const MAX_ESTIMATE_MS: f64 = 1e9;
 
-/// How long an adapter takes to be there once it is asked for, in milliseconds: two calls and a load.
-const ADAPTER_MS: f64 = 45.0;
+/// Time from the request for an adapter until it is loaded, in milliseconds: two calls and the load.
+const ADAPTER_LOAD_MS: f64 = 45.0;
 
-/// By how much an engine without the adapter must be better than the best with it, in milliseconds.
-const WORTH_A_LOAD_MS: f64 = 120.0;
+/// By how much the estimate of an engine without the adapter must be lower than the best of those with it
+/// to load the adapter there, in milliseconds.
+const MIN_ADAPTER_LOAD_GAIN_MS: f64 = 120.0;
 
-/// What was found among engines.
+/// Result of the selection among engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Found {
-    /// This one.
+enum EngineSelection {
+    /// Send to this engine.
     Engine(arena::EndpointKey),
-    /// This one, once the adapter is loaded there.
+    /// Load the adapter on this engine first.
     Fetch(directory::InstanceId),
-    /// None now.
-    Missing(Missing),
+    /// No engine can take the request now.
+    Wait(WaitReason),
 }
 
-/// What one entry process knows of the endpoints.
+/// The state of all endpoints as known to one entry process.
 #[derive(Debug)]
 pub struct Chooser {
     availability_zone: String,
@@ -83,19 +85,19 @@
     by_id: collections::HashMap<directory::InstanceId, arena::EndpointKey>,
     by_key: collections::HashMap<u64, arena::EndpointKey>,
     by_service: collections::HashMap<String, Vec<arena::EndpointKey>>,
-    /// The engines that hold a model, of all services.
+    /// Engines that hold a model, across all services.
     by_model: collections::HashMap<String, Vec<arena::EndpointKey>>,
     random: u64,
-    homes: homes::Homes,
-    paces: reading::Paces,
-    bounds: pauses::Bounds,
-    lines: lines::Lines,
+    coordinators: coordinators::Coordinators,
+    prefill_speeds: prefill_speed::PrefillSpeeds,
+    prefill_limits: prefill_limit::PrefillLimits,
+    wait_estimates: wait_estimates::WaitEstimates,
     backpressure: backpressure::Backpressure,
     policy: Policy,
 }
 
 impl Chooser {
-    /// Knows no endpoint. `seed` is for ties.
+    /// Creates a chooser without endpoints. `seed` initializes the generator that breaks ties.
     #[must_use]
     pub fn new(availability_zone: &str, seed: u64) -> Self {
         Self {
@@ -106,23 +108,23 @@
             by_service: collections::HashMap::new(),
             by_model: collections::HashMap::new(),
             random: seed | 1,
-            homes: homes::Homes::default(),
-            paces: reading::Paces::default(),
-            bounds: pauses::Bounds::default(),
-            lines: lines::Lines::default(),
+            coordinators: coordinators::Coordinators::default(),
+            prefill_speeds: prefill_speed::PrefillSpeeds::default(),
+            prefill_limits: prefill_limit::PrefillLimits::default(),
+            wait_estimates: wait_estimates::WaitEstimates::default(),
             backpressure: backpressure::Backpressure::default(),
             policy: Policy::default(),
         }
     }
 
-    /// The same with another policy.
+    /// Replaces the policy.
     #[must_use]
     pub fn with_policy(mut self, policy: Policy) -> Self {
         self.policy = policy;
         self
     }
 
-    /// A random number.
+    /// Draws a random number.
     pub fn draw(&mut self) -> u64 {
         // Marsaglia's xorshift.
         self.random ^= self.random << 13;
@@ -131,25 +133,26 @@
         self.random
     }
 
-    /// Takes the list of entry processes, of which this one is `own`.
-    pub fn join_groups(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
-        self.homes.set_entries(own, entries);
+    /// Sets the list of entry processes, of which this one is `own`.
+    pub fn set_entries(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) {
+        self.coordinators.set_entries(own, entries);
     }
 
-    /// Takes what the directory says of an endpoint.
-    pub fn know(&mut self, instance: &directory::Instance) {
+    /// Adds or updates an endpoint from its directory record, or removes it if the record says that it is
+    /// gone.
+    pub fn update_instance(&mut self, instance: &directory::Instance) {
         if !instance.is_present() {
-            return self.forget(&instance.id);
+            return self.remove_instance(&instance.id);
         }
-        self.homes.know(instance);
+        self.coordinators.add_models(instance);
         if let Some(key) = self.by_id.get(&instance.id).copied() {
             if let Some(endpoint) = &mut self.endpoints[key.index()] {
                 let before = std::mem::replace(&mut endpoint.instance, instance.clone());
-                endpoint.denied.clear();
-                endpoint.kept.keep_resident(&instance.models);
+                endpoint.denied_models.clear();
+                endpoint.prefix_cache.retain_models(&instance.models);
                 if before.models != instance.models {
-                    self.drop_models(key, &before);
-                    self.hold_models(key, instance);
+                    self.unindex_models(key, &before);
+                    self.index_models(key, instance);
                 }
             }
             return;
@@ -158,14 +161,14 @@
         let endpoint = Endpoint::new(instance.clone());
         self.endpoints.push(Some(endpoint));
         self.by_key
-            .insert(neighbours::instance_key(&instance.id), key);
+            .insert(entry_peers::instance_key(&instance.id), key);
         self.by_id.insert(instance.id.clone(), key);
         let service = self.by_service.entry(instance.service.clone());
         service.or_default().push(key);
-        self.hold_models(key, instance);
+        self.index_models(key, instance);
     }
 
-    fn hold_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
+    fn index_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
         for resident in &instance.models {
             let holders = self.by_model.entry(resident.model.clone()).or_default();
             if !holders.contains(&key) {
@@ -174,7 +177,7 @@
         }
     }
 
-    fn drop_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
+    fn unindex_models(&mut self, key: arena::EndpointKey, instance: &directory::Instance) {
         for resident in &instance.models {
             if let Some(holders) = self.by_model.get_mut(&resident.model) {
                 holders.retain(|it| *it != key);
@@ -182,29 +185,29 @@
         }
     }
 
-    /// An endpoint has gone. Its key is not given to another, since requests may be under way there.
-    pub fn forget(&mut self, id: &directory::InstanceId) {
+    /// Removes an endpoint. Its key is not reused, since requests to it may still be in flight.
+    pub fn remove_instance(&mut self, id: &directory::InstanceId) {
         let Some(key) = self.by_id.remove(id) else {
             return;
         };
-        self.by_key.remove(&neighbours::instance_key(id));
+        self.by_key.remove(&entry_peers::instance_key(id));
         let Some(endpoint) = self.endpoints[key.index()].take() else {
             return;
         };
         if let Some(list) = self.by_service.get_mut(&endpoint.instance.service) {
             list.retain(|it| *it != key);
         }
-        self.drop_models(key, &endpoint.instance);
+        self.unindex_models(key, &endpoint.instance);
     }
 
-    /// Whether any endpoint is known that takes work.
+    /// Whether any known endpoint is ready.
     #[must_use]
-    pub fn knows_any(&self) -> bool {
+    pub fn has_ready_endpoint(&self) -> bool {
         let mut known = self.endpoints.iter().flatten();
         known.any(|it| it.instance.is_ready())
     }
 
-    /// How many endpoints are known, and how many of them take work now.
+    /// Number of known endpoints, and of those that accept requests now.
     #[must_use]
     pub fn counts(&self, now: time::Instant) -> (usize, usize) {
         let known = self.endpoints.iter().flatten();
@@ -215,124 +218,130 @@
         (known.count(), open.count())
     }
 
-    /// Decides.
-    pub fn choose(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let choice = match ask.wanted {
-            Some(wanted) => self.choose_holder(now, ask, wanted),
-            None => self.choose_plain(now, ask),
+    /// Decides what to do with a request.
+    pub fn choose(&mut self, now: time::Instant, query: &EndpointQuery<'_>) -> Choice {
+        let choice = match query.wanted {
+            Some(wanted) => self.choose_by_model(now, query, wanted),
+            None => self.choose_plain_endpoint(now, query),
         };
         match choice {
-            Choice::Wait(missing) => Choice::Wait(self.missing_or_closed(now, ask, missing)),
+            Choice::Wait(missing) => Choice::Wait(self.wait_reason(now, query, missing)),
             choice => choice,
         }
     }
 
-    /// Chooses among the engines that hold a model.
-    fn choose_holder(
+    /// Selects among the engines that hold a model.
+    fn choose_by_model(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         wanted: &dialect::ModelRef,
     ) -> Choice {
-        let (with, without) = self.holders(now, ask, wanted);
-        if !with.is_empty() || !without.is_empty() {
-            return self.choose_engine(now, ask, &with, &without);
+        let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
+        if !with_adapter.is_empty() || !without_adapter.is_empty() {
+            return self.choose_engine_of(now, query, &with_adapter, &without_adapter);
         }
-        let is_any_open = self.open(now, ask).next().is_some();
+        let is_any_open = self.open_endpoints(now, query).next().is_some();
         Choice::Wait(if is_any_open {
-            Missing::Model
+            WaitReason::Model
         } else {
-            Missing::Endpoint
+            WaitReason::Endpoint
         })
     }
 
-    /// Whether an endpoint could begin with the request now, as far as is known here.
+    /// Whether an endpoint could start on the request now, as far as this process knows.
     #[must_use]
-    pub fn has_free(&self, now: time::Instant, ask: &Ask<'_>) -> bool {
-        let Some(wanted) = ask.wanted else {
-            let mut open = self.open(now, ask).filter_map(|key| self.get(key));
-            return open.any(Endpoint::has_place);
+    pub fn has_free(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
+        let Some(wanted) = query.wanted else {
+            let mut open = self
+                .open_endpoints(now, query)
+                .filter_map(|key| self.get(key));
+            return open.any(Endpoint::has_capacity);
         };
-        let bound_ms = self.bounds.bound_ms(ask.service);
-        let (with, _) = self.holders(now, ask, wanted);
-        let mut with = with.into_iter().filter_map(|key| self.get(key));
-        with.any(|it| !it.would_pause(now, self.reading_ms(it, ask), bound_ms))
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(query.service);
+        let (with_adapter, _) = self.engines_with_model(now, query, wanted);
+        let mut with_adapter = with_adapter.into_iter().filter_map(|key| self.get(key));
+        with_adapter.any(|it| !it.exceeds_limit(now, self.prefill_ms(it, query), prefill_limit_ms))
     }
 
-    fn choose_plain(&mut self, now: time::Instant, ask: &Ask<'_>) -> Choice {
-        let open: Vec<_> = self.open(now, ask).collect();
+    fn choose_plain_endpoint(&mut self, now: time::Instant, query: &EndpointQuery<'_>) -> Choice {
+        let open: Vec<_> = self.open_endpoints(now, query).collect();
         if open.is_empty() {
-            return Choice::Wait(Missing::Endpoint);
+            return Choice::Wait(WaitReason::Endpoint);
         }
-        let room = |key: &arena::EndpointKey| self.get(*key).is_some_and(Endpoint::has_place);
-        let free: Vec<_> = open.into_iter().filter(room).collect();
-        match self.best(now, ask, &free) {
-            Some((_, key)) => self.send(now, key, ask),
-            None => Choice::Wait(Missing::Place),
+        let has_capacity =
+            |key: &arena::EndpointKey| self.get(*key).is_some_and(Endpoint::has_capacity);
+        let free: Vec<_> = open.into_iter().filter(has_capacity).collect();
+        match self.lowest_score(now, query, &free) {
+            Some((_, key)) => self.dispatch(now, key, query),
+            None => Choice::Wait(WaitReason::Place),
         }
     }
 
-    /// Chooses among engines `with` the adapter and those `without` it, where it could be loaded.
-    fn choose_engine(
+    /// Selects among the engines `with_adapter` and those `without_adapter`, on which it could be loaded.
+    fn choose_engine_of(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
-        with: &[arena::EndpointKey],
-        without: &[arena::EndpointKey],
+        query: &EndpointQuery<'_>,
+        with_adapter: &[arena::EndpointKey],
+        without_adapter: &[arena::EndpointKey],
     ) -> Choice {
-        match self.find_engine(now, ask, with, without) {
-            Found::Engine(key) => self.send(now, key, ask),
-            Found::Fetch(instance) => Choice::Fetch { instance },
-            Found::Missing(missing) => Choice::Wait(missing),
+        match self.select_engine(now, query, with_adapter, without_adapter) {
+            EngineSelection::Engine(key) => self.dispatch(now, key, query),
+            EngineSelection::Fetch(instance) => Choice::Fetch { instance },
+            EngineSelection::Wait(missing) => Choice::Wait(missing),
         }
     }
 
-    fn find_engine(
+    fn select_engine(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
-        with: &[arena::EndpointKey],
-        without: &[arena::EndpointKey],
-    ) -> Found {
-        let bound_ms = self.bounds.bound_ms(ask.service);
-        let calm = |list: &[arena::EndpointKey]| -> Vec<_> {
-            let is_calm = |key: &arena::EndpointKey| {
+        query: &EndpointQuery<'_>,
+        with_adapter: &[arena::EndpointKey],
+        without_adapter: &[arena::EndpointKey],
+    ) -> EngineSelection {
+        let prefill_limit_ms = self.prefill_limits.prefill_limit_ms(query.service);
+        let within_limit = |list: &[arena::EndpointKey]| -> Vec<_> {
+            let is_within_limit = |key: &arena::EndpointKey| {
                 let endpoint = self.get(*key);
-                endpoint.is_some_and(|it| !it.would_pause(now, self.reading_ms(it, ask), bound_ms))
+                endpoint.is_some_and(|it| {
+                    !it.exceeds_limit(now, self.prefill_ms(it, query), prefill_limit_ms)
+                })
             };
-            list.iter().copied().filter(is_calm).collect()
+            list.iter().copied().filter(is_within_limit).collect()
         };
-        let (calm_with, calm_without) = (calm(with), calm(without));
-        let best = self.best(now, ask, &calm_with);
-        let other = self.best(now, ask, &calm_without);
+        let (ready_with, ready_without) =
+            (within_limit(with_adapter), within_limit(without_adapter));
+        let best = self.lowest_score(now, query, &ready_with);
+        let other = self.lowest_score(now, query, &ready_without);
         let fetch = other.filter(|(ms, _)| {
-            let there = best.map_or(f64::INFINITY, |(least, _)| least);
-            ask.may_fetch && ms + ADAPTER_MS + WORTH_A_LOAD_MS < there
+            let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
+            query.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
         if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
-            return Found::Fetch(endpoint.instance.id.clone());
+            return EngineSelection::Fetch(endpoint.instance.id.clone());
         }
         if let Some((_, key)) = best {
-            return Found::Engine(key);
+            return EngineSelection::Engine(key);
         }
-        if ask.patience > time::Millis(0) {
-            return Found::Missing(Missing::Place);
+        if query.patience > time::Millis(0) {
+            return EngineSelection::Wait(WaitReason::Place);
         }
-        let Some((_, key)) = self.best(now, ask, with) else {
-            return Found::Missing(Missing::Adapter);
+        let Some((_, key)) = self.lowest_score(now, query, with_adapter) else {
+            return EngineSelection::Wait(WaitReason::Adapter);
         };
-        // One that will be late loses nothing more by waiting, and would make others late.
-        if ask.may_be_late && span(self.estimate(now, key, ask)) > ask.on_time {
-            return Found::Missing(Missing::Place);
+        // A request that will be late anyway loses nothing by waiting; sent now, it would make others late.
+        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.on_time {
+            return EngineSelection::Wait(WaitReason::Place);
         }
-        Found::Engine(key)
+        EngineSelection::Engine(key)
     }
 
-    /// The open engines that hold the model of `wanted`, those with and those without its adapter.
-    fn holders(
+    /// The open engines that hold the model of `wanted`: those with its adapter, and those without.
+    fn engines_with_model(
         &self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         wanted: &dialect::ModelRef,
     ) -> (Vec<arena::EndpointKey>, Vec<arena::EndpointKey>) {
         let base = dialect::ModelRef {
@@ -342,25 +351,25 @@
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
         holders
             .copied()
-            .filter(|key| self.is_of(*key, ask.service) && self.is_open(now, *key, ask))
+            .filter(|key| self.is_in_service(*key, query.service) && self.is_open(now, *key, query))
             .filter(|key| self.holds(now, *key, &base))
             .partition(|key| self.holds(now, *key, wanted))
     }
 
-    /// The one with the least estimate, and that. Of equal ones any.
-    fn best(
+    /// The endpoint with the lowest score, and that score. Ties are broken at random.
+    fn lowest_score(
         &mut self,
         now: time::Instant,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         keys: &[arena::EndpointKey],
     ) -> Option<(f64, arena::EndpointKey)> {
         let offset = usize::try_from(self.draw()).unwrap_or(0) % keys.len().max(1);
         let mut best: Option<(f64, arena::EndpointKey)> = None;
         for at in 0..keys.len() {
             let key = keys[(at + offset) % keys.len()];
-            // Whole milliseconds: by less than that an endpoint that failed long ago would never be
-            // chosen again while the others are idle.
-            let ms = self.measure(now, key, ask).floor();
+            // Compares whole milliseconds. Otherwise the remains of an old failure score would keep an
+            // endpoint from ever being selected while others are idle.
+            let ms = self.score(now, key, query).floor();
             if best.is_none_or(|(least, _)| ms < least) {
                 best = Some((ms, key));
             }
@@ -368,19 +377,21 @@
         best
     }
 
-    /// By what endpoints are compared; the least is taken.
-    fn measure(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    /// The score by which endpoints are compared; the lowest wins.
+    fn score(&self, now: time::Instant, key: arena::EndpointKey, query: &EndpointQuery<'_>) -> f64 {
         match self.policy.choice {
             Routing::Estimate => {
-                let against = self.failures(now, key) + self.stall(now, key, ask);
-                self.estimate(now, key, ask) + against
+                let penalty_ms =
+                    self.failure_penalty_ms(now, key) + self.stall_penalty_ms(now, key, query);
+                self.estimate_ms(now, key, query) + penalty_ms
             }
             Routing::LeastLoad => self.get(key).map_or(f64::INFINITY, Endpoint::running),
             Routing::Random => 0.0,
         }
     }
 
-    /// How soon some engine could hold `model`, which none does: by the nearest copy of its weights.
+    /// How soon some engine could hold `model`, which none holds now, given where the nearest copy of its
+    /// weights is.
     #[must_use]
     pub fn load_time(&self, service: &str, model: &config::Model) -> time::Millis {
         let engines = self.by_service.get(service).into_iter().flatten();
@@ -398,25 +409,40 @@
         near.min().unwrap_or(model.store_load)
     }
 
-    /// The endpoints of the service that take work now.
-    fn open(&self, now: time::Instant, ask: &Ask<'_>) -> impl Iterator<Item = arena::EndpointKey> {
-        let all = self.by_service.get(ask.service).into_iter().flatten();
-        all.copied().filter(move |key| self.is_open(now, *key, ask))
+    /// Endpoints of the service that accept requests now.
+    fn open_endpoints(
+        &self,
+        now: time::Instant,
+        query: &EndpointQuery<'_>,
+    ) -> impl Iterator<Item = arena::EndpointKey> {
+        let all = self.by_service.get(query.service).into_iter().flatten();
+        all.copied()
+            .filter(move |key| self.is_open(now, *key, query))
     }
 
-    fn is_open(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
-        self.is_sound(now, key, ask) && self.closed_for(now, key).is_none()
+    fn is_open(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> bool {
+        self.is_eligible(now, key, query) && self.closed_for(now, key).is_none()
     }
 
-    fn is_of(&self, key: arena::EndpointKey, service: &str) -> bool {
+    fn is_in_service(&self, key: arena::EndpointKey, service: &str) -> bool {
         self.get(key)
             .is_some_and(|it| it.instance.service == service)
     }
 
-    /// Whether an endpoint takes work and could be reached, and was not tried.
-    fn is_sound(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> bool {
+    /// Whether an endpoint is ready, not ejected and not yet tried for this request.
+    fn is_eligible(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> bool {
         let takes = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
-        !ask.tried.contains(&key) && self.get(key).is_some_and(takes)
+        !query.tried.contains(&key) && self.get(key).is_some_and(takes)
     }
 
     fn holds(
@@ -428,29 +454,34 @@
         self.get(key).is_some_and(|it| it.holds(now, wanted))
     }
 
-    fn estimate(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
+    fn estimate_ms(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> f64 {
         let Some(endpoint) = self.get(key) else {
             return f64::INFINITY;
         };
-        let work = if ask.wanted.is_some() {
-            let is_told = self.homes.is_told(&endpoint.instance);
-            endpoint.engine_ms(now, self.reading_ms(endpoint, ask), is_told)
+        let work = if query.wanted.is_some() {
+            let is_observer = self.coordinators.is_observer(&endpoint.instance);
+            endpoint.engine_estimate_ms(now, self.prefill_ms(endpoint, query), is_observer)
         } else {
-            endpoint.service_ms(now)
+            endpoint.service_estimate_ms(now)
         };
         let is_far = endpoint.instance.availability_zone != self.availability_zone;
-        work + if is_far { FAR_MS } else { 0.0 }
+        work + if is_far { CROSS_ZONE_MS } else { 0.0 }
     }
 
-    /// Microseconds that an engine needs to read a prompt: the one that keeps most of it, of those that
-    /// hold its model, as far as is known here or the home of the model has `advised`, in tokens. All of it
-    /// where none does.
+    /// Microseconds of prefill that a prompt costs on the engine that caches most of it, out of those that
+    /// hold its model. `advised` is the number of cached tokens that the model's coordinator reported. If
+    /// no engine caches any, the whole prompt counts.
     ///
-    /// A leader weighs models by this. Counted in whole prompts, shared beginnings that every engine
-    /// keeps made models look four to six times as busy as they were, so that each was short of copies
-    /// and copies changed places all the time.
+    /// The leader weighs models by this. When it counted whole prompts, shared prefixes that every engine
+    /// caches made models look four to six times as busy as they were; each model seemed short of replicas,
+    /// and replicas moved all the time.
     #[must_use]
-    pub fn reading_us(
+    pub fn prefill_us(
         &self,
         service: &str,
         wanted: &dialect::ModelRef,
@@ -461,93 +492,105 @@
         let holders = holders
             .filter_map(|key| self.get(*key))
             .filter(|it| it.instance.service == service);
-        let kept = holders
-            .map(|it| it.kept.tokens(wanted, &passing.parts))
+        let cached = holders
+            .map(|it| it.prefix_cache.cached_tokens(wanted, &passing.parts))
             .max();
-        let kept = kept.max(advised).unwrap_or(0);
-        let unkept = passing.prompt_tokens.saturating_sub(kept);
-        let ms = unkept as f64 * self.paces.ms_per_token(&wanted.model);
-        whole(ms * endpoint::MICROS)
+        let cached = cached.max(advised).unwrap_or(0);
+        let uncached_tokens = passing.prompt_tokens.saturating_sub(cached);
+        let ms = uncached_tokens as f64 * self.prefill_speeds.ms_per_token(&wanted.model);
+        to_u64(ms * endpoint::MICROS_PER_MS)
     }
 
-    /// Milliseconds that the endpoint takes to read the prompt.
-    fn reading_ms(&self, endpoint: &Endpoint, ask: &Ask<'_>) -> f64 {
-        let Some(wanted) = ask.wanted else {
+    /// Milliseconds that the endpoint needs to prefill the prompt.
+    fn prefill_ms(&self, endpoint: &Endpoint, query: &EndpointQuery<'_>) -> f64 {
+        let Some(wanted) = query.wanted else {
             return 0.0;
         };
-        let pace = self.paces.ms_per_token(&wanted.model);
-        endpoint.unkept(ask) as f64 * pace * endpoint.slowness
+        let ms_per_token = self.prefill_speeds.ms_per_token(&wanted.model);
+        endpoint.uncached_tokens(query) as f64 * ms_per_token * endpoint.slowdown
     }
 
-    /// What the endpoint's failures count against it.
-    fn failures(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
-        let against = |it: &Endpoint| it.failure_ms(now) + it.silence_ms(now);
-        self.get(key).map_or(0.0, against)
+    /// Penalty for the endpoint's failures and silence.
+    fn failure_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
+        let penalty_ms = |it: &Endpoint| it.failures_ms(now) + it.silence_penalty_ms(now);
+        self.get(key).map_or(0.0, penalty_ms)
     }
 
-    /// What the streams that an engine runs count against sending it a prompt that stops them for long.
-    fn stall(&self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> f64 {
-        let Some(endpoint) = self.get(key).filter(|_| ask.wanted.is_some()) else {
+    /// Penalty for stalling the streams that an engine runs with a long prefill.
+    fn stall_penalty_ms(
+        &self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> f64 {
+        let Some(endpoint) = self.get(key).filter(|_| query.wanted.is_some()) else {
             return 0.0;
         };
-        let limit_ms = self.bounds.limit_ms(ask.service);
-        endpoint.stall_ms(now, self.reading_ms(endpoint, ask), limit_ms)
+        let pause_limit_ms = self.prefill_limits.pause_limit_ms(query.service);
+        endpoint.engine_stall_penalty_ms(now, self.prefill_ms(endpoint, query), pause_limit_ms)
     }
 
-    fn send(&mut self, now: time::Instant, key: arena::EndpointKey, ask: &Ask<'_>) -> Choice {
-        // Failures say that an answer is less likely, not that it comes later.
-        let estimate = span(self.estimate(now, key, ask));
-        self.send_by(now, key, ask, estimate)
+    fn dispatch(
+        &mut self,
+        now: time::Instant,
+        key: arena::EndpointKey,
+        query: &EndpointQuery<'_>,
+    ) -> Choice {
+        // Failures make a response less likely, not later, so they don't count here.
+        let estimate = to_millis(self.estimate_ms(now, key, query));
+        self.dispatch_with_estimate(now, key, query, estimate)
     }
 
-    /// Sends where the answer is estimated to begin in `estimate`.
-    fn send_by(
+    /// Sends the request if the response is estimated to begin in `estimate`, unless that is too late.
+    fn dispatch_with_estimate(
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
         estimate: time::Millis,
     ) -> Choice {
-        if self.policy.turn_away && estimate >= ask.left {
+        if self.policy.turn_away && estimate >= query.left {
             return Choice::TooLate { estimate };
         }
-        let Some((endpoint, reading)) = self.burden(now, key, ask) else {
-            return Choice::Wait(Missing::Endpoint);
+        let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
+            return Choice::Wait(WaitReason::Endpoint);
         };
-        let tokens = endpoint.unkept(ask);
+        let uncached_tokens = endpoint.uncached_tokens(query);
         endpoint.in_flight += 1;
-        endpoint.unread += reading;
-        if endpoint.owed == 0 {
-            endpoint.owed_since = now;
+        endpoint.pending_prefill_us += prefill_us;
+        if endpoint.awaiting == 0 {
+            endpoint.awaiting_since = now;
         }
-        endpoint.owed += 1;
+        endpoint.awaiting += 1;
         Choice::Send(Pick {
             key,
             instance: endpoint.instance.id.clone(),
             address: endpoint.instance.address,
-            tokens,
-            reading,
+            uncached_tokens,
+            prefill_us,
             estimate,
         })
     }
 
-    /// The endpoint that a request is about to go to, and the microseconds that it takes to read it. Notes
-    /// where that is about as much as its streams bear.
-    fn burden(
+    /// The endpoint that a request is about to go to, and the prefill time of the request there in
+    /// microseconds. Records when this brings the endpoint near its prefill limit.
+    fn prepare_dispatch(
         &mut self,
         now: time::Instant,
         key: arena::EndpointKey,
-        ask: &Ask<'_>,
+        query: &EndpointQuery<'_>,
     ) -> Option<(&mut Endpoint, u64)> {
         let endpoint = self.get(key)?;
-        let reading_ms = self.reading_ms(endpoint, ask);
-        let ahead_ms = endpoint.unread_by_all(now);
-        let is_strained = self.bounds.is_strain(ask.service, ahead_ms + reading_ms);
+        let prefill_ms = self.prefill_ms(endpoint, query);
+        let pending_ms = endpoint.total_pending_prefill_ms(now);
+        let is_near_limit = self
+            .prefill_limits
+            .is_near_limit(query.service, pending_ms + prefill_ms);
         let endpoint = self.get_mut(key)?;
-        if is_strained {
-            endpoint.strained_at = Some(now);
+        if is_near_limit {
+            endpoint.near_limit_at = Some(now);
         }
-        Some((endpoint, whole(reading_ms * endpoint::MICROS)))
+        Some((endpoint, to_u64(prefill_ms * endpoint::MICROS_PER_MS)))
     }
 
     fn get(&self, key: arena::EndpointKey) -> Option<&Endpoint> {
@@ -559,8 +602,8 @@
     }
 }
 
-fn span(ms: f64) -> time::Millis {
-    time::Millis(whole(ms.min(LONGEST_MS)))
+fn to_millis(ms: f64) -> time::Millis {
+    time::Millis(to_u64(ms.min(MAX_ESTIMATE_MS)))
 }
 
 #[expect(
@@ -568,6 +611,6 @@
     clippy::cast_sign_loss,
     reason = "the value is cut to the range of the target"
 )]
-fn whole(value: f64) -> u64 {
+fn to_u64(value: f64) -> u64 {
     value.clamp(0.0, 1e12) as u64
 }
--- a/crates/sageshed-fleet/src/lib.rs
+++ b/crates/sageshed-fleet/src/lib.rs
@@ -17,7 +17,7 @@
 //! | [`backlog`] | the requests that wait for an engine, and for how long they will wait |
 //! | [`allowance`] | rate limits that hold over all entry processes |
 //! | [`budget`] | the retry budget |
-//! | [`neighbours`] | what entry processes tell each other about the engines that they use |
+//! | [`entry_peers`] | what entry processes tell each other about the engines that they use |
 //! | [`quarantine`] | requests that are no longer forwarded, because endpoints crashed while running them |
 //! | [`fingerprint`] | whether two requests are the same except for their ids |
 //! | [`workspaces`] | the workspace of a request, by its key |
@@ -36,10 +36,10 @@
 pub mod demand_counter;
 pub mod dialect;
 pub mod directory;
+pub mod entry_peers;
 pub mod fingerprint;
 pub mod links;
 pub mod messages;
-pub mod neighbours;
 pub mod planner;
 pub mod quarantine;
 pub mod routes;
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -1,13 +1,14 @@
-//! Which control processes an entry process watches, and which of them passes endpoints on to it.
+//! Selects the control processes that an entry process watches, and the one that sends it endpoint records.
 //!
-//! The first link goes to a control process in the availability zone of this process, where there is
-//! one, and the others to any two: with the group cut in two, three links reach the larger part, which is
-//! the one where changes are accepted. All of them bring configurations. Endpoints come by one link alone,
-//! the near one: by each of three, and from whichever zone, their records were the largest part of the
-//! bytes between zones. The others bring a digest of what their control process knows, and the near one tells up to
-//! where it knows each of the others. A link whose digest differs, and whose control process has known something for
-//! [`LAG`] that the near one was not told, brings endpoints as well, for as long as that holds. Digests alone do not
-//! tell: while endpoints change all the time, in a release of thousands, no two agree.
+//! The first link goes to a control process in the availability zone of this process, if there is one, and
+//! the others to any two. When the control group is partitioned in two, three links reach the larger side,
+//! the one that accepts changes. All links deliver configurations. Endpoint records come over one link
+//! only, the local one: when they came over all three, from whichever zone, they made up most of the
+//! traffic between zones. The other links deliver a digest of what their control process knows, and the
+//! local one tells how far it is up to date with each of the others. A link delivers endpoint records too
+//! while its digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the
+//! local one was not told. Digests alone are not enough: while endpoints change all the time, as in a
+//! rollout of thousands, no two digests agree.
 
 use std::{collections, net};
 
@@ -15,56 +16,59 @@
 
 use crate::{directory, messages};
 
-/// Links that are kept.
-pub const LINKS: usize = 3;
+/// Number of links.
+pub const LINK_COUNT: usize = 3;
 
-/// How long a control process that could not be reached is left out while there are others.
-const AVOIDED: time::Millis = time::Millis(2_000);
+/// How long an unreachable control process is avoided while there are others.
+const RETRY_DELAY: time::Millis = time::Millis(2_000);
 
-/// How long the near one is left out after that. Each try at one whose VM has no power takes a fifth of
-/// [`AVOIDED`], in which another link has to pass endpoints on.
-const NEAR_AVOIDED: time::Millis = time::Millis(8_000);
+/// How long the local control process is not taken back after it was unreachable. If its VM has no power,
+/// each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver endpoint
+/// records.
+const LOCAL_RETRY_DELAY: time::Millis = time::Millis(8_000);
 
-/// How long a digest may differ. News reaches control processes some milliseconds apart, and entry
-/// processes within the time that news is gathered for one answer.
-const LAG: time::Millis = time::Millis(200);
+/// How long a digest may differ. Changes reach control processes some milliseconds apart, and entry
+/// processes within the time that changes are gathered for one response.
+const MAX_DIGEST_LAG: time::Millis = time::Millis(200);
 
-/// Marks of one control process that are kept until the near one is known to have them.
-const MARKS_KEPT: usize = 64;
+/// Cursors of one control process that are kept until the local one is known to have caught up with them.
+const MAX_CURSORS: usize = 64;
 
-/// What a control process has answered.
+/// The response of a control process to a watch request.
 #[derive(Debug, Clone, Copy)]
-pub struct Answer<'a> {
-    /// Whether its digest is another than that of this process.
+pub struct SyncReply<'a> {
+    /// Whether its digest differs from that of this process.
     pub differs: bool,
-    /// Whether it has more of the endpoints to tell.
+    /// Whether it has more endpoint records to send.
     pub has_more: bool,
-    /// Its last change that was news; none from an earlier version.
+    /// Its last change of the directory; none from an earlier version.
     pub news: Option<directory::Cursor>,
-    /// Up to where it knows other control processes.
+    /// Up to where it knows the changes of other control processes.
     pub peers: &'a [(net::Ipv4Addr, directory::Cursor)],
 }
 
 /// One link.
 #[derive(Debug, Clone, Default)]
 struct Link {
-    held: Option<net::Ipv4Addr>,
-    /// Whether the control process has answered since it is held.
+    target: Option<net::Ipv4Addr>,
+    /// Whether the control process has responded since it was selected.
     has_answered: bool,
-    /// Since when it knows something that the near one was not told, as far as is known.
+    /// Since when it is known to have changes that the local one was not told.
     differs_since: Option<time::Instant>,
-    /// Its marks while digests differed that the near one is not known to have, and when each was told.
-    untold: collections::VecDeque<(time::Instant, directory::Cursor)>,
+    /// Its cursors, with the time of each, that arrived with a differing digest and that the local one is
+    /// not known to have.
+    unconfirmed: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
 impl Link {
-    fn agrees(&mut self) {
+    fn clear_difference(&mut self) {
         self.differs_since = None;
-        self.untold.clear();
+        self.unconfirmed.clear();
     }
 
-    /// Its digest differs. It has this mark, and the near one knows it up to `known`.
-    fn differs(
+    /// Records that its digest differs. `news` is its cursor, and `known` is up to where the local one
+    /// knows it.
+    fn record_difference(
         &mut self,
         now: time::Instant,
         news: Option<directory::Cursor>,
@@ -74,61 +78,70 @@
             self.differs_since.get_or_insert(now);
             return;
         };
-        let is_new = self.untold.back().is_none_or(|(_, last)| *last != news);
-        if is_new && self.untold.len() < MARKS_KEPT {
-            self.untold.push_back((now, news));
+        let is_new = self
+            .unconfirmed
+            .back()
+            .is_none_or(|(_, last)| *last != news);
+        if is_new && self.unconfirmed.len() < MAX_CURSORS {
+            self.unconfirmed.push_back((now, news));
         }
-        self.told(known);
+        self.confirm(known);
     }
 
-    /// The near one knows it up to `known`.
-    fn told(&mut self, known: directory::Cursor) {
-        self.untold
-            .retain(|(_, mark)| mark.start != known.start || mark.change > known.change);
-        self.differs_since = self.untold.front().map(|(at, _)| *at);
+    /// Drops the cursors that the local one has caught up with.
+    fn confirm(&mut self, known: directory::Cursor) {
+        self.unconfirmed
+            .retain(|(_, cursor)| cursor.start != known.start || cursor.change > known.change);
+        self.differs_since = self.unconfirmed.front().map(|(at, _)| *at);
     }
 }
 
-/// The links and the control processes that are known.
+/// The links, and all known control processes.
 #[derive(Debug)]
 pub struct Links {
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
-    known: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
-    each: [Link; LINKS],
-    /// Up to where the control process that brings endpoints knows the others.
+    zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
+    links: [Link; LINK_COUNT],
+    /// Up to where the control process that delivers endpoint records knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
-    avoided: collections::HashMap<net::Ipv4Addr, time::Instant>,
+    unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
 
 impl Links {
-    /// Links of a process in this availability zone that knows these control processes.
+    /// Creates the links of a process in this availability zone. `seeds` are the control processes to start
+    /// with.
     #[must_use]
     pub fn new(availability_zone: &str, seeds: Vec<net::Ipv4Addr>) -> Self {
         Self {
             availability_zone: availability_zone.to_owned(),
             seeds,
-            known: collections::BTreeMap::new(),
-            each: std::array::from_fn(|_| Link::default()),
+            zones: collections::BTreeMap::new(),
+            links: std::array::from_fn(|_| Link::default()),
             peers: collections::HashMap::new(),
-            avoided: collections::HashMap::new(),
+            unreachable_since: collections::HashMap::new(),
         }
     }
 
-    /// Which control process link `number` goes to. `draw` is a random number.
+    /// Selects the control process that link `number` goes to. `draw` is a random number.
     ///
-    /// The first link takes the near one also from another link, which then goes elsewhere.
+    /// The first link takes the local control process even from another link, which then goes elsewhere.
     pub fn pick(&mut self, now: time::Instant, number: usize, draw: u64) -> Option<net::Ipv4Addr> {
-        self.avoided
-            .retain(|_, since| now.since(*since) < NEAR_AVOIDED);
-        let all: Vec<net::Ipv4Addr> = self.known.keys().chain(&self.seeds).copied().collect();
-        let takes = |ip: &net::Ipv4Addr| !self.is_avoided(now, *ip) && !self.is_held(number, *ip);
-        let is_near = |ip: &net::Ipv4Addr| self.is_near(*ip) && !self.avoided.contains_key(ip);
-        let near = all.iter().copied().find(is_near).filter(|_| number == 0);
-        let held = self.each[number].held.filter(takes);
-        let chosen = near.or(held).or_else(|| {
+        self.unreachable_since
+            .retain(|_, since| now.since(*since) < LOCAL_RETRY_DELAY);
+        let all: Vec<net::Ipv4Addr> = self.zones.keys().chain(&self.seeds).copied().collect();
+        let takes =
+            |ip: &net::Ipv4Addr| !self.is_unreachable(now, *ip) && !self.is_taken(number, *ip);
+        let is_local =
+            |ip: &net::Ipv4Addr| self.is_local(*ip) && !self.unreachable_since.contains_key(ip);
+        let local = all.iter().copied().find(is_local).filter(|_| number == 0);
+        let target = self.links[number].target.filter(takes);
+        let chosen = local.or(target).or_else(|| {
             let free: Vec<_> = all.iter().copied().filter(takes).collect();
-            let reachable = all.iter().copied().filter(|it| !self.is_avoided(now, *it));
+            let reachable = all
+                .iter()
+                .copied()
+                .filter(|it| !self.is_unreachable(now, *it));
             let reachable: Vec<_> = reachable.collect();
             let from = [free, reachable, all]
                 .into_iter()
@@ -136,81 +149,81 @@
             let at = usize::try_from(draw).unwrap_or_default() % from.len();
             Some(from[at])
         })?;
-        if self.each[number].held != Some(chosen) {
-            self.each[number] = Link {
-                held: Some(chosen),
+        if self.links[number].target != Some(chosen) {
+            self.links[number] = Link {
+                target: Some(chosen),
                 ..Link::default()
             };
         }
         Some(chosen)
     }
 
-    /// What link `number` is to bring of the endpoints.
+    /// What link `number` requests: endpoint records or a digest.
     #[must_use]
     pub fn wants(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
-        let differs = self.each[number].differs_since;
-        let lags = differs.is_some_and(|since| now.since(since) >= LAG);
-        if lags || self.source().is_none_or(|source| source == number) {
+        let differs = self.links[number].differs_since;
+        let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
+        if lags || self.endpoint_source().is_none_or(|source| source == number) {
             messages::DirectoryDetail::News
         } else {
             messages::DirectoryDetail::Digest
         }
     }
 
-    /// The link that brings endpoints: the first of those that answer.
+    /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
-    pub fn source(&self) -> Option<usize> {
-        self.each.iter().position(|it| it.has_answered)
+    pub fn endpoint_source(&self) -> Option<usize> {
+        self.links.iter().position(|it| it.has_answered)
     }
 
-    /// A control process has answered. It may have more of the endpoints to tell: until that has come, what
-    /// digests differ by is on its way, and need not come by other links too.
-    pub fn answered(&mut self, now: time::Instant, number: usize, answer: &Answer<'_>) {
-        self.each[number].has_answered = true;
-        if answer.has_more {
-            self.each.iter_mut().for_each(Link::agrees);
+    /// Handles the response of a control process. While it has more endpoint records to send, what makes
+    /// digests differ is still on its way, and need not come over other links.
+    pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
+        self.links[number].has_answered = true;
+        if reply.has_more {
+            self.links.iter_mut().for_each(Link::clear_difference);
             return;
         }
-        if self.source() == Some(number) {
-            self.learn_peers(answer.peers);
+        if self.endpoint_source() == Some(number) {
+            self.set_peers(reply.peers);
         }
-        let link = &mut self.each[number];
-        let known = link.held.and_then(|ip| self.peers.get(&ip)).copied();
-        if answer.differs {
-            link.differs(now, answer.news, known);
+        let link = &mut self.links[number];
+        let known = link.target.and_then(|ip| self.peers.get(&ip)).copied();
+        if reply.differs {
+            link.record_difference(now, reply.news, known);
         } else {
-            link.agrees();
+            link.clear_difference();
         }
     }
 
-    fn learn_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
+    fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
-        for link in &mut self.each {
-            let known = link.held.and_then(|ip| self.peers.get(&ip));
-            // One that was not told of by marks differs until its digest agrees.
-            if let Some(known) = known.filter(|_| !link.untold.is_empty()) {
-                link.told(*known);
+        for link in &mut self.links {
+            let known = link.target.and_then(|ip| self.peers.get(&ip));
+            // A difference that was recorded without cursors lasts until the digests agree.
+            if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
+                link.confirm(*known);
             }
         }
     }
 
-    /// A control process could not be reached.
-    pub fn avoid(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
-        self.avoided.insert(ip, now);
-        self.each[number] = Link::default();
+    /// Records that a control process could not be reached.
+    pub fn mark_unreachable(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
+        self.unreachable_since.insert(ip, now);
+        self.links[number] = Link::default();
     }
 
-    /// Takes note of control processes and where they are.
-    pub fn know(&mut self, control: Vec<messages::ControlVm>) {
+    /// Adds control processes and their availability zones.
+    pub fn add_control_vms(&mut self, control: Vec<messages::ControlVm>) {
         for vm in control {
-            let zone = self.known.entry(vm.ip).or_default();
+            let zone = self.zones.entry(vm.ip).or_default();
             if vm.availability_zone.is_some() {
                 *zone = vm.availability_zone;
             }
         }
     }
 
-    /// Takes other seeds. Returns whether they are new.
+    /// Replaces the seeds. Returns whether they have changed.
     #[must_use]
     pub fn set_seeds(&mut self, seeds: Vec<net::Ipv4Addr>) -> bool {
         let is_new = seeds != self.seeds;
@@ -218,18 +231,18 @@
         is_new
     }
 
-    fn is_avoided(&self, now: time::Instant, ip: net::Ipv4Addr) -> bool {
-        let since = self.avoided.get(&ip);
-        since.is_some_and(|it| now.since(*it) < AVOIDED)
+    fn is_unreachable(&self, now: time::Instant, ip: net::Ipv4Addr) -> bool {
+        let since = self.unreachable_since.get(&ip);
+        since.is_some_and(|it| now.since(*it) < RETRY_DELAY)
     }
 
-    fn is_near(&self, ip: net::Ipv4Addr) -> bool {
-        let zone = self.known.get(&ip);
+    fn is_local(&self, ip: net::Ipv4Addr) -> bool {
+        let zone = self.zones.get(&ip);
         zone.is_some_and(|it| it.as_ref() == Some(&self.availability_zone))
     }
 
-    fn is_held(&self, number: usize, ip: net::Ipv4Addr) -> bool {
-        let mut others = self.each.iter().enumerate();
-        others.any(|(at, it)| at != number && it.held == Some(ip))
+    fn is_taken(&self, number: usize, ip: net::Ipv4Addr) -> bool {
+        let mut others = self.links.iter().enumerate();
+        others.any(|(at, it)| at != number && it.target == Some(ip))
     }
 }
--- a/crates/sageshed-fleet/src/messages.rs
+++ b/crates/sageshed-fleet/src/messages.rs
@@ -92,7 +92,7 @@
     pub demand: Vec<Demand>,
     /// Its cursor in the crashes that the control process knows; none if it doesn't take crashes.
     #[serde(default)]
-    pub crashes_known: Option<quarantine::Mark>,
+    pub crashes_known: Option<quarantine::Cursor>,
     /// Of an entry process: crashes that the control process was not told of.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<quarantine::Crash>,
@@ -165,7 +165,7 @@
     pub has_more: bool,
     /// The watcher's cursor in the crashes after this response; none from a process that doesn't send it.
     #[serde(default)]
-    pub crashes_mark: Option<quarantine::Mark>,
+    pub crashes_mark: Option<quarantine::Cursor>,
     /// The crashes that became known after the watcher's cursor; for an entry process only those of quarantined
     /// requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -5,10 +5,10 @@
 use std::collections;
 
 use sageshed_fleet::{
-    chooser::{Choice, Chooser, Ended, Missing},
+    chooser::{AttemptOutcome, Choice, Chooser, WaitReason},
     dialect,
     directory::{self, ChangeFilter, Directory, Instance, InstanceId, MergeOutcome, State},
-    messages, neighbours,
+    entry_peers, messages,
     planner::{Action, Planner, Policy},
 };
 use sageshed_types::time;
@@ -295,30 +295,39 @@
         adapter: None,
     };
     let ask = support::ask(&wanted, 1_000);
-    chooser.know(&instance(100, 900, &["m0"]));
+    chooser.update_instance(&instance(100, 900, &["m0"]));
     let Choice::Send(pick) = chooser.choose(T0, &ask) else {
         panic!("the engine is present");
     };
-    let word = neighbours::Unread {
-        engine: neighbours::instance_key(&pick.instance),
-        micros: 900_000,
-        kept: None,
-        pace: None,
+    let observation = entry_peers::EngineObservation {
+        engine: entry_peers::instance_key(&pick.instance),
+        pending_prefill_us: 900_000,
+        cached_prefix: None,
+        ttft: None,
         running: None,
         pauses: None,
-        trouble: None,
+        fault: None,
     };
     let mut gone = instance(100, 900, &["m0"]);
     gone.state = State::Replaced;
-    chooser.know(&gone);
-    chooser.know(&instance(2_000, 1, &[]));
-    assert_eq!(chooser.choose(at(10), &ask), Choice::Wait(Missing::Model));
-    chooser.know(&instance(2_000, 2, &["m0"]));
+    chooser.update_instance(&gone);
+    chooser.update_instance(&instance(2_000, 1, &[]));
+    assert_eq!(
+        chooser.choose(at(10), &ask),
+        Choice::Wait(WaitReason::Model)
+    );
+    chooser.update_instance(&instance(2_000, 2, &["m0"]));
     let from = std::net::Ipv4Addr::new(10, 0, 0, 9);
-    assert!(!chooser.hear(at(20), from, &word));
-    chooser.ended(at(20), &pick, Some(&wanted), false, Ended::Unreachable);
+    assert!(!chooser.apply_observation(at(20), from, &observation));
+    chooser.record_end(
+        at(20),
+        &pick,
+        Some(&wanted),
+        false,
+        AttemptOutcome::Unreachable,
+    );
     let Choice::Send(next) = chooser.choose(at(30), &ask) else {
-        panic!("the new start holds the model");
+        panic!("the new instance holds the model");
     };
     assert_eq!(next.instance.born, Some(2_000));
     assert_ne!(next.key, pick.key);
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -29,7 +29,7 @@
         let now = self.shared.clock.now();
         let change = self
             .shared
-            .with_core(|core| core.chooser.heed(now, &pick.instance, answered));
+            .with_core(|core| core.chooser.apply_notice(now, &pick.instance, answered));
         self.log_limit(pick, change);
     }
 
@@ -39,22 +39,22 @@
         let now = self.shared.clock.now();
         let limit = self
             .shared
-            .with_core(|core| core.chooser.limit_of(now, &pick.instance));
+            .with_core(|core| core.chooser.limit(now, &pick.instance));
         let Some(named) = limit else {
             return true;
         };
-        let draw = allowance::Draw {
+        let draw = allowance::AcquireRequest {
             id: 0,
             of: allowance::Key::of_endpoint(&pick.instance),
             amount: 1.0,
             returned: 0.0,
             rank: self.priority(),
-            named: Some(named),
+            reported: Some(named),
         };
         let span = match allowances::ask(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
-            allowance::Next::Nobody => UNKNOWN_LIMIT_PAUSE,
+            allowance::Next::Unreachable => UNKNOWN_LIMIT_PAUSE,
         };
         ::log::debug!(request = self.id(), endpoint:% = pick.instance, span_ms = span.0;
             "gateway: endpoint closed by its rate limit");
@@ -69,7 +69,7 @@
         let now = self.shared.clock.now();
         let change = self
             .shared
-            .with_core(|core| core.chooser.sends(now, &pick.instance));
+            .with_core(|core| core.chooser.count_send(now, &pick.instance));
         self.log_limit(pick, change);
     }
 
