--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -6,14 +6,14 @@
 
 use super::state;
 
-/// Between two looks at the pots of this process: a part of [`allowance::COLLECT_INTERVAL`].
+/// Between two looks at the buckets of this process: a part of [`allowance::COLLECT_INTERVAL`].
 const REFILL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// The same where the configuration has no allowance.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The allowances of a configuration.
-pub(super) fn terms(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::RateLimit)> {
+pub(super) fn limits(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::RateLimit)> {
     let workspaces = config.workspaces.iter().flat_map(|it| &it.all);
     let quota = |workspace: &config::Workspace| {
         let quota = workspace.quota?;
@@ -27,96 +27,96 @@
 }
 
 /// What is left of the quotas that this process keeps, by workspace.
-pub(super) fn pots<D: dialect::Dialect>(shared: &state::Shared<D>) -> Vec<(String, f64)> {
+pub(super) fn quotas_left<D: dialect::Dialect>(shared: &state::Shared<D>) -> Vec<(String, f64)> {
     let Some(routing) = shared.routing() else {
         return Vec::new();
     };
-    let pots: collections::HashMap<_, _> =
+    let buckets: collections::HashMap<_, _> =
         shared.with_core(|core| core.allowances.buckets().collect());
     let all = routing
         .workspaces
         .iter()
         .flat_map(workspaces::Workspaces::iter);
     let left = all.filter_map(|workspace| {
-        let left = pots.get(&allowance::Key::of_workspace(&workspace.name))?;
+        let left = buckets.get(&allowance::Key::of_workspace(&workspace.name))?;
         Some((workspace.name.clone(), *left))
     });
     left.collect()
 }
 
 /// Asks the homes of an allowance for units. Returns how it ended.
-pub(super) fn ask<D: dialect::Dialect>(
+pub(super) fn acquire<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    draw: allowance::AcquireRequest,
+    request: allowance::AcquireRequest,
 ) -> allowance::Next {
     let now = shared.clock.now();
-    let (mut question, id) = shared.with_core(|core| {
-        let book = &mut core.allowances;
-        (book.acquisition(now, draw.of), book.next_id())
+    let (mut acquisition, id) = shared.with_core(|core| {
+        let table = &mut core.allowances;
+        (table.acquisition(now, request.of), table.next_id())
     });
-    let draw = allowance::AcquireRequest { id, ..draw };
-    let mut next = question.begin();
-    while let allowance::Next::Ask(home, after) = next {
+    let request = allowance::AcquireRequest { id, ..request };
+    let mut next = acquisition.begin();
+    while let allowance::Next::Ask(coordinator, after) = next {
         thread::sleep(after.into());
-        next = match put(shared, home, draw) {
-            Some(answer) => question.replied(answer),
-            None => unanswered(shared, &mut question),
+        next = match acquire_from(shared, coordinator, request) {
+            Some(answer) => acquisition.replied(answer),
+            None => handle_timeout(shared, &mut acquisition),
         };
     }
     next
 }
 
-fn unanswered<D: dialect::Dialect>(
+fn handle_timeout<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    question: &mut allowance::Acquisition,
+    acquisition: &mut allowance::Acquisition,
 ) -> allowance::Next {
-    let (next, lost) = question.timed_out();
-    if let Some(home) = lost {
-        ::log::debug!(home:% = home; "gateway: home of an allowance does not answer");
+    let (next, lost) = acquisition.timed_out();
+    if let Some(coordinator) = lost {
+        ::log::debug!(home:% = coordinator; "gateway: coordinator of an allowance does not answer");
         let now = shared.clock.now();
-        shared.with_core(|core| core.allowances.mark_unresponsive(now, home));
+        shared.with_core(|core| core.allowances.mark_unresponsive(now, coordinator));
     }
     next
 }
 
-fn put<D: dialect::Dialect>(
+fn acquire_from<D: dialect::Dialect>(
     shared: &state::Shared<D>,
-    home: net::Ipv4Addr,
-    question: allowance::AcquireRequest,
+    coordinator: net::Ipv4Addr,
+    request: allowance::AcquireRequest,
 ) -> Option<allowance::AcquireReply> {
     let own = shared.settings.discovery.ip;
-    if home == own {
-        return Some(draw(shared, own, &question));
+    if coordinator == own {
+        return Some(serve_acquire(shared, own, &request));
     }
-    shared.entry_peers.as_ref()?.draw(home, question)
+    shared.entry_peers.as_ref()?.acquire(coordinator, request)
 }
 
-/// Answers as the home of an allowance.
-pub(super) fn draw<D: dialect::Dialect>(
+/// Answers as the coordinator of an allowance.
+pub(super) fn serve_acquire<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
-    question: &allowance::AcquireRequest,
+    request: &allowance::AcquireRequest,
 ) -> allowance::AcquireReply {
     let now = shared.clock.now();
-    let reply = shared.with_core(|core| core.allowances.acquire(now, from, question));
+    let reply = shared.with_core(|core| core.allowances.acquire(now, from, request));
     if let Some(peers) = &shared.entry_peers {
-        peers.pull(reply.collection.into_iter().collect());
+        peers.collect(reply.collection.into_iter().collect());
     }
     reply.reply
 }
 
 /// Gives units back that were taken and not used. A lost word costs them.
-pub(super) fn give_back<D: dialect::Dialect>(
+pub(super) fn release<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     of: allowance::Key,
     units: f64,
 ) {
     let now = shared.clock.now();
-    let (mut question, id) = shared.with_core(|core| {
-        let book = &mut core.allowances;
-        (book.acquisition(now, of), book.next_id())
+    let (mut acquisition, id) = shared.with_core(|core| {
+        let table = &mut core.allowances;
+        (table.acquisition(now, of), table.next_id())
     });
-    let word = allowance::AcquireRequest {
+    let request = allowance::AcquireRequest {
         id,
         of,
         amount: 0.0,
@@ -124,31 +124,31 @@
         rank: 0,
         reported: None,
     };
-    let allowance::Next::Ask(home, _) = question.begin() else {
+    let allowance::Next::Ask(coordinator, _) = acquisition.begin() else {
         return;
     };
     let own = shared.settings.discovery.ip;
-    if home == own {
-        draw(shared, own, &word);
+    if coordinator == own {
+        serve_acquire(shared, own, &request);
     } else if let Some(peers) = &shared.entry_peers {
-        peers.give_back(home, word);
+        peers.release(coordinator, request);
     }
 }
 
-/// Starts the thread that fills the pots of which this process is the home.
+/// Starts the thread that fills the buckets of which this process is the coordinator.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
-    let filling = sync::Arc::clone(shared);
+    let refilled = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("allowances".to_owned())
         .spawn(move || {
-            while !filling.is_stopping() {
-                let now = filling.clock.now();
-                let (has_any, pulls) = filling.with_core(|core| {
-                    let book = &mut core.allowances;
-                    (book.has_any(), book.tick(now))
+            while !refilled.is_stopping() {
+                let now = refilled.clock.now();
+                let (has_any, requests) = refilled.with_core(|core| {
+                    let table = &mut core.allowances;
+                    (table.has_any(), table.tick(now))
                 });
-                if let Some(peers) = &filling.entry_peers {
-                    peers.pull(pulls);
+                if let Some(peers) = &refilled.entry_peers {
+                    peers.collect(requests);
                 }
                 thread::sleep(if has_any {
                     REFILL_INTERVAL
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -7,7 +7,7 @@
     thread, time,
 };
 
-use sageshed_fleet::{allowance, chooser, dialect, entry_peers as words};
+use sageshed_fleet::{allowance, chooser, dialect, entry_peers as wire};
 use sageshed_types::time::Millis;
 
 use super::{allowances, state};
@@ -23,14 +23,14 @@
 /// short beside the time in which an answer is to begin.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
-/// How long a home that did not answer is passed over.
+/// How long a coordinator that did not answer is passed over.
 const UNRESPONSIVE_PERIOD: time::Duration = time::Duration::from_secs(1);
 
 /// How often the thread that listens looks whether the process stops.
 const STOP_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Who waits for which answer.
-type Asked<T> = sync::Mutex<collections::HashMap<u64, mpsc::SyncSender<T>>>;
+type PendingReplies<T> = sync::Mutex<collections::HashMap<u64, mpsc::SyncSender<T>>>;
 
 /// The socket for datagrams.
 #[derive(Debug)]
@@ -38,12 +38,12 @@
     socket: net::UdpSocket,
     port: u16,
     /// Questions that wait for their answers, by their ids.
-    asked: Asked<words::RoutingDecision>,
+    pending_routing: PendingReplies<wire::RoutingDecision>,
     /// The same of questions for units of allowances.
-    drawn: Asked<allowance::AcquireReply>,
+    pending_acquires: PendingReplies<allowance::AcquireReply>,
     next_id: atomic::AtomicU64,
     /// Homes that did not answer, and when.
-    lost: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
+    unresponsive: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
 }
 
 impl EntryPeers {
@@ -54,20 +54,20 @@
         Ok(Self {
             socket,
             port,
-            asked: Asked::default(),
-            drawn: Asked::default(),
+            pending_routing: PendingReplies::default(),
+            pending_acquires: PendingReplies::default(),
             next_id: atomic::AtomicU64::new(0),
-            lost: sync::Mutex::default(),
+            unresponsive: sync::Mutex::default(),
         })
     }
 
     /// Tells `group` what this process has at an engine. A datagram may be lost; the next one says the same
     /// anew, and old words are forgotten.
-    pub fn tell(&self, word: words::EngineObservation, group: &[net::Ipv4Addr]) {
-        self.send(&words::Datagram::Observation(word), group);
+    pub fn broadcast(&self, observation: wire::EngineObservation, group: &[net::Ipv4Addr]) {
+        self.send(&wire::Datagram::Observation(observation), group);
     }
 
-    fn send(&self, datagram: &words::Datagram, to: &[net::Ipv4Addr]) {
+    fn send(&self, datagram: &wire::Datagram, to: &[net::Ipv4Addr]) {
         let bytes = match sageshed_vms::encode(datagram) {
             Ok(bytes) => bytes,
             Err(e) => return ::log::error!(error:% = e; "gateway: neighbours are not told"),
@@ -79,68 +79,81 @@
         }
     }
 
-    /// Asks the first of `homes` that is not lost where a request is to go. None where no answer comes.
-    pub fn ask(
+    /// Asks the first of `coordinators` that is not unresponsive where a request is to go. None where no answer comes.
+    pub fn query_routing(
         &self,
-        homes: &[net::Ipv4Addr],
-        mut ask: words::RoutingQuery,
-    ) -> Option<words::RoutingDecision> {
-        let home = self.first_there(homes)?;
-        ask.id = self.next_id.fetch_add(1, atomic::Ordering::Relaxed);
-        let id = ask.id;
-        let place = self.question(&self.asked, id, &words::Datagram::RoutingQuery(ask), home);
-        if place.is_none() {
-            locks::lock(&self.lost).insert(home, time::Instant::now());
-            ::log::debug!(home:% = home; "gateway: home of a model does not answer");
+        coordinators: &[net::Ipv4Addr],
+        mut query: wire::RoutingQuery,
+    ) -> Option<wire::RoutingDecision> {
+        let coordinator = self.first_responsive(coordinators)?;
+        query.id = self.next_id.fetch_add(1, atomic::Ordering::Relaxed);
+        let id = query.id;
+        let decision = self.call(
+            &self.pending_routing,
+            id,
+            &wire::Datagram::RoutingQuery(query),
+            coordinator,
+        );
+        if decision.is_none() {
+            locks::lock(&self.unresponsive).insert(coordinator, time::Instant::now());
+            ::log::debug!(home:% = coordinator; "gateway: coordinator of a model does not answer");
         }
-        place
+        decision
     }
 
-    /// Asks `home` for units of an allowance. None where no answer comes.
-    pub fn draw(
+    /// Asks `coordinator` for units of an allowance. None where no answer comes.
+    pub fn acquire(
         &self,
-        home: net::Ipv4Addr,
-        draw: allowance::AcquireRequest,
+        coordinator: net::Ipv4Addr,
+        request: allowance::AcquireRequest,
     ) -> Option<allowance::AcquireReply> {
-        self.question(&self.drawn, draw.id, &words::Datagram::Acquire(draw), home)
+        self.call(
+            &self.pending_acquires,
+            request.id,
+            &wire::Datagram::Acquire(request),
+            coordinator,
+        )
     }
 
-    /// Gives units back to `home`, and waits for no answer.
-    pub fn give_back(&self, home: net::Ipv4Addr, draw: allowance::AcquireRequest) {
-        self.send(&words::Datagram::Acquire(draw), &[home]);
+    /// Gives units back to `coordinator`, and waits for no answer.
+    pub fn release(&self, coordinator: net::Ipv4Addr, request: allowance::AcquireRequest) {
+        self.send(&wire::Datagram::Acquire(request), &[coordinator]);
     }
 
     /// Draws what producers of allowances have.
-    pub fn pull(&self, pulls: Vec<(allowance::CollectRequest, Vec<net::Ipv4Addr>)>) {
-        for (pull, producers) in pulls {
-            self.send(&words::Datagram::Collect(pull), &producers);
+    pub fn collect(&self, requests: Vec<(allowance::CollectRequest, Vec<net::Ipv4Addr>)>) {
+        for (request, producers) in requests {
+            self.send(&wire::Datagram::Collect(request), &producers);
         }
     }
 
-    fn question<T>(
+    fn call<T>(
         &self,
-        asked: &Asked<T>,
+        pending: &PendingReplies<T>,
         id: u64,
-        question: &words::Datagram,
-        home: net::Ipv4Addr,
+        query: &wire::Datagram,
+        coordinator: net::Ipv4Addr,
     ) -> Option<T> {
         let (tx, rx) = mpsc::sync_channel(1);
-        locks::lock(asked).insert(id, tx);
-        self.send(question, &[home]);
-        let answer = rx.recv_timeout(REPLY_TIMEOUT).ok();
-        locks::lock(asked).remove(&id);
-        answer
+        locks::lock(pending).insert(id, tx);
+        self.send(query, &[coordinator]);
+        let reply = rx.recv_timeout(REPLY_TIMEOUT).ok();
+        locks::lock(pending).remove(&id);
+        reply
     }
 
-    fn first_there(&self, homes: &[net::Ipv4Addr]) -> Option<net::Ipv4Addr> {
-        let mut lost = locks::lock(&self.lost);
-        lost.retain(|_, since| since.elapsed() < UNRESPONSIVE_PERIOD);
-        homes.iter().copied().find(|it| !lost.contains_key(it))
+    fn first_responsive(&self, coordinators: &[net::Ipv4Addr]) -> Option<net::Ipv4Addr> {
+        let mut unresponsive = locks::lock(&self.unresponsive);
+        unresponsive.retain(|_, since| since.elapsed() < UNRESPONSIVE_PERIOD);
+        coordinators
+            .iter()
+            .copied()
+            .find(|it| !unresponsive.contains_key(it))
     }
 
-    fn answered<T>(asked: &Asked<T>, id: u64, answer: T) {
-        let waiting = locks::lock(asked).remove(&id);
-        let is_late = waiting.is_none_or(|tx| tx.try_send(answer).is_err());
+    fn deliver_reply<T>(pending: &PendingReplies<T>, id: u64, reply: T) {
+        let waiting = locks::lock(pending).remove(&id);
+        let is_late = waiting.is_none_or(|tx| tx.try_send(reply).is_err());
         if is_late {
             ::log::debug!(question = id; "gateway: answer of a neighbour came too late");
         }
@@ -150,7 +163,7 @@
         let mut buf = [0; MAX_DATAGRAM_BYTES];
         while !shared.is_stopping() {
             match self.socket.recv_from(&mut buf) {
-                Ok((len, net::SocketAddr::V4(from))) => take(shared, from, &buf[..len]),
+                Ok((len, net::SocketAddr::V4(from))) => handle_datagram(shared, from, &buf[..len]),
                 Ok(_) => {}
                 Err(e) if is_timeout(&e) => {}
                 Err(e) => {
@@ -162,36 +175,40 @@
     }
 }
 
-fn take<D: dialect::Dialect>(shared: &state::Shared<D>, from: net::SocketAddrV4, bytes: &[u8]) {
+fn handle_datagram<D: dialect::Dialect>(
+    shared: &state::Shared<D>,
+    from: net::SocketAddrV4,
+    bytes: &[u8],
+) {
     match sageshed_vms::decode(bytes) {
-        Ok(words::Datagram::Observation(word)) => shared.hear(*from.ip(), &word),
-        Ok(words::Datagram::RoutingQuery(ask)) => advise(shared, *from.ip(), ask),
-        Ok(words::Datagram::RoutingReply(advice)) => {
+        Ok(wire::Datagram::Observation(seen)) => shared.apply_observation(*from.ip(), &seen),
+        Ok(wire::Datagram::RoutingQuery(query)) => answer_query(shared, *from.ip(), query),
+        Ok(wire::Datagram::RoutingReply(reply)) => {
             if let Some(peers) = &shared.entry_peers {
-                EntryPeers::answered(&peers.asked, advice.id, advice.decision);
+                EntryPeers::deliver_reply(&peers.pending_routing, reply.id, reply.decision);
             }
         }
-        Ok(words::Datagram::Acquired(id, answer)) => {
+        Ok(wire::Datagram::Acquired(id, reply)) => {
             if let Some(peers) = &shared.entry_peers {
-                EntryPeers::answered(&peers.drawn, id, answer);
+                EntryPeers::deliver_reply(&peers.pending_acquires, id, reply);
             }
         }
-        Ok(words::Datagram::Acquire(draw)) => {
-            let answer = allowances::draw(shared, *from.ip(), &draw);
-            if let Some(peers) = shared.entry_peers.as_ref().filter(|_| draw.amount > 0.0) {
-                peers.send(&words::Datagram::Acquired(draw.id, answer), &[*from.ip()]);
+        Ok(wire::Datagram::Acquire(request)) => {
+            let reply = allowances::serve_acquire(shared, *from.ip(), &request);
+            if let Some(peers) = shared.entry_peers.as_ref().filter(|_| request.amount > 0.0) {
+                peers.send(&wire::Datagram::Acquired(request.id, reply), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Collect(pull)) => {
+        Ok(wire::Datagram::Collect(request)) => {
             let now = shared.clock.now();
-            let given = shared.with_core(|core| core.allowances.release_share(now, &pull));
+            let reply = shared.with_core(|core| core.allowances.release_share(now, &request));
             if let Some(peers) = &shared.entry_peers {
-                peers.send(&words::Datagram::Collected(given), &[*from.ip()]);
+                peers.send(&wire::Datagram::Collected(reply), &[*from.ip()]);
             }
         }
-        Ok(words::Datagram::Collected(given)) => {
+        Ok(wire::Datagram::Collected(reply)) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.allowances.add_collected(now, *from.ip(), &given));
+            shared.with_core(|core| core.allowances.add_collected(now, *from.ip(), &reply));
         }
         Err(e) => {
             // Anybody can send datagrams without end.
@@ -204,89 +221,86 @@
 }
 
 /// Says where a request of `from` is to go.
-fn advise<D: dialect::Dialect>(
+fn answer_query<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
-    ask: words::RoutingQuery,
+    query: wire::RoutingQuery,
 ) {
     let now = shared.clock.now();
-    let (id, request) = (ask.id, ask.request);
+    let (id, request) = (query.id, query.request);
     let wanted = dialect::ModelRef {
-        model: ask.model,
-        adapter: ask.adapter,
+        model: query.model,
+        adapter: query.adapter,
     };
-    let parts = ask.parts.iter();
+    let parts = query.parts.iter();
     let parts: Vec<_> = parts
         .map(|(id, tokens)| dialect::PromptPart {
             id: *id,
             tokens: *tokens,
         })
         .collect();
-    let place = shared.with_core(|core| {
-        let tried = ask.tried.iter();
+    let decision = shared.with_core(|core| {
+        let tried = query.tried.iter();
         let tried: Vec<_> = tried
             .filter_map(|it| core.chooser.by_instance_key(*it))
             .collect();
-        let ask = chooser::EndpointQuery {
-            service: &ask.service,
+        let query = chooser::EndpointQuery {
+            service: &query.service,
             wanted: Some(&wanted),
             parts: &parts,
-            prompt_tokens: ask.prompt_tokens,
+            prompt_tokens: query.prompt_tokens,
             tried: &tried,
-            left: ask.left,
-            patience: ask.patience,
-            on_time: ask.on_time,
-            may_be_late: ask.may_be_late,
+            left: query.left,
+            patience: query.patience,
+            on_time: query.on_time,
+            may_be_late: query.may_be_late,
             may_fetch: false,
         };
-        core.chooser.route_for(now, from, request, &ask)
+        core.chooser.route_for(now, from, request, &query)
     });
-    let advice = words::RoutingReply {
-        id,
-        decision: place,
-    };
+    let reply = wire::RoutingReply { id, decision };
     if let Some(peers) = &shared.entry_peers {
-        peers.send(&words::Datagram::RoutingReply(advice), &[from]);
+        peers.send(&wire::Datagram::RoutingReply(reply), &[from]);
     }
 }
 
-/// Asks the home of the request's model, where it has one.
-pub(super) fn ask<D: dialect::Dialect>(
+/// Asks the coordinator of the request's model, where it has one.
+pub(super) fn query_coordinator<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     request: u64,
-    ask: &chooser::EndpointQuery<'_>,
-) -> Option<words::RoutingDecision> {
+    query: &chooser::EndpointQuery<'_>,
+) -> Option<wire::RoutingDecision> {
     let peers = shared.entry_peers.as_ref()?;
-    let wanted = ask.wanted?;
+    let wanted = query.wanted?;
     let now = shared.clock.now();
-    let (homes, tried) = shared.with_core(|core| {
-        // What this process was told by an engine the home was not.
-        let closed = core.chooser.closed_endpoints(now, ask.service);
-        let tried = ask.tried.iter().chain(&closed);
+    let (coordinators, tried) = shared.with_core(|core| {
+        // What this process was told by an engine the coordinator was not.
+        let closed = core.chooser.closed_endpoints(now, query.service);
+        let tried = query.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
             .filter_map(|key| core.chooser.instance_key(*key))
             .collect();
         (core.chooser.coordinators(&wanted.model), tried)
     });
-    if homes.is_empty() {
+    if coordinators.is_empty() {
         return None;
     }
-    let parts = ask.parts.iter().take(MAX_PROMPT_PARTS);
-    let question = words::RoutingQuery {
+    let parts = query.parts.iter().take(MAX_PROMPT_PARTS);
+    let message = wire::RoutingQuery {
         id: 0,
         request,
-        service: ask.service.to_owned(),
+        service: query.service.to_owned(),
         model: wanted.model.clone(),
         adapter: wanted.adapter.clone(),
         parts: parts.map(|it| (it.id, it.tokens)).collect(),
-        prompt_tokens: ask.prompt_tokens,
+        prompt_tokens: query.prompt_tokens,
         tried,
-        left: ask.left,
-        patience: ask.patience,
-        on_time: ask.on_time,
-        may_be_late: ask.may_be_late,
+        left: query.left,
+        patience: query.patience,
+        on_time: query.on_time,
+        may_be_late: query.may_be_late,
     };
-    peers.ask(&homes, question)
+    peers.query_routing(&coordinators, message)
 }
 
 fn is_timeout(e: &io::Error) -> bool {
@@ -312,24 +326,24 @@
 }
 
 /// Tells the neighbours after a change at the engine of `pick`.
-pub(super) fn tell<D: dialect::Dialect>(shared: &state::Shared<D>, pick: &chooser::Pick) {
-    tell_with(shared, pick, |_, _| true);
+pub(super) fn report<D: dialect::Dialect>(shared: &state::Shared<D>, pick: &chooser::Pick) {
+    report_with(shared, pick, |_, _| true);
 }
 
 /// The same after the engine has read a prompt in `took`, with the beginning of it that others may share.
-pub(super) fn tell_read<D: dialect::Dialect>(
+pub(super) fn report_prefill<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
     read: chooser::Prefill<'_>,
     took: Millis,
     load: Option<dialect::Load>,
 ) {
-    tell_with(shared, pick, |word, has_homes| {
+    report_with(shared, pick, |observation, has_coordinators| {
         let short = |ms: Millis| u32::try_from(ms.0).unwrap_or(u32::MAX);
-        word.cached_prefix = words::PromptPrefix::of(read.wanted, read.parts);
-        word.running = load.map(|it| it.running);
-        word.ttft = has_homes.then(|| words::TtftSample {
-            model: words::name_key(&read.wanted.model),
+        observation.cached_prefix = wire::PromptPrefix::of(read.wanted, read.parts);
+        observation.running = load.map(|it| it.running);
+        observation.ttft = has_coordinators.then(|| wire::TtftSample {
+            model: wire::name_key(&read.wanted.model),
             took: short(took),
             estimated: short(pick.estimate),
         });
@@ -337,49 +351,49 @@
     });
 }
 
-/// Tells homes how a stream paused that has ended whole.
-pub(super) fn tell_pauses<D: dialect::Dialect>(
+/// Tells coordinators how a stream paused that has ended whole.
+pub(super) fn report_pauses<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    pauses: words::Pauses,
+    pauses: wire::Pauses,
 ) {
-    tell_with(shared, pick, |word, has_homes| {
-        word.pauses = Some(pauses);
-        has_homes
+    report_with(shared, pick, |observation, has_coordinators| {
+        observation.pauses = Some(pauses);
+        has_coordinators
     });
 }
 
-/// Tells the neighbours that a request has ended whose answer had not begun, and homes of the trouble, if
+/// Tells the neighbours that a request has ended whose answer had not begun, and coordinators of the trouble, if
 /// there was any.
-pub(super) fn tell_ended<D: dialect::Dialect>(
+pub(super) fn report_end<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
     began: bool,
-    trouble: Option<words::EngineFault>,
+    trouble: Option<wire::EngineFault>,
 ) {
-    tell_with(shared, pick, |word, has_homes| {
-        word.fault = trouble.filter(|_| has_homes);
-        !began || word.fault.is_some()
+    report_with(shared, pick, |observation, has_coordinators| {
+        observation.fault = trouble.filter(|_| has_coordinators);
+        !began || observation.fault.is_some()
     });
 }
 
-/// Tells what `complete` makes of the word on the engine of `pick`, given whether models have homes, unless it
+/// Tells what `complete` makes of the word on the engine of `pick`, given whether models have coordinators, unless it
 /// says that nobody is to be told.
-fn tell_with<D: dialect::Dialect>(
+fn report_with<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    complete: impl FnOnce(&mut words::EngineObservation, bool) -> bool,
+    complete: impl FnOnce(&mut wire::EngineObservation, bool) -> bool,
 ) {
     let Some(peers) = shared.entry_peers.as_ref().filter(|_| pick.prefill_us > 0) else {
         return;
     };
-    let (word, has_homes) = shared.with_core(|core| {
+    let (observation, has_coordinators) = shared.with_core(|core| {
         let chooser = &core.chooser;
         (chooser.observation_of(pick), chooser.uses_coordinators())
     });
-    if let Some((mut word, group)) = word
-        && complete(&mut word, has_homes)
+    if let Some((mut observation, group)) = observation
+        && complete(&mut observation, has_coordinators)
     {
-        peers.tell(word, &group);
+        peers.broadcast(observation, &group);
     }
 }
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -189,7 +189,7 @@
         for (service, left) in left {
             self.gauges.repeats.set_for("service", &service, left);
         }
-        for (workspace, left) in allowances::pots(shared)
+        for (workspace, left) in allowances::quotas_left(shared)
             .into_iter()
             .take(MAX_NAMED_WORKSPACES)
         {
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -3,7 +3,7 @@
 
 use std::time as std_time;
 
-use sageshed_fleet::{chooser, config, dialect, entry_peers as words};
+use sageshed_fleet::{chooser, config, dialect, entry_peers as wire};
 use sageshed_http::reply;
 use sageshed_types::{headers, time, verdict};
 use sageshed_upstream::{exchange, failure};
@@ -42,7 +42,7 @@
         watch: &reply::Watch,
     ) -> AttemptResult<'c> {
         let sent_at = std_time::Instant::now();
-        entry_peers::tell(self.shared, pick);
+        entry_peers::report(self.shared, pick);
         self.count_send(pick);
         self.commit_charge();
         let waited = self.req.received.elapsed();
@@ -262,8 +262,8 @@
             }
         });
         match read {
-            Some(read) => entry_peers::tell_read(self.shared, pick, read, took, load),
-            None => entry_peers::tell(self.shared, pick),
+            Some(read) => entry_peers::report_prefill(self.shared, pick, read, took, load),
+            None => entry_peers::report(self.shared, pick),
         }
         self.shared.wake_waiting();
     }
@@ -277,21 +277,21 @@
         let now = self.shared.clock.now();
         self.shared
             .with_core(|core| core.chooser.record_end(now, pick, self.wanted, began, how));
-        entry_peers::tell_ended(self.shared, pick, began, self.fault_to_report(how));
+        entry_peers::report_end(self.shared, pick, began, self.fault_to_report(how));
         self.shared.wake_waiting();
     }
 
     /// The fault of the engine that entry peers are told of after an attempt that ended `how`.
-    fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<words::EngineFault> {
-        let model = self.wanted.map(|it| words::name_key(&it.model))?;
+    fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
+        let model = self.wanted.map(|it| wire::name_key(&it.model))?;
         match how {
             chooser::AttemptOutcome::Answered | chooser::AttemptOutcome::GivenUp => None,
-            chooser::AttemptOutcome::Refused => Some(words::EngineFault::Rejects(model)),
+            chooser::AttemptOutcome::Refused => Some(wire::EngineFault::Rejects(model)),
             chooser::AttemptOutcome::Misdirected if self.is_adapter() => None,
-            chooser::AttemptOutcome::Misdirected => Some(words::EngineFault::Lacks(model)),
-            chooser::AttemptOutcome::Failed => Some(words::EngineFault::Fails),
-            chooser::AttemptOutcome::Unreachable => Some(words::EngineFault::Unreachable),
-            chooser::AttemptOutcome::Silent => Some(words::EngineFault::Silent),
+            chooser::AttemptOutcome::Misdirected => Some(wire::EngineFault::Lacks(model)),
+            chooser::AttemptOutcome::Failed => Some(wire::EngineFault::Fails),
+            chooser::AttemptOutcome::Unreachable => Some(wire::EngineFault::Unreachable),
+            chooser::AttemptOutcome::Silent => Some(wire::EngineFault::Silent),
         }
     }
 
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -51,7 +51,7 @@
             rank: self.priority(),
             reported: Some(named),
         };
-        let span = match allowances::ask(self.shared, draw) {
+        let span = match allowances::acquire(self.shared, draw) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
             allowance::Next::Unreachable => UNKNOWN_LIMIT_PAUSE,
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -16,9 +16,9 @@
     core: &mut state::Core,
     now: time::Instant,
     ask: &chooser::EndpointQuery<'_>,
-    place: Option<entry_peers::RoutingDecision>,
+    decision: Option<entry_peers::RoutingDecision>,
 ) -> chooser::Choice {
-    let advised = match place {
+    let advised = match decision {
         Some(entry_peers::RoutingDecision::Engine {
             engine, estimate, ..
         }) => core.chooser.follow_decision(now, engine, estimate, ask),
@@ -41,20 +41,20 @@
             return Some(entry_peers::RoutingDecision::Wait { expected: None });
         }
         let request = entry_peers::name_key(self.id());
-        let place = gateway::entry_peers::ask(self.shared, request, ask);
-        *queried_at = place.map(|_| std_time::Instant::now());
-        place
+        let decision = gateway::entry_peers::query_coordinator(self.shared, request, ask);
+        *queried_at = decision.map(|_| std_time::Instant::now());
+        decision
     }
 
     /// Counts the request in the demand reported to the leader, once.
-    pub(super) fn count_demand(&self, place: Option<entry_peers::RoutingDecision>) {
+    pub(super) fn count_demand(&self, decision: Option<entry_peers::RoutingDecision>) {
         let Some(wanted) = self
             .wanted
             .filter(|_| !self.is_demand_counted.replace(true))
         else {
             return;
         };
-        let kept = match place {
+        let kept = match decision {
             Some(entry_peers::RoutingDecision::Engine { cached_tokens, .. }) => Some(cached_tokens),
             _ => None,
         };
@@ -66,10 +66,10 @@
     /// entry process.
     pub(super) fn refuse_by_coordinator(
         &self,
-        place: Option<entry_peers::RoutingDecision>,
+        decision: Option<entry_peers::RoutingDecision>,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let Some(entry_peers::RoutingDecision::Wait { expected }) = place else {
+        let Some(entry_peers::RoutingDecision::Wait { expected }) = decision else {
             return None;
         };
         let expected = expected.unwrap_or_default();
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -53,7 +53,7 @@
             rank: self.route.priority,
             reported: None,
         };
-        match allowances::ask(self.shared, draw) {
+        match allowances::acquire(self.shared, draw) {
             allowance::Next::Over(after) => {
                 let detail = format!(
                     "the quota of workspace {} is used up; this request takes {units} of it",
@@ -104,7 +104,7 @@
         let charge = self.next_charge.take();
         let charge = charge.filter(|it| it.at.elapsed() < REFUND_WINDOW);
         if let Some(Charge { of, units, .. }) = charge {
-            allowances::give_back(self.shared, of, units);
+            allowances::release(self.shared, of, units);
         }
     }
 }
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -142,6 +142,6 @@
         };
         self.shared
             .with_core(|core| core.chooser.record_pauses(now, pick, pauses));
-        entry_peers::tell_pauses(self.shared, pick, pauses);
+        entry_peers::report_pauses(self.shared, pick, pauses);
     }
 }
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -93,8 +93,8 @@
                 may_fetch: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
             let queued_here = self.queued_request(now);
-            let place = self.query_coordinator(&ask, &mut queried_at);
-            self.count_demand(place);
+            let decision = self.query_coordinator(&ask, &mut queried_at);
+            self.count_demand(decision);
             let (choice, seen) = self.shared.with_core(|core| {
                 let is_preceded = queued_here.as_ref().is_some_and(|it| {
                     let model = self.model_name();
@@ -103,7 +103,7 @@
                 let choice = if is_preceded {
                     chooser::Choice::Wait(chooser::WaitReason::Place)
                 } else {
-                    coordinator::decide(core, now, &ask, place)
+                    coordinator::decide(core, now, &ask, decision)
                 };
                 (choice, core.changes())
             });
@@ -146,7 +146,7 @@
                 let queued = queued_here.filter(|_| missing == chooser::WaitReason::Place);
                 let refusal = self
                     .refuse_closed_endpoints(missing, left)
-                    .or_else(|| self.refuse_by_coordinator(place, left))
+                    .or_else(|| self.refuse_by_coordinator(decision, left))
                     .or_else(|| self.refuse_by_local_queue(now, queued?, left, ticket));
                 if let Some(refusal) = refusal {
                     return NextStep::Refuse(refusal);
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -95,7 +95,7 @@
             return;
         }
         let count = routing.table.len();
-        let terms = allowances::terms(&routing.config);
+        let terms = allowances::limits(&routing.config);
         self.with_core(|core| core.allowances.set_limits(terms));
         *current = Some(routing);
         drop(current);
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -7,7 +7,7 @@
 };
 
 use sageshed_fleet::{
-    allowance, backlog, budget, chooser, demand_counter, dialect, directory, entry_peers as words,
+    allowance, backlog, budget, chooser, demand_counter, dialect, directory, entry_peers as wire,
     messages, quarantine,
 };
 use sageshed_types::{document, time};
@@ -236,7 +236,7 @@
     }
 
     /// Applies the observation of an entry peer, and wakes waiting requests if an engine has room by it.
-    pub fn hear(&self, from: net::Ipv4Addr, word: &words::EngineObservation) {
+    pub fn apply_observation(&self, from: net::Ipv4Addr, word: &wire::EngineObservation) {
         let now = self.clock.now();
         let has_room = self.with_core(|core| core.chooser.apply_observation(now, from, word));
         if has_room && self.waiting.load(atomic::Ordering::Relaxed) > 0 {
