--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -318,16 +318,16 @@
             messages::Watcher::Control => (usize::MAX, usize::MAX),
         };
         let portion = passing.map(|it| inner.directory.changes_after(req.mark, it, most));
-        let told = portion.map_or_else(
+        let update = portion.map_or_else(
             // Without records the position of the watcher does not advance.
             || DirectoryUpdate::nothing(req.mark),
             |it| inner.encode_portion(now, req, it, most_bytes),
         );
         Updates {
-            mark: told.mark,
-            records: told.records,
-            alive: told.alive,
-            has_more: told.has_more,
+            mark: update.mark,
+            records: update.records,
+            alive: update.alive,
+            has_more: update.has_more,
             digest: inner.directory.digest(),
             digest_mark: inner.directory.cursor(),
             news_mark: inner.directory.update_cursor(),
@@ -466,28 +466,28 @@
         portion: directory::ChangeBatch,
         most_bytes: usize,
     ) -> DirectoryUpdate {
-        let mut told = DirectoryUpdate::nothing(portion.cursor);
-        told.has_more = !portion.is_last;
+        let mut update = DirectoryUpdate::nothing(portion.cursor);
+        update.has_more = !portion.is_last;
         let mut bytes = 0;
         let mut last = None;
         for change in portion.changes {
             let alive = self.directory.alive(now, &change.id, req.mark);
             if let Some(alive) = alive.filter(|_| req.takes_alive) {
                 last = Some(change.number);
-                told.alive.push(alive);
+                update.alive.push(alive);
                 continue;
             }
             let record = self.encode_record(now, &change);
             bytes += record.as_ref().map_or(0, |it| it.0.len());
             if let Some(number) = last.filter(|_| bytes > most_bytes) {
-                told.mark.change = number;
-                told.has_more = true;
+                update.mark.change = number;
+                update.has_more = true;
                 break;
             }
             last = Some(change.number);
-            told.records.extend(record);
+            update.records.extend(record);
         }
-        told
+        update
     }
 
     /// Returns the encoded record of a change, encoded once for all watchers.
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -1,4 +1,4 @@
-//! Allowances that all entry processes spend together: asking their homes, and being one.
+//! Allowances that all entry processes share: acquiring units from their coordinators, and acting as one.
 
 use std::{collections, net, sync, thread, time};
 
@@ -6,13 +6,13 @@
 
 use super::state;
 
-/// Between two looks at the buckets of this process: a part of [`allowance::COLLECT_INTERVAL`].
+/// The interval between two refills of the buckets of this process: a fraction of [`allowance::COLLECT_INTERVAL`].
 const REFILL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// The same where the configuration has no allowance.
+/// The interval between two checks for buckets while there are none.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// The allowances of a configuration.
+/// The quotas of the workspaces of a configuration, as rate limits.
 pub(super) fn limits(config: &config::FleetConfig) -> Vec<(allowance::Key, allowance::RateLimit)> {
     let workspaces = config.workspaces.iter().flat_map(|it| &it.all);
     let quota = |workspace: &config::Workspace| {
@@ -26,7 +26,7 @@
     workspaces.filter_map(quota).collect()
 }
 
-/// What is left of the quotas that this process keeps, by workspace.
+/// The units left of the quotas that this process coordinates, by workspace.
 pub(super) fn quotas_left<D: dialect::Dialect>(shared: &state::Shared<D>) -> Vec<(String, f64)> {
     let Some(routing) = shared.routing() else {
         return Vec::new();
@@ -44,7 +44,8 @@
     left.collect()
 }
 
-/// Asks the homes of an allowance for units. Returns how it ended.
+/// Acquires units of an allowance from its coordinators. Returns the final step: granted, over the limit or no
+/// coordinator reachable.
 pub(super) fn acquire<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     request: allowance::AcquireRequest,
@@ -72,7 +73,7 @@
 ) -> allowance::Next {
     let (next, lost) = acquisition.timed_out();
     if let Some(coordinator) = lost {
-        ::log::debug!(home:% = coordinator; "gateway: coordinator of an allowance does not answer");
+        ::log::debug!(home:% = coordinator; "gateway: coordinator of an allowance does not reply");
         let now = shared.clock.now();
         shared.with_core(|core| core.allowances.mark_unresponsive(now, coordinator));
     }
@@ -91,7 +92,7 @@
     shared.entry_peers.as_ref()?.acquire(coordinator, request)
 }
 
-/// Answers as the coordinator of an allowance.
+/// Serves a request for units as the coordinator of the allowance.
 pub(super) fn serve_acquire<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
@@ -105,7 +106,7 @@
     reply.reply
 }
 
-/// Gives units back that were taken and not used. A lost word costs them.
+/// Returns unused units to the coordinator. They are lost if the datagram is lost.
 pub(super) fn release<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     of: allowance::Key,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Starts the thread that fills the buckets of which this process is the coordinator.
+/// Starts the thread that refills the buckets that this process coordinates.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let refilled = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
@@ -158,6 +159,6 @@
             }
         });
     if let Err(e) = spawned {
-        ::log::error!(error:% = e; "gateway: no thread for allowances");
+        ::log::error!(error:% = e; "gateway: cannot start the thread for allowances");
     }
 }
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between entry processes: what each has sent to an engine that is not read yet, and where a
-//! request is to go.
+//! Exchanges UDP datagrams with the other entry processes: observations of engines, such as the prefill that each has
+//! pending there, routing queries to the coordinators of models, and units of shared allowances.
 
 use std::{
     collections, io, net,
@@ -13,41 +13,41 @@
 use super::{allowances, state};
 use crate::{locks, sampler};
 
-/// The largest datagram that is read, in bytes. A question with a prompt of eight parts has some 300.
+/// The largest datagram that is received. A routing query with a prompt of eight parts takes about 300 bytes.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// Parts of a prompt that a question names. What comes behind counts as not kept.
+/// The most parts of a prompt that a routing query contains. Later parts count as not cached.
 const MAX_PROMPT_PARTS: usize = 8;
 
-/// How long an answer is waited for: several times the way there and back between availability zones, and
-/// short beside the time in which an answer is to begin.
+/// The timeout for a reply: several round trips between availability zones, and short compared to the latency
+/// targets of routes.
 const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(25);
 
-/// How long a coordinator that did not answer is passed over.
+/// How long a coordinator that did not reply is skipped.
 const UNRESPONSIVE_PERIOD: time::Duration = time::Duration::from_secs(1);
 
-/// How often the thread that listens looks whether the process stops.
+/// The interval at which the receiving thread checks whether the process stops.
 const STOP_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Who waits for which answer.
+/// The threads that wait for replies, by the ids of their requests.
 type PendingReplies<T> = sync::Mutex<collections::HashMap<u64, mpsc::SyncSender<T>>>;
 
-/// The socket for datagrams.
+/// The socket for datagrams, and the requests that wait for replies.
 #[derive(Debug)]
 pub struct EntryPeers {
     socket: net::UdpSocket,
     port: u16,
-    /// Questions that wait for their answers, by their ids.
+    /// The routing queries that wait for replies.
     pending_routing: PendingReplies<wire::RoutingDecision>,
-    /// The same of questions for units of allowances.
+    /// The requests for units of allowances that wait for replies.
     pending_acquires: PendingReplies<allowance::AcquireReply>,
     next_id: atomic::AtomicU64,
-    /// Homes that did not answer, and when.
+    /// The coordinators that did not reply, and when.
     unresponsive: sync::Mutex<collections::HashMap<net::Ipv4Addr, time::Instant>>,
 }
 
 impl EntryPeers {
-    /// Opens the socket at `ip`, on the port that the system's processes use among themselves.
+    /// Opens the socket on `ip` and `port`, which all VMs of the system use for their own traffic.
     pub fn open(ip: net::Ipv4Addr, port: u16) -> io::Result<Self> {
         let socket = net::UdpSocket::bind((ip, port))?;
         socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
@@ -61,8 +61,8 @@
         })
     }
 
-    /// Tells `group` what this process has at an engine. A datagram may be lost; the next one says the same
-    /// anew, and old words are forgotten.
+    /// Sends an observation of an engine to `group`. A datagram may be lost: the next one has the full state again, and
+    /// old observations expire.
     pub fn broadcast(&self, observation: wire::EngineObservation, group: &[net::Ipv4Addr]) {
         self.send(&wire::Datagram::Observation(observation), group);
     }
@@ -70,16 +70,16 @@
     fn send(&self, datagram: &wire::Datagram, to: &[net::Ipv4Addr]) {
         let bytes = match sageshed_vms::encode(datagram) {
             Ok(bytes) => bytes,
-            Err(e) => return ::log::error!(error:% = e; "gateway: neighbours are not told"),
+            Err(e) => return ::log::error!(error:% = e; "gateway: cannot encode a datagram"),
         };
         for ip in to {
             if let Err(e) = self.socket.send_to(&bytes, (*ip, self.port)) {
-                ::log::debug!(neighbour:% = ip, error:% = e; "gateway: neighbour is not told");
+                ::log::debug!(neighbour:% = ip, error:% = e; "gateway: cannot send a datagram");
             }
         }
     }
 
-    /// Asks the first of `coordinators` that is not unresponsive where a request is to go. None where no answer comes.
+    /// Asks the first responsive one of `coordinators` where to send a request. None if it does not reply.
     pub fn query_routing(
         &self,
         coordinators: &[net::Ipv4Addr],
@@ -96,12 +96,12 @@
         );
         if decision.is_none() {
             locks::lock(&self.unresponsive).insert(coordinator, time::Instant::now());
-            ::log::debug!(home:% = coordinator; "gateway: coordinator of a model does not answer");
+            ::log::debug!(home:% = coordinator; "gateway: coordinator of a model does not reply");
         }
         decision
     }
 
-    /// Asks `coordinator` for units of an allowance. None where no answer comes.
+    /// Asks `coordinator` for units of an allowance. None if it does not reply.
     pub fn acquire(
         &self,
         coordinator: net::Ipv4Addr,
@@ -115,12 +115,12 @@
         )
     }
 
-    /// Gives units back to `coordinator`, and waits for no answer.
+    /// Returns unused units to `coordinator`, without waiting for a reply.
     pub fn release(&self, coordinator: net::Ipv4Addr, request: allowance::AcquireRequest) {
         self.send(&wire::Datagram::Acquire(request), &[coordinator]);
     }
 
-    /// Draws what producers of allowances have.
+    /// Asks the producers of allowances for the units that they have accumulated.
     pub fn collect(&self, requests: Vec<(allowance::CollectRequest, Vec<net::Ipv4Addr>)>) {
         for (request, producers) in requests {
             self.send(&wire::Datagram::Collect(request), &producers);
@@ -155,7 +155,7 @@
         let waiting = locks::lock(pending).remove(&id);
         let is_late = waiting.is_none_or(|tx| tx.try_send(reply).is_err());
         if is_late {
-            ::log::debug!(question = id; "gateway: answer of a neighbour came too late");
+            ::log::debug!(question = id; "gateway: reply of an entry peer came too late");
         }
     }
 
@@ -167,7 +167,7 @@
                 Ok(_) => {}
                 Err(e) if is_timeout(&e) => {}
                 Err(e) => {
-                    ::log::warn!(error:% = e; "gateway: no datagram could be read");
+                    ::log::warn!(error:% = e; "gateway: cannot receive datagrams");
                     thread::sleep(STOP_CHECK_INTERVAL);
                 }
             }
@@ -211,16 +211,16 @@
             shared.with_core(|core| core.allowances.add_collected(now, *from.ip(), &reply));
         }
         Err(e) => {
-            // Anybody can send datagrams without end.
+            // Anyone can send datagrams to the port, so the log is limited.
             if shared.misread.line(shared.clock.now()) != sampler::Line::LeaveOut {
                 let misread = shared.misread.total();
-                ::log::warn!(from:% = from, error:% = e, misread; "gateway: datagram not read");
+                ::log::warn!(from:% = from, error:% = e, misread; "gateway: cannot decode a datagram");
             }
         }
     }
 }
 
-/// Says where a request of `from` is to go.
+/// Decides, as coordinator of its model, where the entry process `from` sends a request.
 fn answer_query<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     from: net::Ipv4Addr,
@@ -264,7 +264,8 @@
     }
 }
 
-/// Asks the coordinator of the request's model, where it has one.
+/// Asks the coordinator of the request's model where to send the request. None if the model has no coordinator or it
+/// does not reply.
 pub(super) fn query_coordinator<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     request: u64,
@@ -274,7 +275,7 @@
     let wanted = query.wanted?;
     let now = shared.clock.now();
     let (coordinators, tried) = shared.with_core(|core| {
-        // What this process was told by an engine the coordinator was not.
+        // The coordinator does not know which engines have closed themselves for this process.
         let closed = core.chooser.closed_endpoints(now, query.service);
         let tried = query.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
@@ -310,7 +311,7 @@
     )
 }
 
-/// Starts the thread that hears the peers.
+/// Starts the thread that receives datagrams.
 pub(super) fn start<D: dialect::Dialect>(shared: &sync::Arc<state::Shared<D>>) {
     let listening = sync::Arc::clone(shared);
     let spawned = thread::Builder::new()
@@ -321,16 +322,17 @@
             }
         });
     if let Err(e) = spawned {
-        ::log::error!(error:% = e; "gateway: no thread for neighbours");
+        ::log::error!(error:% = e; "gateway: cannot start the thread for entry peers");
     }
 }
 
-/// Tells the neighbours after a change at the engine of `pick`.
+/// Reports the state of the engine of `pick` after a change by this process.
 pub(super) fn report<D: dialect::Dialect>(shared: &state::Shared<D>, pick: &chooser::Pick) {
     report_with(shared, pick, |_, _| true);
 }
 
-/// The same after the engine has read a prompt in `took`, with the beginning of it that others may share.
+/// Reports the state of the engine of `pick` after the prefill of a prompt, which took `took`, with the prefix of the
+/// prompt that is cached now.
 pub(super) fn report_prefill<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
@@ -351,7 +353,7 @@
     });
 }
 
-/// Tells coordinators how a stream paused that has ended whole.
+/// Reports the pauses of a complete stream, if models have coordinators.
 pub(super) fn report_pauses<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
@@ -363,22 +365,22 @@
     });
 }
 
-/// Tells the neighbours that a request has ended whose answer had not begun, and coordinators of the trouble, if
-/// there was any.
+/// Reports the end of an attempt: its fault, if any, if models have coordinators, and that its prefill is no longer
+/// pending, if its response had not started.
 pub(super) fn report_end<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
     began: bool,
-    trouble: Option<wire::EngineFault>,
+    fault: Option<wire::EngineFault>,
 ) {
     report_with(shared, pick, |observation, has_coordinators| {
-        observation.fault = trouble.filter(|_| has_coordinators);
+        observation.fault = fault.filter(|_| has_coordinators);
         !began || observation.fault.is_some()
     });
 }
 
-/// Tells what `complete` makes of the word on the engine of `pick`, given whether models have coordinators, unless it
-/// says that nobody is to be told.
+/// Reports the state of the engine of `pick` to the entry peers. `complete` is passed the observation and whether
+/// models have coordinators; nothing is sent if it returns false.
 fn report_with<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -80,16 +80,16 @@
 }
 
 fn run<D: dialect::Dialect>(shared: &state::Shared<D>) {
-    let config_fetcher = &shared.config_fetcher;
+    let fetcher = &shared.config_fetcher;
     while !shared.is_stopping() {
         let held = locks::lock(&shared.document).version;
         let next = {
-            let mut inner = locks::lock(&config_fetcher.inner);
+            let mut inner = locks::lock(&fetcher.inner);
             let near = inner.preferred;
             inner.incoming.next(held, near)
         };
         match next {
-            transfer::NextStep::Wait => wait_for_newer(config_fetcher, held),
+            transfer::NextStep::Wait => wait_for_newer(fetcher, held),
             transfer::NextStep::Ask {
                 to,
                 transfer,
@@ -109,9 +109,9 @@
 }
 
 /// Waits until a newer version than `held` is announced, for [`STOP_CHECK_INTERVAL`] at most.
-fn wait_for_newer(config_fetcher: &ConfigFetcher, held: u64) {
-    let inner = locks::lock(&config_fetcher.inner);
-    let (_inner, _timeout) = config_fetcher
+fn wait_for_newer(fetcher: &ConfigFetcher, held: u64) {
+    let inner = locks::lock(&fetcher.inner);
+    let (_inner, _timeout) = fetcher
         .changed
         .wait_timeout_while(inner, STOP_CHECK_INTERVAL, |it| {
             it.incoming.newest() <= held
@@ -124,7 +124,7 @@
     to: net::Ipv4Addr,
     req: &messages::ConfigReq,
 ) {
-    let config_fetcher = &shared.config_fetcher;
+    let fetcher = &shared.config_fetcher;
     let address = net::SocketAddrV4::new(to, shared.settings.discovery.vms_port).to_string();
     let path = messages::paths::CONFIG;
     let begun = shared.clock.now();
@@ -135,25 +135,22 @@
         Err(e) => {
             ::log::warn!(control:% = to, offset = req.offset, error:% = e;
                 "gateway: cannot fetch a chunk of the configuration");
-            locks::lock(&config_fetcher.inner).incoming.mark_failed(to);
+            locks::lock(&fetcher.inner).incoming.mark_failed(to);
             return thread::sleep(RETRY_INTERVAL);
         }
     };
     let Some(chunk) = chunk else {
-        return locks::lock(&config_fetcher.inner)
-            .incoming
-            .has_nothing_newer(to);
+        return locks::lock(&fetcher.inner).incoming.has_nothing_newer(to);
     };
     let took = shared.clock.now().since(begun);
-    let taken = locks::lock(&config_fetcher.inner)
-        .incoming
-        .take(&chunk, took);
+    let taken = locks::lock(&fetcher.inner).incoming.take(&chunk, took);
     match taken {
         Ok(transfer::ChunkOutcome::More) => {}
         Ok(transfer::ChunkOutcome::Whole(payload)) => apply_payload(shared, &payload),
         Err(e) => {
-            ::log::warn!(control:% = to, error:% = e; "gateway: unusable chunk, restarting the fetch of the configuration");
-            locks::lock(&config_fetcher.inner).incoming.mark_failed(to);
+            ::log::warn!(control:% = to, error:% = e;
+                "gateway: unusable chunk, restarting the fetch of the configuration");
+            locks::lock(&fetcher.inner).incoming.mark_failed(to);
             thread::sleep(RETRY_INTERVAL);
         }
     }
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -281,7 +281,7 @@
         self.shared.wake_waiting();
     }
 
-    /// The fault of the engine that entry peers are told of after an attempt that ended `how`.
+    /// The fault of the engine that is reported to entry peers after an attempt that ended `how`.
     fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
         let model = self.wanted.map(|it| wire::name_key(&it.model))?;
         match how {
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -71,10 +71,12 @@
     ) -> reply::Sent {
         self.refund_charge();
         ::log::info!(request = self.id(), content:% = self.content, route = self.route.name.as_str(),
-            workspace = self.workspace_name(), config = self.shared.version(), model = self.model_name(), status = refusal.status,
+            workspace = self.workspace_name(), config = self.shared.version(),
+            model = self.model_name(), status = refusal.status,
             reason:% = refusal.reason, detail = refusal.detail.as_str(), verdict:% = refusal.verdict,
             waited_for = self.waited_for_value(), arrivals = self.deliveries,
-            repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0; "gateway: request refused");
+            repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0;
+            "gateway: request refused");
         self.record_end(metrics::End::Refused, refusal.status);
         self.keep_account(account::End::Refused(refusal.clone()));
         sink.refuse("", refusal)
@@ -122,7 +124,8 @@
             workspace = self.workspace_name(), status, config = self.shared.version(), endpoint:% = pick.instance,
             model = self.model_name(), tokens = pick.uncached_tokens, estimate_ms = pick.estimate.0,
             waited_for = self.waited_for_value(), objective_ms = self.route.latency_target.0,
-            pause_limit_ms = self.route.max_event_gap.map_or(0, |it| it.0), runs = self.possible_runs, sent_ms = time::Millis::from(sent).0,
+            pause_limit_ms = self.route.max_event_gap.map_or(0, |it| it.0), runs = self.possible_runs,
+            sent_ms = time::Millis::from(sent).0,
             first_ms = time::Millis::from(self.timings.first_event).0,
             pause_ms = time::Millis::from(self.timings.longest_pause).0,
             took_ms = time::Millis::from(took).0; "gateway: request answered");
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -236,9 +236,10 @@
     }
 
     /// Applies the observation of an entry peer, and wakes waiting requests if an engine has room by it.
-    pub fn apply_observation(&self, from: net::Ipv4Addr, word: &wire::EngineObservation) {
+    pub fn apply_observation(&self, from: net::Ipv4Addr, observation: &wire::EngineObservation) {
         let now = self.clock.now();
-        let has_room = self.with_core(|core| core.chooser.apply_observation(now, from, word));
+        let has_room =
+            self.with_core(|core| core.chooser.apply_observation(now, from, observation));
         if has_room && self.waiting.load(atomic::Ordering::Relaxed) > 0 {
             self.wake_waiting();
         }
