--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -1,38 +1,43 @@
-//! The planner: what to load and unload next.
+//! The planner: decides which models to load and unload next.
 //!
-//! # The order of concerns
+//! A *route* of a model is an engine on which requests for it can be served. A *replica* is a copy of
+//! a model on an engine. A *spare* replica is one that can be evicted while the model keeps a route.
 //!
-//! 1. [`reach`]: each model and adapter gets a route, critical ones first, bases before adapters,
-//!    large families first. If there is no room, spare copies make way; if there are none, a copy
-//!    that is the only one of its model is first made anew elsewhere.
-//! 2. [`versions`]: outdated copies are replaced one by one, each with another route up meanwhile.
-//! 3. [`capacity`]: copies by demand. Then what is left of free memory is used to have each model in
-//!    two availability zones, unless a plan has something better to do: copies made for spread
-//!    while demand displaces others are the next to be displaced.
+//! # Priorities
 //!
-//! Each plan is made afresh from the ledger and the demand, and only as far as the store's budget
-//! goes: what could not begin now is not worth deciding now. So one plan costs one pass over the
-//! engines and their contents plus a scan of the engines for each load that begins, whether the
-//! cluster is empty or settled. The state between plans is in the ledger: a copy made elsewhere to
-//! free an engine is found there as a spare copy by the next plan.
+//! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, base models before
+//!    adapters, large families first. If there is no room, spare replicas are evicted. If there are
+//!    none, the only replica of another model is first duplicated on another engine.
+//! 2. [`versions`]: outdated replicas are replaced one by one, while another route serves.
+//! 3. [`capacity`]: replicas are added by demand. If a plan has nothing else to do, the remaining
+//!    memory is used to place each model in two availability zones. This comes last, since replicas
+//!    added for redundancy while demand causes evictions would be the next to be evicted.
 //!
-//! # What a copy is worth
+//! Each plan is made from scratch from the ledger and the demand, and only as far as the budget of
+//! the weight store allows, since a load that can't start now needs no decision now. The cost of a
+//! plan is one pass over the engines and their models plus one scan of the engines for each load that
+//! starts, whether the cluster is empty or stable. All state between plans is in the ledger: a
+//! replica that was loaded elsewhere to free an engine makes the original one a spare for the next
+//! plan.
 //!
-//! Demand for a model is spread evenly over its copies. An engine serves what it is asked for up to
-//! [`TARGET_BUSY`] of its slots in time. The gain of a copy is the rise of that sum over the
-//! engines concerned, in completions until the policy's horizon less the time to load; the loss of
-//! an eviction is its fall. A load begins if the gain exceeds the loss, raised by the hysteresis,
-//! by `move_cost` for each load and each eviction.
+//! # The value of a replica
 //!
-//! # What was ruled out
+//! Demand for a model is assumed to be spread evenly over its replicas. An engine completes requests
+//! in time up to a load of [`TARGET_BUSY`] of its slots. The gain of a replica is the increase of
+//! requests completed in time on all affected engines, from the end of the load to the policy's
+//! horizon; the loss of an eviction is the corresponding decrease. A load starts if its gain exceeds
+//! the loss, increased by the hysteresis, by at least `move_cost` for each load and eviction.
 //!
-//! An exact assignment (flow or integer program) over all engines: demand is stale by seconds, the
-//! store begins one load a second, and an optimum far from the present layout can't be reached.
+//! # Rejected alternatives
+//!
+//! An exact assignment of models to all engines (network flow or integer programming): demand
+//! figures are seconds old, the store starts one load per second, and an optimum far from the current
+//! placement can't be reached.
 
 pub mod baselines;
 pub mod capacity;
+pub mod first_routes;
 pub mod moves;
-pub mod reach;
 pub mod room;
 pub mod versions;
 
@@ -41,136 +46,136 @@
     endpoints, time,
 };
 
-use crate::{budget, demand, efforts, engine::Engine, ledger, orders::Task, policy};
+use crate::{budget, demand, engine::Engine, ledger, move_limits, orders::Task, policy};
 
-/// The share of its slots up to which an engine completes requests in time.
+/// The share of busy slots up to which an engine is assumed to complete requests in time.
 pub const TARGET_BUSY: f64 = 0.8;
 
-/// A task proposed, and why.
+/// A proposed task with the reason for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
     /// The engine.
     pub endpoint: EndpointKey,
     /// The model.
     pub model: ModelKey,
-    /// The task with its names.
+    /// The name of the endpoint, its incarnation, and the task with names instead of keys.
     pub named: (String, endpoints::Incarnation, endpoints::Task),
-    /// Why.
+    /// The reason, shown to operators.
     pub reason: &'static str,
 }
 
-/// Why nothing can be done for a model.
+/// The reason why a model can't be placed as it should be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Problem {
     /// The model.
     pub model: ModelKey,
-    /// A short sentence.
+    /// The reason, shown to operators.
     pub reason: &'static str,
 }
 
-/// What came of an attempt to do something for a model.
+/// The result of an attempt to do something for a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
     /// A task was proposed.
-    Begun,
-    /// Something is under way that may serve the purpose.
+    Started,
+    /// A task in progress may serve the purpose, or the attempt is postponed to a later plan.
     Waiting,
     /// Not possible now.
     Impossible,
 }
 
-/// What a plan is made from.
+/// The inputs of a plan.
 #[derive(Debug)]
-pub struct Sources<'a> {
-    /// The time.
+pub struct Inputs<'a> {
+    /// The current time.
     pub now: time::Instant,
-    /// The ledger; proposals are counted in it at once.
+    /// The ledger, in which proposals are recorded immediately.
     pub ledger: &'a mut ledger::Ledger,
-    /// What is asked for.
+    /// The estimated demand for each model.
     pub demand: &'a demand::Estimator,
-    /// The store's budget.
+    /// The budget of loads from the weight store.
     pub budget: &'a mut budget::Budget,
-    /// What was done for models without a route.
-    pub efforts: &'a mut efforts::Efforts,
-    /// How to decide.
+    /// The limits on moves for models without a route.
+    pub move_limits: &'a mut move_limits::MoveLimits,
+    /// The settings of placement.
     pub policy: &'a policy::Policy,
-    /// The operators' pins.
+    /// The operators' pins, as pairs of model and engine.
     pub pins: &'a [(ModelKey, EndpointKey)],
-    /// The models on offer in the order of [`reach::ranking`].
+    /// The models of the catalog in the order of [`first_routes::ranking`].
     pub ranking: &'a [ModelKey],
 }
 
-/// One plan in the making.
+/// A plan that is being made.
 #[derive(Debug)]
 pub struct Planner<'a> {
-    src: Sources<'a>,
-    /// By model: the engines that are routes.
+    inputs: Inputs<'a>,
+    /// For each model, the engines that are routes.
     routes: Vec<Vec<EndpointKey>>,
-    /// By model: the engines where a load is under way.
-    coming: Vec<Vec<EndpointKey>>,
-    /// By engine: slots that the demand keeps busy.
-    busy: Vec<f64>,
-    /// By engine: whether an order may be issued.
-    open: Vec<bool>,
-    /// By engine: memory being freed that a model waits for, in MiB.
-    claimed: Vec<u64>,
-    /// No copies are to be moved for the model in hand: too much was moved for it in vain.
-    resting: bool,
-    /// How often copies have been moved for a model without a route.
-    cleared: usize,
-    /// Attempts left at moving models out of the way.
+    /// For each model, the engines on which it is being loaded.
+    loading_on: Vec<Vec<EndpointKey>>,
+    /// For each engine, the number of slots that demand is expected to keep busy.
+    busy_slots: Vec<f64>,
+    /// For each engine, whether an order may be issued to it.
+    accepts_orders: Vec<bool>,
+    /// For each engine, the memory being freed that is already intended for a model, in MiB.
+    awaited_mib: Vec<u64>,
+    /// Whether no replicas may be moved for the current model, since too many moves were in vain.
+    moves_paused: bool,
+    /// The number of evictions and moves that this plan has started.
+    evictions: usize,
+    /// The remaining attempts at moving models out of the way of others.
     move_attempts: usize,
     proposals: Vec<Proposal>,
     problems: Vec<Problem>,
 }
 
 impl<'a> Planner<'a> {
-    /// Looks at the ledger.
+    /// Prepares a plan from the current state of the ledger.
     #[must_use]
-    pub fn new(src: Sources<'a>) -> Self {
-        let models = src.ledger.offers().len();
-        let engines = src.ledger.engines().len();
+    pub fn new(inputs: Inputs<'a>) -> Self {
+        let models = inputs.ledger.offers().len();
+        let engines = inputs.ledger.engines().len();
         let mut planner = Self {
-            src,
+            inputs,
             routes: vec![Vec::new(); models],
-            coming: vec![Vec::new(); models],
-            busy: vec![0.0; engines],
-            open: vec![false; engines],
-            claimed: vec![0; engines],
-            resting: false,
-            cleared: 0,
+            loading_on: vec![Vec::new(); models],
+            busy_slots: vec![0.0; engines],
+            accepts_orders: vec![false; engines],
+            awaited_mib: vec![0; engines],
+            moves_paused: false,
+            evictions: 0,
             move_attempts: moves::move_attempts(engines),
             proposals: Vec::new(),
             problems: Vec::new(),
         };
-        planner.survey();
+        planner.index_engines();
         planner
     }
 
-    /// Makes the plan.
+    /// Makes the plan. Returns the proposals, and the problems found.
     #[must_use]
     pub fn plan(mut self) -> (Vec<Proposal>, Vec<Problem>) {
-        match self.src.policy.baseline {
-            policy::Baseline::Planned => {
-                self.reach();
+        match self.inputs.policy.baseline {
+            policy::PlannerKind::Planned => {
+                self.ensure_routes();
                 self.pins();
                 self.versions();
                 self.capacity();
-                if self.proposals.is_empty() && self.claimed.iter().all(|mib| *mib == 0) {
+                if self.proposals.is_empty() && self.awaited_mib.iter().all(|mib| *mib == 0) {
                     self.spread();
                 }
             }
-            policy::Baseline::OnDemandLru => self.on_demand(),
-            policy::Baseline::StaticEven => self.even(),
+            policy::PlannerKind::OnDemandLru => self.on_demand(),
+            policy::PlannerKind::StaticEven => self.even(),
         }
         (self.proposals, self.problems)
     }
 
-    fn survey(&mut self) {
-        for index in 0..self.src.ledger.engines().len() {
-            let engine = &self.src.ledger.engines()[index];
-            self.open[index] = self.src.ledger.takes_orders(self.src.now, engine);
-            if engine.leaving || !self.src.ledger.is_fresh(self.src.now, engine) {
+    fn index_engines(&mut self) {
+        for index in 0..self.inputs.ledger.engines().len() {
+            let engine = &self.inputs.ledger.engines()[index];
+            self.accepts_orders[index] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
+            if engine.leaving || !self.inputs.ledger.is_fresh(self.inputs.now, engine) {
                 continue;
             }
             for held in &engine.held {
@@ -180,14 +185,18 @@
                 if routes.last() == Some(&engine.key) {
                     continue;
                 }
-                if self.src.ledger.is_route(self.src.now, engine, held.model) {
+                if self
+                    .inputs
+                    .ledger
+                    .is_route(self.inputs.now, engine, held.model)
+                {
                     routes.push(engine.key);
                 }
             }
             for model in self.arriving(engine) {
-                let coming = &mut self.coming[model.index()];
-                if coming.last() != Some(&engine.key) {
-                    coming.push(engine.key);
+                let loading_on = &mut self.loading_on[model.index()];
+                if loading_on.last() != Some(&engine.key) {
+                    loading_on.push(engine.key);
                 }
             }
         }
@@ -196,7 +205,7 @@
         }
     }
 
-    /// The offered models that are on their way to `engine`.
+    /// The models of the catalog that are being loaded on `engine`.
     fn arriving(&self, engine: &Engine) -> Vec<ModelKey> {
         let ordered = self.under_way(engine).filter_map(Task::loaded);
         let loading = engine
@@ -211,14 +220,14 @@
             .collect()
     }
 
-    /// The tasks that `engine` can be expected to carry out.
+    /// The tasks that `engine` is expected to carry out.
     ///
-    /// An order that no report has shown for long is no longer waited for (its memory stays
-    /// reserved): on an engine that ignores fencing numbers a lost order is never sent again, and
-    /// whoever waited for it would wait for good.
+    /// An order that no report has shown for a long time is not included, although its memory stays
+    /// reserved. A lost order to an engine that ignores fencing tokens is never sent again, so
+    /// waiting for it would never end.
     fn under_way<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
-        let now = self.src.now;
-        let lost_after = self.src.policy.lost_after();
+        let now = self.inputs.now;
+        let lost_after = self.inputs.policy.lost_after();
         let ordered = engine
             .unsettled()
             .filter(move |open| open.seen || now.since(open.sent) <= lost_after)
@@ -227,7 +236,7 @@
     }
 
     fn offer(&self, model: ModelKey) -> &ledger::Offer {
-        &self.src.ledger.offers()[model.index()]
+        &self.inputs.ledger.offers()[model.index()]
     }
 
     fn memory(&self, model: ModelKey) -> u64 {
@@ -235,76 +244,79 @@
     }
 
     fn engine(&self, key: EndpointKey) -> &Engine {
-        self.src.ledger.engine(key)
+        self.inputs.ledger.engine(key)
     }
 
     fn keys(&self) -> impl Iterator<Item = EndpointKey> + use<> {
-        (0..self.busy.len()).map(EndpointKey::from_index)
+        (0..self.busy_slots.len()).map(EndpointKey::from_index)
     }
 
     fn is_pinned(&self, model: ModelKey, key: EndpointKey) -> bool {
-        self.src.pins.contains(&(model, key))
+        self.inputs.pins.contains(&(model, key))
     }
 
-    /// Slots that demand for `model` keeps busy.
+    /// The number of slots that the demand for `model` would keep busy.
     fn slots_wanted(&self, model: ModelKey) -> f64 {
-        self.src.demand.of(model).slots(self.src.policy.horizon_ms)
+        self.inputs
+            .demand
+            .of(model)
+            .slots(self.inputs.policy.horizon_ms)
     }
 
-    /// Copies that serve or will.
-    fn copies(&self, model: ModelKey) -> usize {
-        self.routes[model.index()].len() + self.coming_apart(model)
+    /// The number of replicas that serve or are being loaded.
+    fn replicas(&self, model: ModelKey) -> usize {
+        self.routes[model.index()].len() + self.loading_without_route(model)
     }
 
-    /// Engines where a load is under way and no other version serves.
-    fn coming_apart(&self, model: ModelKey) -> usize {
+    /// The number of engines on which a load is in progress and no other version serves.
+    fn loading_without_route(&self, model: ModelKey) -> usize {
         let routes = &self.routes[model.index()];
-        self.coming[model.index()]
+        self.loading_on[model.index()]
             .iter()
             .filter(|key| !routes.contains(key))
             .count()
     }
 
-    /// Adds (1) or takes off (-1) the model's share of the engines' busy slots.
+    /// Adds (`sign` 1) or subtracts (-1) the busy slots that `model` causes on its engines.
     fn count_busy(&mut self, model: ModelKey, sign: f64) {
-        let copies = self.copies(model);
-        if copies == 0 {
+        let replicas = self.replicas(model);
+        if replicas == 0 {
             return;
         }
-        let share = sign * self.slots_wanted(model) / copies as f64;
+        let share = sign * self.slots_wanted(model) / replicas as f64;
         let routes = &self.routes[model.index()];
         for key in routes {
-            self.busy[key.index()] += share;
+            self.busy_slots[key.index()] += share;
         }
-        for key in &self.coming[model.index()] {
+        for key in &self.loading_on[model.index()] {
             if !routes.contains(key) {
-                self.busy[key.index()] += share;
+                self.busy_slots[key.index()] += share;
             }
         }
     }
 
-    /// Whether `model` may be loaded on `key` but for room.
-    fn suits(&self, key: EndpointKey, model: ModelKey) -> bool {
+    /// Whether `model` may be loaded on `key` if there is enough memory.
+    fn can_host(&self, key: EndpointKey, model: ModelKey) -> bool {
         let engine = self.engine(key);
-        self.open[key.index()]
-            && self.src.ledger.admits(engine, model)
+        self.accepts_orders[key.index()]
+            && self.inputs.ledger.admits(engine, model)
             && !engine.has_or_awaits(model)
     }
 
-    /// Whether `model`'s base, if it has one, serves on `key`.
+    /// Whether the base of `model`, if it is an adapter, serves on `key`.
     fn has_base(&self, key: EndpointKey, model: ModelKey) -> bool {
         let base = self.offer(model).base;
         base.is_none_or(|base| self.engine(key).serves(base))
     }
 
-    /// Memory on `key` that nobody else waits for, in MiB.
+    /// The free memory of `key`, in MiB.
     fn room(&self, key: EndpointKey) -> u64 {
         self.engine(key).free_mib()
     }
 
-    /// Proposes to load the wanted version of `model` on `key`, which must have room.
+    /// Proposes to load the current version of `model` on `key`, which must have enough memory.
     fn load(&mut self, key: EndpointKey, model: ModelKey, reason: &'static str) -> Attempt {
-        if !self.src.budget.allows() {
+        if !self.inputs.budget.allows() {
             return Attempt::Waiting;
         }
         let offered = &self.offer(model).model;
@@ -313,14 +325,14 @@
             version: offered.version,
             memory_mib: offered.memory_mib,
         };
-        self.src.budget.spend();
+        self.inputs.budget.spend();
         self.count_busy(model, -1.0);
-        self.coming[model.index()].push(key);
+        self.loading_on[model.index()].push(key);
         self.count_busy(model, 1.0);
         self.propose(key, model, task, reason)
     }
 
-    /// Proposes to take `version` of `model` off `key`, if it stays reachable.
+    /// Proposes to unload `version` of `model` from `key`, if the model keeps a route.
     fn unload(
         &mut self,
         key: EndpointKey,
@@ -328,7 +340,7 @@
         version: u32,
         reason: &'static str,
     ) -> Attempt {
-        if !self.open[key.index()] || !self.may_unload(key, model, version) {
+        if !self.accepts_orders[key.index()] || !self.may_unload(key, model, version) {
             return Attempt::Impossible;
         }
         if model.index() < self.routes.len() {
@@ -344,9 +356,9 @@
     fn may_unload(&self, key: EndpointKey, model: ModelKey, version: u32) -> bool {
         let engine = self.engine(key);
         let others = self.routes.get(model.index()).into_iter().flatten();
-        self.src
+        self.inputs
             .ledger
-            .may_unload(self.src.now, engine, model, version, others.copied())
+            .may_unload(self.inputs.now, engine, model, version, others.copied())
     }
 
     fn propose(
@@ -356,18 +368,18 @@
         task: Task,
         reason: &'static str,
     ) -> Attempt {
-        let Some(named) = self.src.ledger.propose(key, task) else {
+        let Some(named) = self.inputs.ledger.propose(key, task) else {
             return Attempt::Impossible;
         };
-        let engine = self.src.ledger.engine(key);
-        self.open[key.index()] = self.src.ledger.takes_orders(self.src.now, engine);
+        let engine = self.inputs.ledger.engine(key);
+        self.accepts_orders[key.index()] = self.inputs.ledger.takes_orders(self.inputs.now, engine);
         self.proposals.push(Proposal {
             endpoint: key,
             model,
             named,
             reason,
         });
-        Attempt::Begun
+        Attempt::Started
     }
 
     fn report_problem(&mut self, model: ModelKey, reason: &'static str) {
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -1,4 +1,4 @@
-//! Models moved out of the way of one that has no route.
+//! Moves of models to other engines, to make room for a model without a route.
 
 use std::cmp;
 
@@ -14,134 +14,137 @@
 
 use planner::{Attempt, Planner};
 
-/// How a model that is in the way gets a copy elsewhere.
+/// The next step towards a replica on another engine for a model that is in the way.
 #[derive(Debug, Clone)]
-enum Way {
+enum MoveStep {
     Load(ModelKey, EndpointKey),
-    Clear(room::Clearance),
+    Evict(room::EvictionPlan),
 }
 
-/// Engines looked at closely for one model that others must move for.
-const MOVE_LOOKS: usize = 16;
+/// Maximum number of engines that are examined for one model that needs others to be moved.
+const MOVE_CANDIDATES: usize = 16;
 
-/// Engines looked at in all such attempts of one plan, which bounds its time in large clusters.
-const MOVE_SCANS: usize = 4_096;
+/// Maximum number of engines scanned by all such attempts of one plan. Bounds the planning time in
+/// large clusters.
+const MOVE_SCAN_LIMIT: usize = 4_096;
 
-/// Attempts at moving models out of the way in one plan.
+/// The number of attempts at moving models out of the way in one plan.
 pub(super) fn move_attempts(engines: usize) -> usize {
-    (MOVE_SCANS / engines.max(1)).max(1)
+    (MOVE_SCAN_LIMIT / engines.max(1)).max(1)
 }
 
 impl Planner<'_> {
-    /// Makes a copy elsewhere of a model whose only route is in the way of `model`, so that the
-    /// next plans find a spare copy here. Where that copy has no room either, spare copies make way
-    /// for it first. Longer chains of moves are not looked for.
+    /// Loads a model whose only route is in the way of `model` on another engine, so that later plans
+    /// can evict the replica here. If the other engine has no room either, spare replicas are evicted
+    /// there first. Longer chains of moves are not considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if self.resting {
+        if self.moves_paused {
             return Attempt::Impossible;
         }
         if self.move_attempts == 0 {
             return Attempt::Waiting;
         }
         self.move_attempts -= 1;
-        let attempt = self.move_one(model, need_mib);
-        self.cleared += usize::from(attempt == Attempt::Begun);
+        let attempt = self.move_blocking_model(model, need_mib);
+        self.evictions += usize::from(attempt == Attempt::Started);
         attempt
     }
 
-    fn move_one(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        let mut best: Option<(u64, Way)> = None;
+    fn move_blocking_model(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
+        let mut best: Option<(u64, MoveStep)> = None;
         for key in self.nearly_suitable(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
-                if !self.coming[moved.index()].is_empty() || self.await_room(moved, memory_mib) {
+                if !self.loading_on[moved.index()].is_empty() || self.await_room(moved, memory_mib)
+                {
                     return Attempt::Waiting;
                 }
                 if best.as_ref().is_some_and(|(mib, _)| *mib <= memory_mib) {
                     continue;
                 }
-                if let Some(way) = self.way_for(key, moved, memory_mib) {
-                    best = Some((memory_mib, way));
+                if let Some(step) = self.plan_move(key, moved, memory_mib) {
+                    best = Some((memory_mib, step));
                 }
             }
         }
         match best {
-            Some((_, Way::Load(moved, to))) => {
+            Some((_, MoveStep::Load(moved, to))) => {
                 self.load(to, moved, "it makes way for a model elsewhere")
             }
-            Some((_, Way::Clear(clearance))) => self.clear(
-                &clearance,
+            Some((_, MoveStep::Evict(eviction_plan))) => self.start_evictions(
+                &eviction_plan,
                 "it makes way for a model that makes way for another",
             ),
             None => Attempt::Impossible,
         }
     }
 
-    /// The engines that may take `model` but for room, those with most memory to be had first.
+    /// The engines that could hold `model` if there were enough memory, those with the most memory to be
+    /// gained first.
     fn nearly_suitable(&self, model: ModelKey) -> Vec<EndpointKey> {
         let keep = self.offer(model).base;
         let mut suitable: Vec<(u64, EndpointKey)> = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model))
-            .map(|key| (self.room(key) + self.doubled_mib(key, keep), key))
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model))
+            .map(|key| (self.room(key) + self.redundant_mib(key, keep), key))
             .collect();
         suitable.sort_by_key(|(mib, key)| (cmp::Reverse(*mib), *key));
-        suitable.truncate(MOVE_LOOKS);
+        suitable.truncate(MOVE_CANDIDATES);
         suitable.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// Memory on `key` of copies that have another route elsewhere, in MiB. Some of them may still
-    /// carry adapters that have none.
-    fn doubled_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
+    /// The memory on `key` of replicas that have another route elsewhere, in MiB. Some of them may be
+    /// the base of adapters that have none.
+    fn redundant_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
-        held.filter(|held| Some(held.model) != keep && self.is_doubled(key, held))
+        held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
             .map(|held| held.memory_mib)
             .sum()
     }
 
-    fn is_doubled(&self, key: EndpointKey, held: &engine::Held) -> bool {
+    fn is_redundant(&self, key: EndpointKey, held: &engine::HeldModel) -> bool {
         held.phase == endpoints::Phase::Ready
             && !self.is_pinned(held.model, key)
             && !self.engine(key).unloads(held.model, held.version)
             && self.stays_reachable(key, held.model, held.version)
-            && self.has_landing(key, held.model)
+            && self.adapters_fit_elsewhere(key, held.model)
     }
 
-    /// Whether the adapters that are only on `key` have room, all together, on another engine where
-    /// `base` serves. Without this look ahead the last of them would displace the first.
-    fn has_landing(&self, key: EndpointKey, base: ModelKey) -> bool {
+    /// Whether all adapters of `base` that are only on `key` fit together on another engine where `base`
+    /// serves. Without this check the last of them could evict the first.
+    fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
         let alone = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
-            self.sits_on(held.model, base) && routes.is_some_and(|routes| *routes == [key])
+            self.is_adapter_of(held.model, base) && routes.is_some_and(|routes| *routes == [key])
         });
         let need_mib: u64 = alone.map(|held| held.memory_mib).sum();
         let mut routes = self.routes.get(base.index()).into_iter().flatten();
         need_mib == 0 || routes.any(|k| *k != key && self.room(*k) >= need_mib)
     }
 
-    /// How `moved` and its adapters may get a copy elsewhere.
-    fn way_for(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<Way> {
+    /// Finds a way to load `moved` and its adapters on another engine.
+    fn plan_move(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
         if let Some(to) = self.roomiest(moved, memory_mib) {
-            return Some(Way::Load(moved, to));
+            return Some(MoveStep::Load(moved, to));
         }
-        if self.sits_on_doubled(from, moved) {
+        if self.is_adapter_of_redundant(from, moved) {
             return None;
         }
-        let clearances = self
+        let eviction_plans = self
             .keys()
-            .filter(|key| self.suits(*key, moved) && self.has_base(*key, moved))
-            .filter_map(|key| self.clearance(key, moved, memory_mib))
-            .filter(|clearance| !clearance.spares.is_empty());
-        clearances
+            .filter(|key| self.can_host(*key, moved) && self.has_base(*key, moved))
+            .filter_map(|key| self.eviction_plan(key, moved, memory_mib))
+            .filter(|eviction_plan| !eviction_plan.spares.is_empty());
+        eviction_plans
             .min_by(|a, b| a.loss.total_cmp(&b.loss))
-            .map(Way::Clear)
+            .map(MoveStep::Evict)
     }
 
-    /// The models on `key` of which one, moved elsewhere, helps `model` in, each with the memory
-    /// that it and its adapters here take, in MiB. If the copies that have another route would make
-    /// room enough, it is only adapters on these that stand in the way.
+    /// The models on `key` whose move to another engine would make room for `model`, each with the
+    /// memory that it and its adapters use here, in MiB. If the replicas with another route would free
+    /// enough memory, only their adapters are in the way.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
-        let had_mib = self.room(key) + self.doubled_mib(key, keep);
+        let had_mib = self.room(key) + self.redundant_mib(key, keep);
         let missing_mib = need_mib.saturating_sub(had_mib);
         let engine = self.engine(key);
         let alone = engine.held.iter().filter(|held| {
@@ -152,25 +155,25 @@
                 && routes.is_some_and(|routes| *routes == [key])
         });
         alone
-            .map(|held| (held.model, self.family_here_mib(key, held)))
+            .map(|held| (held.model, self.local_family_mib(key, held)))
             .filter(|(moved, mib)| {
                 if missing_mib == 0 {
-                    return self.sits_on_doubled(key, *moved);
+                    return self.is_adapter_of_redundant(key, *moved);
                 }
                 *mib >= missing_mib
             })
             .collect()
     }
 
-    /// Memory that a copy and the adapters on it take on `key`, in MiB.
-    fn family_here_mib(&self, key: EndpointKey, copy: &engine::Held) -> u64 {
+    /// The memory that a replica and its adapters use on `key`, in MiB.
+    fn local_family_mib(&self, key: EndpointKey, replica: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
-        let on_top = held.filter(|other| self.sits_on(other.model, copy.model));
-        copy.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
+        let on_top = held.filter(|other| self.is_adapter_of(other.model, replica.model));
+        replica.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
     }
 
-    fn sits_on_doubled(&self, key: EndpointKey, adapter: ModelKey) -> bool {
+    fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
         let mut held = self.engine(key).held.iter();
-        held.any(|held| self.sits_on(adapter, held.model) && self.is_doubled(key, held))
+        held.any(|held| self.is_adapter_of(adapter, held.model) && self.is_redundant(key, held))
     }
 }
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -1,9 +1,9 @@
-//! Replacement of outdated versions, and the operators' pins.
+//! Rolling updates of outdated versions, and the operators' pins.
 //!
-//! The new version is loaded beside the old one where both fit, else on another engine, and the old
-//! one goes once the model has another route. A single copy on an engine without room, with room
-//! nowhere else, is left as it is and said to be so: an outdated answer is better than none. One
-//! copy of a model is replaced at a time.
+//! The new version is loaded beside the old one if both fit, otherwise on another engine. The old one
+//! is unloaded once the model has another route. If a model has a single replica and there is no
+//! room anywhere, the outdated version stays and a problem is reported: a response of an outdated
+//! version is better than none. One replica of a model is replaced at a time.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -15,12 +15,12 @@
 use planner::{Attempt, Planner};
 
 impl Planner<'_> {
-    /// Replaces outdated copies.
+    /// Replaces outdated replicas.
     pub(super) fn versions(&mut self) {
         for index in 0..self.routes.len() {
             let model = ModelKey::from_index(index);
             let outdated = self.outdated(model);
-            if outdated.is_empty() || !self.coming[index].is_empty() {
+            if outdated.is_empty() || !self.loading_on[index].is_empty() {
                 continue;
             }
             if self.replace(model, &outdated) == Attempt::Impossible {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The copies of `model` that serve another version than the one wanted.
+    /// The replicas of `model` that serve a version other than the current one.
     fn outdated(&self, model: ModelKey) -> Vec<(EndpointKey, u32)> {
         let wanted = self.offer(model).model.version;
         let routes = self.routes[model.index()].iter();
@@ -50,7 +50,7 @@
     }
 
     fn replace(&mut self, model: ModelKey, outdated: &[(EndpointKey, u32)]) -> Attempt {
-        if outdated.iter().any(|(key, _)| self.is_clearing(*key)) {
+        if outdated.iter().any(|(key, _)| self.is_evicting(*key)) {
             return Attempt::Waiting;
         }
         if self.is_current_somewhere(model) {
@@ -58,7 +58,7 @@
         }
         let need_mib = self.memory(model);
         let beside = outdated.iter().map(|(key, _)| *key).find(|key| {
-            self.open[key.index()]
+            self.accepts_orders[key.index()]
                 && self.room(*key) >= need_mib
                 && self.has_base(*key, model)
                 && !self.engine(*key).awaits(model)
@@ -84,33 +84,33 @@
         })
     }
 
-    /// Takes the first outdated copy off that may go.
+    /// Unloads the first outdated replica that may be unloaded.
     fn drop_outdated(&mut self, model: ModelKey, outdated: &[(EndpointKey, u32)]) -> Attempt {
         for (key, version) in outdated {
-            if self.unload(*key, model, *version, "a newer version is wanted") == Attempt::Begun {
-                return Attempt::Begun;
+            if self.unload(*key, model, *version, "a newer version is wanted") == Attempt::Started {
+                return Attempt::Started;
             }
         }
         Attempt::Waiting
     }
 
-    /// Loads what the operators have pinned.
+    /// Loads pinned models on their engines.
     pub(super) fn pins(&mut self) {
-        for (model, key) in self.src.pins {
+        for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
-            if !self.suits(*key, *model) || !self.has_base(*key, *model) {
+            if !self.can_host(*key, *model) || !self.has_base(*key, *model) {
                 continue;
             }
             if self.room(*key) >= need_mib {
                 self.load(*key, *model, "it is pinned there");
                 continue;
             }
-            if self.is_clearing(*key) {
+            if self.is_evicting(*key) {
                 continue;
             }
-            match self.clearance(*key, *model, need_mib) {
-                Some(clearance) => {
-                    self.clear(&clearance, "it makes way for a pinned model");
+            match self.eviction_plan(*key, *model, need_mib) {
+                Some(eviction_plan) => {
+                    self.start_evictions(&eviction_plan, "it makes way for a pinned model");
                 }
                 None => self.report_problem(*model, "no room where it is pinned"),
             }
--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -1,4 +1,4 @@
-//! What the planner makes of whole clusters whose engines do at once what they are told.
+//! The planner with whole clusters, whose engines carry out each order immediately.
 
 mod support;
 
@@ -74,7 +74,7 @@
         (0..count).for_each(|_| self.round());
     }
 
-    fn ask(&mut self, model: &str, arrived: u32) {
+    fn request(&mut self, model: &str, arrived: u32) {
         let demand = vec![messages::Demand {
             model: model.to_owned(),
             arrived,
@@ -87,7 +87,7 @@
             .step(self.now, place::Event::Demand { from_vm, demand });
     }
 
-    fn copies(&self, model: &str) -> usize {
+    fn replicas(&self, model: &str) -> usize {
         let offered = self.models.iter().find(|m| m.name == model).unwrap();
         self.engines.iter().filter(|e| e.serves(offered)).count()
     }
@@ -126,7 +126,7 @@
     adapters: usize,
     memory_mib: u64,
     engine_mib: u64,
-    /// Engines that stay when the zone is lost.
+    /// Whether an availability zone is lost during the run.
     lose_zone: bool,
 }
 
@@ -173,8 +173,8 @@
     },
 ];
 
-/// A zone goes dark and the models that were only there answer "no route" until they are loaded
-/// elsewhere, where other models' second copies fill the memory and must make way.
+/// Guards against models staying without a route after the loss of an availability zone. Their new
+/// engines are full of spare replicas of other models, which must be evicted first.
 #[test]
 fn every_model_gets_a_route_and_gets_it_back_after_a_zone_is_lost() {
     for case in PACKINGS {
@@ -209,13 +209,15 @@
     }
 }
 
-/// Seeds of tight random clusters in which, a zone lost, two moves used to undo each other.
+/// Seeds of random clusters with little free memory in which, after the loss of a zone, two moves
+/// could undo each other.
 const TIGHT: &[u64] = &[1, 17, 112, 114, 175];
 
-/// The store is kept busy for good and drafts wait for it, while no model gains a route: a copy is
-/// made to free one engine and taken down again to free another. Not every model fits here.
+/// Guards against endless moves that keep the weight store busy without giving any model a route: a
+/// replica is loaded to free one engine and evicted again to free another. Not all models fit into
+/// these clusters.
 #[test]
-fn moves_in_vain_come_to_an_end() {
+fn futile_moves_end() {
     for seed in TIGHT {
         let mut random = support::Random(*seed);
         let bases = 10 + random.below(8);
@@ -235,8 +237,8 @@
         assert_eq!(cluster.unreachable(), Vec::<&str>::new(), "seed {seed}");
         for round in 0..100 {
             if round % 10 == 0 {
-                let asked = format!("b{}", random.below(bases));
-                cluster.ask(&asked, 60);
+                let requested = format!("b{}", random.below(bases));
+                cluster.request(&requested, 60);
             }
             cluster.round();
         }
@@ -251,7 +253,7 @@
 }
 
 #[test]
-fn critical_models_come_first_with_the_bases_they_sit_on() {
+fn critical_models_come_first_with_their_bases() {
     let mut models = family(4, 8, 10_000);
     models[9].critical = true;
     let mut cluster = Cluster::new(models, engines(2, 80_000), place::Policy::default());
@@ -269,21 +271,22 @@
 
 struct Costs {
     move_cost: f64,
-    copies: usize,
+    replicas: usize,
 }
 
 const COSTS: &[Costs] = &[
     Costs {
         move_cost: 2.0,
-        copies: 4,
+        replicas: 4,
     },
     Costs {
         move_cost: 10_000.0,
-        copies: 1,
+        replicas: 1,
     },
 ];
 
-/// One model's demand rises to what four engines serve; the memory is full of others' spare copies.
+/// Demand for one model rises to the capacity of four engines, while the memory is full of spare
+/// replicas of other models.
 #[test]
 fn demand_is_followed_as_far_as_moves_are_worth_it() {
     for case in COSTS {
@@ -296,12 +299,12 @@
         let mut cluster = Cluster::new(models, engines(6, 30_000), policy);
         cluster.rounds(10);
         for _ in 0..60 {
-            cluster.ask("b0", 24);
+            cluster.request("b0", 24);
             cluster.round();
         }
         assert_eq!(
-            cluster.copies("b0"),
-            case.copies,
+            cluster.replicas("b0"),
+            case.replicas,
             "move cost {}",
             case.move_cost
         );
@@ -309,8 +312,8 @@
     }
 }
 
-/// Two models take turns in being asked for, eight seconds each. Without a slow mean of demand each
-/// turn would evict the other, and the store would do nothing but load these two.
+/// Guards against two models evicting each other when they are requested in turn for eight seconds
+/// each. Without a slow average of demand the weight store would only load these two.
 #[test]
 fn models_that_take_turns_do_not_evict_each_other() {
     let policy = place::Policy {
@@ -321,7 +324,7 @@
     cluster.rounds(10);
     for round in 0..200 {
         let hot = if round / 8 % 2 == 0 { "b0" } else { "b1" };
-        cluster.ask(hot, 24);
+        cluster.request(hot, 24);
         cluster.round();
         if round == 60 {
             cluster.moves.clear();
@@ -330,9 +333,9 @@
     assert_eq!(cluster.moves, Vec::<String>::new());
 }
 
-/// A pinned copy is idle while another model is in great demand; it stays all the same.
+/// Guards against evicting a pinned replica that is idle while another model is in great demand.
 #[test]
-fn a_pinned_copy_stays() {
+fn a_pinned_replica_stays() {
     let policy = place::Policy {
         spread_zones: false,
         ..place::Policy::default()
@@ -348,11 +351,11 @@
         .placement
         .step(cluster.now, place::Event::Pins(pins));
     for _ in 0..60 {
-        cluster.ask("b0", 40);
+        cluster.request("b0", 40);
         cluster.round();
     }
     assert_eq!(
-        (cluster.copies("b0"), cluster.copies("b1")),
+        (cluster.replicas("b0"), cluster.replicas("b1")),
         (1, 2),
         "{:?}",
         cluster.moves
