--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -110,7 +110,7 @@
             event::Event::ClaimGranted(req) => self.handle_claim_granted(now, req, &mut out),
             event::Event::ClaimDenied(req) => self.end_request(now, req),
             event::Event::AttemptEnded { req, outcome } => {
-                self.handle_attempt_end(now, req, outcome, &mut out)
+                self.handle_attempt_end(now, req, outcome, &mut out);
             }
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
                 self.mark_answer_started(req);
