--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -72,7 +72,7 @@
     /// How long a newer configuration than the one in force has been known; none if there is no newer one.
     #[must_use]
     pub fn behind(&self) -> Option<time::Millis> {
-        self.fetching.behind(self.clock.now(), self.version())
+        self.config_fetcher.behind(self.clock.now(), self.version())
     }
 
     /// Whether a newer configuration has been known for so long that callers must not be served by the current one.
@@ -95,7 +95,7 @@
             return;
         }
         let count = routing.table.len();
-        let terms = allowances::terms(&routing.config);
+        let terms = allowances::limits(&routing.config);
         self.with_core(|core| core.allowances.set_limits(terms));
         *current = Some(routing);
         drop(current);
