--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -1,127 +1,129 @@
-//! Ejection of failing endpoints, and their slow return.
+//! Outlier ejection: failing endpoints are taken out of rotation and brought back gradually.
 //!
-//! An endpoint is ejected after several failures in a row, or when a large share of its last tries
-//! failed, or at once when a connection is refused: nothing listens there. An ejection ends by time,
-//! each one in a row twice as long, with jitter so that the entry processes do not come back to it
-//! all at once. Then it returns: one request at first, and a growing share of its slots over the
-//! ramp. A failure while it returns ejects it again.
+//! An endpoint is ejected after several consecutive failures, when a large share of its recent
+//! attempts failed, or at once when a connection is refused, since nothing listens there then. An
+//! ejection has a limited duration, which doubles with each consecutive ejection. Jitter keeps the
+//! entry processes from resuming at the same moment. After it the endpoint recovers: it gets one
+//! request at first, then a growing share of its slots over a ramp. A failure during recovery ejects
+//! it again.
 //!
-//! Only tries sent after the last change of state count. An endpoint that dies fails everything in
-//! flight there at about the same time: without this, that one event would count as one ejection
-//! for each request, and the doubled times would keep it out for minutes.
+//! Only attempts sent after the last state change count. When an endpoint crashes, everything in
+//! flight there fails at about the same time; otherwise this one event would count as an ejection
+//! for each request, and the doubled durations would keep the endpoint out for minutes.
 
 use sageshed_types::time;
 
 use crate::{event, random, settings};
 
-/// Tries that the share of failures is taken over.
+/// The number of recent attempts over which the share of failures is computed.
 const WINDOW: u32 = 20;
 
-/// Tries below which the share of failures says nothing.
+/// The least number of attempts for which the share of failures is meaningful.
 const MIN_ATTEMPTS: u32 = 10;
 
-/// The most that jitter adds to an ejection, as a share of it.
-const JITTER: f64 = 0.25;
+/// The greatest jitter added to an ejection, as a share of its duration.
+const MAX_JITTER_SHARE: f64 = 0.25;
 
-/// The most often that an ejection time is doubled.
+/// How often the duration of an ejection is doubled at most.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Good {
+    Healthy {
         since: time::Instant,
     },
     Ejected {
         since: time::Instant,
         until: time::Instant,
     },
-    Returning {
+    Recovering {
         since: time::Instant,
     },
 }
 
-/// What may be sent to an endpoint, by its health alone.
+/// How much may be sent to an endpoint as far as its health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Allowance {
-    /// Nothing, but when no other is left.
+    /// Nothing, unless no other endpoint is left.
     Ejected,
-    /// This share of its slots; at least one request.
+    /// This share of its slots, but at least one request.
     Share(f64),
 }
 
-/// The health of one endpoint, as this process has seen it.
+/// The health of one endpoint as observed by this process.
 #[derive(Debug, Clone, Copy)]
 pub struct Health {
     state: State,
-    in_row: u32,
-    /// The last tries, newest in the lowest bit; 1 is a failure.
-    window: u32,
-    tries: u32,
-    /// Ejections since it was last healthy through a whole ramp.
+    consecutive_failures: u32,
+    /// The results of recent attempts, the newest in the lowest bit; 1 is a failure.
+    recent_failures: u32,
+    recent_attempts: u32,
+    /// Consecutive ejections, without a completed recovery in between.
     ejections: u32,
-    /// When a try was answered last.
-    answered: Option<time::Instant>,
+    /// When an attempt was last answered.
+    last_answer: Option<time::Instant>,
 }
 
 impl Health {
-    /// The health of an endpoint just heard of.
+    /// Creates the state of an endpoint that is considered healthy since `now`.
     #[must_use]
     pub fn new(now: time::Instant) -> Self {
         Self {
-            state: State::Good { since: now },
-            in_row: 0,
-            window: 0,
-            tries: 0,
+            state: State::Healthy { since: now },
+            consecutive_failures: 0,
+            recent_failures: 0,
+            recent_attempts: 0,
             ejections: 0,
-            answered: None,
+            last_answer: None,
         }
     }
 
-    /// Moves on with time.
+    /// Applies the state changes that are due at `now`.
     pub fn advance(&mut self, now: time::Instant, policy: &settings::Policy) {
         match self.state {
             State::Ejected { until, .. } if now >= until => {
-                self.state = State::Returning { since: until };
+                self.state = State::Recovering { since: until };
             }
-            State::Returning { since } if now.since(since) >= policy.return_ramp_ms => {
-                self.state = State::Good { since: now };
+            State::Recovering { since } if now.since(since) >= policy.return_ramp_ms => {
+                self.state = State::Healthy { since: now };
                 self.ejections = 0;
             }
             _ => {}
         }
     }
 
-    /// What may be sent now.
+    /// How much may be sent now.
     #[must_use]
     pub fn allowance(&self, now: time::Instant, policy: &settings::Policy) -> Allowance {
         match self.state {
-            State::Good { .. } => Allowance::Share(1.0),
+            State::Healthy { .. } => Allowance::Share(1.0),
             State::Ejected { until, .. } if now < until => Allowance::Ejected,
             State::Ejected { until, .. } => Allowance::Share(ramp(until, now, policy)),
-            State::Returning { since } => Allowance::Share(ramp(since, now, policy)),
+            State::Recovering { since } => Allowance::Share(ramp(since, now, policy)),
         }
     }
 
-    /// A try sent at `sent` was answered.
+    /// Records that an attempt sent at `sent` was answered.
     pub fn succeeded(&mut self, now: time::Instant, sent: time::Instant) {
-        self.answered = Some(now);
-        if self.is_before_state(sent) {
+        self.last_answer = Some(now);
+        if self.predates_state(sent) {
             return;
         }
         self.record(false);
-        self.in_row = 0;
+        self.consecutive_failures = 0;
         if matches!(self.state, State::Ejected { .. }) {
-            self.state = State::Returning { since: now };
+            self.state = State::Recovering { since: now };
         }
     }
 
-    /// Whether any try was answered since `sent`.
+    /// Whether any attempt was answered at or after `sent`.
     #[must_use]
     pub fn answered_since(&self, sent: time::Instant) -> bool {
-        self.answered.is_some_and(|answered| answered >= sent)
+        self.last_answer
+            .is_some_and(|last_answer| last_answer >= sent)
     }
 
-    /// A try sent at `sent` failed. Says whether that ejects it.
+    /// Records that an attempt sent at `sent` failed. Returns whether this ejects the endpoint.
     pub fn failed(
         &mut self,
         now: time::Instant,
@@ -130,11 +132,11 @@
         policy: &settings::Policy,
         random: &mut random::Random,
     ) -> bool {
-        if self.is_before_state(sent) {
+        if self.predates_state(sent) {
             return false;
         }
         self.record(true);
-        self.in_row = self.in_row.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         if !self.must_eject(fault, policy) {
             return false;
         }
@@ -142,27 +144,29 @@
         true
     }
 
-    /// Whether a try was sent before the last change of state. One that was sent in the same
-    /// millisecond as an ejection was sent before it: after it nothing is sent for a while.
-    fn is_before_state(&self, sent: time::Instant) -> bool {
+    /// Whether an attempt was sent before the last state change. An attempt sent in the same
+    /// millisecond as an ejection was sent before it, since nothing is sent right after one.
+    fn predates_state(&self, sent: time::Instant) -> bool {
         match self.state {
-            State::Good { since } => sent < since,
-            State::Returning { since } | State::Ejected { since, .. } => sent <= since,
+            State::Healthy { since } => sent < since,
+            State::Recovering { since } | State::Ejected { since, .. } => sent <= since,
         }
     }
 
     fn record(&mut self, failure: bool) {
-        self.window = (self.window << 1 | u32::from(failure)) & ((1 << WINDOW) - 1);
-        self.tries = (self.tries + 1).min(WINDOW);
+        self.recent_failures =
+            (self.recent_failures << 1 | u32::from(failure)) & ((1 << WINDOW) - 1);
+        self.recent_attempts = (self.recent_attempts + 1).min(WINDOW);
     }
 
     fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
-        let returning = matches!(self.state, State::Returning { .. });
-        let share = f64::from(self.window.count_ones()) / f64::from(self.tries.max(1));
-        returning
+        let recovering = matches!(self.state, State::Recovering { .. });
+        let share =
+            f64::from(self.recent_failures.count_ones()) / f64::from(self.recent_attempts.max(1));
+        recovering
             || fault == event::Fault::ConnectRefused
-            || self.in_row >= policy.eject_after_failures.max(1)
-            || (self.tries >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
+            || self.consecutive_failures >= policy.eject_after_failures.max(1)
+            || (self.recent_attempts >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
     }
 
     fn eject(
@@ -172,15 +176,16 @@
         random: &mut random::Random,
     ) {
         let doubled = policy.eject_base_ms.0 as f64 * f64::from(1_u32 << self.ejections);
-        let span = doubled.min(policy.eject_max_ms.0 as f64) * (1.0 + JITTER * random.unit());
+        let span =
+            doubled.min(policy.eject_max_ms.0 as f64) * (1.0 + MAX_JITTER_SHARE * random.unit());
         self.state = State::Ejected {
             since: now,
             until: now + time::Millis::rounded_up(span),
         };
         self.ejections = (self.ejections + 1).min(MAX_DOUBLINGS);
-        self.in_row = 0;
-        self.window = 0;
-        self.tries = 0;
+        self.consecutive_failures = 0;
+        self.recent_failures = 0;
+        self.recent_attempts = 0;
     }
 }
 
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Failing, leaving and restarted endpoints: retries, verdicts, ejection and return.
+//! Failing, leaving and restarted endpoints: retries, verdicts, ejection and recovery.
 
 mod common;
 
@@ -10,11 +10,11 @@
 
 struct Failure {
     not_repeatable: bool,
-    /// Whether it is streamed and its first token was passed on.
-    begun: bool,
+    /// Whether the request is streamed and its first token was passed on.
+    answer_started: bool,
     verdict: verdict::Verdict,
     fault: event::Fault,
-    told: &'static str,
+    expected: &'static str,
 }
 
 const REFUSED: event::Fault = event::Fault::ConnectRefused;
@@ -23,88 +23,88 @@
 const FAILURES: &[Failure] = &[
     Failure {
         not_repeatable: false,
-        begun: false,
+        answer_started: false,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
-        told: "send",
+        expected: "send",
     },
     Failure {
         not_repeatable: false,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
-        told: "send",
+        expected: "send",
     },
-    // The caller has part of one run already: a second one must not be spliced to it.
+    // The caller already has part of the response of one run, which must not be mixed with another.
     Failure {
         not_repeatable: false,
-        begun: true,
+        answer_started: true,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
-    // Not a byte went out: the holder of the claim may send it again.
+    // No byte was sent, so the request may be sent again under the same claim.
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
-        told: "send",
+        expected: "send",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: MAY_HAVE_RUN,
         fault: event::Fault::NoFirstByte,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
-    // Once a connection stood, `NotRun` is not believed.
+    // Once a connection was established, `NotRun` is not trusted.
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: CUT,
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: event::Fault::Status(500),
-        told: "endpoint_failed may_have_run",
+        expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        begun: false,
+        answer_started: false,
         verdict: NOT_RUN,
         fault: event::Fault::Status(429),
-        told: "send",
+        expected: "send",
     },
 ];
 
-/// What a user would see: two crews at one manhole, or half of one answer followed by half of
-/// another. A try failed in a way that leaves open whether it ran, and the request was sent again.
+/// Guards against retrying a request that may have run: its effect would happen twice, or a streamed
+/// response would be mixed from two runs.
 #[test]
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
-        let (req, mut actions) = bench.arrive(|f| {
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+        let (req, mut actions) = harness.arrive(|f| {
             f.not_repeatable = case.not_repeatable;
-            f.streaming = case.begun;
+            f.streaming = case.answer_started;
         });
         if case.not_repeatable {
-            actions = bench.step(event::Event::ClaimGranted(req));
+            actions = harness.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
-        if case.begun {
-            bench.step(event::Event::FirstToken { req });
+        if case.answer_started {
+            harness.step(event::Event::FirstToken { req });
         }
-        let actions = bench.fail(req, case.verdict, case.fault);
+        let actions = harness.fail(req, case.verdict, case.fault);
         let what = format!(
             "{:?} {:?}, not repeatable: {}",
             case.verdict, case.fault, case.not_repeatable
         );
-        assert_eq!(common::told(&actions, req), case.told, "{what}");
+        assert_eq!(common::summary(&actions, req), case.expected, "{what}");
         assert_ne!(
             common::sent_to(&actions, req),
             Some(first),
@@ -120,35 +120,38 @@
     }
 }
 
-/// What a user would see: a refusal says `not_run`, the caller sends the dispatch again, and it runs
-/// twice. Of two tries the first may have run, and the last one's verdict alone was told.
+/// Guards against a refusal that reports only the verdict of the last attempt. If an earlier attempt
+/// may have run, `not_run` would make the caller send the request again, and it would run twice.
 #[test]
 fn refusal_carries_the_worst_verdict_of_all_tries() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1", "e2"]);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, MAY_HAVE_RUN, CUT);
-    let actions = bench.fail(req, NOT_RUN, REFUSED);
-    assert_eq!(common::told(&actions, req), "endpoint_failed may_have_run");
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, MAY_HAVE_RUN, CUT);
+    let actions = harness.fail(req, NOT_RUN, REFUSED);
+    assert_eq!(
+        common::summary(&actions, req),
+        "endpoint_failed may_have_run"
+    );
 }
 
-/// What a user would see: one engine fails and soon all are slow. Every failed request was sent up
-/// to three times, which tripled the load on the engines that were left.
+/// Guards against retries that multiply the load: if every failed request were sent up to three times,
+/// the failure of one engine would triple the load on the others.
 #[test]
 fn retries_are_a_share_of_traffic() {
     let mut settings = common::settings();
     settings.policy.retry_burst = 3.0;
     settings.policy.eject_after_failures = 1_000;
     settings.policy.eject_failure_share = 2.0;
-    let mut bench = common::Bench::new(settings);
+    let mut harness = common::Harness::new(settings);
     for name in ["e1", "e2", "e3"] {
-        bench.report(common::report(name, 1, 8, &["sort"]));
+        harness.report(common::report(name, 1, 8, &["sort"]));
     }
     let (mut first, mut again) = (0, 0);
     for _ in 0..200 {
-        let (req, mut actions) = bench.arrive(|_| {});
+        let (req, mut actions) = harness.arrive(|_| {});
         first += 1;
         while common::sent_to(&actions, req).is_some() {
-            actions = bench.fail(req, MAY_HAVE_RUN, CUT);
+            actions = harness.fail(req, MAY_HAVE_RUN, CUT);
             again += u32::from(common::sent_to(&actions, req).is_some());
         }
         assert!(common::refused(&actions, req).is_some());
@@ -160,59 +163,59 @@
     );
 }
 
-/// What a user would see: one prompt that crashes engines takes down a whole pool, one engine after
-/// another, since it is sent on to each.
+/// Guards against a request that crashes engines being retried on one engine after another until the
+/// whole pool is down.
 #[test]
-fn tries_of_one_request_are_bounded() {
+fn attempts_of_one_request_are_bounded() {
     let names = ["e1", "e2", "e3", "e4", "e5"];
-    let mut bench = common::Bench::with_engines(common::settings(), &names);
-    let (req, mut actions) = bench.arrive(|_| {});
-    let mut tries = 0;
+    let mut harness = common::Harness::with_engines(common::settings(), &names);
+    let (req, mut actions) = harness.arrive(|_| {});
+    let mut attempts = 0;
     while common::sent_to(&actions, req).is_some() {
-        tries += 1;
-        actions = bench.fail(req, MAY_HAVE_RUN, CUT);
+        attempts += 1;
+        actions = harness.fail(req, MAY_HAVE_RUN, CUT);
     }
-    assert_eq!(tries, 3);
+    assert_eq!(attempts, 3);
 }
 
 #[test]
-fn no_try_after_the_deadline() {
+fn no_attempt_after_the_deadline() {
     for shed in [true, false] {
         let mut settings = common::settings();
         settings.policy.shed = shed;
-        let mut bench = common::Bench::with_engines(settings, &["e1", "e2"]);
-        let (req, _) = bench.arrive(|f| f.deadline = Some(time::Millis(500)));
-        bench.pass(500);
-        let actions = bench.fail(req, NOT_RUN, REFUSED);
-        assert_eq!(common::told(&actions, req), "endpoint_failed not_run");
+        let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
+        let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
+        harness.advance(500);
+        let actions = harness.fail(req, NOT_RUN, REFUSED);
+        assert_eq!(common::summary(&actions, req), "endpoint_failed not_run");
     }
 }
 
-/// A bench in which `bad` has failed `times` times and `good` has not.
-fn with_failures(times: usize, fault: event::Fault) -> common::Bench {
+/// A harness in which the endpoint `bad` has failed `times` times and `good` has not.
+fn with_failures(times: usize, fault: event::Fault) -> common::Harness {
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
     settings.policy.retry_burst = 0.0;
-    let mut bench = common::Bench::new(settings);
-    bench.report(common::report("bad", 1, 8, &["sort"]));
+    let mut harness = common::Harness::new(settings);
+    harness.report(common::report("bad", 1, 8, &["sort"]));
     let sent = (0..times)
-        .map(|_| bench.arrive(|_| {}).0)
+        .map(|_| harness.arrive(|_| {}).0)
         .collect::<Vec<_>>();
     for req in sent {
-        bench.fail(req, MAY_HAVE_RUN, fault);
+        harness.fail(req, MAY_HAVE_RUN, fault);
     }
-    bench.report(common::report("good", 1, 64, &["sort"]));
-    bench
+    harness.report(common::report("good", 1, 64, &["sort"]));
+    harness
 }
 
-/// How many of ten requests now go to `bad`; they stay there.
-fn sent_to_bad(bench: &mut common::Bench) -> usize {
-    bench.report(common::report("bad", bench.now.0, 8, &["sort"]));
-    bench.report(common::report("good", bench.now.0, 64, &["sort"]));
+/// Sends ten requests, which stay in flight, and returns how many of them went to `bad`.
+fn sent_to_bad(harness: &mut common::Harness) -> usize {
+    harness.report(common::report("bad", harness.now.0, 8, &["sort"]));
+    harness.report(common::report("good", harness.now.0, 64, &["sort"]));
     let sent = (0..10).filter(|_| {
-        let (req, actions) = bench.arrive(|_| {});
+        let (req, actions) = harness.arrive(|_| {});
         let endpoint = common::sent_to(&actions, req).expect("sent");
-        bench.decider.endpoint_name(endpoint) == "bad"
+        harness.decider.endpoint_name(endpoint) == "bad"
     });
     sent.count()
 }
@@ -225,68 +228,75 @@
         (1, REFUSED, true),
         (8, event::Fault::Status(429), false),
     ] {
-        let mut bench = with_failures(times, fault);
-        bench.pass(300);
+        let mut harness = with_failures(times, fault);
+        harness.advance(300);
         assert_eq!(
-            bench.decider.gauges().ejected,
+            harness.decider.gauges().ejected,
             usize::from(ejected),
             "{times} x {fault:?}"
         );
-        assert_eq!(sent_to_bad(&mut bench) == 0, ejected, "{times} x {fault:?}");
+        assert_eq!(
+            sent_to_bad(&mut harness) == 0,
+            ejected,
+            "{times} x {fault:?}"
+        );
     }
 }
 
-/// What a user would see: most calls of a service fail, though all but one instance work. The broken
-/// one answers 500 at once, so it always has room and seems fast, and draws the others' calls.
+/// Guards against a broken instance attracting the traffic of the others: it responds with 500 at
+/// once, so that it always has room and seems fast.
 #[test]
 fn instance_that_answers_errors_is_ejected() {
     for (status, ejected) in [(404, 0), (500, 1), (503, 1), (429, 0)] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..3 {
-            let (req, _) = bench.arrive(|_| {});
+            let (req, _) = harness.arrive(|_| {});
             let outcome = event::AttemptOutcome::Refused { status };
-            bench.step(event::Event::AttemptEnded { req, outcome });
-            bench.pass(300);
+            harness.step(event::Event::AttemptEnded { req, outcome });
+            harness.advance(300);
         }
-        assert_eq!(bench.decider.gauges().ejected, ejected, "{status}");
+        assert_eq!(harness.decider.gauges().ejected, ejected, "{status}");
     }
 }
 
-/// What a user would see: an engine that restarts gets a full load at once, times out, and is thrown
-/// out again, for minutes. It came back with all its slots instead of a few.
+/// Guards against an engine that gets its full load right after an ejection: it would time out and be
+/// ejected again, repeatedly.
 #[test]
 fn return_is_slow_and_a_failure_ends_it() {
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    assert_eq!(sent_to_bad(&mut bench), 1, "one request to begin with");
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    bench.tick_after(10_000);
-    assert!(sent_to_bad(&mut bench) > 1, "its full share after the ramp");
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    assert_eq!(sent_to_bad(&mut harness), 1, "one request to begin with");
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    harness.tick_after(10_000);
+    assert!(
+        sent_to_bad(&mut harness) > 1,
+        "its full share after the ramp"
+    );
 
-    let mut bench = with_failures(3, CUT);
-    bench.tick_after(2_600);
-    bench.report(common::report("bad", 2, 8, &["sort"]));
+    let mut harness = with_failures(3, CUT);
+    harness.tick_after(2_600);
+    harness.report(common::report("bad", 2, 8, &["sort"]));
     let mut gone = common::report("good", 2, 64, &["sort"]);
     gone.leaving = true;
-    bench.report(gone);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, MAY_HAVE_RUN, CUT);
+    harness.report(gone);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, MAY_HAVE_RUN, CUT);
     assert_eq!(
-        bench.decider.gauges().ejected,
+        harness.decider.gauges().ejected,
         1,
         "one failure is enough while it returns"
     );
 }
 
-/// What a user would see: an engine is back within seconds of a crash and stays unused for minutes.
-/// Its crash failed all that was in flight there, and each failure doubled the time it was kept out.
+/// Guards against counting the requests that fail in one crash as separate ejections: the duration
+/// would double with each, and an engine that is back within seconds would stay unused for minutes.
 #[test]
 fn one_crash_is_one_ejection() {
-    let mut bench = with_failures(8, CUT);
-    bench.tick_after(2_600);
+    let mut harness = with_failures(8, CUT);
+    harness.tick_after(2_600);
     assert_eq!(
-        bench.decider.gauges().ejected,
+        harness.decider.gauges().ejected,
         0,
         "2 s and a quarter, not 2 s doubled five times"
     );
@@ -294,117 +304,120 @@
 
 #[test]
 fn ejected_endpoint_is_used_when_no_other_is_left() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, NOT_RUN, REFUSED);
-    assert_eq!(bench.decider.gauges().ejected, 1);
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, NOT_RUN, REFUSED);
+    assert_eq!(harness.decider.gauges().ejected, 1);
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
-/// What a user would see: a model is refused with `endpoint_failed` for as long as it takes to load it
-/// elsewhere, though there was time to wait. Its one engine had died, and since no other held the
-/// model, requests were still sent there.
+/// Guards against sending requests to a dead engine because no other one holds the model: they would
+/// be refused with `endpoint_failed`, although there is time to wait for a load on another engine.
 #[test]
 fn model_of_a_dead_engine_waits_for_a_load_elsewhere() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["dead"]);
-    bench.report(common::report("other", 1, 1, &["draft"]));
-    let (req, _) = bench.arrive(|_| {});
-    bench.fail(req, NOT_RUN, REFUSED);
-    let dead = bench.decider.endpoint("dead").expect("heard");
-    bench.step(event::Event::EndpointSilent(dead));
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "queue");
-    assert_eq!(bench.decider.demand()[0].waiting, 1);
-    let actions = bench.report(common::report("other", 2, 1, &["sort"]));
-    assert_eq!(common::told(&actions, req), "send");
+    let mut harness = common::Harness::with_engines(common::settings(), &["dead"]);
+    harness.report(common::report("other", 1, 1, &["draft"]));
+    let (req, _) = harness.arrive(|_| {});
+    harness.fail(req, NOT_RUN, REFUSED);
+    let dead = harness.decider.endpoint("dead").expect("heard");
+    harness.step(event::Event::EndpointSilent(dead));
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "queue");
+    assert_eq!(harness.decider.demand()[0].waiting, 1);
+    let actions = harness.report(common::report("other", 2, 1, &["sort"]));
+    assert_eq!(common::summary(&actions, req), "send");
 }
 
-struct Away {
+struct UnavailableCase {
     what: &'static str,
-    make: fn(&mut common::Bench),
+    make: fn(&mut common::Harness),
 }
 
-const AWAY: &[Away] = &[
-    Away {
+const UNAVAILABLE_CASES: &[UnavailableCase] = &[
+    UnavailableCase {
         what: "leaving",
-        make: |bench| {
+        make: |harness| {
             let mut report = common::report("e1", 2, 8, &["sort"]);
             report.leaving = true;
-            bench.report(report);
-            bench.report(common::report("e1", 3, 8, &["sort"]));
+            harness.report(report);
+            harness.report(common::report("e1", 3, 8, &["sort"]));
         },
     },
-    Away {
-        what: "silent by the daemon's word",
-        make: |bench| {
-            let endpoint = bench.decider.endpoint("e1").expect("heard");
-            bench.step(event::Event::EndpointSilent(endpoint));
+    UnavailableCase {
+        what: "reported as silent by the daemon",
+        make: |harness| {
+            let endpoint = harness.decider.endpoint("e1").expect("heard");
+            harness.step(event::Event::EndpointSilent(endpoint));
         },
     },
-    Away {
+    UnavailableCase {
         what: "silent by the age of its report",
-        make: |bench| {
-            bench.pass(7_000);
-            bench.report(common::report("e2", 2, 8, &["sort"]));
+        make: |harness| {
+            harness.advance(7_000);
+            harness.report(common::report("e2", 2, 8, &["sort"]));
         },
     },
-    Away {
+    UnavailableCase {
         what: "restarted without the model",
-        make: |bench| {
+        make: |harness| {
             let mut report = common::report("e1", 1, 8, &["draft"]);
             report.identity.incarnation = endpoints::Incarnation(2);
-            bench.report(report);
-            // A report of the earlier start, overtaken by the news.
-            bench.report(common::report("e1", 9, 8, &["sort"]));
+            harness.report(report);
+            // A report of the earlier incarnation, which was overtaken by that of the new one.
+            harness.report(common::report("e1", 9, 8, &["sort"]));
         },
     },
-    Away {
+    UnavailableCase {
         what: "unloaded, with an older report arriving late",
-        make: |bench| {
-            bench.report(common::report("e1", 5, 8, &["draft"]));
-            bench.report(common::report("e1", 4, 8, &["sort"]));
+        make: |harness| {
+            harness.report(common::report("e1", 5, 8, &["draft"]));
+            harness.report(common::report("e1", 4, 8, &["sort"]));
         },
     },
 ];
 
-/// What a user would see: requests fail on an engine that said seconds ago that it would go. It was
-/// still given new work, or a late report made it look present again.
+/// Guards against sending requests to an engine that has announced that it is leaving, or against a
+/// delayed report making it look available again.
 #[test]
 fn endpoint_that_is_away_gets_no_new_work() {
-    for case in AWAY {
-        let mut bench = common::Bench::new(common::settings());
-        bench.report(common::report("e1", 1, 8, &["sort"]));
-        bench.report(common::report("e2", 1, 8, &["sort"]));
-        (case.make)(&mut bench);
+    for case in UNAVAILABLE_CASES {
+        let mut harness = common::Harness::new(common::settings());
+        harness.report(common::report("e1", 1, 8, &["sort"]));
+        harness.report(common::report("e2", 1, 8, &["sort"]));
+        (case.make)(&mut harness);
         for _ in 0..8 {
-            let (req, actions) = bench.arrive(|_| {});
+            let (req, actions) = harness.arrive(|_| {});
             let endpoint = common::sent_to(&actions, req).expect("sent");
-            assert_eq!(bench.decider.endpoint_name(endpoint), "e2", "{}", case.what);
+            assert_eq!(
+                harness.decider.endpoint_name(endpoint),
+                "e2",
+                "{}",
+                case.what
+            );
         }
     }
 }
 
-/// What a user would see: a restarted engine stands half idle until this process restarts too. The
-/// requests lost with its earlier start were still counted against its slots, or their ends were
-/// taken off the count of the new ones.
+/// Guards against counting requests that were lost in a restart of an engine against its slots, which
+/// would leave it partly idle, and against subtracting their ends from the count of the new ones.
 #[test]
 fn restart_frees_the_slots_of_the_earlier_start() {
-    let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-    let (lost, _) = bench.arrive(|_| {});
+    let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+    let (lost, _) = harness.arrive(|_| {});
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.identity.incarnation = endpoints::Incarnation(2);
-    bench.report(report);
-    let (req, actions) = bench.arrive(|_| {});
-    assert_eq!(common::told(&actions, req), "send");
-    bench.fail(lost, NOT_RUN, REFUSED);
-    let gauges = bench.decider.gauges();
+    harness.report(report);
+    let (req, actions) = harness.arrive(|_| {});
+    assert_eq!(common::summary(&actions, req), "send");
+    harness.fail(lost, NOT_RUN, REFUSED);
+    let gauges = harness.decider.gauges();
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
 }
 
-/// What a user would see: a long draft is cut off and refused with `endpoint_failed`, and the engine
-/// blamed for it. Answers so far were short, and the limit for the first byte, which for an answer
-/// that is not streamed comes at its end, was reckoned from their mean.
+/// Guards against cancelling a long response that is not streamed and counting this as a failure of the
+/// engine. Its first byte comes at its end, so the time limit must not follow from the mean length of
+/// earlier, shorter responses.
 #[test]
 fn long_answer_gets_the_time_that_it_needs() {
     for (max_tokens, streaming, least) in [
@@ -413,14 +426,14 @@
         (0, false, 2_500),
         (200, true, 2_000),
     ] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
-            let (req, _) = bench.arrive(|f| f.max_tokens = 2);
-            bench.pass(100);
+            let (req, _) = harness.arrive(|f| f.max_tokens = 2);
+            harness.advance(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
-            bench.step(event::Event::AttemptEnded { req, outcome });
+            harness.step(event::Event::AttemptEnded { req, outcome });
         }
-        let (_, actions) = bench.arrive(|f| {
+        let (_, actions) = harness.arrive(|f| {
             f.max_tokens = max_tokens;
             f.streaming = streaming;
         });
@@ -436,67 +449,69 @@
     }
 }
 
-/// What a user would see: under load requests are refused though engines work. Some had run out of
-/// their time at a full engine, that counted as its failures, and it was ejected when it was needed
-/// most. An engine that answers nobody is another matter.
+/// Guards against ejecting an engine because requests run into their deadlines there under load. An
+/// engine that answers no request at all must still be ejected.
 #[test]
 fn endpoint_that_is_only_late_is_not_ejected() {
     for (answers_others, ejected) in [(true, 0), (false, 1)] {
         let mut settings = common::settings();
         settings.policy.shed = false;
-        let mut bench = common::Bench::new(settings);
+        let mut harness = common::Harness::new(settings);
         let report = common::report("e1", 1, 4, &["sort"]);
-        bench.step(event::Event::Report(Box::new(report), time::Millis(0)));
+        harness.step(event::Event::Report(Box::new(report), time::Millis(0)));
         for _ in 0..8 {
-            let (late, _) = bench.arrive(|f| f.deadline = Some(time::Millis(1_000)));
-            let (other, _) = bench.arrive(|_| {});
-            bench.pass(600);
+            let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(1_000)));
+            let (other, _) = harness.arrive(|_| {});
+            harness.advance(600);
             if answers_others {
                 let outcome = event::AttemptOutcome::Done { tokens: 1 };
-                bench.step(event::Event::AttemptEnded {
+                harness.step(event::Event::AttemptEnded {
                     req: other,
                     outcome,
                 });
             }
-            bench.pass(500);
-            let actions = bench.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
+            harness.advance(500);
+            let actions = harness.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
             assert_eq!(
-                common::told(&actions, late),
+                common::summary(&actions, late),
                 "deadline_passed may_have_run",
                 "answers others: {answers_others}"
             );
-            if bench.decider.gauges().ejected > 0 {
+            if harness.decider.gauges().ejected > 0 {
                 break;
             }
         }
-        let gauges = bench.decider.gauges();
+        let gauges = harness.decider.gauges();
         assert_eq!(gauges.ejected, ejected, "answers others: {answers_others}");
     }
 }
 
-/// What an engine would see: it has turned a request away and asked for three seconds of rest, and is sent further ones
-/// after 200 ms. One that has started again since has asked for nothing.
+/// Guards against sending requests to an engine before the backoff that it requested has passed. A
+/// restarted engine has requested none.
 #[test]
-fn an_engine_that_asks_for_rest_is_left_alone_for_so_long() {
-    for (after, restarts, goes_on) in [
+fn requested_backoff_is_respected() {
+    for (after, restarts, is_used_again) in [
         (2_900, false, false),
         (3_100, false, true),
         (100, true, true),
     ] {
-        let mut bench = common::Bench::with_engines(common::settings(), &["e1"]);
-        let (req, actions) = bench.arrive(|_| {});
+        let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
+        let (req, actions) = harness.arrive(|_| {});
         assert!(common::sent_to(&actions, req).is_some());
         if restarts {
             let mut report = common::report("e1", 1, 4, &["sort"]);
             report.identity.incarnation = endpoints::Incarnation(2);
-            bench.report(report);
+            harness.report(report);
         }
         let span = time::Millis(3_000);
-        bench.step(event::Event::BackoffRequested { req, span });
-        bench.fail(req, NOT_RUN, event::Fault::Status(503));
-        bench.pass(after);
-        let (next, actions) = bench.arrive(|f| f.deadline = Some(time::Millis(10_000)));
+        harness.step(event::Event::BackoffRequested { req, span });
+        harness.fail(req, NOT_RUN, event::Fault::Status(503));
+        harness.advance(after);
+        let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
-        assert_eq!(is_sent, goes_on, "after {after} ms, restarted: {restarts}");
+        assert_eq!(
+            is_sent, is_used_again,
+            "after {after} ms, restarted: {restarts}"
+        );
     }
 }
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! A small queueing simulation: seven deciders, engines with slots, reports that lag.
+//! A queueing simulation: seven deciders, engines with slots, and delayed reports.
 //!
-//! Its figures are simulated trials. They compare policies under the same arrivals, and say nothing
-//! of the speed of the product. `cargo test --test simulation -- --nocapture` prints them.
+//! The results compare policies under the same arrivals and don't show the performance of the real
+//! system. `cargo test --test simulation -- --nocapture` prints them.
 
 mod common;
 
@@ -13,27 +13,27 @@
 const ENTRIES: usize = 7;
 const ENGINES: usize = 9;
 const SLOTS: usize = 8;
-/// Half of a service time is fixed, half exponential, in milliseconds.
+/// Mean service time in milliseconds: half of it is constant, the other half exponential.
 const SERVICE: f64 = 800.0;
 const DEADLINE: u64 = 4_000;
 const RUN: u64 = 40_000;
-/// The deadlines of the requests that count.
+/// Requests count if their deadline is in this range.
 const COUNTED: std::ops::Range<u64> = 14_000..RUN;
 const REPORT_EVERY: u64 = 500;
 const REPORT_LAG: u64 = 300;
 const TICK_EVERY: u64 = 50;
-/// One request in so many is urgent.
+/// One request in this many is urgent.
 const URGENT_EVERY: usize = 20;
 
 #[derive(Default)]
 struct Engine {
-    /// When it ends, at which entry process it came in, and its id.
+    /// The end of each running request, its entry process and its id.
     running: collections::BTreeSet<(u64, usize, event::ReqId)>,
-    /// By priority, then by turn.
+    /// The entry process and id of each waiting request, by priority, then by arrival.
     waiting: collections::BTreeMap<(cmp::Reverse<u8>, u64), (usize, event::ReqId)>,
 }
 
-struct Fate {
+struct Outcome {
     due: u64,
     urgent: bool,
     on_time: Option<bool>,
@@ -45,14 +45,15 @@
     services: random::Random,
     entries: Vec<decider::Decider>,
     engines: Vec<Engine>,
-    fates: Vec<Fate>,
+    outcomes: Vec<Outcome>,
 }
 
 fn exponential(random: &mut random::Random, mean: f64) -> f64 {
     -mean * (1.0 - random.unit()).ln()
 }
 
-/// Gives the share of what could be answered in time that was, of all and of urgent requests.
+/// Returns the requests answered in time as a share of those that could have been, and the share of
+/// urgent requests answered in time.
 fn simulate(policy: &settings::Policy, load: f64) -> (f64, f64) {
     let mut settings = common::settings();
     settings.entries = u32::try_from(ENTRIES).expect("few");
@@ -67,7 +68,7 @@
         services: random::Random::new(2),
         entries: (0..ENTRIES as u64).map(decider).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
-        fates: Vec::new(),
+        outcomes: Vec::new(),
     };
     let mut arrivals = random::Random::new(1);
     let capacity = (ENGINES * SLOTS) as f64 / SERVICE;
@@ -92,9 +93,9 @@
             (0..ENTRIES).for_each(|entry| world.step(entry, event::Event::Tick));
         }
     }
-    let counted = world.fates.iter().filter(|f| COUNTED.contains(&f.due));
+    let counted = world.outcomes.iter().filter(|f| COUNTED.contains(&f.due));
     let (urgent, all) = (counted.clone().filter(|f| f.urgent), counted);
-    let on_time = |f: &&Fate| f.on_time == Some(true);
+    let on_time = |f: &&Outcome| f.on_time == Some(true);
     let most = (capacity * (COUNTED.end - COUNTED.start) as f64).min(all.clone().count() as f64);
     let urgent_share = urgent.clone().filter(on_time).count() as f64 / urgent.count() as f64;
     (all.filter(on_time).count() as f64 / most, urgent_share)
@@ -102,9 +103,9 @@
 
 impl World {
     fn arrive(&mut self, entry: usize, urgent: bool) {
-        let id = event::ReqId(self.fates.len() as u64);
+        let id = event::ReqId(self.outcomes.len() as u64);
         let (due, on_time) = (self.now + DEADLINE, None);
-        self.fates.push(Fate {
+        self.outcomes.push(Outcome {
             due,
             urgent,
             on_time,
@@ -117,7 +118,7 @@
     fn step(&mut self, entry: usize, event: event::Event) {
         for action in self.entries[entry].step(time::Instant(self.now), event) {
             match action {
-                // Every entry process hears the engines in the same order, so keys are indices.
+                // Every entry process receives the first reports in the same order, so keys are indexes.
                 event::Action::Send {
                     req,
                     endpoint,
@@ -166,10 +167,10 @@
     }
 
     fn settle(&mut self, req: event::ReqId, answered: bool) {
-        let fate = &mut self.fates[usize::try_from(req.0).expect("an index")];
-        let on_time = answered && self.now <= fate.due;
+        let outcome = &mut self.outcomes[usize::try_from(req.0).expect("an index")];
+        let on_time = answered && self.now <= outcome.due;
         assert!(
-            fate.on_time.replace(on_time).is_none(),
+            outcome.on_time.replace(on_time).is_none(),
             "one end for each request"
         );
     }
@@ -184,9 +185,9 @@
     }
 }
 
-/// What a user would see: at half again the load that the engines can carry, hardly anyone gets an
-/// answer in time, though the engines run all the time. Requests wait until their time is nearly up,
-/// then run and come late. Shedding early keeps the engines at requests that can be on time.
+/// Guards against the collapse of goodput under overload: without shedding, requests wait until their
+/// deadline is close, then run and finish late, so that hardly any is answered in time although the
+/// engines are busy. Shedding early keeps the engines busy with requests that can finish in time.
 #[test]
 fn goodput_holds_under_overload() {
     let ours = settings::Policy::default();
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -1,4 +1,4 @@
-//! The planners to measure against.
+//! Simple planners that serve as baselines for measurements.
 
 use sageshed_types::{
     arena::{EndpointKey, Key, ModelKey},
@@ -10,19 +10,19 @@
 use planner::{Attempt, Planner};
 
 impl Planner<'_> {
-    /// Loads what requests wait for and takes off what was asked for least recently, the last route
-    /// too.
+    /// Loads models that are requested and evicts the least recently requested ones, even if this
+    /// removes the last route of a model.
     pub(super) fn on_demand(&mut self) {
         let asked = |p: &Self, m: &ModelKey| {
-            let estimate = p.src.demand.of(*m);
+            let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
                 || estimate
-                    .asked
-                    .is_some_and(|t| p.src.now.since(t) <= p.src.policy.plan_interval_ms)
+                    .last_request
+                    .is_some_and(|t| p.inputs.now.since(t) <= p.inputs.policy.plan_interval_ms)
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
             .map(ModelKey::from_index)
-            .filter(|m| self.copies(*m) == 0 && asked(self, m))
+            .filter(|m| self.replicas(*m) == 0 && asked(self, m))
             .collect();
         for model in wanted {
             self.load_on_demand(model);
@@ -32,7 +32,7 @@
     fn load_on_demand(&mut self, model: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
         if let Some(base) = self.offer(model).base
-            && self.copies(base) == 0
+            && self.replicas(base) == 0
         {
             return self.load_on_demand(base);
         }
@@ -44,7 +44,7 @@
         }
         let suitable = self
             .keys()
-            .filter(|key| self.suits(*key, model) && self.has_base(*key, model));
+            .filter(|key| self.can_host(*key, model) && self.has_base(*key, model));
         let oldest = suitable
             .filter_map(|key| self.least_recent(key, model).map(|found| (found, key)))
             .min_by_key(|((asked, ..), key)| (*asked, *key));
@@ -54,7 +54,8 @@
         self.evict(key, evicted, version)
     }
 
-    /// The copy on `key` asked for least recently that no adapter sits on: when, which, version.
+    /// The least recently requested replica on `key` that no adapter there depends on: time of the last
+    /// request (0 if none), model and version.
     fn least_recent(&self, key: EndpointKey, keep: ModelKey) -> Option<(u64, ModelKey, u32)> {
         let base = self.offer(keep).base;
         let engine = self.engine(key);
@@ -62,10 +63,10 @@
             held.phase == endpoints::Phase::Ready
                 && Some(held.model) != base
                 && !engine.unloads(held.model, held.version)
-                && !self.src.ledger.carries_adapter(engine, held.model)
+                && !self.inputs.ledger.has_adapter_of(engine, held.model)
         });
         held.map(|held| {
-            let asked = self.src.demand.of(held.model).asked;
+            let asked = self.inputs.demand.of(held.model).last_request;
             (asked.map_or(0, |t| t.0 + 1), held.model, held.version)
         })
         .min()
@@ -79,13 +80,13 @@
         self.propose(key, model, task, "it was asked for least recently")
     }
 
-    /// Gives each model a route, then fills the memory with copies in turn; follows no demand.
+    /// Gives each model a route, then fills the memory with replicas evenly, regardless of demand.
     pub(super) fn even(&mut self) {
-        self.reach();
-        let mut models: Vec<ModelKey> = self.src.ranking.to_vec();
-        models.sort_by_key(|m| self.copies(*m));
+        self.ensure_routes();
+        let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
+        models.sort_by_key(|m| self.replicas(*m));
         for model in models {
-            if !self.src.budget.allows() || self.copies(model) == 0 {
+            if !self.inputs.budget.allows() || self.replicas(model) == 0 {
                 continue;
             }
             if let Some(key) = self.roomiest(model, self.memory(model)) {
