--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -202,37 +202,37 @@
     }
 
     /// Applies another directory's refresh of an instance.
-    pub fn confirm(&mut self, now: time::Instant, alive: LivenessRefresh) {
-        let Some(id) = self.index.by_short_key(alive.key).cloned() else {
+    pub fn confirm(&mut self, now: time::Instant, refresh: LivenessRefresh) {
+        let Some(id) = self.index.by_short_key(refresh.key).cloned() else {
             return;
         };
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        if entry.instance.has_ended() || alive.sequence < entry.instance.sequence {
+        if entry.instance.has_ended() || refresh.sequence < entry.instance.sequence {
             return;
         }
         if entry.instance.state == State::Silent {
-            return self.revive(now, &id, alive);
+            return self.revive(now, &id, refresh);
         }
-        entry.heard = entry.heard.max(heard_at(now, alive.age));
-        if alive.sequence == entry.instance.sequence {
+        entry.heard = entry.heard.max(heard_at(now, refresh.age));
+        if refresh.sequence == entry.instance.sequence {
             return;
         }
-        sync::Arc::make_mut(&mut entry.instance).sequence = alive.sequence;
+        sync::Arc::make_mut(&mut entry.instance).sequence = refresh.sequence;
         if now.since(entry.published) >= REFRESH_INTERVAL {
             self.record_refresh(now, &id);
         }
     }
 
     /// Makes a silent instance present again.
-    fn revive(&mut self, now: time::Instant, id: &InstanceId, alive: LivenessRefresh) {
+    fn revive(&mut self, now: time::Instant, id: &InstanceId, refresh: LivenessRefresh) {
         let Some(mut record) = self.record(now, id) else {
             return;
         };
         record.instance.state = State::Ready;
-        record.instance.sequence = alive.sequence;
-        record.age = alive.age;
+        record.instance.sequence = refresh.sequence;
+        record.age = refresh.age;
         self.merge(now, record);
     }
 
@@ -366,14 +366,14 @@
         if entry.leaving && record.instance.state == State::Ready {
             record.instance.state = State::Leaving;
         }
-        let goes = record.instance.state == State::Gone;
+        let is_gone = record.instance.state == State::Gone;
         if record.instance.sequence >= entry.instance.sequence {
             entry.heard = entry.heard.max(heard_at(now, record.age));
         }
         entry.rank = entry.rank.max(record.rank);
         // Only a higher version replaces the known record. Otherwise two directories with different records of the
         // same version would exchange them forever.
-        if record.version() <= known && !goes {
+        if record.version() <= known && !is_gone {
             let is_same = record.version() == known;
             return if is_same {
                 MergeOutcome::Confirmed
--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -81,19 +81,19 @@
             return Progress::Done;
         }
         let is_elsewhere = holders.iter().any(is_there);
-        let room = |it: &&directory::Instance| {
+        let free_slots = |it: &&directory::Instance| {
             let engine = self.engines.get(&it.id)?;
             let used = engine.max_adapters(it);
             let free = (pool.offer.adapter_slots as usize).checked_sub(used + 1)?;
             (engine.accepts_adapter_orders(now)).then_some((free, it.id.clone()))
         };
         let meant = holders.iter().filter(|it| is_meant(it));
-        let mut roomiest = meant.filter_map(room).max();
-        if roomiest.is_none() && !is_elsewhere {
-            roomiest = holders.iter().filter_map(room).max();
+        let mut best = meant.filter_map(free_slots).max();
+        if best.is_none() && !is_elsewhere {
+            best = holders.iter().filter_map(free_slots).max();
         }
         let task = dialect::Task::LoadAdapter(req.model.clone(), req.adapter.clone());
-        if let Some((_, id)) = roomiest {
+        if let Some((_, id)) = best {
             return self
                 .order(now, pool, &id, task)
                 .map_or(Progress::Later, Progress::By);
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -331,14 +331,14 @@
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
-        answer: Option<dialect::OrderResponse>,
+        response: Option<dialect::OrderResponse>,
     ) -> bool {
         let sent = |it: &PendingOrder| it.task == order.task && it.state == OrderState::Sent;
         let Some(at) = self.pending.iter().position(sent) else {
             return false;
         };
         let load_time = self.pending[at].load_time;
-        match answer {
+        match response {
             Some(dialect::OrderResponse::Accepted) => {
                 self.accepted = Some(order.accepted_before + 1);
                 self.pending[at].state = OrderState::Accepted(now + load_time);
@@ -498,8 +498,9 @@
             let adapters = resident.adapters.iter();
             may_hold.extend(adapters.map(|it| (resident.model.as_str(), it.as_str())));
         }
-        let told = self.adapters.keys();
-        may_hold.extend(told.map(|(model, adapter)| (model.as_str(), adapter.as_str())));
+        let ordered_adapters = self.adapters.keys();
+        may_hold
+            .extend(ordered_adapters.map(|(model, adapter)| (model.as_str(), adapter.as_str())));
         for order in &self.pending {
             if let dialect::Task::LoadAdapter(model, adapter) = &order.task {
                 may_hold.insert((model, adapter));
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -237,18 +237,18 @@
         &mut self,
         now: time::Instant,
         order: &dialect::Order,
-        answer: Option<dialect::OrderResponse>,
+        response: Option<dialect::OrderResponse>,
     ) -> Vec<Action> {
         let Some(engine) = self.engines.get_mut(&order.instance) else {
             return Vec::new();
         };
-        let is_taken = engine.apply_order_response(now, order, answer);
-        let unloads = matches!(
+        let is_accepted = engine.apply_order_response(now, order, response);
+        let is_unload = matches!(
             order.task,
             dialect::Task::Unload(_) | dialect::Task::UnloadAdapter(..)
         );
         // A loaded adapter is shown only once it has had the time to load; see `correct_records`.
-        if is_taken && unloads {
+        if is_accepted && is_unload {
             return vec![amend(&order.instance, &order.task)];
         }
         Vec::new()
@@ -391,7 +391,7 @@
     /// Requests the reports that are due, first from engines with pending orders or requested adapters.
     fn request_reports(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let in_flight = self.engines.values().filter(|it| it.awaits_report(now));
-        let room = self
+        let available = self
             .policy
             .max_report_requests
             .saturating_sub(in_flight.count());
@@ -415,12 +415,12 @@
             }
             if is_urgent(instance, engine) {
                 urgent.push(*instance);
-            } else if others.len() < room {
+            } else if others.len() < available {
                 others.push(*instance);
             }
         }
         let mut actions = Vec::new();
-        for instance in urgent.into_iter().chain(others).take(room) {
+        for instance in urgent.into_iter().chain(others).take(available) {
             if let Some(engine) = self.engines.get_mut(&instance.id) {
                 engine.report_requested(now);
             }
--- a/crates/sageshed-fleet/src/transfer.rs
+++ b/crates/sageshed-fleet/src/transfer.rs
@@ -94,14 +94,14 @@
 struct Kept {
     id: TransferId,
     bytes: sync::Arc<[u8]>,
-    asked: time::Instant,
+    last_requested: time::Instant,
 }
 
 impl Sender {
     /// Keeps a payload, and removes old ones.
     pub fn keep(&mut self, now: time::Instant, id: TransferId, bytes: Vec<u8>) {
         self.kept
-            .retain(|it| now.since(it.asked) < PAYLOAD_RETENTION);
+            .retain(|it| now.since(it.last_requested) < PAYLOAD_RETENTION);
         if self.kept.len() >= MAX_PAYLOADS {
             self.kept.remove(0);
         }
@@ -109,7 +109,7 @@
         self.kept.push(Kept {
             id,
             bytes,
-            asked: now,
+            last_requested: now,
         });
     }
 
@@ -131,7 +131,7 @@
         let at = self.kept.iter().position(|it| it.id == id)?;
         self.kept[at..].rotate_left(1);
         let kept = self.kept.last_mut()?;
-        kept.asked = now;
+        kept.last_requested = now;
         let begin = usize::try_from(offset).ok()?;
         let rest = kept.bytes.get(begin..).filter(|it| !it.is_empty())?;
         let bytes = &rest[..rest.len().min(most)];
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -101,8 +101,10 @@
                 }
                 Action::Order(order) => {
                     self.orders.push((self.now, order.clone()));
-                    let answer = self.execute(&order);
-                    let more = self.planner.handle_order_response(self.now, &order, answer);
+                    let response = self.execute(&order);
+                    let more = self
+                        .planner
+                        .handle_order_response(self.now, &order, response);
                     self.apply(more);
                 }
                 Action::Amend { instance, task } => {
@@ -165,13 +167,13 @@
     }
 
     fn request_adapter(&mut self, adapter: &str) {
-        let want = messages::AdapterReq {
+        let request = messages::AdapterReq {
             service: support::ENGINES.to_owned(),
             model: "m0".to_owned(),
             adapter: adapter.to_owned(),
             engine: None,
         };
-        self.planner.request_adapter(self.now, want);
+        self.planner.request_adapter(self.now, request);
     }
 
     fn tasks(&self) -> Vec<String> {
@@ -543,12 +545,12 @@
     simulation.lost = 2;
     simulation.request_adapter("a1");
     simulation.run(1_000);
-    let behind: Vec<u64> = simulation
+    let accepted_before: Vec<u64> = simulation
         .orders
         .iter()
         .map(|(_, it)| it.accepted_before)
         .collect();
-    assert_eq!(behind, [0, 0, 0], "{:?}", simulation.tasks());
+    assert_eq!(accepted_before, [0, 0, 0], "{:?}", simulation.tasks());
     assert!(simulation.engines["e1"].instance.holds("m0", Some("a1")));
 }
 
@@ -615,13 +617,13 @@
     let id = simulation.engines["e1"].instance.id.clone();
     let started = simulation.now;
     for round in 0..40 {
-        let want = messages::AdapterReq {
+        let request = messages::AdapterReq {
             service: "engines".to_owned(),
             model: "m1".to_owned(),
             adapter: format!("a{}", round % 4),
             engine: Some(id.clone()),
         };
-        simulation.planner.request_adapter(simulation.now, want);
+        simulation.planner.request_adapter(simulation.now, request);
         let before = simulation.orders.len();
         simulation.run(100);
         if simulation.orders.len() > before {
@@ -658,7 +660,7 @@
         simulation.now + time::Millis(3_000),
         simulation.orders.len(),
     );
-    let want = messages::AdapterReq {
+    let request = messages::AdapterReq {
         service: "engines".to_owned(),
         model: "m1".to_owned(),
         adapter: "a1".to_owned(),
@@ -668,7 +670,7 @@
         // Entry processes repeat the request while requests wait for the adapter.
         simulation
             .planner
-            .request_adapter(simulation.now, want.clone());
+            .request_adapter(simulation.now, request.clone());
         simulation.run(200);
     }
     let first = simulation.orders.get(before).map(|(at, _)| *at);
@@ -728,23 +730,26 @@
     let engine = support::engine("e1", &["m0"]);
     let config = support::config();
     now = now + Policy::default().lease;
-    let mut asked = 0;
+    let mut requests = 0;
     for _ in 0..600 {
         now = now + STEP;
         for action in planner.tick(now, &config, &[&engine]) {
             if let Action::AskReport { instance, .. } = action {
-                asked += 1;
+                requests += 1;
                 planner.handle_report(now, &instance, None);
             }
         }
     }
-    assert!((4..=8).contains(&asked), "{asked} report requests in 30 s");
+    assert!(
+        (4..=8).contains(&requests),
+        "{requests} report requests in 30 s"
+    );
 }
 
 fn report_requests(actions: &[Action]) -> Vec<String> {
-    let asked = actions.iter().filter_map(|it| match it {
+    let requests = actions.iter().filter_map(|it| match it {
         Action::AskReport { instance, .. } => Some(instance.name.clone()),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
--- a/crates/sageshed-fleet/tests/transfer.rs
+++ b/crates/sageshed-fleet/tests/transfer.rs
@@ -30,7 +30,7 @@
 }
 
 /// The next chunk to ask for: the control process, the offset and the maximum size.
-fn asked(next: NextStep) -> (net::Ipv4Addr, u64, usize) {
+fn next_chunk(next: NextStep) -> (net::Ipv4Addr, u64, usize) {
     match next {
         NextStep::Ask {
             to, offset, most, ..
@@ -42,7 +42,7 @@
 /// Fetches the whole payload. Returns it with the number of chunks.
 fn fetch(receiver: &mut Receiver, sender: &mut Sender, id: TransferId) -> (Payload, usize) {
     for count in 1.. {
-        let (_, offset, most) = asked(receiver.next(0, None));
+        let (_, offset, most) = next_chunk(receiver.next(0, None));
         let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
         match receiver
             .take(&chunk, QUICK)
@@ -77,12 +77,12 @@
     let mut receiver = Receiver::default();
     receiver.note_version(NOW, ip(1), 7);
     receiver.note_version(NOW, ip(2), 7);
-    let (first, offset, most) = asked(receiver.next(0, Some(ip(1))));
+    let (first, offset, most) = next_chunk(receiver.next(0, Some(ip(1))));
     assert_eq!(first, ip(1));
     let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
     receiver.take(&chunk, QUICK).expect("the first one");
     receiver.mark_failed(ip(1));
-    let (second, offset, fewer) = asked(receiver.next(0, Some(ip(1))));
+    let (second, offset, fewer) = next_chunk(receiver.next(0, Some(ip(1))));
     assert_eq!((second, offset), (ip(2), CHUNK_BYTES as u64));
     assert!(fewer < most, "{fewer}");
     assert_eq!(fetch(&mut receiver, &mut sender, id).0.bytes, bytes);
@@ -174,16 +174,16 @@
     receiver.note_version(NOW, ip(1), 7);
     receiver.note_version(NOW, ip(2), 8);
     receiver.note_version(NOW, ip(3), 8);
-    assert_eq!(asked(receiver.next(0, Some(ip(2)))).0, ip(2));
-    assert_eq!(asked(receiver.next(0, Some(ip(3)))).0, ip(3));
-    let first = asked(receiver.next(0, Some(ip(1)))).0;
+    assert_eq!(next_chunk(receiver.next(0, Some(ip(2)))).0, ip(2));
+    assert_eq!(next_chunk(receiver.next(0, Some(ip(3)))).0, ip(3));
+    let first = next_chunk(receiver.next(0, Some(ip(1)))).0;
     assert_ne!(first, ip(1), "the near one has an older version");
     receiver.mark_failed(ip(2));
     receiver.mark_failed(ip(3));
-    assert_eq!(asked(receiver.next(0, None)).0, ip(1));
+    assert_eq!(next_chunk(receiver.next(0, None)).0, ip(1));
     receiver.note_version(NOW, ip(3), 8);
     assert_eq!(
-        asked(receiver.next(0, None)).0,
+        next_chunk(receiver.next(0, None)).0,
         ip(3),
         "it has announced a version again"
     );
@@ -215,7 +215,7 @@
     receiver.note_version(NOW, ip(1), 7);
     let mut sizes = Vec::new();
     for took in [Millis(900), Millis(500), Millis(150), QUICK, QUICK, QUICK] {
-        let (_, offset, most) = asked(receiver.next(0, None));
+        let (_, offset, most) = next_chunk(receiver.next(0, None));
         let chunk = sender.chunk(NOW, id, offset, most).expect("a chunk");
         receiver
             .take(&chunk, took)
