--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     fleet::Fleet,
-    standin::{caller::Ask, operator},
+    standin::{caller::Request, operator},
 };
 
 fn route(name: &str) -> String {
@@ -16,7 +16,7 @@
 }
 
 fn status(fleet: &Fleet, entry: usize, path: &str) -> u16 {
-    let answer = fleet.ask(entry, &Ask::new("GET", path, "look"));
+    let answer = fleet.ask(entry, &Request::new("GET", path, "look"));
     answer.map_or(0, |it| it.status())
 }
 
--- a/tests/fleet/control.rs
+++ b/tests/fleet/control.rs
@@ -2,11 +2,11 @@
 
 use crate::{
     fleet::{Fleet, Process},
-    standin::{caller::Ask, operator},
+    standin::{caller::Request, operator},
 };
 
 fn serves(fleet: &Fleet, entry: usize) -> bool {
-    let answer = fleet.ask(entry, &Ask::new("GET", "/again/x", "look"));
+    let answer = fleet.ask(entry, &Request::new("GET", "/again/x", "look"));
     answer.is_some_and(|it| it.status() == 200)
 }
 
--- a/tests/fleet/crashing.rs
+++ b/tests/fleet/crashing.rs
@@ -5,8 +5,8 @@
 use crate::{
     fleet::Fleet,
     standin::{
-        caller::Ask,
-        engine::{DEADLY, Does, Engine},
+        caller::Request,
+        engine::{Behavior, CRASH_BODY, Engine},
     },
 };
 
@@ -16,16 +16,16 @@
 /// The endpoints that the request may still crash after that, over all entry processes.
 const MAX_FURTHER_CRASHES: usize = 3;
 
-fn deadly(id: &str) -> Ask<'_> {
-    Ask {
-        body: DEADLY,
-        ..Ask::new("POST", "/resumable/x", id)
+fn deadly(id: &str) -> Request<'_> {
+    Request {
+        body: CRASH_BODY,
+        ..Request::new("POST", "/resumable/x", id)
     }
 }
 
 /// The number of crashes of endpoints so far.
 fn crash_count(engines: &[Engine]) -> usize {
-    engines.iter().map(|it| it.seen(|seen| seen.ends)).sum()
+    engines.iter().map(|it| it.log(|log| log.ends)).sum()
 }
 
 /// Sends the request to both entry processes in turn until it has caused three crashes.
@@ -54,7 +54,7 @@
 /// Waits until an entry process serves requests.
 fn serves(fleet: &Fleet, entry: usize) {
     fleet.until("it serves", || {
-        let answer = fleet.ask(entry, &Ask::new("GET", "/stream/x", "first"));
+        let answer = fleet.ask(entry, &Request::new("GET", "/stream/x", "first"));
         answer.is_some_and(|it| it.status() == 200)
     });
 }
@@ -134,9 +134,9 @@
             .sum();
         ends >= 3 && logs().all(|it| it.contains("request is quarantined"))
     });
-    let other = Ask {
+    let other = Request {
         body: "another prompt",
-        ..Ask::new("POST", "/resumable/x", "other")
+        ..Request::new("POST", "/resumable/x", "other")
     };
     let answer = fleet.ask(0, &other).expect("an answer");
     assert_eq!(answer.status(), 200, "{}", answer.text());
@@ -150,18 +150,18 @@
     let engines = &engines[..2];
     for round in 0..4 {
         for engine in engines {
-            engine.does(Does::Hangs);
+            engine.set_behavior(Behavior::Hangs);
         }
         let id = format!("beside-{round}");
-        let ask = Ask {
+        let ask = Request {
             body: "asked by many",
-            ..Ask::new("POST", "/resumable/x", &id)
+            ..Request::new("POST", "/resumable/x", &id)
         };
         let answer = thread::scope(|scope| {
             let asking = scope.spawn(|| fleet.ask(round % 2, &ask));
             fleet.until("it runs", || engines.iter().any(|it| it.runs(&id) > 0));
             for engine in engines {
-                engine.does(Does::Streams(3));
+                engine.set_behavior(Behavior::Streams(3));
             }
             for engine in engines.iter().filter(|it| it.runs(&id) > 0) {
                 engine.crash();
@@ -190,21 +190,21 @@
     let (fleet, mut engines) = Fleet::ready();
     engines.push(fleet.engine("e3", "engines", 35, &["m1"]));
     let ways = [
-        Does::Closes,
-        Does::Fails(500),
-        Does::AnswersShort,
-        Does::CutsAfter(0),
+        Behavior::Closes,
+        Behavior::Fails(500),
+        Behavior::AnswersShort,
+        Behavior::CutsAfter(0),
     ];
     for (round, does) in ways.into_iter().enumerate() {
         for engine in &engines {
-            engine.does(does);
+            engine.set_behavior(does);
         }
         let mut number = 0;
         let mut ids = Vec::new();
         fleet.until("each engine has failed it", || {
             number += 1;
             let id = format!("fails-{round}-{number}");
-            let answer = fleet.ask(number % 2, &Ask::new("POST", "/resumable/x", &id));
+            let answer = fleet.ask(number % 2, &Request::new("POST", "/resumable/x", &id));
             let is_held = answer.is_some_and(|it| it.text().contains("quarantined"));
             assert!(!is_held, "{does:?}, {id}");
             ids.push(id);
@@ -213,10 +213,10 @@
         });
     }
     for engine in &engines {
-        engine.does(Does::Answers);
+        engine.set_behavior(Behavior::Answers);
     }
     fleet.until("it is served", || {
-        let answer = fleet.ask(0, &Ask::new("POST", "/resumable/x", "at last"));
+        let answer = fleet.ask(0, &Request::new("POST", "/resumable/x", "at last"));
         answer.is_some_and(|it| it.status() == 200)
     });
 }
@@ -228,9 +228,9 @@
     let (fleet, engines) = Fleet::ready();
     let engines = &engines[..2];
     for engine in engines {
-        engine.does(Does::Hangs);
+        engine.set_behavior(Behavior::Hangs);
     }
-    let ask = Ask::new("POST", "/resumable/x", "outlasted");
+    let ask = Request::new("POST", "/resumable/x", "outlasted");
     let answer = thread::scope(|scope| {
         let asking = scope.spawn(|| fleet.ask(0, &ask));
         fleet.until("it runs", || {
@@ -239,7 +239,7 @@
         let at = engines.iter().find(|it| it.runs("outlasted") > 0);
         let at = at.expect("it runs there");
         for engine in engines {
-            engine.does(Does::Streams(3));
+            engine.set_behavior(Behavior::Streams(3));
         }
         at.leave();
         fleet.until("the entry process knows that it stops", || {
--- a/tests/fleet/endpoints.rs
+++ b/tests/fleet/endpoints.rs
@@ -2,26 +2,26 @@
 
 use std::time;
 
-use crate::{fleet::Fleet, standin::caller::Ask};
+use crate::{fleet::Fleet, standin::caller::Request};
 
 /// Guards against new requests to an engine that has announced to any control process that it will stop.
 #[test]
 fn a_leaving_endpoint_gets_no_new_work() {
     let (fleet, engines) = Fleet::ready();
-    let announced = engines[0].announced();
+    let announced = engines[0].announcements();
     engines[0].leave();
     // A round may pass without a request by chance, so rounds count only after the announcement.
     fleet.until("the engine has said that it leaves", || {
-        engines[0].announced() >= announced + 2
+        engines[0].announcements() >= announced + 2
     });
     let is_quiet = |round: usize| {
-        let before = engines[0].seen(|seen| seen.ran.len());
+        let before = engines[0].log(|log| log.ran.len());
         for number in 0..12 {
             let id = format!("round-{round}-{number}");
-            let answer = fleet.ask(number % 2, &Ask::new("POST", "/stream/x", &id));
+            let answer = fleet.ask(number % 2, &Request::new("POST", "/stream/x", &id));
             assert_eq!(answer.expect("an answer").status(), 200);
         }
-        engines[0].seen(|seen| seen.ran.len()) == before
+        engines[0].log(|log| log.ran.len()) == before
     };
     let mut round = 0;
     fleet.until("it gets no work", || {
@@ -41,7 +41,7 @@
     let new = fleet.engine("e9", "engines", 39, &["m1"]);
     for entry in 0..2 {
         fleet.until("the new engine serves", || {
-            let answer = fleet.ask(entry, &Ask::new("POST", "/stream/x", "new"));
+            let answer = fleet.ask(entry, &Request::new("POST", "/stream/x", "new"));
             answer.is_some_and(|it| it.status() == 200)
         });
     }
@@ -57,14 +57,16 @@
     let (fleet, mut engines) = Fleet::ready();
     engines.remove(1);
     let engine = &engines[0];
-    engine.count_from(100_000);
-    fleet.until("all have heard its count", || engine.announced() > 100_006);
+    engine.set_announcements(100_000);
+    fleet.until("all have heard its count", || {
+        engine.announcements() > 100_006
+    });
     let serves = |id: &str| {
-        let answer = fleet.ask(0, &Ask::new("POST", "/stream/x", id));
+        let answer = fleet.ask(0, &Request::new("POST", "/stream/x", id));
         answer.is_some_and(|it| it.status() == 200)
     };
     fleet.until("the engine serves its model", || serves("before"));
-    engine.start_again(time::Duration::from_secs(1));
+    engine.restart(time::Duration::from_secs(1));
     fleet.until("the model is loaded on the new start", || serves("after"));
     assert!(engine.runs("after") >= 1);
 }
--- a/tests/fleet/explaining.rs
+++ b/tests/fleet/explaining.rs
@@ -4,13 +4,13 @@
 
 use crate::{
     fleet::Fleet,
-    standin::{caller::Ask, engine::Does},
+    standin::{caller::Request, engine::Behavior},
 };
 
 /// The behaviour of the endpoints, and the texts that the log of a request must contain.
 struct Case {
     name: &'static str,
-    does: Does,
+    does: Behavior,
     path: &'static str,
     model: Option<&'static str>,
     status: u16,
@@ -34,7 +34,7 @@
     let cases = [
         case(
             "closed",
-            Does::Closes,
+            Behavior::Closes,
             "/once/x",
             None,
             502,
@@ -48,7 +48,7 @@
         ),
         case(
             "rejected",
-            Does::Rejects,
+            Behavior::Rejects,
             "/once/x",
             None,
             503,
@@ -60,7 +60,7 @@
         ),
         case(
             "failed",
-            Does::Fails(500),
+            Behavior::Fails(500),
             "/stream/x",
             Some("m1"),
             500,
@@ -73,7 +73,7 @@
         ),
         case(
             "unsigned",
-            Does::AnswersUnsigned,
+            Behavior::AnswersUnsigned,
             "/once/x",
             None,
             502,
@@ -81,7 +81,7 @@
         ),
         case(
             "no such model",
-            Does::Answers,
+            Behavior::Answers,
             "/stream/x",
             Some("m9"),
             503,
@@ -93,7 +93,7 @@
         ),
         case(
             "answered",
-            Does::Answers,
+            Behavior::Answers,
             "/again/x",
             None,
             200,
@@ -103,11 +103,11 @@
     for (number, case) in cases.iter().enumerate() {
         let id = format!("told-{number}");
         for engine in &engines {
-            engine.does(case.does);
+            engine.set_behavior(case.does);
         }
-        let ask = Ask {
+        let ask = Request {
             model: case.model,
-            ..Ask::new("POST", case.path, &id)
+            ..Request::new("POST", case.path, &id)
         };
         let answer = fleet.ask(0, &ask).expect(case.name);
         assert_eq!(answer.status(), case.status, "{}", case.name);
@@ -127,7 +127,7 @@
 fn the_lines_tell_which_tries_are_one_request() {
     let (fleet, engines) = Fleet::ready();
     for engine in &engines {
-        engine.does(Does::Closes);
+        engine.set_behavior(Behavior::Closes);
     }
     let tries = [
         (0, "try-1", "prompt"),
@@ -135,9 +135,9 @@
         (0, "try-3", "another"),
     ];
     let contents = tries.map(|(entry, id, body)| {
-        let ask = Ask {
+        let ask = Request {
             body,
-            ..Ask::new("POST", "/once/x", id)
+            ..Request::new("POST", "/once/x", id)
         };
         let answer = fleet.ask(entry, &ask).expect("an answer");
         assert_eq!(answer.status(), 502, "{id}");
@@ -179,14 +179,14 @@
 fn an_entry_process_tells_what_happened_to_a_request() {
     let (fleet, engines) = Fleet::ready();
     for engine in &engines {
-        engine.does(Does::Fails(500));
+        engine.set_behavior(Behavior::Fails(500));
     }
-    let answer = fleet.ask(1, &Ask::new("GET", "/again/x", "failed-1"));
+    let answer = fleet.ask(1, &Request::new("GET", "/again/x", "failed-1"));
     assert_eq!(answer.expect("an answer").status(), 500);
     for engine in &engines {
-        engine.does(Does::Answers);
+        engine.set_behavior(Behavior::Answers);
     }
-    let answer = fleet.ask(0, &Ask::new("GET", "/again/x", "answered-1"));
+    let answer = fleet.ask(0, &Request::new("GET", "/again/x", "answered-1"));
     assert_eq!(answer.expect("an answer").status(), 200);
     let failed = trace_of(&fleet, "failed-1");
     assert_eq!(failed.matches("\nsent ").count(), 2, "{failed}");
@@ -214,13 +214,13 @@
     fleet.entries[0].kill();
     fleet.entries[0].start_with_unread_log();
     fleet.until("it serves", || {
-        let answer = fleet.ask(0, &Ask::new("GET", "/again/x", "first"));
+        let answer = fleet.ask(0, &Request::new("GET", "/again/x", "first"));
         answer.is_some_and(|it| it.status() == 200)
     });
     for number in 0..1_500 {
         let id = format!("unread-{number}");
         // Each request without a route is logged.
-        let ask = Ask::new("GET", "/nowhere/x", &id);
+        let ask = Request::new("GET", "/nowhere/x", &id);
         assert_eq!(fleet.ask(0, &ask).expect("an answer").status(), 404);
     }
 }
--- a/tests/fleet/fleet.rs
+++ b/tests/fleet/fleet.rs
@@ -244,7 +244,7 @@
         for entry in 0..fleet.entries.len() {
             for path in ["/stream/x", "/again/x"] {
                 fleet.until("an entry process serves", || {
-                    let answer = fleet.ask(entry, &caller::Ask::new("GET", path, "first"));
+                    let answer = fleet.ask(entry, &caller::Request::new("GET", path, "first"));
                     answer.is_some_and(|it| it.status() == 200)
                 });
             }
@@ -343,9 +343,9 @@
     }
 
     /// Sends one request on a connection of its own. None if no response arrives.
-    pub fn ask(&self, entry: usize, ask: &caller::Ask<'_>) -> Option<Message> {
+    pub fn ask(&self, entry: usize, ask: &caller::Request<'_>) -> Option<Message> {
         let mut caller = caller::Caller::connect(self.entries[entry].address()).ok()?;
-        caller.ask(ask).ok().flatten()
+        caller.request(ask).ok().flatten()
     }
 
     /// Sends a configuration to one control process after the other until one acknowledges it.
--- a/tests/fleet/identity.rs
+++ b/tests/fleet/identity.rs
@@ -7,8 +7,8 @@
     fleet::Fleet,
     standin::{
         Message,
-        caller::{Ask, Caller},
-        engine::{Does, Engine},
+        caller::{Caller, Request},
+        engine::{Behavior, Engine},
         operator,
     },
 };
@@ -39,9 +39,9 @@
 }
 
 fn ask_with(fleet: &Fleet, entry: usize, path: &str, id: &str, lines: &str) -> Option<Message> {
-    let ask = Ask {
+    let ask = Request {
         lines,
-        ..Ask::new("GET", path, id)
+        ..Request::new("GET", path, id)
     };
     fleet.ask(entry, &ask)
 }
@@ -71,8 +71,8 @@
 /// The request with this id as an endpoint received it.
 fn ran(engines: &[Engine], id: &str) -> Option<Message> {
     engines.iter().find_map(|engine| {
-        engine.seen(|seen| {
-            let mut ran = seen.ran.iter();
+        engine.log(|log| {
+            let mut ran = log.ran.iter();
             ran.find(|it| it.header("attempt-id") == Some(id)).cloned()
         })
     })
@@ -299,7 +299,7 @@
     until_status(&fleet, 0, DUG, 200);
     let address = fleet.entries[0].address();
     // There is no engine, so the request waits for one.
-    let waiting = thread::spawn(move || kept(address).ask(&patient()).expect("an answer"));
+    let waiting = thread::spawn(move || kept(address).request(&patient()).expect("an answer"));
     fleet.until("the request waits", || {
         let text = operator::call(fleet.entries[0].metrics(), "GET", "/metrics", "");
         text.is_ok_and(|it| {
@@ -307,12 +307,12 @@
                 .contains("sageshed_gateway_waiting{otel_scope_name=\"sageshed\"} 1")
         })
     });
-    engine.does(Does::Hangs);
+    engine.set_behavior(Behavior::Hangs);
     let mut open = kept(address);
     let lines = bearer(DUG);
-    let held = Ask {
+    let held = Request {
         lines: &lines,
-        ..Ask::new("GET", "/again/x", "runs")
+        ..Request::new("GET", "/again/x", "runs")
     };
     open.send(&held).expect("it is sent");
     fleet.until("an endpoint runs it", || engine.runs("runs") == 1);
@@ -327,14 +327,14 @@
     // A request that runs is ended by the timeout of its route, not by the change.
     let answer = open.answer().expect("an answer").expect("an answer");
     assert_ne!(answer.status(), 401, "{}", answer.text());
-    let late = Ask {
+    let late = Request {
         lines: &lines,
-        ..Ask::new("GET", "/again/x", "late")
+        ..Request::new("GET", "/again/x", "late")
     };
-    let answer = open.ask(&late).ok().flatten();
+    let answer = open.request(&late).ok().flatten();
     assert!(answer.is_none_or(|it| it.status() == 401));
     assert_eq!(engine.runs("late"), 0);
-    engine.does(Does::Answers);
+    engine.set_behavior(Behavior::Answers);
     until_status(&fleet, 0, DUG_TWO, 200);
     assert_eq!(status(&fleet, 0, DUG), 401);
 }
@@ -344,13 +344,13 @@
 fn a_stream_outlives_its_key() {
     let (fleet, engines) = with_workspaces();
     for engine in &engines[..2] {
-        engine.does(Does::PausesAfter(2));
+        engine.set_behavior(Behavior::PausesAfter(2));
     }
     let mut caller = kept(fleet.entries[0].address());
     let lines = bearer(DUG);
-    let ask = Ask {
+    let ask = Request {
         lines: &lines,
-        ..Ask::new("POST", "/stream/x", "runs on")
+        ..Request::new("POST", "/stream/x", "runs on")
     };
     caller.send(&ask).expect("it is sent");
     fleet.until("an engine runs it", || ran(&engines, "runs on").is_some());
@@ -365,11 +365,11 @@
     Caller::connect(address).expect("a connection")
 }
 
-fn patient() -> Ask<'static> {
-    Ask {
+fn patient() -> Request<'static> {
+    Request {
         deadline_ms: 60_000,
         lines: "Authorization: Bearer kdug5f1a0c77\r\n",
-        ..Ask::new("POST", "/patient/stream/x", "waits")
+        ..Request::new("POST", "/patient/stream/x", "waits")
     }
 }
 
--- a/tests/fleet/limits.rs
+++ b/tests/fleet/limits.rs
@@ -68,11 +68,11 @@
     for case in cases {
         let (fleet, engines) = Fleet::ready();
         let endpoint = &engines[case.endpoint];
-        endpoint.names_limit(Some(LIMIT));
+        endpoint.set_limit(Some(LIMIT));
         load::tell_all(&fleet, endpoint, &engines[case.beside], &case.load);
         let from = time::Instant::now() + TOLD;
         let answers = load::answers(&fleet, &case.load);
-        let most = endpoint.seen(|seen| most(&seen.arrived, from));
+        let most = endpoint.log(|log| most(&log.arrived, from));
         assert!(
             most <= MOST,
             "{most} in 4 s at {}, {MOST} allowed",
@@ -92,7 +92,7 @@
     fleet.replace(&operator::config(10));
     let endpoint = fleet.engine("e1", "engines", 31, &["m1"]);
     let beside = fleet.engine("p1", "plain", 33, &[]);
-    endpoint.names_limit(Some(LIMIT));
+    endpoint.set_limit(Some(LIMIT));
     let load = Load {
         path: "/stream/x",
         deadline_ms: 2_000,
@@ -100,7 +100,7 @@
     load::tell_all(&fleet, &endpoint, &beside, &load);
     let from = time::Instant::now() + TOLD;
     let answers = load::answers(&fleet, &load);
-    let most = endpoint.seen(|seen| most(&seen.arrived, from));
+    let most = endpoint.log(|log| most(&log.arrived, from));
     assert!(most <= MOST, "{most} in 4 s, {MOST} allowed");
     let served = answers.iter().filter(|it| it.status() == 200).count();
     assert!(served > 0, "none is served");
--- a/tests/fleet/load.rs
+++ b/tests/fleet/load.rs
@@ -6,8 +6,8 @@
     fleet::Fleet,
     standin::{
         Message,
-        caller::Ask,
-        engine::{Does, Engine},
+        caller::Request,
+        engine::{Behavior, Engine},
     },
 };
 
@@ -23,8 +23,8 @@
 /// Sends a request with a prompt that no endpoint has cached, so that no endpoint is preferred.
 pub fn ask(fleet: &Fleet, entry: usize, load: &Load, id: &str, number: usize) -> Option<Message> {
     let lines = format!("Model: m1\r\nToken-Usage: 100,10\r\nPrompt-Prefix: {number:x}:100\r\n");
-    let plain = Ask::new("GET", load.path, id);
-    let ask = Ask {
+    let plain = Request::new("GET", load.path, id);
+    let ask = Request {
         lines: if plain.model.is_some() { &lines } else { "" },
         model: None,
         deadline_ms: load.deadline_ms,
@@ -42,7 +42,7 @@
 
 /// The same for one entry process.
 pub fn tell(fleet: &Fleet, entry: usize, endpoint: &Engine, beside: &Engine, load: &Load) {
-    beside.does(Does::Rejects);
+    beside.set_behavior(Behavior::Rejects);
     let mut number = 0;
     fleet.until("an entry process has an answer of the endpoint", || {
         number += 1;
@@ -50,7 +50,7 @@
         let answer = ask(fleet, entry, load, &id, number);
         answer.is_some_and(|it| it.status() == 200) && endpoint.runs(&id) > 0
     });
-    beside.does(Does::Answers);
+    beside.set_behavior(Behavior::Answers);
 }
 
 /// Sends about 30 requests per second, from two callers per entry process. Returns the responses.
--- a/tests/fleet/notices.rs
+++ b/tests/fleet/notices.rs
@@ -6,7 +6,7 @@
     fleet::{Fleet, Process},
     load::{self, Load},
     standin::{
-        engine::{Arrival, Does, Engine},
+        engine::{Arrival, Behavior, Engine},
         operator,
     },
 };
@@ -58,7 +58,7 @@
 
 /// The number of requests that arrived at or after `from`.
 fn since(endpoint: &Engine, from: time::Instant) -> usize {
-    let arrived = endpoint.seen(|seen| seen.arrived.clone());
+    let arrived = endpoint.log(|log| log.arrived.clone());
     arrived.iter().filter(|it| it.at >= from).count()
 }
 
@@ -70,7 +70,7 @@
     for case in CASES {
         let (fleet, engines) = Fleet::ready();
         let endpoint = &engines[case.endpoint];
-        endpoint.says_that_it_leaves();
+        endpoint.set_leaving_header();
         let load = load_of(&case);
         load::tell(&fleet, 0, endpoint, &engines[case.beside], &load);
         fleet.until("the other one has heard it too", || {
@@ -95,7 +95,7 @@
     let case = &CASES[1];
     let endpoint = &engines[case.endpoint];
     let load = load_of(case);
-    endpoint.says_that_it_leaves();
+    endpoint.set_leaving_header();
     load::tell(&fleet, 0, endpoint, &engines[case.beside], &load);
     fleet.until("the other one hears it", || knows(&fleet.entries[1]));
     fleet.entries[1].kill();
@@ -134,7 +134,7 @@
 /// Sends requests until the endpoint has rejected one of each entry process. The other endpoint rejects all meanwhile:
 /// if it responded faster, it might be chosen each time.
 fn turn_all_away(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
-    beside.does(Does::Rejects);
+    beside.set_behavior(Behavior::Rejects);
     for entry in 0..fleet.entries.len() {
         let own = format!("rest-{entry}-");
         let mut number = 0;
@@ -142,10 +142,10 @@
             number += 1;
             let id = format!("{own}{number}");
             drop(load::ask(fleet, entry, load, &id, number));
-            endpoint.seen(|seen| seen.arrived.iter().any(|it| it.id.starts_with(&own)))
+            endpoint.log(|log| log.arrived.iter().any(|it| it.id.starts_with(&own)))
         });
     }
-    beside.does(Does::Answers);
+    beside.set_behavior(Behavior::Answers);
 }
 
 /// Guards against a back-off that is cut short. An endpoint rejected a request and asked for a back-off of 3 s, and the
@@ -156,11 +156,11 @@
     for case in CASES {
         let (fleet, engines) = Fleet::ready();
         let endpoint = &engines[case.endpoint];
-        endpoint.asks_for_rest(REST);
+        endpoint.reject_with_retry_after(REST);
         let load = load_of(&case);
         turn_all_away(&fleet, endpoint, &engines[case.beside], &load);
         let answers = load::answers(&fleet, &load);
-        let arrived = endpoint.seen(|seen| seen.arrived.clone());
+        let arrived = endpoint.log(|log| log.arrived.clone());
         let most = most_in_rest(&arrived, fleet.entries.len());
         assert!(most <= MOST, "{most} in its rest at {}", case.path);
         for answer in answers {
@@ -182,9 +182,9 @@
     };
     let beside = fleet.engine("p1", "plain", 33, &[]);
     load::tell_all(&fleet, &endpoint, &beside, &load);
-    endpoint.asks_for_rest(REST);
+    endpoint.reject_with_retry_after(REST);
     let answers = load::answers(&fleet, &load);
-    let arrived = endpoint.seen(|seen| seen.arrived.clone());
+    let arrived = endpoint.log(|log| log.arrived.clone());
     let most = most_in_rest(&arrived, fleet.entries.len());
     assert!(most <= MOST, "{most} in its rest");
     for answer in answers {
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -5,8 +5,8 @@
 use crate::{
     fleet::Fleet,
     standin::{
-        caller::{Ask, Caller},
-        engine::{Does, Engine},
+        caller::{Caller, Request},
+        engine::{Behavior, Engine},
         operator,
     },
 };
@@ -69,18 +69,18 @@
 }
 
 fn status(fleet: &Fleet, entry: usize, path: &str, id: &str, lines: &str) -> u16 {
-    let ask = Ask {
+    let ask = Request {
         lines,
-        ..Ask::new("GET", path, id)
+        ..Request::new("GET", path, id)
     };
     fleet.ask(entry, &ask).map_or(0, |it| it.status())
 }
 
 fn runs_of(engines: &[Engine], prefix: &str) -> usize {
     let runs = engines.iter().map(|engine| {
-        engine.seen(|seen| {
+        engine.log(|log| {
             let of = |id: Option<&str>| id.is_some_and(|it| it.starts_with(prefix));
-            seen.ran
+            log.ran
                 .iter()
                 .filter(|it| of(it.header("attempt-id")))
                 .count()
@@ -151,9 +151,9 @@
         for entry in 0..3 {
             assert_eq!(status(&fleet, entry, path, "other", PIPE), 200);
         }
-        let ask = Ask {
+        let ask = Request {
             lines: DUG,
-            ..Ask::new("GET", path, "told")
+            ..Request::new("GET", path, "told")
         };
         fleet.until("it is over its quota", || {
             let answer = fleet.ask(0, &ask).expect("an answer");
@@ -208,12 +208,12 @@
         unit: "request",
     });
     thread::sleep(REFILL_TIME);
-    engines[1].does(Does::Rejects);
+    engines[1].set_behavior(Behavior::Rejects);
     for at in 0..60 {
         let status = status(&fleet, at % 3, "/once/x", &format!("rejected-{at}"), DUG);
         assert_eq!(status, 503, "it was not run, and takes nothing: {at}");
     }
-    engines[1].does(Does::Fails(500));
+    engines[1].set_behavior(Behavior::Fails(500));
     let mut statuses = Vec::new();
     for at in 0..60 {
         statuses.push(status(
@@ -251,9 +251,9 @@
     for at in 0..40 {
         let id = format!("left-{at}");
         let mut caller = connect(address);
-        let ask = Ask {
+        let ask = Request {
             lines: DUG,
-            ..Ask::new("POST", "/stream/x", &id)
+            ..Request::new("POST", "/stream/x", &id)
         };
         caller.send(&ask).expect("it is sent");
         fleet.until("it waits here", || {
@@ -294,9 +294,9 @@
         "9999999,0",
     ] {
         let lines = format!("{DUG}Token-Usage: {tokens}\r\n");
-        let ask = Ask {
+        let ask = Request {
             lines: &lines,
-            ..Ask::new("GET", "/again/x", "absurd")
+            ..Request::new("GET", "/again/x", "absurd")
         };
         let answer = fleet.ask(0, &ask).expect("an answer");
         assert_eq!(answer.status(), 429, "{tokens}: {}", answer.text());
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -6,8 +6,8 @@
 use crate::{
     fleet::Fleet,
     standin::{
-        caller::{Ask, Caller},
-        engine::{Does, Engine},
+        caller::{Caller, Request},
+        engine::{Behavior, Engine},
     },
 };
 
@@ -23,7 +23,7 @@
 
 /// Requests a resumable stream, and checks that it is complete, with `count` events. Returns the id.
 fn stream_whole(fleet: &Fleet, id: String, count: u32) -> String {
-    let answer = fleet.ask(0, &Ask::new("POST", "/resumable/x", &id));
+    let answer = fleet.ask(0, &Request::new("POST", "/resumable/x", &id));
     let answer = answer.expect("an answer");
     assert_eq!(answer.status(), 200, "{id}: {}", answer.text());
     assert!(answer.whole, "{id}");
@@ -31,18 +31,18 @@
     id
 }
 
-fn all_do(engines: &[Engine], does: Does) {
+fn all_do(engines: &[Engine], does: Behavior) {
     for engine in engines {
-        engine.does(does);
+        engine.set_behavior(does);
     }
 }
 
 #[test]
 fn a_request_and_its_answer_pass_as_they_were_sent() {
     let (fleet, engines) = Fleet::ready();
-    let ask = Ask {
+    let ask = Request {
         body: "seven crews",
-        ..Ask::new("POST", "/once/a%20b?c=d&e", "id-1")
+        ..Request::new("POST", "/once/a%20b?c=d&e", "id-1")
     };
     let answer = fleet.ask(0, &ask).expect("an answer");
     assert_eq!(answer.status(), 200);
@@ -58,8 +58,8 @@
         .iter()
         .find(|it| it.runs("id-1") == 1)
         .expect("one ran it");
-    let seen = ran.seen(|seen| {
-        seen.ran
+    let seen = ran.log(|log| {
+        log.ran
             .iter()
             .find(|it| it.header("attempt-id") == Some("id-1"))
             .cloned()
@@ -89,9 +89,9 @@
 #[test]
 fn a_stream_passes_whole() {
     let (fleet, engines) = Fleet::ready();
-    all_do(&engines, Does::Streams(5));
+    all_do(&engines, Behavior::Streams(5));
     let answer = fleet
-        .ask(0, &Ask::new("POST", "/stream/x", "s-1"))
+        .ask(0, &Request::new("POST", "/stream/x", "s-1"))
         .expect("an answer");
     assert!(answer.whole);
     let expected = events(5);
@@ -102,7 +102,7 @@
 /// The behaviour of the endpoints, and the expected result of a request.
 struct Case {
     name: &'static str,
-    does: Does,
+    does: Behavior,
     path: &'static str,
     status: u16,
     /// How often the request runs in total.
@@ -122,57 +122,69 @@
         runs,
     };
     let cases = [
-        case("rejected, once", Does::Rejects, "/once/x", 503, 0),
-        case("rejected, again", Does::Rejects, "/again/x", 503, 0),
-        case("closed, once", Does::Closes, "/once/x", 502, 1),
-        case("closed, again", Does::Closes, "/again/x", 502, 2),
-        case("failed, once", Does::Fails(500), "/once/x", 500, 1),
-        case("failed, again", Does::Fails(500), "/again/x", 500, 2),
+        case("rejected, once", Behavior::Rejects, "/once/x", 503, 0),
+        case("rejected, again", Behavior::Rejects, "/again/x", 503, 0),
+        case("closed, once", Behavior::Closes, "/once/x", 502, 1),
+        case("closed, again", Behavior::Closes, "/again/x", 502, 2),
+        case("failed, once", Behavior::Fails(500), "/once/x", 500, 1),
+        case("failed, again", Behavior::Fails(500), "/again/x", 500, 2),
         case(
             "an unfounded 503, once",
-            Does::Fails(503),
+            Behavior::Fails(503),
             "/once/x",
             502,
             1,
         ),
         case(
             "an unfounded 429, once",
-            Does::Fails(429),
+            Behavior::Fails(429),
             "/once/x",
             502,
             1,
         ),
         case(
             "refused by the endpoint",
-            Does::Fails(404),
+            Behavior::Fails(404),
             "/once/x",
             404,
             1,
         ),
-        case("unsigned, once", Does::AnswersUnsigned, "/once/x", 502, 1),
-        case("unsigned, again", Does::AnswersUnsigned, "/again/x", 502, 2),
-        case("short, once", Does::AnswersShort, "/once/x", 502, 1),
-        case("short, again", Does::AnswersShort, "/again/x", 502, 2),
+        case(
+            "unsigned, once",
+            Behavior::AnswersUnsigned,
+            "/once/x",
+            502,
+            1,
+        ),
+        case(
+            "unsigned, again",
+            Behavior::AnswersUnsigned,
+            "/again/x",
+            502,
+            2,
+        ),
+        case("short, once", Behavior::AnswersShort, "/once/x", 502, 1),
+        case("short, again", Behavior::AnswersShort, "/again/x", 502, 2),
         case(
             "another's answer first",
-            Does::AnswersOtherFirst,
+            Behavior::AnswersOtherFirst,
             "/once/x",
             200,
             1,
         ),
-        case("silent, once", Does::Hangs, "/once/x", 504, 1),
+        case("silent, once", Behavior::Hangs, "/once/x", 504, 1),
         case(
             "another's answer only",
-            Does::AnswersOther,
+            Behavior::AnswersOther,
             "/once/x",
             504,
             1,
         ),
-        case("rejected stream", Does::Rejects, "/stream/x", 503, 0),
-        case("closed stream", Does::Closes, "/stream/x", 502, 1),
+        case("rejected stream", Behavior::Rejects, "/stream/x", 503, 0),
+        case("closed stream", Behavior::Closes, "/stream/x", 502, 1),
         case(
             "closed stream that resumes",
-            Does::Closes,
+            Behavior::Closes,
             "/resumable/x",
             502,
             2,
@@ -182,7 +194,7 @@
         let id = format!("case-{number}");
         all_do(&engines, case.does);
         let answer = fleet
-            .ask(number % 2, &Ask::new("POST", case.path, &id))
+            .ask(number % 2, &Request::new("POST", case.path, &id))
             .expect(case.name);
         assert_eq!(
             answer.status(),
@@ -202,7 +214,7 @@
         let comes_back = answer.header("retry-after").is_some();
         assert_eq!(comes_back, case.status == 503, "{}", case.name);
         // Failed endpoints are used again after a while, so that the next case finds some to choose from.
-        all_do(&engines, Does::Answers);
+        all_do(&engines, Behavior::Answers);
         thread::sleep(time::Duration::from_millis(700));
     }
 }
@@ -220,7 +232,7 @@
     };
     let mut broken = None;
     for _ in 0..2 {
-        all_do(engines, Does::Streams(6));
+        all_do(engines, Behavior::Streams(6));
         // The engine with the cached prefix of the prompt gets all streams. Once it has broken one off, the other
         // one has the prefix cached too, and is chosen since it has not failed.
         fleet.until("an engine takes streams that has broken off none", || {
@@ -233,7 +245,7 @@
             is_other
         });
         let first = broken.expect("an engine has run it");
-        engines[first].does(Does::CutsAfter(3));
+        engines[first].set_behavior(Behavior::CutsAfter(3));
         fleet.until("a stream begins at the engine that breaks off", || {
             let id = ask();
             engines.iter().all(|it| it.runs(&id) == 1)
@@ -246,7 +258,7 @@
 #[test]
 fn a_stream_that_pauses_is_not_left_without_a_repeat() {
     let (fleet, engines) = Fleet::ready_with("[retries]\nratio = 0.0\nslack = 0.0\n");
-    all_do(&engines[..2], Does::PausesAfter(3));
+    all_do(&engines[..2], Behavior::PausesAfter(3));
     let id = stream_whole(&fleet, "pauses".to_owned(), 6);
     assert_eq!(total_runs(&engines, &id), 1);
 }
@@ -262,11 +274,11 @@
         round += 1;
         (0..4).all(|number| {
             let id = format!("alone-{round}-{number}");
-            let answer = fleet.ask(0, &Ask::new("POST", "/resumable/x", &id));
+            let answer = fleet.ask(0, &Request::new("POST", "/resumable/x", &id));
             answer.is_some_and(|it| it.status() == 200) && engines[1].runs(&id) == 0
         })
     });
-    engines[0].does(Does::PausesAfter(3));
+    engines[0].set_behavior(Behavior::PausesAfter(3));
     let id = stream_whole(&fleet, "pauses alone".to_owned(), 6);
     assert_eq!(total_runs(&engines, &id), 1);
 }
@@ -275,9 +287,9 @@
 #[test]
 fn a_stream_that_may_not_go_on_is_cut() {
     let (fleet, engines) = Fleet::ready();
-    all_do(&engines, Does::CutsAfter(3));
+    all_do(&engines, Behavior::CutsAfter(3));
     let answer = fleet
-        .ask(0, &Ask::new("POST", "/stream/x", "cut"))
+        .ask(0, &Request::new("POST", "/stream/x", "cut"))
         .expect("an answer");
     assert!(!answer.whole);
     let expected = events(3);
@@ -290,17 +302,17 @@
 fn the_work_for_a_caller_who_left_ends() {
     let (fleet, engines) = Fleet::ready();
     for (id, does, path) in [
-        ("left-1", Does::Hangs, "/stream/x"),
-        ("left-2", Does::HangsAfter(2), "/stream/x"),
-        ("left-3", Does::Hangs, "/once/x"),
+        ("left-1", Behavior::Hangs, "/stream/x"),
+        ("left-2", Behavior::HangsAfter(2), "/stream/x"),
+        ("left-3", Behavior::Hangs, "/once/x"),
     ] {
         all_do(&engines, does);
         let mut caller = Caller::connect(fleet.entries[0].address()).expect("a connection");
-        caller.send(&Ask::new("POST", path, id)).expect("sent");
+        caller.send(&Request::new("POST", path, id)).expect("sent");
         fleet.until("it runs", || total_runs(&engines, id) == 1);
         caller.stream.shutdown(net::Shutdown::Both).expect("open");
         drop(caller);
-        let is_abandoned = |it: &Engine| it.seen(|seen| seen.abandoned.iter().any(|a| a == id));
+        let is_abandoned = |it: &Engine| it.log(|log| log.abandoned.iter().any(|a| a == id));
         fleet.until("the engine is left too", || {
             engines.iter().any(is_abandoned)
         });
@@ -312,15 +324,15 @@
 #[test]
 fn a_request_for_an_adapter_that_nobody_holds_has_it_loaded() {
     let (fleet, engines) = Fleet::ready();
-    let ask = Ask {
+    let ask = Request {
         model: Some("m1/a2"),
-        ..Ask::new("POST", "/stream/x", "adapter")
+        ..Request::new("POST", "/stream/x", "adapter")
     };
     let answer = fleet.ask(0, &ask).expect("an answer");
     assert_eq!(answer.status(), 200, "{}", answer.text());
     let orders: Vec<String> = engines
         .iter()
-        .flat_map(|it| it.seen(|seen| seen.orders.clone()))
+        .flat_map(|it| it.log(|log| log.orders.clone()))
         .collect();
     let loads = orders
         .iter()
@@ -337,7 +349,7 @@
     for number in 0..20 {
         let id = format!("gone-{number}");
         let answer = fleet
-            .ask(number % 2, &Ask::new("POST", "/stream/x", &id))
+            .ask(number % 2, &Request::new("POST", "/stream/x", &id))
             .expect("an answer");
         assert_eq!(answer.status(), 200, "{}", answer.text());
     }
@@ -354,12 +366,12 @@
         number += 1;
         stream_whole(&fleet, format!("dark-{number:05}"), 3)
     };
-    all_do(engines, Does::Streams(3));
+    all_do(engines, Behavior::Streams(3));
     // The engine with the cached prefix of the prompt gets all requests; it becomes silent.
     let id = ask();
     let silent = engines.iter().find(|it| it.runs(&id) == 1);
     let silent = silent.expect("an engine has run it");
-    silent.does(Does::Hangs);
+    silent.set_behavior(Behavior::Hangs);
     fleet.until("a request was sent to the silent engine", || {
         let id = ask();
         silent.runs(&id) == 1
--- a/tests/fleet/slow_link.rs
+++ b/tests/fleet/slow_link.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     fleet::Fleet,
-    standin::{caller::Ask, operator},
+    standin::{caller::Request, operator},
 };
 
 /// The bandwidth of a link of 10 Mbit/s.
@@ -50,7 +50,7 @@
 
 fn status_at(fleet: &Fleet, entry: usize, route: u64) -> u16 {
     let path = format!("/{}/x", name(route));
-    let answer = fleet.ask(entry, &Ask::new("GET", &path, "look"));
+    let answer = fleet.ask(entry, &Request::new("GET", &path, "look"));
     answer.map_or(0, |it| it.status())
 }
 
@@ -140,7 +140,7 @@
     let link = sync::Arc::new(relay::Link::new(SLOW_BYTES_PER_S));
     let settings = "[configuration]\nin_force_ms = 1000\n";
     let (fleet, _engines) = Fleet::ready_over(&link, settings);
-    let old = Ask::new("GET", "/again/x", "look");
+    let old = Request::new("GET", "/again/x", "look");
     thread::scope(|scope| {
         scope.spawn(|| fleet.replace(&config(20, 0..ROUTES / 2)));
         let mut refused = None;
--- a/tests/fleet/stopping.rs
+++ b/tests/fleet/stopping.rs
@@ -6,8 +6,8 @@
 use crate::{
     fleet::{Fleet, Process},
     standin::{
-        caller::{Ask, Caller},
-        engine::Does,
+        caller::{Caller, Request},
+        engine::Behavior,
         operator,
     },
 };
@@ -18,7 +18,7 @@
 fn a_stopping_entry_process_cuts_nothing() {
     let (mut fleet, engines) = Fleet::ready();
     for engine in &engines {
-        engine.does(Does::Streams(40));
+        engine.set_behavior(Behavior::Streams(40));
     }
     let address = fleet.entries[0].address();
     let stop = Arc::new(atomic::AtomicBool::new(false));
@@ -35,8 +35,8 @@
                     loop {
                         number += 1;
                         let id = format!("c{caller}-{number}");
-                        let ask = Ask::new("POST", "/stream/x", &id);
-                        let Ok(Some(answer)) = kept.ask(&ask) else {
+                        let ask = Request::new("POST", "/stream/x", &id);
+                        let Ok(Some(answer)) = kept.request(&ask) else {
                             break;
                         };
                         if !answer.whole {
@@ -54,7 +54,7 @@
     fleet.until("all callers are served", || {
         engines
             .iter()
-            .map(|it| it.seen(|seen| seen.ran.len()))
+            .map(|it| it.log(|log| log.ran.len()))
             .sum::<usize>()
             > 12
     });
@@ -80,17 +80,17 @@
 fn a_request_behind_a_stream_that_outlives_the_notice_is_answered() {
     let (mut fleet, engines) = Fleet::ready();
     for engine in &engines {
-        engine.does(Does::Streams(400));
+        engine.set_behavior(Behavior::Streams(400));
     }
     let mut caller = Caller::connect(fleet.entries[0].address()).expect("a connection");
     caller
-        .send(&Ask::new("POST", "/stream/x", "long"))
+        .send(&Request::new("POST", "/stream/x", "long"))
         .expect("sent");
     // The head of the response announces keep-alive.
     assert!(caller.stream.peek(&mut [0]).expect("its head") > 0);
     fleet.entries[0].signal("TERM");
     caller
-        .send(&Ask::new("POST", "/stream/x", "behind"))
+        .send(&Request::new("POST", "/stream/x", "behind"))
         .expect("sent");
     let long = caller.answer().expect("an answer").expect("whole");
     assert!(long.whole);
@@ -108,7 +108,7 @@
     for process in fleet.control.iter().chain(&fleet.entries) {
         process.signal("HUP");
     }
-    let answer = fleet.ask(0, &Ask::new("GET", "/again/x", "after"));
+    let answer = fleet.ask(0, &Request::new("GET", "/again/x", "after"));
     assert_eq!(answer.expect("an answer").status(), 200);
     let mut processes = fleet.control.iter_mut().chain(&mut fleet.entries);
     assert!(processes.all(Process::runs));
@@ -125,18 +125,18 @@
     let config = operator::config_with(11, route).replace("\"models\":[", large);
     fleet.replace(&config);
     fleet.until("the route is in force", || {
-        let answer = fleet.ask(0, &Ask::new("POST", "/late/stream", "held"));
+        let answer = fleet.ask(0, &Request::new("POST", "/late/stream", "held"));
         answer.is_some_and(|it| it.status() == 200)
     });
     let address = fleet.entries[0].address();
     let waits = thread::spawn(move || {
-        let ask = Ask {
+        let ask = Request {
             model: Some("m9"),
             deadline_ms: 60_000,
-            ..Ask::new("POST", "/late/x", "waits")
+            ..Request::new("POST", "/late/x", "waits")
         };
         let mut caller = Caller::connect(address).expect("a connection");
-        caller.ask(&ask)
+        caller.request(&ask)
     });
     let metrics = fleet.entries[0].metrics();
     fleet.until("the request waits", || {
