--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -1,6 +1,6 @@
 //! Read access for the daemon: names, request records, demand and gauges.
 
-use sageshed_types::{account as types_account, arena, messages, rules, secret, time};
+use sageshed_types::{arena, messages, request_trace as types_request_trace, rules, secret, time};
 
 use crate::{event, fleet, health, names, request, request_trace, router};
 
@@ -87,7 +87,10 @@
         })
     }
 
-    fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
+    fn candidate(
+        &self,
+        considered: &request::ConsideredEndpoint,
+    ) -> types_request_trace::Candidate {
         let why = match considered.standing {
             _ if considered.chosen => None,
             router::Eligibility::OtherPool => Some("the rule names another pool"),
@@ -99,7 +102,7 @@
             router::Eligibility::Eligible if !considered.room => Some("it is full"),
             router::Eligibility::Eligible => Some("another was drawn or scored better"),
         };
-        types_account::Candidate {
+        types_request_trace::Candidate {
             endpoint: self.names.endpoints.name(considered.endpoint).to_owned(),
             estimate: considered.estimate,
             passed_over: why.map(str::to_owned),
--- a/crates/sageshed-decide/src/request_trace.rs
+++ b/crates/sageshed-decide/src/request_trace.rs
@@ -1,6 +1,6 @@
 //! The decider's part of a request trace, and the values for metrics.
 
-use sageshed_types::{account, rules, time};
+use sageshed_types::{request_trace, rules, time};
 
 /// The part of the trace of a request that the decider contributes.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +18,7 @@
     /// How long it was queued before its first attempt.
     pub queued: time::Millis,
     /// The endpoints considered for the first attempt.
-    pub candidates: Vec<account::Candidate>,
+    pub candidates: Vec<request_trace::Candidate>,
 }
 
 /// Values for metrics.
--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -18,7 +18,7 @@
 
 use sageshed_types::time;
 
-pub use sageshed_types::mark::Mark as Cursor;
+pub use sageshed_types::cursor::SyncCursor as Cursor;
 
 pub use self::instance::{
     Instance, InstanceId, LivenessRefresh, MergeOutcome, Record, Resident, State,
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -34,8 +34,8 @@
 use sageshed_types::time;
 
 pub use sageshed_types::{
-    mark::Mark as Cursor,
-    quarantine::{Crash, Fingerprint, Held},
+    cursor::SyncCursor as Cursor,
+    quarantine::{Crash, Fingerprint, QuarantinedRequest},
 };
 
 /// Crashes of endpoint instances after which a request is held. A single crash may have any cause, and two
@@ -216,11 +216,11 @@
     }
 
     /// The record that the control group persists.
-    fn to_held(&self, now: time::Instant, content: Fingerprint) -> Held {
+    fn to_held(&self, now: time::Instant, content: Fingerprint) -> QuarantinedRequest {
         let crashes = self.crashes.iter().filter(|it| it.is_counted(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
         endpoints.sort_unstable();
-        Held { content, endpoints }
+        QuarantinedRequest { content, endpoints }
     }
 
     /// The last change that affected any of its crashes.
@@ -283,7 +283,7 @@
             SyncScope::All => self.change,
             SyncScope::Held => self.held_change,
         };
-        newest > cursor.of(self.start)
+        newest > cursor.position_in(self.start)
     }
 
     /// The crashes to send to a peer that knows those of this process up to `cursor`.
@@ -292,7 +292,7 @@
         if !self.has_news(cursor, scope) {
             return Vec::new();
         }
-        let after = cursor.of(self.start);
+        let after = cursor.position_in(self.start);
         let mut to_send = Vec::new();
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
@@ -408,7 +408,7 @@
     /// The held requests that the control group persists, in order: the [`MAX_PERSISTED`] that crashed an
     /// endpoint last.
     #[must_use]
-    pub fn held(&self, now: time::Instant) -> Vec<Held> {
+    pub fn held(&self, now: time::Instant) -> Vec<QuarantinedRequest> {
         let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
         let mut held: Vec<_> = held.collect();
         held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.expires()), **content));
@@ -423,7 +423,7 @@
 
     /// Restores held requests that the control group has persisted. As the time of the crashes is unknown,
     /// they count from now.
-    pub fn restore(&mut self, now: time::Instant, held: &[Held]) {
+    pub fn restore(&mut self, now: time::Instant, held: &[QuarantinedRequest]) {
         for it in held {
             for endpoint in &it.endpoints {
                 let crash = Crash {
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -2,7 +2,7 @@
 //! between them are lost.
 
 use sageshed_fleet::quarantine::{
-    CRASH_LIMIT, Crash, Cursor, Fingerprint, Held, PeerSync, Quarantine, SyncScope,
+    CRASH_LIMIT, Crash, Cursor, Fingerprint, PeerSync, Quarantine, QuarantinedRequest, SyncScope,
 };
 use sageshed_types::time::{Instant, Millis};
 
@@ -59,7 +59,7 @@
     control: Vec<Process>,
     /// How far each control process knows each other one.
     known: Vec<Vec<Cursor>>,
-    log: Vec<Held>,
+    log: Vec<QuarantinedRequest>,
     /// Ends of endpoints, and arrivals at them by processes in touch.
     ends: Vec<u64>,
     arrivals: Vec<u64>,
--- a/crates/sageshed-operators/tests/support/mod.rs
+++ b/crates/sageshed-operators/tests/support/mod.rs
@@ -13,7 +13,7 @@
     backend::{Backend, Trouble},
     client, server, tokens, wire,
 };
-use sageshed_types::{account, messages, refusal, rules, secret, verdict};
+use sageshed_types::{messages, refusal, request_trace, rules, secret, verdict};
 
 /// The token that every port of these tests takes, unless it is said otherwise.
 pub const TOKEN: &str = "spade";
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 struct State {
     rules: rules::RuleSet,
-    history: Vec<rules::Accepted>,
+    history: Vec<rules::AcceptedChange>,
     acts: collections::VecDeque<Act>,
     always: Option<Trouble>,
     calls: Vec<String>,
@@ -103,7 +103,7 @@
         }
         let newest = self.rules.revision;
         if change.base_revision != newest {
-            let after = |it: &&rules::Accepted| it.revision > change.base_revision;
+            let after = |it: &&rules::AcceptedChange| it.revision > change.base_revision;
             return rules::ChangeOutcome::Conflict {
                 revision: newest,
                 between: self.history.iter().filter(after).cloned().collect(),
@@ -119,7 +119,8 @@
         if let rules::Edit::Add { rule, .. } = &change.edit {
             self.rules.rules.push((**rule).clone());
         }
-        self.history.push(rules::Accepted { revision, change });
+        self.history
+            .push(rules::AcceptedChange { revision, change });
         rules::ChangeOutcome::Accepted { revision }
     }
 }
@@ -131,7 +132,7 @@
         Ok(state.rules.clone())
     }
 
-    fn history(&self, after: rules::Revision) -> Result<Vec<rules::Accepted>, Trouble> {
+    fn history(&self, after: rules::Revision) -> Result<Vec<rules::AcceptedChange>, Trouble> {
         let state = self.state.lock().unwrap();
         let newer = state.history.iter().filter(|it| it.revision > after);
         Ok(newer.cloned().collect())
@@ -172,7 +173,7 @@
         Ok(Vec::new())
     }
 
-    fn explain(&self, request_id: &str) -> Result<Option<account::Account>, Trouble> {
+    fn explain(&self, request_id: &str) -> Result<Option<request_trace::RequestTrace>, Trouble> {
         let known = request_id == "vm1-1";
         Ok(known.then(|| some_account(request_id)))
     }
@@ -200,8 +201,8 @@
     }
 }
 
-fn some_account(request_id: &str) -> account::Account {
-    account::Account {
+fn some_account(request_id: &str) -> request_trace::RequestTrace {
+    request_trace::RequestTrace {
         request_id: request_id.to_owned(),
         arrived_unix_ms: 0,
         caller: None,
@@ -214,7 +215,10 @@
         queued: sageshed_types::time::Millis(0),
         candidates: Vec::new(),
         tries: Vec::new(),
-        end: account::End::Refused(refusal::Refusal::not_run(verdict::Reason::NoRoute, "none")),
+        end: request_trace::RequestOutcome::Refused(refusal::Refusal::not_run(
+            verdict::Reason::NoRoute,
+            "none",
+        )),
         took: sageshed_types::time::Millis(0),
     }
 }
--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -126,7 +126,7 @@
 
     fn carry_out(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
     ) {
         self.orders += 1;
         let order = endpoints::Order {
@@ -143,21 +143,23 @@
             .step(self.now, place::Event::OrderCommitted(order));
         let report = &mut self.reports[index];
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
                 ..
             } => {
-                report.resident.push(endpoints::Resident {
+                report.resident.push(endpoints::ResidentModel {
                     model,
                     version,
                     phase: endpoints::Phase::Ready,
                     memory_mib,
                 });
             }
-            endpoints::Task::Unload { model, .. } => report.resident.retain(|r| r.model != model),
-            endpoints::Task::ChangeRole { .. } => {}
+            endpoints::OrderTask::Unload { model, .. } => {
+                report.resident.retain(|r| r.model != model)
+            }
+            endpoints::OrderTask::ChangeRole { .. } => {}
         }
         report.orders.push(endpoints::OrderResult {
             order: endpoints::OrderId(self.orders),
@@ -173,7 +175,7 @@
             for model in (first..self.models.min(first + 4)).map(model) {
                 let resident = &mut self.reports[index].resident;
                 if resident.iter().all(|r| r.model != model.name) {
-                    resident.push(endpoints::Resident {
+                    resident.push(endpoints::ResidentModel {
                         model: model.name,
                         version: model.version,
                         phase: endpoints::Phase::Ready,
--- a/crates/sageshed-state/src/edit.rs
+++ b/crates/sageshed-state/src/edit.rs
@@ -1,57 +1,57 @@
 //! Validates edits of the rules and applies them.
 //!
-//! Only what the rules say by themselves is checked here. Whether a model, pool or caller that a
-//! rule names is offered, and whether an earlier rule shadows it, is checked against the settings
-//! before the change is proposed: settings are no part of the replicated state.
+//! Only the rules themselves are checked here. Whether the models, pools and callers named in a rule
+//! exist, and whether an earlier rule shadows it, is checked against the settings before the change is
+//! proposed, because the settings are not part of the replicated state.
 
 use derive_more::{Display, Error};
 use sageshed_types::{refusal, rules};
 
-/// The greatest priority.
+/// The highest priority.
 pub const MAX_PRIORITY: u8 = 9;
-/// The greatest length of a rule id or change id, in bytes.
+/// The maximum length of a rule id or change id, in bytes.
 pub const MAX_ID_LEN: usize = 128;
-/// The greatest number of rules in force.
+/// The maximum number of rules in force.
 pub const MAX_RULES: usize = 10_000;
 
-/// Why an edit cannot be applied, and what to do.
+/// Why an edit cannot be applied, and how to correct it.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-pub enum Problem {
-    /// An id with characters that are not allowed, or too long, or empty.
+pub enum EditError {
+    /// The id is empty, too long or contains characters that are not allowed.
     #[display(
         "the id `{id}` is not valid: use 1 to {MAX_ID_LEN} letters, digits, `-`, `_` and `.`"
     )]
-    BadId {
+    InvalidId {
         /// The id.
         id: String,
     },
-    /// The id that accounts use where no rule matched.
+    /// The id is reserved: it stands for the default decision where no rule matches.
     #[display(
         "the id `{}` is taken by the system: choose another",
         refusal::DEFAULT_RULE
     )]
     ReservedId,
-    /// Two rules with one id.
+    /// The edit would result in two rules with the same id.
     #[display("a rule with the id `{id}` exists: choose another id, or withdraw that rule first")]
     DuplicateId {
         /// The id.
         id: String,
     },
-    /// No rule has this id.
+    /// The edit refers to a rule that does not exist.
     #[display("no rule has the id `{id}`: `sageshed rules list` shows the ids")]
     UnknownId {
         /// The id.
         id: String,
     },
-    /// A rule placed relative to itself.
+    /// A rule is to be placed relative to itself.
     #[display("the rule `{id}` cannot be placed next to itself: name another rule")]
-    BesideItself {
+    RelativeToItself {
         /// The id.
         id: String,
     },
-    /// A priority above the greatest.
+    /// A priority exceeds [`MAX_PRIORITY`].
     #[display("rule `{rule}`: `{key}` is {value}: use 0 to {MAX_PRIORITY}")]
-    Priority {
+    PriorityTooHigh {
         /// The rule.
         rule: String,
         /// The key.
@@ -59,37 +59,37 @@
         /// The value.
         value: u32,
     },
-    /// A range whose least value is above its greatest.
+    /// The minimum of a range exceeds its maximum.
     #[display("rule `{rule}`: `{key}` has min {min} above max {max}: swap them")]
     EmptyRange {
         /// The rule.
         rule: String,
         /// The key.
         key: &'static str,
-        /// The least value.
+        /// The minimum.
         min: u32,
-        /// The greatest value.
+        /// The maximum.
         max: u32,
     },
-    /// A rate or burst that is not a number above its least value.
+    /// A rate or burst is not finite or is too small.
     #[display("rule `{rule}`: `{key}` is {value}: use a finite number, {least}")]
-    BadNumber {
+    InvalidNumber {
         /// The rule.
         rule: String,
         /// The key.
         key: &'static str,
         /// The value as text.
         value: String,
-        /// What is allowed.
+        /// The lower bound as text.
         least: &'static str,
     },
-    /// A deadline of zero, which no request could meet.
+    /// The deadline is zero, which no request could meet.
     #[display("rule `{rule}`: `deadline_ms` is 0: use 1 or more, or `refuse` to refuse")]
     ZeroDeadline {
         /// The rule.
         rule: String,
     },
-    /// An empty name, which matches nothing.
+    /// A name is empty, so that it would match nothing.
     #[display("rule `{rule}`: `{key}` holds an empty name: give a name or leave the key out")]
     EmptyName {
         /// The rule.
@@ -97,16 +97,16 @@
         /// The key.
         key: &'static str,
     },
-    /// More rules than the state keeps.
+    /// The edit would result in more than [`MAX_RULES`] rules.
     #[display("there would be {count} rules: at most {MAX_RULES} are kept, withdraw some first")]
-    TooMany {
-        /// The number there would be.
+    TooManyRules {
+        /// The number of rules that would result.
         count: usize,
     },
 }
 
-/// Applies `edit` to `rules`, or leaves them as they are and says what is wrong.
-pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), Problem> {
+/// Applies `edit` to `rules`. On an error the rules are unchanged.
+pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), EditError> {
     match edit {
         rules::Edit::Add { rule, position } => add(rules, rule, position),
         rules::Edit::Move { id, position } => relocate(rules, id, position),
@@ -115,11 +115,11 @@
     }
 }
 
-/// Checks the form of a rule id or a change id.
-pub fn check_id(id: &str) -> Result<(), Problem> {
+/// Checks the syntax of a rule id or a change id.
+pub fn check_id(id: &str) -> Result<(), EditError> {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if id.is_empty() || id.len() > MAX_ID_LEN || !id.bytes().all(allowed) {
-        return Err(Problem::BadId { id: id.to_owned() });
+        return Err(EditError::InvalidId { id: id.to_owned() });
     }
     Ok(())
 }
@@ -128,10 +128,10 @@
     rules: &mut Vec<rules::Rule>,
     rule: &rules::Rule,
     position: &rules::Position,
-) -> Result<(), Problem> {
+) -> Result<(), EditError> {
     check_rule(rule)?;
     if find(rules, &rule.id).is_some() {
-        return Err(Problem::DuplicateId {
+        return Err(EditError::DuplicateId {
             id: rule.id.clone(),
         });
     }
@@ -145,13 +145,13 @@
     rules: &mut Vec<rules::Rule>,
     id: &str,
     position: &rules::Position,
-) -> Result<(), Problem> {
+) -> Result<(), EditError> {
     let from = find(rules, id).ok_or_else(|| unknown(id))?;
     if let rules::Position::Before(other) | rules::Position::After(other) = position {
         if other == id {
-            return Err(Problem::BesideItself { id: id.to_owned() });
+            return Err(EditError::RelativeToItself { id: id.to_owned() });
         }
-        // Checked before the rule is taken out, so that a refused move changes nothing.
+        // Checked before the rule is removed, so that a refused move changes nothing.
         find(rules, other).ok_or_else(|| unknown(other))?;
     }
     let rule = rules.remove(from);
@@ -160,19 +160,19 @@
     Ok(())
 }
 
-fn withdraw(rules: &mut Vec<rules::Rule>, id: &str) -> Result<(), Problem> {
+fn withdraw(rules: &mut Vec<rules::Rule>, id: &str) -> Result<(), EditError> {
     let at = find(rules, id).ok_or_else(|| unknown(id))?;
     rules.remove(at);
     Ok(())
 }
 
-fn replace_all(rules: &mut Vec<rules::Rule>, new: &[rules::Rule]) -> Result<(), Problem> {
+fn replace_all(rules: &mut Vec<rules::Rule>, new: &[rules::Rule]) -> Result<(), EditError> {
     check_count(new.len())?;
     let mut ids = std::collections::BTreeSet::new();
     for rule in new {
         check_rule(rule)?;
         if !ids.insert(&rule.id) {
-            return Err(Problem::DuplicateId {
+            return Err(EditError::DuplicateId {
                 id: rule.id.clone(),
             });
         }
@@ -185,12 +185,12 @@
     rules.iter().position(|rule| rule.id == id)
 }
 
-fn unknown(id: &str) -> Problem {
-    Problem::UnknownId { id: id.to_owned() }
+fn unknown(id: &str) -> EditError {
+    EditError::UnknownId { id: id.to_owned() }
 }
 
-/// The index at which a rule placed so is inserted.
-fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, Problem> {
+/// The index at which a rule is inserted for `position`.
+fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, EditError> {
     match position {
         rules::Position::First => Ok(0),
         rules::Position::Last => Ok(rules.len()),
@@ -199,29 +199,29 @@
     }
 }
 
-fn check_count(count: usize) -> Result<(), Problem> {
+fn check_count(count: usize) -> Result<(), EditError> {
     if count > MAX_RULES {
-        return Err(Problem::TooMany { count });
+        return Err(EditError::TooManyRules { count });
     }
     Ok(())
 }
 
-fn check_rule(rule: &rules::Rule) -> Result<(), Problem> {
+fn check_rule(rule: &rules::Rule) -> Result<(), EditError> {
     check_id(&rule.id)?;
     if rule.id == refusal::DEFAULT_RULE {
-        return Err(Problem::ReservedId);
+        return Err(EditError::ReservedId);
     }
     check_when(&rule.id, &rule.when)?;
     check_action(&rule.id, &rule.action)?;
     if rule.deadline_ms.is_some_and(|deadline| deadline.0 == 0) {
-        return Err(Problem::ZeroDeadline {
+        return Err(EditError::ZeroDeadline {
             rule: rule.id.clone(),
         });
     }
     Ok(())
 }
 
-fn check_when(rule: &str, when: &rules::When) -> Result<(), Problem> {
+fn check_when(rule: &str, when: &rules::When) -> Result<(), EditError> {
     let lists = [
         ("when.caller", &when.caller),
         ("when.class", &when.class),
@@ -244,7 +244,7 @@
     Ok(())
 }
 
-fn check_action(rule: &str, action: &rules::Action) -> Result<(), Problem> {
+fn check_action(rule: &str, action: &rules::Action) -> Result<(), EditError> {
     match action {
         rules::Action::Route(route) => check_route(rule, route),
         rules::Action::Refuse(_) => Ok(()),
@@ -252,7 +252,7 @@
     }
 }
 
-fn check_route(rule: &str, route: &rules::Route) -> Result<(), Problem> {
+fn check_route(rule: &str, route: &rules::Route) -> Result<(), EditError> {
     for (key, name) in [
         ("do.route.pool", &route.pool),
         ("do.route.model", &route.model),
@@ -267,9 +267,9 @@
     }
 }
 
-/// Refuses rates that no bucket can hold. A burst below 1 would never let a request pass.
-fn check_limit(rule: &str, limit: &rules::Limit) -> Result<(), Problem> {
-    let bad = |key, value: f64, least| Problem::BadNumber {
+/// Refuses rates and bursts that a token bucket cannot have. A burst below 1 would admit no request.
+fn check_limit(rule: &str, limit: &rules::Limit) -> Result<(), EditError> {
+    let bad = |key, value: f64, least| EditError::InvalidNumber {
         rule: rule.to_owned(),
         key,
         value: value.to_string(),
@@ -284,9 +284,9 @@
     Ok(())
 }
 
-fn check_name(rule: &str, key: &'static str, name: &str) -> Result<(), Problem> {
+fn check_name(rule: &str, key: &'static str, name: &str) -> Result<(), EditError> {
     if name.is_empty() {
-        return Err(Problem::EmptyName {
+        return Err(EditError::EmptyName {
             rule: rule.to_owned(),
             key,
         });
@@ -294,10 +294,14 @@
     Ok(())
 }
 
-fn check_range(rule: &str, key: &'static str, range: Option<rules::Range>) -> Result<(), Problem> {
+fn check_range(
+    rule: &str,
+    key: &'static str,
+    range: Option<rules::Range>,
+) -> Result<(), EditError> {
     let rules::Range { min, max } = range.unwrap_or_default();
     match (min, max) {
-        (Some(min), Some(max)) if min > max => Err(Problem::EmptyRange {
+        (Some(min), Some(max)) if min > max => Err(EditError::EmptyRange {
             rule: rule.to_owned(),
             key,
             min,
@@ -307,9 +311,9 @@
     }
 }
 
-fn check_priority(rule: &str, key: &'static str, value: u32) -> Result<(), Problem> {
+fn check_priority(rule: &str, key: &'static str, value: u32) -> Result<(), EditError> {
     if value > MAX_PRIORITY.into() {
-        return Err(Problem::Priority {
+        return Err(EditError::PriorityTooHigh {
             rule: rule.to_owned(),
             key,
             value,
--- a/crates/sageshed-types/src/lib.rs
+++ b/crates/sageshed-types/src/lib.rs
@@ -1,25 +1,38 @@
-//! Types that every other package shares.
+//! Types shared by all other packages.
 //!
-//! Nothing in this package does I/O or reads a clock. It holds the words in which the packages talk
-//! to each other: keys and arenas ([`arena`]), the verdict about a request ([`verdict`]), the
-//! account of a refusal ([`refusal`]), rules as data ([`rules`]), what endpoints say of themselves
-//! ([`endpoints`]), how a sending to one of them fails ([`fault`]), the catalog of what is offered ([`catalog`]), claims on requests that may not be
-//! repeated ([`claims`]), what happened to one request ([`account`]), a fleet's configuration as it was sent ([`document`]), requests that
-//! have ended endpoints ([`quarantine`]), keys by their digests ([`secret`]), how far one process knows what another counts ([`mark`]) and the messages between the
-//! system's own processes ([`messages`]).
+//! Nothing in this package does I/O or reads a clock.
+//!
+//! | module | contents |
+//! |---|---|
+//! | [`arena`] | interned names and the keys that stand for them |
+//! | [`catalog`] | models, adapters, classes and callers, as the settings define them |
+//! | [`claims`] | claims on requests that may run at most once |
+//! | [`cursor`] | up to which change one process has read the state of another |
+//! | [`document`] | a fleet's configuration as the operator submitted it |
+//! | [`endpoints`] | registration and reports of endpoints, orders to engines |
+//! | [`attempt_error`] | how an attempt to send a request to an endpoint failed |
+//! | [`headers`] | names of HTTP headers |
+//! | [`messages`] | messages between the system's own processes |
+//! | [`quarantine`] | requests that crashed endpoints |
+//! | [`refusal`] | the body of a refused request's response |
+//! | [`request_trace`] | what is recorded of one request for `sageshed explain` |
+//! | [`rules`] | routing rules as data, and changes of them |
+//! | [`secret`] | API keys, stored as digests |
+//! | [`time`] | instants and durations in milliseconds |
+//! | [`verdict`] | whether a request may have run, and why it was refused |
 
-pub mod account;
 pub mod arena;
+pub mod attempt_error;
 pub mod catalog;
 pub mod claims;
+pub mod cursor;
 pub mod document;
 pub mod endpoints;
-pub mod fault;
 pub mod headers;
-pub mod mark;
 pub mod messages;
 pub mod quarantine;
 pub mod refusal;
+pub mod request_trace;
 pub mod rules;
 pub mod secret;
 pub mod time;
--- a/examples/measure_slopes/control.rs
+++ b/examples/measure_slopes/control.rs
@@ -57,7 +57,7 @@
     claims::Settle {
         key: claim.key,
         holder: claim.holder,
-        end: claims::End::Ran { answer },
+        end: claims::ExecutionOutcome::Ran { answer },
     }
 }
 
@@ -155,7 +155,7 @@
     let revision = rules::Revision(1);
     let pair = changes[..2].iter().map(|change| {
         let change = change.clone();
-        sageshed_vms::encode(&rules::Accepted { revision, change }).map(|bytes| bytes.len())
+        sageshed_vms::encode(&rules::AcceptedChange { revision, change }).map(|bytes| bytes.len())
     });
     let pair = pair.sum::<std::result::Result<usize, _>>()?;
     let begun = cpu()?;
@@ -194,9 +194,9 @@
     fn new() -> Self {
         let membership = log::Membership::of_voters((1..=NODES).map(node_id));
         let node = |vm| {
-            let restored = log::Restored {
+            let restored = log::PersistedState {
                 membership: membership.clone(),
-                ..log::Restored::default()
+                ..log::PersistedState::default()
             };
             let cfg = config::Config::new(node_id(vm));
             (node_id(vm), node::Node::new(cfg, restored, u64::from(vm)))
@@ -245,7 +245,7 @@
     let begun = cpu()?;
     for first in (0..PROPOSALS).step_by(usize::try_from(batch)?) {
         let proposal = |ticket| event::Event::Propose {
-            ticket,
+            correlation_id: ticket,
             payload: payload.clone(),
         };
         group.step(leader, (first..first + batch).map(proposal).collect())?;
@@ -285,9 +285,9 @@
             term: log::Term(1),
             data: log::EntryData::Command(payload.clone()),
         };
-        let write = log::Write {
+        let write = log::LogWrite {
             entries: (1..=batch).map(entry).collect(),
-            ..log::Write::default()
+            ..log::LogWrite::default()
         };
         folder.write(&write)?;
         writes += 1;
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -100,7 +100,7 @@
             }
             Outcome::Unavailable(why) => {
                 let refusal = refusal::Refusal::not_run(verdict::Reason::NotConfirmed, why)
-                    .retry_after(RETRY_AFTER);
+                    .with_retry_after(RETRY_AFTER);
                 reply.refusal("", &refusal)
             }
             Outcome::Invalid(why) => {
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -9,7 +9,7 @@
 use std::{collections, time as std_time};
 
 use sageshed_fleet::{entry_peers, quarantine};
-use sageshed_types::{endpoints, fault, refusal, time, verdict};
+use sageshed_types::{attempt_error, endpoints, refusal, time, verdict};
 use sageshed_upstream::probe;
 
 use super::{request, shared};
@@ -97,10 +97,13 @@
     pub(super) fn note_break(
         &self,
         order: &request::Order,
-        fault: fault::Fault,
+        fault: attempt_error::AttemptError,
         verdict: verdict::Verdict,
     ) {
-        let is_closed = matches!(fault, fault::Fault::Cut | fault::Fault::SendFailed);
+        let is_closed = matches!(
+            fault,
+            attempt_error::AttemptError::Cut | attempt_error::AttemptError::SendFailed
+        );
         if !is_closed || verdict != verdict::Verdict::MayHaveRun {
             return;
         }
@@ -143,7 +146,7 @@
             std_time::Duration::from(left).as_secs()
         );
         let refusal = refusal::Refusal::not_run(verdict::Reason::Quarantined, detail);
-        Some(refusal.retry_after(left))
+        Some(refusal.with_retry_after(left))
     }
 
     fn content(&self) -> quarantine::Fingerprint {
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -4,7 +4,7 @@
 
 use sageshed_fleet::{chooser, dialect};
 use sageshed_http::reply;
-use sageshed_types::{account, refusal, time, verdict};
+use sageshed_types::{refusal, request_trace, time, verdict};
 
 use super::{DEFAULT_RETRY_AFTER, ProxiedRequest};
 use crate::{
@@ -41,7 +41,7 @@
         let refusal = self.final_refusal(verdict::Reason::NoRoute, detail.to_owned());
         match refusal.retry_after {
             // No engine can take the request before the load is done.
-            Some(soon) => refusal.retry_after(soon.max(load)),
+            Some(soon) => refusal.with_retry_after(soon.max(load)),
             None => refusal,
         }
     }
@@ -78,7 +78,7 @@
             repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0;
             "gateway: request refused");
         self.record_end(metrics::End::Refused, refusal.status);
-        self.keep_account(account::End::Refused(refusal.clone()));
+        self.keep_account(request_trace::RequestOutcome::Refused(refusal.clone()));
         sink.refuse("", refusal)
     }
 
@@ -90,7 +90,7 @@
             arrivals = self.deliveries, left_ms = self.time_left().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
         self.record_end(metrics::End::CallerGone, 0);
-        self.keep_account(account::End::CallerGone);
+        self.keep_account(request_trace::RequestOutcome::CallerGone);
         let detail = "the caller closed its connection";
         let refusal = self.final_refusal(verdict::Reason::DeadlinePassed, detail.to_owned());
         sink.refuse("", &refusal)
@@ -111,7 +111,7 @@
         let outcome = self.timings.describe();
         self.attempt_log
             .record_outcome(verdict::Verdict::Ran, &outcome);
-        self.keep_account(account::End::Answered { status, bytes });
+        self.keep_account(request_trace::RequestOutcome::Answered { status, bytes });
         let line = self.shared.sampler.line(self.shared.clock.now());
         if let sampler::Line::WriteAfter(left_out) = line {
             ::log::info!(left_out; "gateway: successes left out of the log in the last second");
