--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use sageshed_fleet::allowance::{Key, RateLimit};
-use support::allowances::{Outcome, World, some};
+use support::allowances::{Outcome, World, sample};
 
 /// Quotas are judged over any span of this length, in milliseconds.
 const WINDOW: u64 = 8_000;
@@ -19,7 +19,7 @@
 }
 
 /// So many requests in a window, and an eighth of that at once.
-fn terms(in_window: f64) -> RateLimit {
+fn limit(in_window: f64) -> RateLimit {
     let per_s = in_window * 1_000.0 / WINDOW as f64;
     RateLimit {
         per_s,
@@ -27,20 +27,20 @@
     }
 }
 
-fn bound(terms: &RateLimit) -> f64 {
-    let within = terms.per_s * WINDOW as f64 / 1_000.0 + terms.burst;
+fn bound(limit: &RateLimit) -> f64 {
+    let within = limit.per_s * WINDOW as f64 / 1_000.0 + limit.burst;
     within * (1.0 + OVERAGE) + SLACK
 }
 
 /// Asks for `times` the rate over so many seconds, at entry processes that `pick` chooses.
 fn demand(
     world: &mut World,
-    terms: &RateLimit,
+    limit: &RateLimit,
     times: f64,
     seconds: u64,
     mut pick: impl FnMut(&mut World) -> usize,
 ) {
-    let mean_ms = 1_000.0 / (terms.per_s * times);
+    let mean_ms = 1_000.0 / (limit.per_s * times);
     let mut at = 0.0;
     loop {
         at -= mean_ms * (1.0 - world.rng.f64()).ln();
@@ -90,29 +90,29 @@
 #[test]
 fn steady_demand_gets_what_is_allowed_and_no_more() {
     for (at, case) in cases().iter().enumerate() {
-        let terms = terms(case.in_window);
-        let mut world = World::new(at as u64, case.entries, vec![(key(), terms)]);
+        let limit = limit(case.in_window);
+        let mut world = World::new(at as u64, case.entries, vec![(key(), limit)]);
         world.run(3_000);
         let seconds = if case.in_window < 100.0 { 160 } else { 16 };
         let entries = case.entries;
-        demand(&mut world, &terms, case.times, seconds, |it| {
+        demand(&mut world, &limit, case.times, seconds, |it| {
             it.rng.usize(0..entries)
         });
         world.run(seconds * 1_000 + 1_000);
         let outcome = outcome(&world);
-        let (ideal, granted) = outcome.against_one_bucket(&terms, 0);
-        let quota = terms.per_s * seconds as f64;
+        let (ideal, granted) = outcome.compare_with_one_bucket(&limit, 0);
+        let quota = limit.per_s * seconds as f64;
         let name = format!(
             "{entries} processes, {} in a window, {} times",
             case.in_window, case.times
         );
         let most = outcome.most_in(WINDOW);
-        assert!(most <= bound(&terms), "{name}: {most} of {}", bound(&terms));
+        assert!(most <= bound(&limit), "{name}: {most} of {}", bound(&limit));
         assert!(
             ideal - granted <= 0.02 * quota + 1.0,
             "{name}: {granted} of {ideal}, quota {quota}"
         );
-        assert_eq!(outcome.unanswered, 0, "{name}");
+        assert_eq!(outcome.failed, 0, "{name}");
     }
 }
 
@@ -120,27 +120,27 @@
 #[test]
 fn demand_that_moves_between_zones_loses_little() {
     for (at, case) in cases().iter().enumerate() {
-        let terms = terms(case.in_window);
-        let mut world = World::new(at as u64, case.entries, vec![(key(), terms)]);
+        let limit = limit(case.in_window);
+        let mut world = World::new(at as u64, case.entries, vec![(key(), limit)]);
         world.run(3_000);
         let rounds = if case.in_window < 100.0 { 32 } else { 4 };
         let zone = case.entries.div_ceil(4);
         for round in 0..rounds {
             let entries = case.entries;
             let first = zone * (round % 4);
-            demand(&mut world, &terms, case.times, 5, |it| {
+            demand(&mut world, &limit, case.times, 5, |it| {
                 (first + it.rng.usize(0..zone)) % entries
             });
             world.run(5_000);
         }
         let outcome = outcome(&world);
-        let (ideal, granted) = outcome.against_one_bucket(&terms, 0);
-        let quota = terms.per_s * 5.0 * rounds as f64;
+        let (ideal, granted) = outcome.compare_with_one_bucket(&limit, 0);
+        let quota = limit.per_s * 5.0 * rounds as f64;
         let most = outcome.most_in(WINDOW);
         assert!(
-            most <= bound(&terms),
+            most <= bound(&limit),
             "case {at}: {most} of {}",
-            bound(&terms)
+            bound(&limit)
         );
         assert!(
             ideal - granted <= 0.05 * quota + 1.0,
@@ -150,12 +150,12 @@
 }
 
 /// What goes wrong while three times the quota is asked for.
-struct Trouble {
+struct Scenario {
     name: &'static str,
     /// Done every second.
-    does: fn(&mut World, u64),
+    inject: fn(&mut World, u64),
     /// The part of the quota that has to be served all the same.
-    served: f64,
+    min_share: f64,
 }
 
 fn coordinator(world: &mut World) -> usize {
@@ -164,11 +164,15 @@
 
 const ENTRIES: usize = 73;
 
-fn troubles() -> Vec<Trouble> {
-    let trouble = |name, does, served| Trouble { name, does, served };
+fn scenarios() -> Vec<Scenario> {
+    let scenario = |name, inject, min_share| Scenario {
+        name,
+        inject,
+        min_share,
+    };
     vec![
-        trouble("a lossy network", |it, _| it.lost = 40, 0.9),
-        trouble(
+        scenario("a lossy network", |it, _| it.lost = 40, 0.9),
+        scenario(
             "the home is killed again and again",
             |it, second| {
                 if second % 3 == 0 {
@@ -178,26 +182,26 @@
             },
             0.75,
         ),
-        trouble(
+        scenario(
             "the home stands still for five seconds",
             |it, second| {
                 let coordinator = coordinator(it);
                 match second % 10 {
-                    0 => it.freeze(coordinator),
-                    5 => it.thaw(coordinator),
+                    0 => it.suspend(coordinator),
+                    5 => it.resume(coordinator),
                     _ => {}
                 }
             },
             0.75,
         ),
-        trouble(
+        scenario(
             "one process after the other is killed",
             |it, second| {
                 it.restart(usize::try_from(second).expect("few") % ENTRIES);
             },
             0.85,
         ),
-        trouble(
+        scenario(
             "the fleet is cut in two",
             |it, second| {
                 for at in 0..ENTRIES {
@@ -206,7 +210,7 @@
             },
             0.7,
         ),
-        trouble(
+        scenario(
             "the home is cut off",
             |it, second| {
                 let coordinator = coordinator(it);
@@ -214,10 +218,10 @@
             },
             0.75,
         ),
-        trouble(
+        scenario(
             "processes are cut off one by one",
             |it, second| {
-                let cut = some(&mut it.rng, 3, ENTRIES);
+                let cut = sample(&mut it.rng, 3, ENTRIES);
                 for at in 0..ENTRIES {
                     it.side[at] = if second % 4 != 0 && cut.contains(&at) {
                         u8::try_from(at + 1).expect("few")
@@ -228,7 +232,7 @@
             },
             0.7,
         ),
-        trouble(
+        scenario(
             "control starts again and lists few",
             |it, second| {
                 let listed = match second % 6 {
@@ -240,7 +244,7 @@
             },
             0.85,
         ),
-        trouble(
+        scenario(
             "all are killed at once",
             |it, second| {
                 if second % 12 == 4 {
@@ -249,7 +253,7 @@
                     }
                     for at in 0..ENTRIES {
                         // Each knows few of the others at first.
-                        it.tell_list(at, &[at, (at + 1) % ENTRIES]);
+                        it.set_list(at, &[at, (at + 1) % ENTRIES]);
                     }
                 }
                 if second % 12 == 5 {
@@ -262,29 +266,29 @@
 }
 
 /// A workspace asks for three times what it may while processes are killed, stand still and are cut off, the home
-/// of its quota among them. In no window does more run than the quota with its overage, and what can be served
+/// of its quota among them. In no window inject more run than the quota with its overage, and what can be served
 /// then is.
 #[test]
 fn in_trouble_the_bound_holds_and_most_is_served() {
-    for trouble in troubles() {
+    for scenario in scenarios() {
         for (seed, in_window) in [(1, 14.0), (2, 300.0), (3, 3_000.0)] {
-            let terms = terms(in_window);
-            let mut world = World::new(seed, ENTRIES, vec![(key(), terms)]);
+            let limit = limit(in_window);
+            let mut world = World::new(seed, ENTRIES, vec![(key(), limit)]);
             world.run(3_000);
             let seconds = 120;
             for second in 0..seconds {
-                (trouble.does)(&mut world, second);
-                demand(&mut world, &terms, 3.0, 1, |it| it.rng.usize(0..ENTRIES));
+                (scenario.inject)(&mut world, second);
+                demand(&mut world, &limit, 3.0, 1, |it| it.rng.usize(0..ENTRIES));
                 world.run(1_000);
             }
             let outcome = outcome(&world);
             let most = outcome.most_in(WINDOW);
-            let name = format!("{}, {in_window} in a window", trouble.name);
-            assert!(most <= bound(&terms), "{name}: {most} of {}", bound(&terms));
-            let quota = terms.per_s * seconds as f64;
+            let name = format!("{}, {in_window} in a window", scenario.name);
+            assert!(most <= bound(&limit), "{name}: {most} of {}", bound(&limit));
+            let quota = limit.per_s * seconds as f64;
             let granted: f64 = outcome.granted.iter().map(|(_, amount)| amount).sum();
             assert!(
-                granted >= trouble.served * quota - 2.0,
+                granted >= scenario.min_share * quota - 2.0,
                 "{name}: {granted} of {quota}"
             );
         }
@@ -294,7 +298,7 @@
 /// An operator lowers a quota to a tenth, and raises it again.
 #[test]
 fn a_lowered_quota_holds_from_the_next_window_on() {
-    let (high, low) = (terms(1_000.0), terms(100.0));
+    let (high, low) = (limit(1_000.0), limit(100.0));
     let mut world = World::new(4, ENTRIES, vec![(key(), high)]);
     world.run(3_000);
     for (times, set) in [(3.0, high), (30.0, low), (3.0, high)] {
@@ -320,39 +324,39 @@
 /// list, or two fifths more than the quota would run.
 #[test]
 fn processes_that_control_lists_no_longer_yield_nothing() {
-    let terms = terms(300.0);
-    let mut world = World::new(5, ENTRIES, vec![(key(), terms)]);
+    let limit = limit(300.0);
+    let mut world = World::new(5, ENTRIES, vec![(key(), limit)]);
     world.run(3_000);
-    let away = some(&mut world.rng, ENTRIES * 2 / 5, ENTRIES);
+    let away = sample(&mut world.rng, ENTRIES * 2 / 5, ENTRIES);
     let there: Vec<_> = (0..ENTRIES).filter(|at| !away.contains(at)).collect();
-    world.unheard = away;
+    world.unreachable_from_control = away;
     for second in 0..40 {
         // Control takes them for gone after three seconds.
         match second {
             3 => world.list(&there),
             30 => {
-                world.unheard.clear();
+                world.unreachable_from_control.clear();
                 world.list(&(0..ENTRIES).collect::<Vec<_>>());
             }
             _ => {}
         }
-        demand(&mut world, &terms, 3.0, 1, |it| it.rng.usize(0..ENTRIES));
+        demand(&mut world, &limit, 3.0, 1, |it| it.rng.usize(0..ENTRIES));
         world.run(1_000);
     }
     let outcome = outcome(&world);
     let most = outcome.most_in(WINDOW);
-    assert!(most <= bound(&terms), "{most} of {}", bound(&terms));
+    assert!(most <= bound(&limit), "{most} of {}", bound(&limit));
     let granted: f64 = outcome.granted.iter().map(|(_, amount)| amount).sum();
-    assert!(granted >= 0.9 * terms.per_s * 40.0, "{granted}");
+    assert!(granted >= 0.9 * limit.per_s * 40.0, "{granted}");
 }
 
 /// Seeds of the run in which troubles overlap at random. Fifty were run by hand.
 const SEEDS: u64 = 4;
 
 /// One trouble drawn at random, for some processes and a while.
-fn trouble_at_random(world: &mut World, entries: usize) {
+fn random_fault(world: &mut World, entries: usize) {
     let count = world.rng.usize(1..=entries.div_ceil(6));
-    let mut picked: Vec<_> = some(&mut world.rng, count, entries).into_iter().collect();
+    let mut picked: Vec<_> = sample(&mut world.rng, count, entries).into_iter().collect();
     picked.sort_unstable();
     match world.rng.u32(0..8) {
         0 => picked.iter().for_each(|at| world.restart(*at)),
@@ -360,10 +364,10 @@
             let coordinator = world.coordinator(key());
             world.restart(coordinator);
         }
-        2 => picked.iter().for_each(|at| world.freeze(*at)),
+        2 => picked.iter().for_each(|at| world.suspend(*at)),
         3 => {
             let coordinator = world.coordinator(key());
-            world.freeze(coordinator);
+            world.suspend(coordinator);
         }
         4 => {
             let side = world.rng.u8(1..4);
@@ -379,7 +383,7 @@
         _ => {
             let all: Vec<_> = (0..entries).collect();
             world.list(&all);
-            (0..entries).for_each(|at| world.thaw(at));
+            (0..entries).for_each(|at| world.resume(at));
             world.side.iter_mut().for_each(|it| *it = 0);
             world.lost = 0;
         }
@@ -392,21 +396,21 @@
     let mut windows = 0;
     for seed in 0..SEEDS {
         for entries in [7, 73, 195] {
-            let terms = terms(300.0);
-            let mut world = World::new(seed, entries, vec![(key(), terms)]);
+            let limit = limit(300.0);
+            let mut world = World::new(seed, entries, vec![(key(), limit)]);
             world.run(3_000);
             for second in 0..160 {
                 if second % 2 == 0 {
-                    trouble_at_random(&mut world, entries);
+                    random_fault(&mut world, entries);
                 }
-                demand(&mut world, &terms, 3.0, 1, |it| it.rng.usize(0..entries));
+                demand(&mut world, &limit, 3.0, 1, |it| it.rng.usize(0..entries));
                 world.run(1_000);
             }
             let outcome = outcome(&world);
             windows += outcome.granted.len();
             let most = outcome.most_in(WINDOW);
             let name = format!("seed {seed}, {entries} processes");
-            assert!(most <= bound(&terms), "{name}: {most} of {}", bound(&terms));
+            assert!(most <= bound(&limit), "{name}: {most} of {}", bound(&limit));
         }
     }
     assert!(
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -24,7 +24,7 @@
 }
 
 /// As the chooser reckons them from a limit.
-fn terms(per_s: f64) -> RateLimit {
+fn limit(per_s: f64) -> RateLimit {
     RateLimit { per_s, burst: 2.0 }
 }
 
@@ -56,7 +56,7 @@
     let mut world = World::new(seed, entries, Vec::new());
     world.run(3_000);
     for at in 0..entries {
-        world.name(at, key(), terms(per_s));
+        world.report_limit(at, key(), limit(per_s));
     }
     world
 }
@@ -108,8 +108,8 @@
                         world.side = (0..entries).map(|it| u8::from(it % 2 == 0)).collect();
                     }
                     (1 | 4, _) => world.side = vec![0; entries],
-                    (_, 0) => world.freeze(coordinator),
-                    (_, _) => world.thaw(coordinator),
+                    (_, 0) => world.suspend(coordinator),
+                    (_, _) => world.resume(coordinator),
                 }
             }
             world.run(4_000);
@@ -131,7 +131,7 @@
     demand(&mut world, 7, 60.0, 10_000);
     world.run(4_000);
     for at in 0..3 {
-        world.name(at, key(), terms(2.0));
+        world.report_limit(at, key(), limit(2.0));
     }
     world.run(6_000);
     let (_, after) = granted(&world, 9_000, 13_000);
@@ -141,7 +141,7 @@
 
 /// Anybody can send a datagram. Terms that are no numbers would leave the allowance at no number for good.
 #[test]
-fn terms_that_are_no_numbers_are_not_taken() {
+fn non_finite_limits_are_ignored() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let entries = [net::Ipv4Addr::LOCALHOST];
         let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
@@ -153,7 +153,7 @@
             returned: 0.0,
             rank: 0,
             reported: Some(allowance::ReportedLimit {
-                limit: terms(bad),
+                limit: limit(bad),
                 age: Millis(0),
             }),
         };
@@ -165,7 +165,7 @@
 
 /// What nobody asks by any more is forgotten, with what was drawn of it.
 #[test]
-fn terms_are_forgotten_when_nobody_asks_by_them() {
+fn limits_expire_when_no_message_refers_to_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
     let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
     coordinator.set_entries(Instant(0), &entries);
@@ -176,7 +176,7 @@
         returned: 0.0,
         rank: 0,
         reported: Some(allowance::ReportedLimit {
-            limit: terms(1.0),
+            limit: limit(1.0),
             age: Millis(0),
         }),
     };
@@ -266,7 +266,7 @@
 
 /// What an engine has said holds though control loses sight of it for a while, and not for another start of it.
 #[test]
-fn a_limit_is_kept_by_the_start_that_named_it() {
+fn a_limit_is_kept_for_the_instance_that_reported_it() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let now = Instant(10_000);
     let id = &engines[0].id;
@@ -275,7 +275,7 @@
     chooser.remove_instance(id);
     chooser.update_instance(&engines[0]);
     let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
-    assert_eq!(named.limit, terms(1.5));
+    assert_eq!(named.limit, limit(1.5));
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
     assert_eq!(chooser.limit(now, &other), None);
@@ -295,7 +295,7 @@
 
 /// An engine has turned a request away and wants rest. A shorter word, or the end of its limit, takes nothing back.
 #[test]
-fn an_engine_rests_as_long_as_the_longest_of_its_words() {
+fn the_longest_pause_that_an_engine_requested_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let wanted = wanted();
     let now = Instant(10_000);
@@ -315,7 +315,7 @@
 /// Among many processes the home of a model says where requests go. It was not told what an engine has said to another
 /// process, which names such engines in its question.
 #[test]
-fn engines_that_take_nothing_from_a_process_are_known_by_their_keys() {
+fn closed_engines_are_listed_by_their_keys() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let now = Instant(10_000);
     assert!(chooser.closed_endpoints(now, "engines").is_empty());
@@ -351,7 +351,7 @@
 /// An engine with a limit answers once more. The answer of another engine, which was given its address, is not its own;
 /// and a rejection that names no limit does not say that there is none.
 #[test]
-fn an_answer_says_something_of_the_engine_that_gave_it_alone() {
+fn a_response_changes_only_the_state_of_the_engine_that_sent_it() {
     let limit = dialect::Notice {
         limit: Some(1.0),
         ..dialect::Notice::default()
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -33,7 +33,7 @@
     fn full() -> Self {
         let mut world = Self::new();
         for round in 0..12 {
-            world.draw_all(at(100 * round));
+            world.collect_all(at(100 * round));
         }
         world
     }
@@ -42,11 +42,11 @@
         let entries: Vec<_> = (1..=20).map(ip).collect();
         let producers = sageshed_fleet::allowance::producers(key(), &entries);
         let mut coordinator = AllowanceTable::new(producers[0], 1);
-        let terms = RateLimit {
+        let limit = RateLimit {
             per_s: PER_S,
             burst: PER_S,
         };
-        coordinator.set_limits([(key(), terms)]);
+        coordinator.set_limits([(key(), limit)]);
         coordinator.set_entries(at(0), &entries);
         Self {
             coordinator,
@@ -54,25 +54,28 @@
         }
     }
 
-    fn pull(&mut self, now: time::Instant) -> Option<CollectRequest> {
-        self.coordinator.tick(now).pop().map(|(pull, _)| pull)
+    fn start_collection(&mut self, now: time::Instant) -> Option<CollectRequest> {
+        self.coordinator
+            .tick(now)
+            .pop()
+            .map(|(collection, _)| collection)
     }
 
     /// All producers give what grows in a tenth of a second, if the home draws.
-    fn draw_all(&mut self, now: time::Instant) {
-        if let Some(pull) = self.pull(now) {
+    fn collect_all(&mut self, now: time::Instant) {
+        if let Some(collection) = self.start_collection(now) {
             for other in self.others.clone() {
                 self.coordinator.add_collected(
                     now,
                     other,
-                    &given(&pull, PER_S / 10.0 / 15.0 * 2.5),
+                    &collected(&collection, PER_S / 10.0 / 15.0 * 2.5),
                 );
             }
         }
     }
 
-    fn asked(&mut self, now: time::Instant, draw: AcquireRequest) -> AcquireReply {
-        self.coordinator.acquire(now, ip(99), &draw).reply
+    fn acquire(&mut self, now: time::Instant, request: AcquireRequest) -> AcquireReply {
+        self.coordinator.acquire(now, ip(99), &request).reply
     }
 
     fn units(&self) -> f64 {
@@ -80,14 +83,14 @@
     }
 }
 
-fn given(pull: &CollectRequest, units: f64) -> CollectReply {
+fn collected(collection: &CollectRequest, units: f64) -> CollectReply {
     CollectReply {
-        id: pull.id,
+        id: collection.id,
         units: vec![(key(), units)],
     }
 }
 
-fn draw(id: u64, amount: f64) -> AcquireRequest {
+fn request(id: u64, amount: f64) -> AcquireRequest {
     AcquireRequest {
         id,
         of: key(),
@@ -102,14 +105,14 @@
 fn a_question_that_is_asked_again_takes_once() {
     let mut world = World::full();
     let now = at(1_200);
-    assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
+    assert_eq!(world.acquire(now, request(7, 15.0)), AcquireReply::Granted);
     let after = world.units();
     for _ in 0..3 {
-        assert_eq!(world.asked(now, draw(7, 15.0)), AcquireReply::Granted);
+        assert_eq!(world.acquire(now, request(7, 15.0)), AcquireReply::Granted);
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
     // Another's question of the same number is another question.
-    let reply = world.coordinator.acquire(now, ip(98), &draw(7, 15.0));
+    let reply = world.coordinator.acquire(now, ip(98), &request(7, 15.0));
     assert_eq!(reply.reply, AcquireReply::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
@@ -120,28 +123,28 @@
 #[test]
 fn what_a_producer_gives_counts_once() {
     let mut world = World::new();
-    let first = world.pull(at(0)).expect("a new home draws");
+    let first = world.start_collection(at(0)).expect("a new home draws");
     let from = world.others[0];
     let before = world.units();
     world
         .coordinator
-        .add_collected(at(1), from, &given(&first, 1.0));
+        .add_collected(at(1), from, &collected(&first, 1.0));
     let once = world.units();
     assert!(once > before);
     world
         .coordinator
-        .add_collected(at(2), from, &given(&first, 1.0));
+        .add_collected(at(2), from, &collected(&first, 1.0));
     assert!((world.units() - once).abs() < 1e-9, "delivered twice");
-    let second = world.pull(at(400)).expect("it draws again");
+    let second = world.start_collection(at(400)).expect("it draws again");
     assert_ne!(first.id, second.id);
     let then = world.units();
     world
         .coordinator
-        .add_collected(at(401), world.others[1], &given(&first, 1.0));
+        .add_collected(at(401), world.others[1], &collected(&first, 1.0));
     assert!((world.units() - then).abs() < 1e-9, "of an earlier drawing");
     world
         .coordinator
-        .add_collected(at(402), ip(77), &given(&second, 1.0));
+        .add_collected(at(402), ip(77), &collected(&second, 1.0));
     assert!(
         (world.units() - then).abs() < 1e-9,
         "of one that was not asked"
@@ -151,11 +154,11 @@
 /// A home stands still, or is cut off, with a full pot. Another is the home meanwhile, so what it has must not be
 /// spent beside.
 #[test]
-fn the_pot_of_a_home_that_is_out_of_touch_is_void() {
+fn the_bucket_of_a_coordinator_without_contact_is_void() {
     for (later, is_void) in [(1_000, false), (5_000, true)] {
         let mut world = World::full();
         let now = at(1_100 + later);
-        let answer = world.asked(now, draw(1, 40.0));
+        let answer = world.acquire(now, request(1, 40.0));
         assert_eq!(
             answer == AcquireReply::Granted,
             !is_void,
@@ -165,16 +168,16 @@
 }
 
 #[test]
-fn a_request_larger_than_the_pot_is_granted_by_a_full_one_and_paid_off() {
+fn a_request_larger_than_the_bucket_is_granted_by_a_full_one_and_paid_off() {
     let mut world = World::full();
     assert_eq!(
-        world.asked(at(1_105), draw(1, 250.0)),
+        world.acquire(at(1_105), request(1, 250.0)),
         AcquireReply::Granted
     );
     assert!(world.units() < -100.0);
     for round in 12..24 {
-        world.draw_all(at(100 * round));
-        let answer = world.asked(at(100 * round + 5), draw(round, 1.0));
+        world.collect_all(at(100 * round));
+        let answer = world.acquire(at(100 * round + 5), request(round, 1.0));
         assert_ne!(answer, AcquireReply::Granted, "round {round}");
     }
 }
@@ -185,16 +188,19 @@
     let mut world = World::full();
     let lookup = |id| AcquireRequest {
         rank: 2,
-        ..draw(id, 10.0)
+        ..request(id, 10.0)
     };
-    assert_eq!(world.asked(at(1_101), draw(1, 10.0)), AcquireReply::Granted);
+    assert_eq!(
+        world.acquire(at(1_101), request(1, 10.0)),
+        AcquireReply::Granted
+    );
     let mut granted = 0;
-    while world.asked(at(1_101), lookup(10 + granted)) == AcquireReply::Granted {
+    while world.acquire(at(1_101), lookup(10 + granted)) == AcquireReply::Granted {
         granted += 1;
     }
     assert!(granted > 0);
     assert_eq!(
-        world.asked(at(1_101), draw(2, 10.0)),
+        world.acquire(at(1_101), request(2, 10.0)),
         AcquireReply::Granted,
         "for the urgent there is some"
     );
@@ -203,7 +209,7 @@
 /// A hundred are told when to come back. Each is told a time behind the ones before, so that they do not all come
 /// for the same units.
 #[test]
-fn those_that_are_turned_away_are_told_one_after_the_other() {
+fn retry_delays_of_refused_requests_are_staggered() {
     let mut world = World::full();
     let now = at(1_130);
     let mut id = 0;
@@ -211,7 +217,7 @@
     let mut told = 0;
     while told < 100 {
         id += 1;
-        match world.asked(now, draw(id, 5.0)) {
+        match world.acquire(now, request(id, 5.0)) {
             AcquireReply::Over(span) => {
                 assert!(span >= last, "{span:?} behind {last:?}");
                 last = span;
@@ -220,16 +226,16 @@
             AcquireReply::Granted => assert_eq!(told, 0),
             AcquireReply::Soon(_) => {
                 // The producers have nothing either.
-                world.coordinator.acquire(now, ip(99), &draw(id, 0.0));
+                world.coordinator.acquire(now, ip(99), &request(id, 0.0));
                 for other in world.others.clone() {
-                    let pull = CollectRequest {
+                    let collection = CollectRequest {
                         id,
                         of: vec![key()],
                         reported: Vec::new(),
                     };
                     world
                         .coordinator
-                        .add_collected(now, other, &given(&pull, 0.0));
+                        .add_collected(now, other, &collected(&collection, 0.0));
                 }
                 if id > 1_000 {
                     return;
@@ -244,27 +250,30 @@
 #[test]
 fn what_is_given_back_is_there_again_and_never_more_than_the_burst() {
     let mut world = World::full();
-    assert_eq!(world.asked(at(1_101), draw(1, 60.0)), AcquireReply::Granted);
+    assert_eq!(
+        world.acquire(at(1_101), request(1, 60.0)),
+        AcquireReply::Granted
+    );
     let after = world.units();
     let back = AcquireRequest {
         returned: 60.0,
-        ..draw(2, 0.0)
+        ..request(2, 0.0)
     };
-    assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
+    assert_eq!(world.acquire(at(1_101), back), AcquireReply::Granted);
     assert!(world.units() > after + 50.0);
     for id in 3..50 {
         let back = AcquireRequest {
             returned: 60.0,
-            ..draw(id, 0.0)
+            ..request(id, 0.0)
         };
-        assert_eq!(world.asked(at(1_101), back), AcquireReply::Granted);
+        assert_eq!(world.acquire(at(1_101), back), AcquireReply::Granted);
     }
     assert!(world.units() <= PER_S);
 }
 
 /// Two homes draw from the same producer: together they have what one of them would have.
 #[test]
-fn two_homes_divide_what_a_producer_yields() {
+fn two_coordinators_divide_what_a_producer_yields() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
     let mut producer = AllowanceTable::new(producers[3], 1);
@@ -278,13 +287,13 @@
     producer.set_entries(at(0), &entries);
     let mut all = 0.0;
     for ms in (0..10_000).step_by(50) {
-        let pull = CollectRequest {
+        let collection = CollectRequest {
             id: ms,
             of: vec![key()],
             reported: Vec::new(),
         };
-        all += producer.release_share(at(ms), &pull).units[0].1;
-        all += producer.release_share(at(ms), &pull).units[0].1;
+        all += producer.release_share(at(ms), &collection).units[0].1;
+        all += producer.release_share(at(ms), &collection).units[0].1;
     }
     let yields = PER_S * (10.0 + 0.6) / 15.0;
     assert!(all <= yields + 1e-6, "{all} of {yields}");
@@ -293,35 +302,35 @@
 
 fn producer(entries: &[net::Ipv4Addr], place: usize) -> AllowanceTable {
     let producers = sageshed_fleet::allowance::producers(key(), entries);
-    let mut book = AllowanceTable::new(producers[place], 1);
-    let terms = RateLimit {
+    let mut table = AllowanceTable::new(producers[place], 1);
+    let limit = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
-    book.set_limits([(key(), terms)]);
-    book.set_entries(at(0), entries);
-    book
+    table.set_limits([(key(), limit)]);
+    table.set_entries(at(0), entries);
+    table
 }
 
-fn gives(book: &mut AllowanceTable, now: time::Instant) -> f64 {
-    let pull = CollectRequest {
+fn released(table: &mut AllowanceTable, now: time::Instant) -> f64 {
+    let collection = CollectRequest {
         id: now.0,
         of: vec![key()],
         reported: Vec::new(),
     };
-    book.release_share(now, &pull).units[0].1
+    table.release_share(now, &collection).units[0].1
 }
 
 /// A producer stood still for ten seconds, or its home was away. It does not come back with the units of all that
 /// time.
 #[test]
-fn a_producer_keeps_what_grows_in_a_moment_and_no_more() {
+fn a_producer_stores_at_most_one_share_window() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
-    let mut book = producer(&entries, 3);
+    let mut table = producer(&entries, 3);
     let most = PER_S * 0.6 / 15.0 + 1e-6;
-    assert!(gives(&mut book, at(10)) <= most);
-    book.heard_control(at(10_010));
-    let later = gives(&mut book, at(10_010));
+    assert!(released(&mut table, at(10)) <= most);
+    table.heard_control(at(10_010));
+    let later = released(&mut table, at(10_010));
     assert!(later > 0.0 && later <= most, "{later}");
 }
 
@@ -331,24 +340,24 @@
 fn who_knows_few_others_yields_nothing_at_first() {
     let few: Vec<_> = (1..=2).map(ip).collect();
     let many: Vec<_> = (1..=20).map(ip).collect();
-    let mut lonely = producer(&few, 0);
-    assert!(gives(&mut lonely, at(300)) <= 0.0);
-    assert!(gives(&mut lonely, at(600)) > 0.0);
-    lonely.set_entries(at(700), &(1..=4).map(ip).collect::<Vec<_>>());
+    let mut isolated = producer(&few, 0);
+    assert!(released(&mut isolated, at(300)) <= 0.0);
+    assert!(released(&mut isolated, at(600)) > 0.0);
+    isolated.set_entries(at(700), &(1..=4).map(ip).collect::<Vec<_>>());
     assert!(
-        gives(&mut lonely, at(900)) <= 0.0,
+        released(&mut isolated, at(900)) <= 0.0,
         "the list has just grown"
     );
-    assert!(gives(&mut producer(&many, 3), at(1)) > 0.0);
+    assert!(released(&mut producer(&many, 3), at(1)) > 0.0);
 }
 
 /// A workspace pauses. What it may spend at once afterwards is its burst, and not that of the pot and as
 /// much again that its producers keep.
 #[test]
-fn pot_and_producers_hold_one_burst_together() {
+fn bucket_and_producers_hold_one_burst_together() {
     let mut world = World::full();
     let later = at(1_100 + 600);
-    assert_eq!(world.asked(later, draw(1, 0.0)), AcquireReply::Granted);
+    assert_eq!(world.acquire(later, request(1, 0.0)), AcquireReply::Granted);
     let kept_by_producers = PER_S * 0.6;
     let all = world.units() + kept_by_producers;
     assert!(all <= PER_S * 1.05, "{all}");
@@ -356,50 +365,57 @@
 
 /// A home does not answer. The next question goes to the one after it, and after a while to the first again.
 #[test]
-fn a_home_that_does_not_answer_is_passed_over_for_a_second() {
+fn an_unresponsive_coordinator_is_skipped_for_a_second() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
-    let mut book = producer(&entries, 9);
-    let first = |book: &mut AllowanceTable, now| book.acquisition(now, key()).begin();
+    let mut table = producer(&entries, 9);
+    let first = |table: &mut AllowanceTable, now| table.acquisition(now, key()).begin();
     let to = |coordinator| Next::Ask(coordinator, time::Millis(0));
-    assert_eq!(first(&mut book, at(0)), to(producers[0]));
-    book.mark_unresponsive(at(0), producers[0]);
-    assert_eq!(first(&mut book, at(500)), to(producers[1]));
-    assert_eq!(first(&mut book, at(1_500)), to(producers[0]));
+    assert_eq!(first(&mut table, at(0)), to(producers[0]));
+    table.mark_unresponsive(at(0), producers[0]);
+    assert_eq!(first(&mut table, at(500)), to(producers[1]));
+    assert_eq!(first(&mut table, at(1_500)), to(producers[0]));
     for coordinator in &producers[..3] {
-        book.mark_unresponsive(at(2_000), *coordinator);
+        table.mark_unresponsive(at(2_000), *coordinator);
     }
-    assert_eq!(first(&mut book, at(2_100)), Next::Unreachable);
+    assert_eq!(first(&mut table, at(2_100)), Next::Unreachable);
 }
 
 /// Few processes keep the quotas of many workspaces. What one of them draws and is given has to fit into datagrams.
 #[test]
-fn the_drawings_of_hundreds_of_allowances_are_divided() {
+fn collections_of_hundreds_of_allowances_are_split() {
     let entries: Vec<_> = (1..=2).map(ip).collect();
     let keys: Vec<_> = (0..500)
         .map(|at| Key::of_workspace(&format!("w{at}")))
         .collect();
-    let terms = RateLimit {
+    let limit = RateLimit {
         per_s: PER_S,
         burst: PER_S,
     };
     let mut coordinator = AllowanceTable::new(entries[0], 1);
-    coordinator.set_limits(keys.iter().map(|key| (*key, terms)));
+    coordinator.set_limits(keys.iter().map(|key| (*key, limit)));
     coordinator.set_entries(at(0), &entries);
-    let pulls = coordinator.tick(at(1));
-    let drawn: usize = pulls.iter().map(|(pull, _)| pull.of.len()).sum();
+    let collections = coordinator.tick(at(1));
+    let drawn: usize = collections
+        .iter()
+        .map(|(collection, _)| collection.of.len())
+        .sum();
     assert!(
-        pulls.len() > 3 && drawn > 150,
+        collections.len() > 3 && drawn > 150,
         "{} pulls of {drawn}",
-        pulls.len()
+        collections.len()
     );
     let mut other = AllowanceTable::new(entries[1], 1);
-    other.set_limits(keys.iter().map(|key| (*key, terms)));
+    other.set_limits(keys.iter().map(|key| (*key, limit)));
     other.set_entries(at(0), &entries);
-    for (pull, to) in &pulls {
+    for (collection, to) in &collections {
         assert_eq!(to, &vec![entries[1]]);
-        assert!(pull.of.len() <= 40, "{}", pull.of.len());
-        coordinator.add_collected(at(1_000), entries[1], &other.release_share(at(1_000), pull));
+        assert!(collection.of.len() <= 40, "{}", collection.of.len());
+        coordinator.add_collected(
+            at(1_000),
+            entries[1],
+            &other.release_share(at(1_000), collection),
+        );
     }
     let empty = coordinator
         .buckets()
@@ -410,32 +426,32 @@
 
 /// Datagrams can be spoiled, or come from anybody. A number that is none must not stay in the pot.
 #[test]
-fn numbers_that_are_none_spoil_no_pot() {
+fn non_finite_amounts_do_not_corrupt_a_bucket() {
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0] {
         let mut world = World::full();
         let now = at(1_101);
-        let spoiled = AcquireRequest {
+        let malformed = AcquireRequest {
             returned: bad,
-            ..draw(1, bad)
+            ..request(1, bad)
         };
-        world.coordinator.acquire(now, ip(99), &spoiled);
-        let pull = CollectRequest {
+        world.coordinator.acquire(now, ip(99), &malformed);
+        let collection = CollectRequest {
             id: 3,
             of: vec![key()],
             reported: Vec::new(),
         };
         world
             .coordinator
-            .add_collected(now, world.others[0], &given(&pull, bad));
+            .add_collected(now, world.others[0], &collected(&collection, bad));
         for round in 12..20 {
             let now = at(100 * round);
-            if let Some(pull) = world.pull(now) {
+            if let Some(collection) = world.start_collection(now) {
                 world
                     .coordinator
-                    .add_collected(now, world.others[0], &given(&pull, bad));
+                    .add_collected(now, world.others[0], &collected(&collection, bad));
             }
         }
-        world.draw_all(at(2_100));
+        world.collect_all(at(2_100));
         assert!(world.units().is_finite(), "{bad}: {}", world.units());
         assert!(
             world.units() <= PER_S && world.units() >= 0.0,
@@ -453,7 +469,7 @@
         let mut world = World::full();
         let now = at(1_101);
         let before = world.units();
-        let answer = world.asked(now, draw(1, amount));
+        let answer = world.acquire(now, request(1, amount));
         assert_eq!(
             matches!(answer, AcquireReply::Over(_)),
             is_over,
@@ -466,17 +482,17 @@
 /// VMs are exchanged for others one after the other. Those that are gone still count as producers, as nobody knows
 /// whether they are only cut off; a question goes to those that are there.
 #[test]
-fn a_question_goes_to_homes_that_are_listed() {
+fn acquisitions_go_to_listed_coordinators() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
     let producers = sageshed_fleet::allowance::producers(key(), &entries);
-    let mut book = producer(&entries, 9);
+    let mut table = producer(&entries, 9);
     let gone = &producers[..4];
     let left: Vec<_> = entries
         .iter()
         .copied()
         .filter(|it| !gone.contains(it))
         .collect();
-    book.set_entries(at(1_000), &left);
-    let first = book.acquisition(at(1_010), key()).begin();
+    table.set_entries(at(1_000), &left);
+    let first = table.acquisition(at(1_010), key()).begin();
     assert_eq!(first, Next::Ask(producers[4], time::Millis(0)));
 }
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -114,7 +114,7 @@
 
 /// A prompt whose beginning an engine has read before is read there in a part of the time.
 #[test]
-fn a_prompt_goes_to_the_engine_that_keeps_its_beginning() {
+fn a_prompt_goes_to_the_engine_that_caches_its_prefix() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let part = |id, tokens| dialect::PromptPart { id, tokens };
@@ -156,7 +156,7 @@
 /// others have to read for themselves, and so does the same one once its weights were dropped. Taken
 /// for kept, the engine would read a third more than it was chosen for.
 #[test]
-fn what_one_model_has_read_is_kept_for_no_other() {
+fn prefixes_are_cached_per_model_and_adapter() {
     let mut chooser = Chooser::new("z1", 7);
     let mut engine = support::engine("e1", &["m0", "m1"]);
     engine.models[0].adapters.push("a1".to_owned());
@@ -370,7 +370,7 @@
 /// Prompts held back from them were late for nothing. Others read all that waits in one step, and a bound
 /// that has risen must fall when streams pause, but not below what is safe for any.
 #[test]
-fn what_may_wait_at_an_engine_is_learnt_from_the_pauses_of_streams() {
+fn the_prefill_limit_is_learned_from_stream_pauses() {
     let mut chooser = Chooser::new("z1", 7);
     chooser.update_instance(&support::engine("e1", &["m0"]));
     let m0 = wanted("m0", None);
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -93,7 +93,7 @@
 /// The process that was advised has sent the request and says so. It counts once, by the word; and the engine is
 /// free again once it has read.
 #[test]
-fn what_was_advised_counts_until_the_word_on_it_comes() {
+fn a_routed_request_counts_until_its_observation_arrives() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
@@ -126,7 +126,7 @@
 /// The datagram in which a process says that it has sent a request is lost. The engine must not stand idle for
 /// that.
 #[test]
-fn an_advice_of_which_nothing_is_heard_is_forgotten() {
+fn a_routed_request_without_observation_expires() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     coordinator.route_for(T0, entries()[9], 1, &asks(&wanted, 6_000));
@@ -137,7 +137,7 @@
 /// One process meets an engine that drops the model. With two requests a second in each of 195 processes, each
 /// would find out by itself: 7,353 of 21,582 requests of a simulated day were rejected so.
 #[test]
-fn an_engine_that_rejects_one_process_is_not_advised_to_others() {
+fn requests_of_others_avoid_an_engine_that_rejected_one_process() {
     for trouble in [
         EngineFault::Rejects(entry_peers::name_key("m0")),
         EngineFault::Lacks(entry_peers::name_key("m0")),
@@ -160,7 +160,7 @@
 /// An entry process is cut off from all engines and says of each that it can't be reached. The others reach them:
 /// its word alone must not empty the pool. Where a second process says the same, the engine is left out.
 #[test]
-fn the_word_of_one_process_leaves_no_engine_out() {
+fn one_process_alone_ejects_no_engine() {
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let lost = |id| entry_peers::EngineObservation {
@@ -187,7 +187,7 @@
 /// Prompts come faster than the engine reads them, and wait at a hundred processes. Each would hold its own until
 /// its caller leaves. The home knows how many wait and how many it sends on, and says how long that takes.
 #[test]
-fn the_home_tells_how_long_requests_wait() {
+fn the_coordinator_estimates_how_long_requests_wait() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
@@ -214,7 +214,7 @@
 /// What a process is advised by its home it follows, unless it knows better: the engine failed it for this very
 /// request, or does not hold the model any more.
 #[test]
-fn an_advice_is_followed_unless_more_is_known_here() {
+fn a_decision_is_followed_unless_the_process_knows_better() {
     let wanted = m0();
     let mut chooser = Chooser::new("z1", 7);
     chooser.set_entries(entries()[9], &entries());
@@ -274,7 +274,7 @@
 /// An engine reads slowly, and its answers tell so to processes that each have one request there in a while. The
 /// home hears of all of them and sends less there.
 #[test]
-fn a_home_learns_from_the_answers_of_others() {
+fn a_coordinator_learns_from_the_timings_of_others() {
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
     let pace = entry_peers::TtftSample {
@@ -305,7 +305,7 @@
 /// Engines read prompts in pieces, and no stream pauses for long however much waits there. Each process sees two
 /// streams a second; the home hears of all and lets more wait, or engines would stand idle while requests wait.
 #[test]
-fn a_home_learns_from_the_pauses_of_others_how_much_may_wait() {
+fn a_coordinator_learns_the_prefill_limit_from_the_pauses_of_others() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
     let from = entries()[9];
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -20,7 +20,7 @@
 /// With 90 entry processes a request must not cause 90 messages: a model has few homes, the same by whomever
 /// they are asked for, and of many models every process is the home of some.
 #[test]
-fn the_homes_of_a_model_are_few_and_the_same_for_all() {
+fn the_coordinators_of_a_model_are_few_and_the_same_for_all() {
     let entries = entries(90);
     let mut shuffled = entries.clone();
     shuffled.reverse();
@@ -37,7 +37,7 @@
 
 /// An engine holds a few of many models. What is sent there is told to the homes of these and to nobody else.
 #[test]
-fn of_an_engine_the_homes_of_its_models_are_told() {
+fn observations_go_to_the_coordinators_of_an_engines_models() {
     let many = entries(195);
     let engine = support::engine("e1", &["m0", "m1", "m2"]);
     let mut coordinators = coordinators::Coordinators::default();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_entry_process_that_goes_moves_few_homes() {
+fn a_removed_entry_process_changes_few_coordinators() {
     let before = entries(90);
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
@@ -116,7 +116,7 @@
 /// would make all streams there pause for half a second, and each of them late. It goes to the other
 /// engine, or waits until the first is read.
 #[test]
-fn a_prompt_does_not_go_on_top_of_what_a_neighbour_sent() {
+fn a_prompt_does_not_go_on_top_of_what_a_peer_sent() {
     let mut chooser = Chooser::new("z1", 7);
     let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
     chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
@@ -154,7 +154,7 @@
 /// A datagram is lost, and the last word of a neighbour that was killed was that an engine has much to
 /// read. The engine must not stand idle for that.
 #[test]
-fn an_old_word_of_a_neighbour_is_forgotten() {
+fn an_old_observation_expires() {
     let mut chooser = Chooser::new("z1", 7);
     chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.update_instance(&support::engine("e1", &["m0"]));
@@ -181,7 +181,7 @@
 /// to another one. It must go where the beginning is kept, or it is read once more for each of the processes. What
 /// is the request's own, or was read for another model, is of no use to others.
 #[test]
-fn a_prompt_goes_where_another_entry_process_had_its_beginning_read() {
+fn a_prompt_goes_where_another_process_had_its_prefix_cached() {
     let part = |id, tokens| dialect::PromptPart { id, tokens };
     let parts = [part(7, 6_000), part(8, 500)];
     let (m0, m1) = (wanted("m0"), wanted("m1"));
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -46,7 +46,7 @@
 /// A request ends one endpoint after the other. It is held with the third, and one end that several processes
 /// tell of, or one that is told twice, counts once.
 #[test]
-fn a_request_is_held_with_the_third_end() {
+fn a_request_is_held_after_the_third_crash() {
     let step = |name, endpoint, change, is_held| Step {
         name,
         now: NOW,
@@ -124,7 +124,7 @@
 /// Three entry processes see one end each and tell a control process each. No order in which these tell each
 /// other, nor telling twice, may lose one: the request would go on.
 #[test]
-fn processes_that_tell_each_other_come_to_the_same() {
+fn exchanged_evidence_converges() {
     let own = [crash(1, 1), crash(1, 2), crash(1, 3)];
     for first in 0..3 {
         for second in 0..3 {
@@ -197,7 +197,7 @@
 /// A control process starts anew and remembers nothing. Two ends that an entry process has told the start before
 /// would be lost, and the request held only after three more.
 #[test]
-fn a_control_process_that_starts_anew_is_told_all_again() {
+fn a_restarted_control_process_is_sent_everything_again() {
     let mut entry = seen(9, &[crash(1, 1)]);
     let mut link = PeerSync::default();
     let exchange = |entry: &Quarantine, control: &mut Quarantine, link: &mut PeerSync| {
@@ -222,7 +222,7 @@
 
 /// A clearing that comes before the crash that it is about must not be undone by it.
 #[test]
-fn a_crash_that_is_told_late_stays_cleared() {
+fn a_crash_that_arrives_late_stays_cleared() {
     let mut quarantine = Quarantine::new(1);
     for endpoint in 1..=3 {
         let cleared = Crash {
@@ -278,7 +278,7 @@
 
 /// What the control group has kept is held after all processes were started anew.
 #[test]
-fn what_was_kept_is_held_again() {
+fn persisted_requests_are_held_again() {
     let before = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3), crash(2, 1)]);
     let kept = before.held(NOW);
     assert_eq!(kept.len(), 1);
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -14,7 +14,7 @@
 use sageshed_types::time::{Instant, Millis};
 
 /// How long an entry process waits for an answer, in milliseconds, as the gateway does.
-const ANSWER_LIMIT: u64 = 25;
+const REPLY_TIMEOUT: u64 = 25;
 
 /// Between two ticks of a process, in milliseconds, as in the gateway.
 const TICK: u64 = 100;
@@ -60,7 +60,7 @@
     of: Key,
     amount: f64,
     id: u64,
-    question: Acquisition,
+    acquisition: Acquisition,
     round: u32,
     began: u64,
 }
@@ -73,7 +73,7 @@
     /// When requests came, and for how many units.
     pub asked: Vec<(u64, f64)>,
     /// Requests that nobody answered.
-    pub unanswered: usize,
+    pub failed: usize,
     /// Milliseconds between the request and its answer.
     pub waits: Vec<u64>,
 }
@@ -81,20 +81,20 @@
 pub struct World {
     now: u64,
     pub rng: fastrand::Rng,
-    books: Vec<AllowanceTable>,
+    tables: Vec<AllowanceTable>,
     /// Which processes stand still, and what came for them meanwhile.
-    frozen: HashMap<usize, Vec<Event>>,
+    suspended: HashMap<usize, Vec<Event>>,
     /// Which side of a cut each process is on.
     pub side: Vec<u8>,
     /// Processes that control does not reach, though others may.
-    pub unheard: HashSet<usize>,
+    pub unreachable_from_control: HashSet<usize>,
     /// The entry processes as control knows them.
     listed: Vec<usize>,
     /// Of a thousand datagrams, so many are lost.
     pub lost: u64,
-    terms: Vec<(Key, RateLimit)>,
+    limits: Vec<(Key, RateLimit)>,
     /// Terms that stand in no configuration, with which processes ask, and when each has heard them.
-    named: HashMap<(usize, Key), (RateLimit, u64)>,
+    reported: HashMap<(usize, Key), (RateLimit, u64)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     count: u64,
@@ -115,18 +115,18 @@
 
 impl World {
     /// So many processes that have known each other for a while.
-    pub fn new(seed: u64, entries: usize, terms: Vec<(Key, RateLimit)>) -> Self {
+    pub fn new(seed: u64, entries: usize, limits: Vec<(Key, RateLimit)>) -> Self {
         let mut world = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
-            books: Vec::new(),
-            frozen: HashMap::new(),
+            tables: Vec::new(),
+            suspended: HashMap::new(),
             side: vec![0; entries],
-            unheard: HashSet::new(),
+            unreachable_from_control: HashSet::new(),
             listed: (0..entries).collect(),
             lost: 0,
-            terms,
-            named: HashMap::new(),
+            limits,
+            reported: HashMap::new(),
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             count: 0,
@@ -136,8 +136,8 @@
             sent: vec![(0, 0); entries],
         };
         for at in 0..entries {
-            let book = world.start(at);
-            world.books.push(book);
+            let table = world.start(at);
+            world.tables.push(table);
             let first = world.rng.u64(0..TICK);
             world.push(first, Event::Tick { entry: at });
         }
@@ -146,63 +146,63 @@
     }
 
     fn start(&mut self, at: usize) -> AllowanceTable {
-        let mut book = AllowanceTable::new(ip(at), self.rng.u64(..) >> 8);
-        book.set_limits(self.terms.clone());
-        book
+        let mut table = AllowanceTable::new(ip(at), self.rng.u64(..) >> 8);
+        table.set_limits(self.limits.clone());
+        table
     }
 
     /// All processes that control reaches are told this list of entry processes, and others later, when it reaches
     /// them.
     pub fn list(&mut self, entries: &[usize]) {
         self.listed = entries.to_vec();
-        for at in 0..self.books.len() {
-            if self.is_heard(at) {
-                self.tell_list(at, entries);
+        for at in 0..self.tables.len() {
+            if self.is_reachable_from_control(at) {
+                self.set_list(at, entries);
             }
         }
     }
 
     /// Whether control reaches a process: it is on the side of those that are cut off from nobody.
-    fn is_heard(&self, at: usize) -> bool {
-        self.side[at] == 0 && !self.unheard.contains(&at)
+    fn is_reachable_from_control(&self, at: usize) -> bool {
+        self.side[at] == 0 && !self.unreachable_from_control.contains(&at)
     }
 
     /// One process is told a list of entry processes.
-    pub fn tell_list(&mut self, at: usize, entries: &[usize]) {
+    pub fn set_list(&mut self, at: usize, entries: &[usize]) {
         let list: Vec<_> = entries.iter().map(|it| ip(*it)).collect();
-        self.books[at].set_entries(Instant(self.now), &list);
+        self.tables[at].set_entries(Instant(self.now), &list);
     }
 
     /// Another configuration is in force at all of them.
-    pub fn set_limits(&mut self, terms: Vec<(Key, RateLimit)>) {
-        self.terms = terms;
-        for book in &mut self.books {
-            book.set_limits(self.terms.clone());
+    pub fn set_limits(&mut self, limits: Vec<(Key, RateLimit)>) {
+        self.limits = limits;
+        for table in &mut self.tables {
+            table.set_limits(self.limits.clone());
         }
     }
 
     /// An endpoint names these terms to a process.
-    pub fn name(&mut self, at: usize, of: Key, terms: RateLimit) {
-        self.named.insert((at, of), (terms, self.now));
+    pub fn report_limit(&mut self, at: usize, of: Key, limit: RateLimit) {
+        self.reported.insert((at, of), (limit, self.now));
     }
 
     /// A process is killed and is back at once, with nothing but the list that control tells.
     pub fn restart(&mut self, at: usize) {
-        self.books[at] = self.start(at);
-        if self.is_heard(at) {
+        self.tables[at] = self.start(at);
+        if self.is_reachable_from_control(at) {
             let listed = self.listed.clone();
-            self.tell_list(at, &listed);
+            self.set_list(at, &listed);
         }
         self.waiting.retain(|(entry, _), _| *entry != at);
     }
 
     /// A process stands still; what comes for it is there when it goes on.
-    pub fn freeze(&mut self, at: usize) {
-        self.frozen.insert(at, Vec::new());
+    pub fn suspend(&mut self, at: usize) {
+        self.suspended.insert(at, Vec::new());
     }
 
-    pub fn thaw(&mut self, at: usize) {
-        for event in self.frozen.remove(&at).unwrap_or_default() {
+    pub fn resume(&mut self, at: usize) {
+        for event in self.suspended.remove(&at).unwrap_or_default() {
             self.push(0, event);
         }
     }
@@ -211,7 +211,7 @@
     pub fn coordinator(&mut self, of: Key) -> usize {
         let now = Instant(self.now);
         let mut fresh = self.start(0);
-        let everybody: Vec<_> = (0..self.books.len()).map(ip).collect();
+        let everybody: Vec<_> = (0..self.tables.len()).map(ip).collect();
         fresh.set_entries(now, &everybody);
         match fresh.acquisition(now, of).begin() {
             Next::Ask(coordinator, _) => entry(coordinator),
@@ -257,7 +257,7 @@
                 self.requests[*request].entry
             }
         };
-        if let Some(kept) = self.frozen.get_mut(&of) {
+        if let Some(kept) = self.suspended.get_mut(&of) {
             return kept.push(event);
         }
         match event {
@@ -267,7 +267,7 @@
             Event::Ask {
                 request,
                 coordinator,
-            } => self.put(request, coordinator),
+            } => self.send_request(request, coordinator),
             Event::Late { request, round } => self.late(request, round),
         }
     }
@@ -290,8 +290,8 @@
         self.push(after, Event::Deliver { to, from, message });
     }
 
-    fn pull(&mut self, from: usize, pulls: Vec<(CollectRequest, Vec<Ipv4Addr>)>) {
-        for (pull, group) in pulls {
+    fn send_collections(&mut self, from: usize, collections: Vec<(CollectRequest, Vec<Ipv4Addr>)>) {
+        for (pull, group) in collections {
             for to in group {
                 self.send(from, entry(to), Message::Collect(pull.clone()));
             }
@@ -299,11 +299,11 @@
     }
 
     fn tick(&mut self, at: usize) {
-        if self.is_heard(at) {
-            self.books[at].heard_control(Instant(self.now));
+        if self.is_reachable_from_control(at) {
+            self.tables[at].heard_control(Instant(self.now));
         }
-        let pulls = self.books[at].tick(Instant(self.now));
-        self.pull(at, pulls);
+        let collections = self.tables[at].tick(Instant(self.now));
+        self.send_collections(at, collections);
         self.push(TICK, Event::Tick { entry: at });
     }
 
@@ -311,22 +311,22 @@
         let now = Instant(self.now);
         let outcome = self.outcomes.entry(of).or_default();
         outcome.asked.push((self.now, amount));
-        let mut question = self.books[entry].acquisition(now, of);
-        let next = question.begin();
-        let id = self.books[entry].next_id();
+        let mut acquisition = self.tables[entry].acquisition(now, of);
+        let next = acquisition.begin();
+        let id = self.tables[entry].next_id();
         self.requests.push(Request {
             entry,
             of,
             amount,
             id,
-            question,
+            acquisition,
             round: 0,
             began: self.now,
         });
-        self.go_on(self.requests.len() - 1, next);
+        self.advance(self.requests.len() - 1, next);
     }
 
-    fn go_on(&mut self, request: usize, next: Next) {
+    fn advance(&mut self, request: usize, next: Next) {
         let (of, began) = (self.requests[request].of, self.requests[request].began);
         let (amount, now) = (self.requests[request].amount, self.now);
         let outcome = self.outcomes.entry(of).or_default();
@@ -344,35 +344,35 @@
             }
             Next::Granted => outcome.granted.push((now, amount)),
             Next::Over(_) => {}
-            Next::Unreachable => outcome.unanswered += 1,
+            Next::Unreachable => outcome.failed += 1,
         }
         outcome.waits.push(now - began);
     }
 
-    fn put(&mut self, request: usize, coordinator: usize) {
+    fn send_request(&mut self, request: usize, coordinator: usize) {
         let asked = &mut self.requests[request];
         asked.round += 1;
         let (from, round) = (asked.entry, asked.round);
-        let named = self.named.get(&(from, asked.of));
+        let reported = self.reported.get(&(from, asked.of));
         let draw = AcquireRequest {
             id: asked.id,
             of: asked.of,
             amount: asked.amount,
             returned: 0.0,
             rank: 0,
-            reported: named.map(|(terms, heard)| ReportedLimit {
-                limit: *terms,
+            reported: reported.map(|(limit, heard)| ReportedLimit {
+                limit: *limit,
                 age: Millis(self.now - heard),
             }),
         };
         if coordinator == from {
             let answer = self.answer(from, from, &draw);
-            let next = self.requests[request].question.replied(answer);
-            return self.go_on(request, next);
+            let next = self.requests[request].acquisition.replied(answer);
+            return self.advance(request, next);
         }
         self.waiting.insert((from, draw.id), request);
         self.send(from, coordinator, Message::Acquire(draw));
-        self.push(ANSWER_LIMIT, Event::Late { request, round });
+        self.push(REPLY_TIMEOUT, Event::Late { request, round });
     }
 
     fn answer(
@@ -382,8 +382,8 @@
         draw: &AcquireRequest,
     ) -> sageshed_fleet::allowance::AcquireReply {
         let now = Instant(self.now);
-        let reply = self.books[at].acquire(now, ip(from), draw);
-        self.pull(at, reply.collection.into_iter().collect());
+        let reply = self.tables[at].acquire(now, ip(from), draw);
+        self.send_collections(at, reply.collection.into_iter().collect());
         reply.reply
     }
 
@@ -393,11 +393,11 @@
             return;
         }
         let entry = asked.entry;
-        let (next, lost) = asked.question.timed_out();
+        let (next, lost) = asked.acquisition.timed_out();
         if let Some(lost) = lost {
-            self.books[entry].mark_unresponsive(Instant(self.now), lost);
+            self.tables[entry].mark_unresponsive(Instant(self.now), lost);
         }
-        self.go_on(request, next);
+        self.advance(request, next);
     }
 
     fn deliver(&mut self, to: usize, from: usize, message: Message) {
@@ -411,14 +411,14 @@
                 let Some(request) = self.waiting.remove(&(to, id)) else {
                     return;
                 };
-                let next = self.requests[request].question.replied(answer);
-                self.go_on(request, next);
+                let next = self.requests[request].acquisition.replied(answer);
+                self.advance(request, next);
             }
             Message::Collect(pull) => {
-                let given = self.books[to].release_share(now, &pull);
+                let given = self.tables[to].release_share(now, &pull);
                 self.send(to, from, Message::Collected(given));
             }
-            Message::Collected(given) => self.books[to].add_collected(now, ip(from), &given),
+            Message::Collected(given) => self.tables[to].add_collected(now, ip(from), &given),
         }
     }
 }
@@ -441,13 +441,13 @@
 
     /// What one bucket of these terms, which all could see at once, would have granted from `since` on, and what
     /// was granted.
-    pub fn against_one_bucket(&self, terms: &RateLimit, since: u64) -> (f64, f64) {
-        let (mut level, mut at, mut ideal) = (terms.burst, 0, 0.0);
+    pub fn compare_with_one_bucket(&self, limit: &RateLimit, since: u64) -> (f64, f64) {
+        let (mut level, mut at, mut ideal) = (limit.burst, 0, 0.0);
         for (now, amount) in &self.asked {
-            level = (level + terms.accrued(Millis(now - at))).min(terms.burst.max(0.0));
+            level = (level + limit.accrued(Millis(now - at))).min(limit.burst.max(0.0));
             at = *now;
             // As the pot does: what is larger than the bucket is granted by a full one.
-            if level > 0.0 && level >= amount.min(terms.burst) {
+            if level > 0.0 && level >= amount.min(limit.burst) {
                 level -= amount;
                 if *now >= since {
                     ideal += amount;
@@ -474,6 +474,6 @@
 }
 
 /// Processes that no list names twice.
-pub fn some(rng: &mut fastrand::Rng, count: usize, of: usize) -> HashSet<usize> {
+pub fn sample(rng: &mut fastrand::Rng, count: usize, of: usize) -> HashSet<usize> {
     rng.choose_multiple(0..of, count).into_iter().collect()
 }
