--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -1,24 +1,25 @@
-//! Allowances that are spent at many entry processes: never over the bound, and little is refused that is allowed.
+//! Allowances that are spent on many entry processes: the limit always holds, and little is refused that is
+//! allowed.
 
 mod support;
 
 use sageshed_fleet::allowance::{Key, RateLimit};
 use support::allowances::{Outcome, World, sample};
 
-/// Quotas are judged over any span of this length, in milliseconds.
+/// Window over which quotas are measured, in milliseconds.
 const WINDOW: u64 = 8_000;
 
-/// What a quota may be exceeded by, as a part of it.
+/// Share by which a quota may be exceeded.
 const OVERAGE: f64 = 0.1;
 
-/// Requests that it may be exceeded by besides.
+/// Requests by which it may be exceeded on top of that.
 const SLACK: f64 = 7.0;
 
 fn key() -> Key {
     Key::of_workspace("dug")
 }
 
-/// So many requests in a window, and an eighth of that at once.
+/// So many requests in a window, with a burst of an eighth of that.
 fn limit(in_window: f64) -> RateLimit {
     let per_s = in_window * 1_000.0 / WINDOW as f64;
     RateLimit {
@@ -32,7 +33,7 @@
     within * (1.0 + OVERAGE) + SLACK
 }
 
-/// Asks for `times` the rate over so many seconds, at entry processes that `pick` chooses.
+/// Generates requests at `times` the rate for some seconds, at entry processes that `pick` selects.
 fn demand(
     world: &mut World,
     limit: &RateLimit,
@@ -61,14 +62,14 @@
     world.outcomes.get(&key()).cloned().unwrap_or_default()
 }
 
-/// A size of a fleet, a rate, and how much is asked for.
+/// A size of the fleet, a rate and a demand relative to it.
 struct Case {
     entries: usize,
     in_window: f64,
     times: f64,
 }
 
-/// The sizes and rates that are to be served.
+/// The sizes and rates that have to be supported.
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
     for entries in [7, 73, 195, 860] {
@@ -85,8 +86,8 @@
     cases
 }
 
-/// A workspace asks at all entry processes, now less than it may, now three times as much. It gets what one
-/// bucket would give that all of them could see, and is never over.
+/// A workspace sends requests to all entry processes, below and at three times its quota. It has to get
+/// what a single bucket visible to all processes would grant, and the limit has to hold.
 #[test]
 fn steady_demand_gets_what_is_allowed_and_no_more() {
     for (at, case) in cases().iter().enumerate() {
@@ -116,7 +117,7 @@
     }
 }
 
-/// The demand of a workspace moves from one zone's entry processes to another's every few seconds.
+/// The demand of a workspace moves to the entry processes of another zone every few seconds.
 #[test]
 fn demand_that_moves_between_zones_loses_little() {
     for (at, case) in cases().iter().enumerate() {
@@ -149,12 +150,12 @@
     }
 }
 
-/// What goes wrong while three times the quota is asked for.
+/// A fault that occurs while three times the quota is requested.
 struct Scenario {
     name: &'static str,
-    /// Done every second.
+    /// Called every second.
     inject: fn(&mut World, u64),
-    /// The part of the quota that has to be served all the same.
+    /// Share of the quota that has to be granted all the same.
     min_share: f64,
 }
 
@@ -265,9 +266,9 @@
     ]
 }
 
-/// A workspace asks for three times what it may while processes are killed, stand still and are cut off, the home
-/// of its quota among them. In no window inject more run than the quota with its overage, and what can be served
-/// then is.
+/// A workspace requests three times its quota while processes are killed, suspended and partitioned, the
+/// coordinator of the quota among them. In no window may more be granted than the quota with its overage,
+/// and most of what the remaining processes can grant has to be granted.
 #[test]
 fn in_trouble_the_bound_holds_and_most_is_served() {
     for scenario in scenarios() {
@@ -295,7 +296,7 @@
     }
 }
 
-/// An operator lowers a quota to a tenth, and raises it again.
+/// An operator lowers a quota to a tenth and raises it again.
 #[test]
 fn a_lowered_quota_holds_from_the_next_window_on() {
     let (high, low) = (limit(1_000.0), limit(100.0));
@@ -319,9 +320,9 @@
     }
 }
 
-/// Two fifths of the entry processes don't reach control for half a minute; callers, engines and the others reach
-/// them. Control lists them no longer, so that others take their places as producers. They must not go on by the old
-/// list, or two fifths more than the quota would run.
+/// Two fifths of the entry processes don't reach control for half a minute, while callers, engines and the
+/// other processes reach them. Control no longer lists them, so that others replace them as producers. If
+/// they continued by the old list, two fifths more than the quota would be granted.
 #[test]
 fn processes_that_control_lists_no_longer_yield_nothing() {
     let limit = limit(300.0);
@@ -331,7 +332,7 @@
     let there: Vec<_> = (0..ENTRIES).filter(|at| !away.contains(at)).collect();
     world.unreachable_from_control = away;
     for second in 0..40 {
-        // Control takes them for gone after three seconds.
+        // Control assumes after three seconds that they are gone.
         match second {
             3 => world.list(&there),
             30 => {
@@ -350,10 +351,10 @@
     assert!(granted >= 0.9 * limit.per_s * 40.0, "{granted}");
 }
 
-/// Seeds of the run in which troubles overlap at random. Fifty were run by hand.
+/// Seeds of the run with random, overlapping faults.
 const SEEDS: u64 = 4;
 
-/// One trouble drawn at random, for some processes and a while.
+/// Injects a random fault into some processes.
 fn random_fault(world: &mut World, entries: usize) {
     let count = world.rng.usize(1..=entries.div_ceil(6));
     let mut picked: Vec<_> = sample(&mut world.rng, count, entries).into_iter().collect();
@@ -390,7 +391,8 @@
     }
 }
 
-/// Whatever goes wrong, in whatever order and overlap, while three times the quota is asked for: no window is over.
+/// Faults occur and overlap at random while three times the quota is requested. The limit has to hold in
+/// every window.
 #[test]
 fn no_window_is_over_whatever_overlaps() {
     let mut windows = 0;
--- a/crates/sageshed-fleet/tests/backlog.rs
+++ b/crates/sageshed-fleet/tests/backlog.rs
@@ -1,11 +1,11 @@
-//! How long requests wait for an engine.
+//! The queue of requests that wait for an engine, and its estimates.
 
 use sageshed_fleet::backlog::{Backlog, QueuedRequest};
 use sageshed_types::time;
 
 const T0: time::Instant = time::Instant(50_000);
 
-/// Waits for the bare model, and is late in ten seconds.
+/// Waits for the base model, and is late in ten seconds.
 const PLAIN: QueuedRequest = QueuedRequest {
     tokens: 2_000,
     priority: 1,
@@ -13,8 +13,8 @@
     adapter: None,
 };
 
-/// Prompts of 2,000 tokens come twice as fast as the engines read them. The tenth that waits would be
-/// read after five seconds; it must be told now, and not when its five seconds are over.
+/// Prompts of 2,000 tokens arrive twice as fast as the engines prefill them. The tenth in the queue would
+/// be prefilled after five seconds; it has to be told now, and not when its five seconds are over.
 #[test]
 fn a_request_knows_how_long_those_before_it_take() {
     let mut backlog = Backlog::default();
@@ -54,9 +54,9 @@
     assert_eq!(backlog.expected_wait(soon, "m1", ticket), None);
 }
 
-/// One small prompt was read in the last two seconds, since no more came. Now six come at once. By that
-/// speed the last would wait for 24 seconds and be turned away, while engines read it in half a second.
-/// Once they have waited for a while, what is read meanwhile tells.
+/// One small prompt was prefilled in the last two seconds, as no more arrived. Now six arrive at once. By
+/// that rate, the last would wait for 24 seconds and be refused, while engines prefill it in half a second.
+/// Once requests have waited for a while, what is prefilled meanwhile gives the rate.
 #[test]
 fn what_is_read_while_none_waits_tells_no_speed() {
     let mut backlog = Backlog::default();
@@ -73,8 +73,8 @@
     assert_eq!(expected, Some(time::Millis(300)));
 }
 
-/// Four requests wait for one model, each with another reason to go before or after the others. Were
-/// they taken as they came, the one that is late already would make those behind it late.
+/// Requests wait for one model, each with another reason to go before or after the others. In order of
+/// arrival, the one that is already late would make those behind it late.
 #[test]
 fn those_that_can_be_on_time_go_first_and_the_urgent_ones_before_others() {
     struct Case {
@@ -153,8 +153,8 @@
     }
 }
 
-/// An adapter is on one engine that is busy, and other engines hold its model. Those that wait for
-/// the bare model must not wait for the adapter's engine.
+/// An adapter is loaded on one busy engine, and other engines hold its base model. Requests for the base
+/// model must not wait for that engine.
 #[test]
 fn a_request_for_an_adapter_holds_back_only_its_like() {
     let with = |name: &str| QueuedRequest {
@@ -179,9 +179,10 @@
     assert!(!backlog.is_preceded(T0, "m0", &PLAIN, None));
 }
 
-/// A request waits for an engine for longer than its answer would be on time. It was refused when its time was over, six
-/// seconds after an engine that held all it needs stood idle: what it is known by was reckoned anew at each look, so that
-/// it stood behind what it had been known by when it came, and behind every other late one, as each of these behind it.
+/// A request waits for an engine until after its response would be late. It was refused at its deadline,
+/// six seconds after an engine with all that it needs had become idle: its rank was recomputed at each
+/// look, so that it stood behind its own entry from when it arrived and behind every other late request, as
+/// did each of these behind it.
 #[test]
 fn requests_that_wait_past_their_time_do_not_wait_for_each_other() {
     let mut backlog = Backlog::default();
@@ -194,7 +195,7 @@
     let first = backlog.push(time::Instant(1_000), "m0", request(2_000));
     let second = backlog.push(time::Instant(1_100), "m0", request(2_100));
     for now in [1_500, 2_500, 5_000] {
-        // As a request reckons it at that moment: once it is late, its time ends now.
+        // As a request computes it at that moment: once it is late, its time ends now.
         let of = |until: u64| request(until.max(now));
         let now = time::Instant(now);
         assert!(
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: what they get from all entry processes together, and what a process does meanwhile.
+//! Limits that endpoints report: what all entry processes together send, and what a single process does
+//! meanwhile.
 
 mod support;
 
@@ -12,7 +13,7 @@
 use sageshed_types::time::{Instant, Millis};
 use support::allowances::World;
 
-/// Requests to an endpoint count in any span of this length, in milliseconds.
+/// Window over which requests to an endpoint are counted, in milliseconds.
 const WINDOW: u64 = 4_000;
 
 fn start(name: &str) -> directory::InstanceId {
@@ -23,17 +24,17 @@
     Key::of_endpoint(&start("e1"))
 }
 
-/// As the chooser reckons them from a limit.
+/// The rate and burst that the chooser derives from a limit.
 fn limit(per_s: f64) -> RateLimit {
     RateLimit { per_s, burst: 2.0 }
 }
 
-/// One and a half times what the limit allows in the window, and five.
+/// One and a half times what the limit allows in the window, plus five.
 fn bound(per_s: f64) -> f64 {
     1.5 * per_s * WINDOW as f64 / 1_000.0 + 5.0
 }
 
-/// Asks for one unit after the other at random processes, so many a second, for so many milliseconds.
+/// Generates acquisitions of one unit at random processes, at this rate for so many milliseconds.
 fn demand(world: &mut World, entries: usize, per_s: f64, span: u64) {
     let mut at = 0.0;
     loop {
@@ -51,7 +52,7 @@
     }
 }
 
-/// A world in which an endpoint has named its limit to all.
+/// A world in which an endpoint has reported its limit to all processes.
 fn told(seed: u64, entries: usize, per_s: f64) -> World {
     let mut world = World::new(seed, entries, Vec::new());
     world.run(3_000);
@@ -61,7 +62,7 @@
     world
 }
 
-/// The most that was granted in a window, and what was granted in a second from then on.
+/// The most that was granted in a window, and the rate that was granted from `since` on.
 fn granted(world: &World, since: u64, until: u64) -> (f64, f64) {
     let outcome = world.outcomes.get(&key()).cloned().unwrap_or_default();
     let count = outcome
@@ -73,8 +74,9 @@
     (outcome.most_in(WINDOW), count as f64 / seconds)
 }
 
-/// An endpoint names a limit, and callers ask for three times that and for less. It gets what it takes, and never more.
-/// A fixed share of 1.1 a second for each of 73 processes would be a request in 66 s.
+/// An endpoint reports a limit, and callers request three times that. The endpoint has to get about what it
+/// accepts, and never more. With a fixed share of 1.1 a second, each of 73 processes could send one request
+/// in 66 s.
 #[test]
 fn processes_send_as_much_as_a_limit_allows_and_no_more() {
     for entries in [1, 7, 73, 195, 860] {
@@ -90,8 +92,8 @@
     }
 }
 
-/// The process that keeps the limit is killed every three seconds, the fleet is cut in two, processes that were told
-/// stand still and wake. None of this adds to what the endpoint gets.
+/// The coordinator of the limit is killed every three seconds, the fleet is partitioned, or processes that
+/// know the limit are suspended and resumed. None of this may add to what the endpoint gets.
 #[test]
 fn a_limit_holds_in_trouble() {
     for seed in 0..6 {
@@ -123,8 +125,8 @@
     }
 }
 
-/// The limit is lowered. Some processes have heard of that, others ask by what they were told before: the younger
-/// word holds, whoever asks last.
+/// A limit is lowered. Some processes know the new one and others send the old one along: the newer one
+/// applies, whoever asks last.
 #[test]
 fn of_two_limits_the_younger_holds() {
     let mut world = told(1, 7, 40.0);
@@ -139,7 +141,7 @@
     assert!(after > 0.5, "{after} a second");
 }
 
-/// Anybody can send a datagram. Terms that are no numbers would leave the allowance at no number for good.
+/// Anybody can send a datagram. A limit that is not finite would turn the allowance into NaN for good.
 #[test]
 fn non_finite_limits_are_ignored() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
@@ -163,7 +165,7 @@
     }
 }
 
-/// What nobody asks by any more is forgotten, with what was drawn of it.
+/// A limit that no message refers to any more is removed, together with its bucket.
 #[test]
 fn limits_expire_when_no_message_refers_to_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
@@ -230,8 +232,8 @@
     }
 }
 
-/// An engine takes nothing more for a while. Requests go to another; where there is none they are told when it opens,
-/// and it is asked again then.
+/// An engine accepts nothing for a while. Requests go to another one; if there is none, they get the time
+/// at which the engine opens, and it is selected again then.
 #[test]
 fn nothing_goes_to_an_engine_until_it_opens() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
@@ -252,8 +254,8 @@
     assert_eq!(goes_to(&opened), Some("e1"));
 }
 
-/// Two requests of one process ask for a turn at once, and are given one each. The process goes on at the first of them:
-/// waiting for the last, it would leave what the others were given unused.
+/// Two requests of one process acquire a turn at the same time and get one each. The process continues at
+/// the earlier one; if it waited for the later one, it would leave unused what others were granted.
 #[test]
 fn of_several_turns_the_first_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
@@ -264,7 +266,8 @@
     assert_eq!(chooser.counts(Instant(10_400)), (1, 1));
 }
 
-/// What an engine has said holds though control loses sight of it for a while, and not for another start of it.
+/// The limit of an engine applies even if control loses sight of the engine for a while, but not to another
+/// instance of it.
 #[test]
 fn a_limit_is_kept_for_the_instance_that_reported_it() {
     let (mut chooser, engines) = chooser(&["e1"]);
@@ -284,7 +287,7 @@
     assert_eq!(chooser.limit(now, id), None);
 }
 
-/// An engine that names no requests at all would never be heard again if nothing went there.
+/// An engine that reports a limit of zero could never report another one if nothing were sent to it.
 #[test]
 fn a_limit_of_none_lets_one_through_now_and_then() {
     let (mut chooser, engines) = chooser(&["e1"]);
@@ -293,7 +296,8 @@
     assert!(named.is_some_and(|it| it.limit.per_s > 0.0));
 }
 
-/// An engine has turned a request away and wants rest. A shorter word, or the end of its limit, takes nothing back.
+/// An engine has rejected a request and asked for a pause. Neither a shorter pause nor the end of its limit
+/// shortens it.
 #[test]
 fn the_longest_pause_that_an_engine_requested_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
@@ -312,8 +316,8 @@
     assert_eq!(chooser.counts(Instant(13_000)), (1, 0));
 }
 
-/// Among many processes the home of a model says where requests go. It was not told what an engine has said to another
-/// process, which names such engines in its question.
+/// With many processes, the coordinator of a model decides where requests go. It doesn't know what an
+/// engine has told another process, so that process names such engines in its query.
 #[test]
 fn closed_engines_are_listed_by_their_keys() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
@@ -327,7 +331,7 @@
     assert!(chooser.closed_endpoints(now, "plain").is_empty());
 }
 
-/// The head of an answer, and whether the engine has its limit and rests after it.
+/// The head of a response, and whether the engine is limited and paused after it.
 struct Head {
     name: &'static str,
     answered: dialect::ResponseMetadata<'static>,
@@ -348,8 +352,8 @@
     }
 }
 
-/// An engine with a limit answers once more. The answer of another engine, which was given its address, is not its own;
-/// and a rejection that names no limit does not say that there is none.
+/// An engine with a limit responds once more. A response of another engine that has taken over its address
+/// does not count, and a rejection without a limit does not mean that there is none.
 #[test]
 fn a_response_changes_only_the_state_of_the_engine_that_sent_it() {
     let limit = dialect::Notice {
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -1,4 +1,4 @@
-//! The home of an allowance: what it gives out, and what it does not count twice.
+//! The bucket at the coordinator of an allowance: what it grants, and what it must not count twice.
 
 use std::net;
 
@@ -22,14 +22,14 @@
     time::Instant(10_000 + ms)
 }
 
-/// A fleet of twenty processes, of which one is the home and hears of the others what the test says.
+/// A fleet of twenty processes with one coordinator. The test supplies the messages of the others.
 struct World {
     coordinator: AllowanceTable,
     others: Vec<net::Ipv4Addr>,
 }
 
 impl World {
-    /// A home that was in touch with all producers for a second, so that its pot is full.
+    /// A coordinator that has been in contact with all producers for a second, so that its bucket is full.
     fn full() -> Self {
         let mut world = Self::new();
         for round in 0..12 {
@@ -61,7 +61,7 @@
             .map(|(collection, _)| collection)
     }
 
-    /// All producers give what grows in a tenth of a second, if the home draws.
+    /// All producers give what accrues in a tenth of a second, if the coordinator collects.
     fn collect_all(&mut self, now: time::Instant) {
         if let Some(collection) = self.start_collection(now) {
             for other in self.others.clone() {
@@ -111,15 +111,15 @@
         assert_eq!(world.acquire(now, request(7, 15.0)), AcquireReply::Granted);
         assert!((after - world.units()).abs() < 1e-6, "it was charged once");
     }
-    // Another's question of the same number is another question.
+    // The same id from another process is another acquisition.
     let reply = world.coordinator.acquire(now, ip(98), &request(7, 15.0));
     assert_eq!(reply.reply, AcquireReply::Granted);
     let taken = after - world.units();
     assert!((taken - 15.0).abs() < 1e-6, "{taken}");
 }
 
-/// The network delivers an answer twice, or after the next drawing has begun. What it carried was spent
-/// already, or will come again.
+/// The network duplicates a reply, or delivers it after the next collection has started. Its units were
+/// spent already, or will be given again.
 #[test]
 fn what_a_producer_gives_counts_once() {
     let mut world = World::new();
@@ -151,8 +151,8 @@
     );
 }
 
-/// A home stands still, or is cut off, with a full pot. Another is the home meanwhile, so what it has must not be
-/// spent beside.
+/// A coordinator is suspended or partitioned with a full bucket. Another process coordinates meanwhile, so
+/// the units in the bucket must not be spent as well.
 #[test]
 fn the_bucket_of_a_coordinator_without_contact_is_void() {
     for (later, is_void) in [(1_000, false), (5_000, true)] {
@@ -182,7 +182,7 @@
     }
 }
 
-/// A workspace is over its quota. Its urgent requests are served before those that can wait.
+/// A workspace is over its quota. Its urgent requests go before those that can wait.
 #[test]
 fn the_less_urgent_leave_a_part_to_the_urgent() {
     let mut world = World::full();
@@ -206,8 +206,8 @@
     );
 }
 
-/// A hundred are told when to come back. Each is told a time behind the ones before, so that they do not all come
-/// for the same units.
+/// A hundred requests are refused with retry delays. Each gets a later time than the ones before, so that
+/// they don't compete for the same units.
 #[test]
 fn retry_delays_of_refused_requests_are_staggered() {
     let mut world = World::full();
@@ -225,7 +225,7 @@
             }
             AcquireReply::Granted => assert_eq!(told, 0),
             AcquireReply::Soon(_) => {
-                // The producers have nothing either.
+                // The producers have no units either.
                 world.coordinator.acquire(now, ip(99), &request(id, 0.0));
                 for other in world.others.clone() {
                     let collection = CollectRequest {
@@ -243,7 +243,7 @@
             }
         }
     }
-    // A hundred of five units at a hundred a second.
+    // A hundred requests of five units, at a hundred units a second.
     assert!(last >= time::Millis(4_000), "{last:?}");
 }
 
@@ -271,7 +271,7 @@
     assert!(world.units() <= PER_S);
 }
 
-/// Two homes draw from the same producer: together they have what one of them would have.
+/// Two coordinators collect from the same producer: together they get what one of them would get.
 #[test]
 fn two_coordinators_divide_what_a_producer_yields() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
@@ -321,8 +321,8 @@
     table.release_share(now, &collection).units[0].1
 }
 
-/// A producer stood still for ten seconds, or its home was away. It does not come back with the units of all that
-/// time.
+/// A producer was suspended for ten seconds, or its coordinator was gone. It must not yield the units of
+/// all that time.
 #[test]
 fn a_producer_stores_at_most_one_share_window() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
@@ -334,8 +334,8 @@
     assert!(later > 0.0 && later <= most, "{later}");
 }
 
-/// After a start of all, a process that knows one other would yield half of the rate, and so would all the others.
-/// One that knows many yields at once, as its callers are back.
+/// When all processes start, one that knows a single other process would yield half of the rate, and so
+/// would all the others. One that knows many yields at once, since its callers are back.
 #[test]
 fn who_knows_few_others_yields_nothing_at_first() {
     let few: Vec<_> = (1..=2).map(ip).collect();
@@ -351,8 +351,8 @@
     assert!(released(&mut producer(&many, 3), at(1)) > 0.0);
 }
 
-/// A workspace pauses. What it may spend at once afterwards is its burst, and not that of the pot and as
-/// much again that its producers keep.
+/// A workspace pauses. What it may spend at once afterwards is its burst, and not that of the bucket plus
+/// as much again that its producers store.
 #[test]
 fn bucket_and_producers_hold_one_burst_together() {
     let mut world = World::full();
@@ -363,7 +363,8 @@
     assert!(all <= PER_S * 1.05, "{all}");
 }
 
-/// A home does not answer. The next question goes to the one after it, and after a while to the first again.
+/// A coordinator does not respond. The next acquisition goes to the one after it, and after a while to the
+/// first again.
 #[test]
 fn an_unresponsive_coordinator_is_skipped_for_a_second() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
@@ -381,7 +382,8 @@
     assert_eq!(first(&mut table, at(2_100)), Next::Unreachable);
 }
 
-/// Few processes keep the quotas of many workspaces. What one of them draws and is given has to fit into datagrams.
+/// A small fleet holds the quotas of many workspaces. Collections and their replies have to fit into
+/// datagrams.
 #[test]
 fn collections_of_hundreds_of_allowances_are_split() {
     let entries: Vec<_> = (1..=2).map(ip).collect();
@@ -424,7 +426,8 @@
     assert_eq!(empty, 0, "each was filled");
 }
 
-/// Datagrams can be spoiled, or come from anybody. A number that is none must not stay in the pot.
+/// Datagrams can be corrupt or come from anybody. A number that is not finite must not end up in the
+/// bucket.
 #[test]
 fn non_finite_amounts_do_not_corrupt_a_bucket() {
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0] {
@@ -461,8 +464,8 @@
     }
 }
 
-/// A caller declares more tokens than its workspace may use in a window. It is told so, and its workspace does not pay
-/// for it.
+/// A caller declares more tokens than its workspace may use in a window. It has to be refused without a
+/// charge to the workspace.
 #[test]
 fn a_request_that_no_window_allows_takes_nothing() {
     for (amount, is_over) in [(PER_S * 8.9, false), (PER_S * 9.1, true), (1e300, true)] {
@@ -479,8 +482,8 @@
     }
 }
 
-/// VMs are exchanged for others one after the other. Those that are gone still count as producers, as nobody knows
-/// whether they are only cut off; a question goes to those that are there.
+/// VMs are replaced one after the other. Those that are gone still count as producers, as they might only
+/// be partitioned; acquisitions go to those that are listed.
 #[test]
 fn acquisitions_go_to_listed_coordinators() {
     let entries: Vec<_> = (1..=20).map(ip).collect();
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Selection of the endpoint for a request.
 
 mod support;
 
@@ -49,8 +49,8 @@
     chooser
 }
 
-/// Prompts of 1,800 tokens keep an engine busy for a tenth of a second each. Twenty come at once: put
-/// on one engine the last would wait two seconds, shared out one.
+/// Prompts of 1,800 tokens keep an engine busy for a tenth of a second each. When twenty arrive at once,
+/// the last would wait two seconds if all went to one engine, and one if they are balanced.
 #[test]
 fn prompts_are_shared_out_by_the_tokens_that_wait() {
     let mut chooser = two_engines();
@@ -63,8 +63,8 @@
     assert_eq!(counts, [10, 10]);
 }
 
-/// One engine has much to read and runs little, the other the reverse. Each way of choosing goes by its
-/// own measure; without turning away a request goes out though its answer will be too late.
+/// One engine has much prefill pending and runs few requests, the other the reverse. Each policy goes by
+/// its own score; without refusal, a request is sent even if its response will be too late.
 #[test]
 fn each_policy_goes_by_its_own_measure() {
     let m0 = wanted("m0", None);
@@ -112,7 +112,7 @@
     sent(two_engines().with_policy(policy).choose(T0, &hopeless));
 }
 
-/// A prompt whose beginning an engine has read before is read there in a part of the time.
+/// A prompt whose prefix is in the prefix cache of an engine takes a part of the prefill time there.
 #[test]
 fn a_prompt_goes_to_the_engine_that_caches_its_prefix() {
     let mut chooser = two_engines();
@@ -143,7 +143,7 @@
         );
         chooser.record_end(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
-    // A part behind one that is not kept has to be read too.
+    // A part after one that is not cached has to be prefilled again.
     let other = [part(9, 800), part(2, 1_000)];
     let ask = EndpointQuery {
         parts: &other,
@@ -152,9 +152,9 @@
     assert_eq!(sent(chooser.choose(T0, &ask)).uncached_tokens, 1_800);
 }
 
-/// Two models and an adapter on one engine are asked with the same words first. What one has read the
-/// others have to read for themselves, and so does the same one once its weights were dropped. Taken
-/// for kept, the engine would read a third more than it was chosen for.
+/// Two models and an adapter on one engine get prompts with the same prefix. What was prefilled for one has
+/// to be prefilled again for the others, and also for the same model once its weights were unloaded. If it
+/// counted as cached, the engine would have a third more to prefill than estimated.
 #[test]
 fn prefixes_are_cached_per_model_and_adapter() {
     let mut chooser = Chooser::new("z1", 7);
@@ -193,9 +193,9 @@
     assert_eq!(tokens_of(&mut chooser, &m0).uncached_tokens, 1_000);
 }
 
-/// An engine holds a large model and a small one, which it reads three times as fast. Were one speed
-/// learnt for both, each prompt of the small one would make the next of the large one look short, and
-/// with it the pause of all streams there.
+/// An engine holds a large model and a small one that it prefills three times as fast. With a single speed
+/// for both, each prompt of the small one would make the next of the large one look short, and all streams
+/// there would pause for longer.
 #[test]
 fn each_model_has_its_own_speed() {
     let mut chooser = Chooser::new("z1", 7);
@@ -218,7 +218,7 @@
     assert!((40..=55).contains(&small.0), "{small:?}");
 }
 
-/// What a request waits for where it can't be sent.
+/// Why a request waits that can't be sent.
 struct Case {
     name: &'static str,
     know: fn(&mut Chooser),
@@ -267,8 +267,8 @@
     }
 }
 
-/// An engine crashes and its address refuses connections. The first request finds out and goes
-/// elsewhere; the next ones are not sent there at all, until it is tried again a little later.
+/// An engine crashes and its address refuses connections. The first request finds out and goes elsewhere;
+/// the next ones are not sent there at all until the engine is tried again a little later.
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_left_out_for_a_while() {
     let mut chooser = two_engines();
@@ -284,8 +284,8 @@
     assert_eq!(chooser.counts(T0 + time::Millis(5_000)), (2, 2));
 }
 
-/// An engine fails four of ten requests while its health check is good. It gets fewer requests than
-/// the sound one, and its share again once it is mended.
+/// An engine fails four of ten requests while its health check is good. It has to get fewer requests than
+/// the healthy one, and its share again once it has recovered.
 #[test]
 fn an_endpoint_that_fails_some_requests_gets_fewer_until_it_is_mended() {
     let mut chooser = two_engines();
@@ -315,8 +315,8 @@
     assert!(later >= 40, "{later} of 100 went to the mended engine");
 }
 
-/// An engine was told to drop a model and its announcement still names it. It answers that it does
-/// not hold it, and must not be asked for that model again at once.
+/// An engine was told to unload a model that its directory record still lists. It responds that it does not
+/// hold the model and must not be selected for it again at once.
 #[test]
 fn an_engine_that_says_it_lacks_a_model_is_not_asked_again_at_once() {
     let mut chooser = two_engines();
@@ -327,9 +327,10 @@
     assert_ne!(next.instance, pick.instance);
 }
 
-/// An engine drops a model, which takes as long as the requests that run there, and announces it until
-/// then. It rejects a request for the model, and the next callers must not each be rejected as well: the
-/// repeats that this costs are then missing for requests that failed. Its other models are asked for on.
+/// An engine unloads a model, which takes as long as its running requests, and announces the model until
+/// then. It rejects a request for the model. The next requests must not each be rejected as well, as these
+/// retries would then be missing for requests that failed. The engine is still selected for its other
+/// models.
 #[test]
 fn an_engine_that_rejects_requests_for_a_model_is_not_asked_for_it_while_it_announces_it() {
     let mut chooser = Chooser::new("z1", 7);
@@ -349,7 +350,7 @@
     sent(chooser.choose(later, &support::ask(&m0, 100)));
 }
 
-/// How many prompts of 50 ms the only engine is given that waits for none of them.
+/// Number of prompts of 50 ms that the only engine gets before one has to wait.
 fn taken_at_once(chooser: &mut Chooser) -> usize {
     let m0 = wanted("m0", None);
     let ask = EndpointQuery {
@@ -366,9 +367,9 @@
     picks.len()
 }
 
-/// Engines that read prompts piece by piece never pause their streams for long, whatever waits there.
-/// Prompts held back from them were late for nothing. Others read all that waits in one step, and a bound
-/// that has risen must fall when streams pause, but not below what is safe for any.
+/// Engines that prefill in chunks never pause their streams for long, whatever is pending; prompts that
+/// were held back from them were late for nothing. Others prefill all that is pending in one step, and a
+/// limit that has risen must fall when streams pause, but not below what is safe for any engine.
 #[test]
 fn the_prefill_limit_is_learned_from_stream_pauses() {
     let mut chooser = Chooser::new("z1", 7);
@@ -395,8 +396,8 @@
     assert_eq!(taken_at_once(&mut chooser), at_first);
 }
 
-/// Twenty prompts wait at the only engine. Another request has 300 ms left: it would be answered in
-/// two seconds, so it is turned away now and not after its time.
+/// Twenty prompts are pending at the only engine. Another request has 300 ms left and would be answered in
+/// two seconds, so it has to be refused now and not at its deadline.
 #[test]
 fn what_cannot_be_in_time_is_turned_away_at_once() {
     let mut chooser = Chooser::new("z1", 7);
@@ -450,9 +451,9 @@
     assert_eq!(sent(chooser.choose(T0, &again)).instance.name, "e1");
 }
 
-/// An engine goes dark: it takes requests and says nothing, and no connection breaks. Callers who are
-/// sent there wait in vain. It must be suspected while the first of them still wait, and left out once
-/// one of them has waited for its whole time.
+/// An engine accepts requests and sends nothing, and no connection breaks. Callers whose requests go there
+/// wait in vain. It has to be suspected while the first of them still wait, and ejected once one of them
+/// has waited until its deadline.
 #[test]
 fn an_engine_that_says_nothing_is_avoided() {
     let mut chooser = two_engines();
@@ -482,8 +483,8 @@
     assert_eq!(chooser.counts(T0 + time::Millis(9_000)), (2, 1));
 }
 
-/// More prompts come than the engine can read. One whose answer will be late whatever is done waits, as
-/// long as it has time: read now it would make a second one late that can still be in time.
+/// More prompts arrive than the engine can prefill. One whose response will be late in any case waits as
+/// long as it has time: sent now, it would make a second one late that can still be on time.
 #[test]
 fn a_request_that_is_late_anyway_lets_others_go_first() {
     let mut chooser = Chooser::new("z1", 7);
@@ -510,7 +511,7 @@
     sent(chooser.choose(T0, &out_of_time));
 }
 
-/// Guards against an engine that is found by what it held before.
+/// Guards against engines that are looked up by models which they held before.
 #[test]
 fn an_engine_is_found_by_what_it_holds_now() {
     let mut chooser = two_engines();
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -1,4 +1,4 @@
-//! Homes of models among many entry processes: what they are told, and where they send requests.
+//! Coordinators of models among many entry processes: what they learn, and where they route requests.
 
 mod support;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The home of m0, which knows `engines` that hold it.
+/// The coordinator of m0, which knows `engines` that hold it.
 fn coordinator(engines: &[&str]) -> Chooser {
     let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
@@ -72,9 +72,9 @@
     }
 }
 
-/// 414 requests a second come to 195 entry processes, two a second to each. Each knows nothing of what the others
-/// have just sent, so that some engines get three times as much as others and reject it. Prompts that come within
-/// some milliseconds at twelve processes have to go to twelve engines.
+/// 414 requests a second arrive at 195 entry processes, two a second at each. None of these knows what the
+/// others have just sent, so some engines got three times as much as others and rejected it. Prompts that
+/// arrive within milliseconds at twelve processes have to go to twelve engines.
 #[test]
 fn requests_of_many_processes_are_spread_over_the_engines() {
     let ids: Vec<String> = (0..12).map(|it| format!("e{it}")).collect();
@@ -90,8 +90,8 @@
     assert_eq!(picked.len(), 12);
 }
 
-/// The process that was advised has sent the request and says so. It counts once, by the word; and the engine is
-/// free again once it has read.
+/// A process has sent the request that was routed for it, and its observation arrives. The request counts
+/// once, by the observation, and the engine is free again once it has prefilled it.
 #[test]
 fn a_routed_request_counts_until_its_observation_arrives() {
     let mut coordinator = coordinator(&["e1"]);
@@ -123,8 +123,7 @@
     );
 }
 
-/// The datagram in which a process says that it has sent a request is lost. The engine must not stand idle for
-/// that.
+/// The datagram with the observation of a sent request is lost. The engine must not idle because of that.
 #[test]
 fn a_routed_request_without_observation_expires() {
     let mut coordinator = coordinator(&["e1"]);
@@ -134,8 +133,9 @@
     assert_eq!(engine_of(decision), short("e1"));
 }
 
-/// One process meets an engine that drops the model. With two requests a second in each of 195 processes, each
-/// would find out by itself: 7,353 of 21,582 requests of a simulated day were rejected so.
+/// One process runs into an engine that unloads the model. With two requests a second at each of 195
+/// processes, each would find out by itself: 7,353 of 21,582 requests of a simulated day were rejected that
+/// way.
 #[test]
 fn requests_of_others_avoid_an_engine_that_rejected_one_process() {
     for trouble in [
@@ -157,8 +157,9 @@
     }
 }
 
-/// An entry process is cut off from all engines and says of each that it can't be reached. The others reach them:
-/// its word alone must not empty the pool. Where a second process says the same, the engine is left out.
+/// An entry process is partitioned from all engines and observes each as unreachable, while the others
+/// reach them. That observation alone must not empty the pool. An engine that a second process can't reach
+/// either is ejected.
 #[test]
 fn one_process_alone_ejects_no_engine() {
     let mut coordinator = coordinator(&["e1", "e2"]);
@@ -184,8 +185,9 @@
     }
 }
 
-/// Prompts come faster than the engine reads them, and wait at a hundred processes. Each would hold its own until
-/// its caller leaves. The home knows how many wait and how many it sends on, and says how long that takes.
+/// Prompts arrive faster than the engine prefills them, and wait at a hundred processes. Each would hold
+/// its own until the caller disconnects. The coordinator knows how many wait and how many it routes, and
+/// estimates how long that takes.
 #[test]
 fn the_coordinator_estimates_how_long_requests_wait() {
     let mut coordinator = coordinator(&["e1"]);
@@ -206,13 +208,13 @@
         };
         expected = told;
     }
-    // One leaves each 200 ms, and 50 wait.
+    // One is routed each 200 ms, and 50 wait.
     let expected = expected.expect("ten were sent on");
     assert!((8_000..12_000).contains(&expected.0), "{expected:?}");
 }
 
-/// What a process is advised by its home it follows, unless it knows better: the engine failed it for this very
-/// request, or does not hold the model any more.
+/// A process follows the decision of a coordinator unless it knows better: the engine has failed it for
+/// this very request, or no longer holds the model.
 #[test]
 fn a_decision_is_followed_unless_the_process_knows_better() {
     let wanted = m0();
@@ -253,7 +255,8 @@
     );
 }
 
-/// A process that is itself the home chooses by what it knows, and others ask it and then the second one.
+/// The coordinator itself selects by its own view. The second coordinator queries the first, and all others
+/// both in order.
 #[test]
 fn the_coordinator_itself_asks_nobody() {
     let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
@@ -271,8 +274,8 @@
     assert_eq!(asked_by(other), coordinators);
 }
 
-/// An engine reads slowly, and its answers tell so to processes that each have one request there in a while. The
-/// home hears of all of them and sends less there.
+/// An engine prefills slowly, and its responses show that to processes that each send it a request only now
+/// and then. The coordinator receives all of their observations and routes less there.
 #[test]
 fn a_coordinator_learns_from_the_timings_of_others() {
     let mut coordinator = coordinator(&["e1", "e2"]);
@@ -302,8 +305,9 @@
     assert_eq!(counts, [0, 20]);
 }
 
-/// Engines read prompts in pieces, and no stream pauses for long however much waits there. Each process sees two
-/// streams a second; the home hears of all and lets more wait, or engines would stand idle while requests wait.
+/// Engines prefill in chunks, and no stream pauses for long however much is pending. Each process sees two
+/// streams a second; the coordinator sees all of them and lets more prefill be pending, or engines would
+/// idle while requests wait.
 #[test]
 fn a_coordinator_learns_the_prefill_limit_from_the_pauses_of_others() {
     let mut coordinator = coordinator(&["e1"]);
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -1,4 +1,4 @@
-//! Which entry processes tell each other of an engine, and what they make of it.
+//! Which entry processes receive observations of an engine, and what they make of them.
 
 mod support;
 
@@ -17,8 +17,8 @@
     (0..count).map(|it| (first + it).into()).collect()
 }
 
-/// With 90 entry processes a request must not cause 90 messages: a model has few homes, the same by whomever
-/// they are asked for, and of many models every process is the home of some.
+/// With 90 entry processes, a request must not cause 90 messages: a model has few coordinators, the same
+/// whichever process computes them, and with many models every process coordinates some.
 #[test]
 fn the_coordinators_of_a_model_are_few_and_the_same_for_all() {
     let entries = entries(90);
@@ -35,7 +35,8 @@
     assert_eq!(members.len(), 90);
 }
 
-/// An engine holds a few of many models. What is sent there is told to the homes of these and to nobody else.
+/// An engine holds a few of many models. Observations of it go to the coordinators of these models and to
+/// nobody else.
 #[test]
 fn observations_go_to_the_coordinators_of_an_engines_models() {
     let many = entries(195);
@@ -55,8 +56,9 @@
     assert!(entry_peers::coordinators(entry_peers::name_key("m0"), &few).is_empty());
 }
 
-/// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
-/// it took half a second of processor time, several times a second while these were restarted one after the other.
+/// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and
+/// 985 entry processes it took half a second of processor time, several times a second while these were
+/// restarted one after the other.
 #[test]
 fn a_change_of_the_list_ranks_all_processes_for_few_models() {
     let all = entries(985);
@@ -88,7 +90,7 @@
             );
         }
     }
-    // Each model has two homes of 985, and a tenth of these went.
+    // Each model has two coordinators of 985, and a tenth of these were removed.
     assert!(ranked <= 120, "{ranked} models were ranked");
 }
 
@@ -103,7 +105,7 @@
     assert!(changed.count() <= 8);
 }
 
-/// A request that waits 300 ms for an engine that reads little.
+/// A request that may wait 300 ms for an engine with little prefill pending.
 fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
     EndpointQuery {
         patience: time::Millis(300),
@@ -111,10 +113,9 @@
     }
 }
 
-/// Another entry process has just sent a prompt of 6,000 tokens to an engine, which takes 316 ms to
-/// read it. One of 3,000 on top
-/// would make all streams there pause for half a second, and each of them late. It goes to the other
-/// engine, or waits until the first is read.
+/// Another entry process has just sent a prompt of 6,000 tokens to an engine, which takes 316 ms to prefill
+/// it. One of 3,000 more would make all streams there pause for half a second and be late. It has to go to
+/// the other engine or wait until the first is prefilled.
 #[test]
 fn a_prompt_does_not_go_on_top_of_what_a_peer_sent() {
     let mut chooser = Chooser::new("z1", 7);
@@ -137,7 +138,7 @@
     assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
     let waits = Choice::Wait(WaitReason::Place);
     assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
-    // It has waited for as long as makes sense.
+    // It has waited for as long as it may.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
     assert!(matches!(last, Choice::Send(_)), "{last:?}");
     chooser.update_instance(&support::engine("e2", &["m0"]));
@@ -151,8 +152,8 @@
     );
 }
 
-/// A datagram is lost, and the last word of a neighbour that was killed was that an engine has much to
-/// read. The engine must not stand idle for that.
+/// A datagram is lost, and the last observation of a killed peer was that an engine has much prefill
+/// pending. The engine must not idle because of that.
 #[test]
 fn an_old_observation_expires() {
     let mut chooser = Chooser::new("z1", 7);
@@ -177,9 +178,9 @@
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
-/// One entry process has a long shared beginning read by an engine. A caller with the same beginning comes
-/// to another one. It must go where the beginning is kept, or it is read once more for each of the processes. What
-/// is the request's own, or was read for another model, is of no use to others.
+/// An engine has prefilled a long shared prefix for one entry process. A caller with the same prefix sends
+/// its request to another one. That has to go where the prefix is cached, or it is prefilled once for each
+/// process. What belongs to a single request, or was prefilled for another model, is of no use to others.
 #[test]
 fn a_prompt_goes_where_another_process_had_its_prefix_cached() {
     let part = |id, tokens| dialect::PromptPart { id, tokens };
--- a/crates/sageshed-fleet/tests/fingerprint.rs
+++ b/crates/sageshed-fleet/tests/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Which requests are taken for the same.
+//! Which requests have the same fingerprint.
 
 use sageshed_fleet::fingerprint;
 
-/// A request and whether it asks the same as `POST a.example/x/1?q` with the body `prompt`.
+/// A request, and whether its content is the same as `POST a.example/x/1?q` with the body `prompt`.
 struct Case {
     name: &'static str,
     method: &'static str,
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -1,4 +1,4 @@
-//! Which control processes an entry process watches, and which of them passes endpoints on.
+//! Which control processes an entry process watches, and which of them delivers endpoint records.
 
 use std::{collections, net};
 
@@ -37,7 +37,7 @@
     (1..=5).map(vm).collect()
 }
 
-/// Links of a process in `zone` that all go somewhere, and the addresses.
+/// Links of a process in `zone` that are all connected, and their targets.
 fn linked(zone: &str) -> (Links, Vec<net::Ipv4Addr>) {
     let mut links = Links::new(zone, (1..=3).map(ip).collect());
     links.add_control_vms(control());
@@ -56,8 +56,8 @@
         .collect()
 }
 
-/// The group may be cut in two with three in the larger part: three links to different control processes
-/// reach it wherever the cut is.
+/// The control group may be partitioned with three processes on the larger side: three links to different
+/// control processes reach it in every case.
 #[test]
 fn links_go_to_different_control_processes_and_the_first_to_the_near_one() {
     for (zone, near) in [("z4", Some(ip(4))), ("z1", Some(ip(1))), ("z6", None)] {
@@ -68,8 +68,9 @@
     }
 }
 
-/// At its start a process knows the seeds alone, and another link holds the near one by chance. Left there,
-/// endpoints would come from another zone for as long as the process lives.
+/// At its start a process knows only the seeds, and another link goes to the local control process by
+/// chance. If it stayed there, endpoint records would come from another zone for as long as the process
+/// lives.
 #[test]
 fn the_first_link_takes_the_near_control_process_from_another() {
     let mut links = Links::new("z2", vec![ip(2)]);
@@ -80,8 +81,8 @@
     assert!(held[1] != ip(2) && held[1] != held[2], "{held:?}");
 }
 
-/// A process that starts gets all it needs by its first answer, from whichever control process it comes.
-/// From then on one link alone brings endpoints.
+/// A process that starts gets all it needs with its first response, from whichever control process. From
+/// then on, a single link delivers endpoint records.
 #[test]
 fn one_link_brings_endpoints_once_one_has_answered() {
     let (mut links, _) = linked("z4");
@@ -106,9 +107,9 @@
     );
 }
 
-/// The near control process dies. Its link goes to another, and one that answers brings endpoints at once.
-/// The near one is tried again by and by, and not every two seconds: where its VM has no power each try
-/// takes long.
+/// The local control process dies. Its link goes to another one, and a link whose control process has
+/// responded delivers endpoint records at once. The local one is tried again later, and not every two
+/// seconds: if its VM has no power, each attempt takes long.
 #[test]
 fn a_lost_control_process_is_replaced_and_tried_again_later() {
     let (mut links, held) = linked("z4");
@@ -131,9 +132,10 @@
     assert_eq!(links.pick(at(8_200), 0, 3), Some(ip(4)));
 }
 
-/// The near control process is cut off from the others, answers, and knows less than they do: an engine that
-/// leaves would get new work. The digests of the others tell, and their links bring endpoints for as long
-/// as these differ. News that is on its way is no difference.
+/// The local control process is partitioned from the others, responds, and knows less than they do: a
+/// leaving engine would get new requests. The digests of the others differ, and their links deliver
+/// endpoint records for as long as they do. Changes that are merely on their way must not count as a
+/// difference.
 #[test]
 fn links_whose_digest_differs_bring_endpoints_too() {
     let (mut links, _) = linked("z4");
@@ -149,7 +151,7 @@
     assert_eq!(links.wants(at(400), 1), DirectoryDetail::Digest);
 }
 
-/// All control processes are lost at once, and come back one by one: links try again, and soon.
+/// All control processes are lost at once and return one by one: links have to retry soon.
 #[test]
 fn links_try_again_where_nobody_answers() {
     let (mut links, _) = linked("z4");
@@ -161,9 +163,9 @@
     assert_eq!(none.pick(T0, 0, 1), None);
 }
 
-/// Guards against endpoints that come by three links, two of them from other zones, for as long as endpoints change:
-/// digests then differ all the time, though the near control process has what the others have within some ten
-/// milliseconds. One that lags, or is cut off, is still found out.
+/// Guards against endpoint records that come over three links, two of them from other zones, for as long as
+/// endpoints change: digests then differ all the time, though the local control process is only some ten
+/// milliseconds behind. One that lags, or is partitioned, must still be detected.
 #[test]
 fn links_stay_quiet_while_the_near_control_process_keeps_up() {
     let (mut links, held) = linked("z4");
@@ -198,14 +200,14 @@
         // A hundred milliseconds behind.
         near(&mut links, ms + 10, 101 + step.saturating_sub(3));
     }
-    // From here on the near one is told nothing more.
+    // From here on, the local control process learns nothing more.
     other(&mut links, 4_000, 300);
     near(&mut links, 4_050, 200);
     assert_eq!(links.wants(at(4_100), 1), DirectoryDetail::Digest);
     assert_eq!(links.wants(at(4_200), 1), DirectoryDetail::News);
     near(&mut links, 4_300, 300);
     assert_eq!(links.wants(at(4_300), 1), DirectoryDetail::Digest);
-    // Another start of the other one counts anew.
+    // Changes of another start of the control process are counted anew.
     let restarted = SyncReply {
         news: Some(Cursor {
             start: 10,
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are passed on no more.
+//! Which requests are held.
 
 use sageshed_fleet::quarantine::{
     CRASH_LIMIT, Change, Crash, Cursor, Fingerprint, MAX_REQUESTS, PeerSync, Quarantine, RETENTION,
@@ -34,7 +34,7 @@
     quarantine.held_for(NOW, content(number)).is_some()
 }
 
-/// One step of a story about request 1, and whether it is held after it.
+/// One step of a sequence of events for request 1, and whether it is held after it.
 struct Step {
     name: &'static str,
     now: Instant,
@@ -43,8 +43,8 @@
     is_held: bool,
 }
 
-/// A request ends one endpoint after the other. It is held with the third, and one end that several processes
-/// tell of, or one that is told twice, counts once.
+/// A request crashes one endpoint after the other. It is held after the third; a crash that several
+/// processes report, or one that is reported twice, counts once.
 #[test]
 fn a_request_is_held_after_the_third_crash() {
     let step = |name, endpoint, change, is_held| Step {
@@ -70,14 +70,15 @@
     assert!(!holds(&quarantine, 2), "another request goes on");
 }
 
-/// A request of many callers runs at three endpoints that end one after the other, and is answered in between:
-/// it was not the cause. Held, a page that all callers ask for would be refused for an hour.
+/// A request of many callers runs on three endpoints that crash one after the other, and completes in
+/// between: it was not the cause. If it were held, a page that all callers request would be refused for an
+/// hour.
 #[test]
 fn a_request_that_is_answered_in_between_is_not_held() {
     let mut quarantine = Quarantine::new(1);
     let mut now = NOW;
     for endpoint in 0..10 {
-        // So far apart that no answer is remembered.
+        // So far apart that no completed request is remembered.
         now = now + Millis(100_000);
         quarantine.merge(now, &crash(1, endpoint));
         quarantine.merge(now, &crash(2, endpoint));
@@ -94,9 +95,9 @@
     );
 }
 
-/// A rack is lost, and with it three of the eighty endpoints at which what all callers ask was running. Each entry
-/// process answers it many times a second at the others. Held on the word of three of them, it would be refused to
-/// all callers for an hour.
+/// A rack is lost, and with it three of the eighty endpoints that a request of all callers was running on.
+/// Each entry process completes it many times a second on the others. If it were held by the reports of
+/// three of them, it would be refused for all callers for an hour.
 #[test]
 fn what_is_answered_all_the_time_is_not_held_when_a_rack_is_lost() {
     let crashes = [crash(1, 1), crash(1, 2), crash(1, 3)];
@@ -112,7 +113,7 @@
         }
         let holds = entry.held_for(now, content(1)).is_some();
         assert_eq!(holds, is_held, "answered {answered_before} ms before");
-        // Control is told, and everybody by it.
+        // Control learns of it, and everybody from control.
         let mut told = control.clone();
         for it in entry.since(now, Cursor::default(), SyncScope::All) {
             told.merge(now, &it);
@@ -121,8 +122,9 @@
     }
 }
 
-/// Three entry processes see one end each and tell a control process each. No order in which these tell each
-/// other, nor telling twice, may lose one: the request would go on.
+/// Three entry processes see one crash each and report it to a control process each. Whatever the order in
+/// which these exchange their evidence, and even if they do so twice, none of it may be lost, or the
+/// request would be passed on.
 #[test]
 fn exchanged_evidence_converges() {
     let own = [crash(1, 1), crash(1, 2), crash(1, 3)];
@@ -158,7 +160,7 @@
     }
 }
 
-/// An entry process is told of held requests only, of all that led to it, and of its end.
+/// An entry process is told only of held requests, with all the evidence for them, and of their release.
 #[test]
 fn an_entry_process_is_told_what_is_held() {
     let mut control = seen(7, &[crash(1, 1), crash(1, 2), crash(2, 1)]);
@@ -187,15 +189,15 @@
     control.record_success(NOW, content(1));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
     assert!(!holds(&entry, 1));
-    // One that was just started knows nothing.
+    // A process that was just started knows nothing.
     let mut started = Quarantine::new(11);
     control.merge(NOW, &crash(2, 3));
     assert_eq!(tell(&control, &mut started, &mut Cursor::default()), 6);
     assert!(holds(&started, 2) && !holds(&started, 1));
 }
 
-/// A control process starts anew and remembers nothing. Two ends that an entry process has told the start before
-/// would be lost, and the request held only after three more.
+/// A control process restarts with an empty state. Two crashes that an entry process has reported to its
+/// previous start would be lost, and the request held only after three more.
 #[test]
 fn a_restarted_control_process_is_sent_everything_again() {
     let mut entry = seen(9, &[crash(1, 1)]);
@@ -209,7 +211,7 @@
     };
     let mut control = Quarantine::new(1);
     exchange(&entry, &mut control, &mut link);
-    // It was not known before, and is told all once more.
+    // The control process was not known before, and is sent everything once more.
     assert_eq!(exchange(&entry, &mut control, &mut link), 1);
     assert_eq!(exchange(&entry, &mut control, &mut link), 0, "all is told");
     entry.merge(NOW, &crash(1, 2));
@@ -220,7 +222,7 @@
     assert_eq!(control.crash_count(NOW, content(1)), 2);
 }
 
-/// A clearing that comes before the crash that it is about must not be undone by it.
+/// A clearing that arrives before the crash that it concerns must not be undone by it.
 #[test]
 fn a_crash_that_arrives_late_stays_cleared() {
     let mut quarantine = Quarantine::new(1);
@@ -235,7 +237,7 @@
     assert!(!holds(&quarantine, 1));
 }
 
-/// What a process of a minute ago is told of an hour ago is not kept for an hour more.
+/// A crash of an hour ago that another process reports now must not be kept for another hour.
 #[test]
 fn crashes_are_forgotten_by_their_age() {
     let mut quarantine = Quarantine::new(1);
@@ -260,7 +262,7 @@
     assert_eq!(quarantine.merge(NOW, &too_old), Change::None);
 }
 
-/// A flood of requests runs at endpoints that end. What is held stays, and memory stays bounded.
+/// Many requests run on endpoints that crash. Held requests stay, and memory stays bounded.
 #[test]
 fn a_flood_of_suspects_pushes_out_none_that_is_held() {
     let mut quarantine = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3)]);
@@ -276,7 +278,7 @@
     assert!(quarantine.crash_count(NOW, content(1)) < 10);
 }
 
-/// What the control group has kept is held after all processes were started anew.
+/// Requests that the control group has persisted are held again after all processes were restarted.
 #[test]
 fn persisted_requests_are_held_again() {
     let before = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3), crash(2, 1)]);
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -1,30 +1,32 @@
-//! How fast entry processes learn of a request under which endpoints end, while processes are started anew and calls
-//! between them are lost.
+//! How fast entry processes learn of a request that crashes endpoints, while processes are restarted and
+//! calls between them are lost.
 
 use sageshed_fleet::quarantine::{
     CRASH_LIMIT, Crash, Cursor, Fingerprint, Held, PeerSync, Quarantine, SyncScope,
 };
 use sageshed_types::time::{Instant, Millis};
 
-/// The request that ends each endpoint that runs it.
+/// The request that crashes each endpoint that runs it.
 const CAUSE: Fingerprint = Fingerprint(1);
 
-/// An entry process counts as in touch once it has run for this long, and all control processes too.
+/// An entry process counts as in contact once it has run for this long, and all control processes too, in
+/// milliseconds.
 const IN_TOUCH_AFTER: u64 = 3_000;
 
-/// How often the request may reach an endpoint, by processes in touch, later than that after its third end.
+/// How often the request may still reach an endpoint through processes in contact, later than that after
+/// the third crash.
 const MOST_AFTER: usize = 3;
 
-/// Seeds of each case. Sixty were run by hand.
+/// Seeds of each case.
 const SEEDS: u64 = 8;
 
-/// One step of the clock, in milliseconds: the way between two processes and back, and its pauses.
+/// Step of the clock in milliseconds: a round trip between two processes, with its delays.
 const STEP: u64 = 20;
 
-/// Between two calls of an entry process to the control process that it tells, in milliseconds.
+/// Interval between calls of an entry process to the control process that it reports to, in milliseconds.
 const TELLS_EVERY: u64 = 260;
 
-/// The same to its other two.
+/// The same for the other two control processes.
 const LISTENS_EVERY: u64 = 840;
 
 /// A process and when it was started.
@@ -50,20 +52,20 @@
     link: PeerSync,
 }
 
-/// Entry processes, control processes and the log of these, in virtual time.
+/// A simulation, in virtual time, of entry processes, control processes and the log of these.
 struct World {
     now: u64,
     draws: u64,
     starts: u64,
     entries: Vec<(Process, Vec<Watch>)>,
     control: Vec<Process>,
-    /// How far each control process knows each other one.
+    /// How far each control process knows the evidence of each other one.
     known: Vec<Vec<Cursor>>,
     log: Vec<Held>,
-    /// Ends of endpoints, and arrivals at them by processes in touch.
+    /// When endpoints crashed, and when processes in contact sent the request to one.
     ends: Vec<u64>,
     arrivals: Vec<u64>,
-    /// Of a hundred calls, so many are lost.
+    /// Calls of a hundred that are lost.
     lost: u64,
 }
 
@@ -92,7 +94,7 @@
         world
     }
 
-    /// Below `limit`, by a linear congruential generator.
+    /// A random number below `limit`, by a linear congruential generator.
     fn draw(&mut self, limit: u64) -> u64 {
         self.draws = self
             .draws
@@ -101,7 +103,7 @@
         (self.draws >> 33) % limit
     }
 
-    /// One of `count` processes.
+    /// The index of one of `count` processes.
     fn pick(&mut self, count: usize) -> usize {
         let drawn = self.draw(count as u64);
         usize::try_from(drawn).expect("below the count")
@@ -134,7 +136,7 @@
         since(&self.entries[entry].0).min(control) >= IN_TOUCH_AFTER
     }
 
-    /// Entry processes call those that are due, or have something for them.
+    /// Entry processes call control when they are due or there is something for them.
     fn call_control(&mut self) {
         let now = self.instant();
         for at in 0..self.entries.len() {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Control processes tell each other what is new.
+    /// Control processes exchange what is new.
     fn call_among_control(&mut self) {
         let now = self.instant();
         for to in 0..5 {
@@ -179,13 +181,13 @@
         }
     }
 
-    /// The first control process leads, and has the log hold what it knows.
+    /// The first control process is the leader and persists in the log what it knows.
     fn keep(&mut self) {
         let now = self.instant();
         self.log = self.control[0].quarantine.held(now);
     }
 
-    /// A try of the caller reaches an entry process, which passes it on to two endpoints.
+    /// An attempt of the caller arrives at an entry process, which sends it to two endpoints.
     fn try_at(&mut self, entry: usize) {
         let now = self.instant();
         let in_touch = self.is_in_touch(entry);
@@ -208,7 +210,7 @@
         }
     }
 
-    /// A process is killed and started anew. A control process has what the log holds.
+    /// A process is killed and restarted. A control process restores what the log holds.
     fn restart_one(&mut self) {
         let now = self.instant();
         if self.draw(10) == 0 {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Arrivals by processes in touch, later than the bound after the third end.
+    /// Attempts through processes in contact that came too late after the third crash.
     fn too_late(&self) -> usize {
         let Some(third) = self.ends.get(CRASH_LIMIT - 1) else {
             return 0;
@@ -247,21 +249,21 @@
     }
 }
 
-/// A size of the system and what goes wrong in it.
+/// A size of the system, and the faults in it.
 struct Case {
     name: &'static str,
     entries: usize,
     lost: u64,
-    /// Restarts of one process in a minute.
+    /// Restarts of one process per minute.
     restarts: u64,
-    /// Whether all lose their power half way.
+    /// Whether all processes lose their power halfway through.
     all: bool,
-    /// Between two tries of the caller, in milliseconds at the mean. One that comes seldom finds processes that had
-    /// the time to be in touch again, and to forget.
+    /// Mean time between two attempts of the caller in milliseconds. With rare attempts, processes have the
+    /// time to be in contact again, and to forget.
     gap: u64,
 }
 
-/// The caller sends its request for a minute, to any entry process, whichever were started anew.
+/// The caller sends its request for a minute, to any entry process, whichever processes are restarted.
 #[test]
 fn entry_processes_learn_in_time_whatever_is_restarted() {
     let case = |name, entries, lost, restarts, all, gap| Case {
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Long prompts beside streams: an engine reads a prompt between two events of all that it streams.
+//! Long prompts beside streams: an engine prefills a prompt between two events of all its streams.
 
 mod support;
 
@@ -33,7 +33,7 @@
     entry_peers::instance_key(&id.into())
 }
 
-/// What an entry process says of an engine whose answer has just begun.
+/// The observation of an engine whose response has just begun.
 fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
         engine: short(id),
@@ -46,7 +46,7 @@
     }
 }
 
-/// The home of m0, which was told at `T0` how many requests each of these engines runs.
+/// The coordinator of m0, which learned at `T0` how many requests each of these engines runs.
 fn coordinator(engines: &[(&str, u32)]) -> Chooser {
     let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
@@ -70,15 +70,15 @@
     }
 }
 
-/// A prompt and the engines that it may go to.
+/// A prompt, and the engine that it has to go to.
 struct Case {
     name: &'static str,
     tokens: u64,
-    /// Milliseconds since the engines said what they run.
+    /// Milliseconds since the engines reported their running requests.
     later: u64,
-    /// The engine that streams to nobody has so many milliseconds to read already.
+    /// Pending prefill, in milliseconds, of the engine without streams.
     ahead: u64,
-    /// Whether it goes there.
+    /// Whether the prompt goes to the engine without streams.
     to_the_calm: bool,
 }
 
@@ -124,10 +124,10 @@
     }
 }
 
-/// Some 26 prompts a second come for a model with eight copies, one of twelve so long that it stops an engine for as
-/// long as its streams bear; half of the engines run many long streams, half few. Sent by what there is to read
-/// alone, the long ones are spread over all engines, and reach as many streams as there are; now they go where
-/// few run.
+/// Some 26 prompts a second arrive for a model with eight replicas; one of twelve is so long that it stalls
+/// an engine for as long as its streams accept. Half of the engines run many long streams, half few. Routed
+/// by pending prefill alone, the long prompts are spread over all engines and stall as many streams as
+/// there are; they have to go where few run.
 #[test]
 fn long_prompts_stay_away_from_crowded_engines_for_a_minute_of_load() {
     let ids: Vec<String> = (0..8).map(|it| format!("e{it}")).collect();
@@ -141,7 +141,6 @@
     let mut rng = fastrand::Rng::with_seed(11);
     let mut stopped = collections::BTreeMap::<bool, u32>::new();
     let (mut long, mut now) = (0, 0);
-    // Microseconds that each engine has to read by the words of the processes.
     for request in 0..1_560_u64 {
         now += rng.u64(1..77);
         for (id, running) in &engines {
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -1,5 +1,6 @@
-//! Entry processes that spend allowances together, in virtual time: the shipped code, and a network that delays
-//! and loses datagrams, is cut, and freezes and kills processes.
+//! A simulation, in virtual time, of entry processes that spend allowances together. It runs the shipped
+//! code on a network that delays and loses datagrams and is partitioned, with processes that are suspended
+//! and killed.
 
 use std::{
     cmp::Reverse,
@@ -13,10 +14,10 @@
 };
 use sageshed_types::time::{Instant, Millis};
 
-/// How long an entry process waits for an answer, in milliseconds, as the gateway does.
+/// How long an entry process waits for a reply, in milliseconds, as in the gateway.
 const REPLY_TIMEOUT: u64 = 25;
 
-/// Between two ticks of a process, in milliseconds, as in the gateway.
+/// Interval between two ticks of a process, in milliseconds, as in the gateway.
 const TICK: u64 = 100;
 
 #[derive(Debug, Clone)]
@@ -29,7 +30,7 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// A caller asks for something at an entry process.
+    /// A caller requests units at an entry process.
     Arrive {
         entry: usize,
         of: Key,
@@ -40,12 +41,12 @@
         from: usize,
         message: Message,
     },
-    /// A question is put.
+    /// A request is sent to a coordinator.
     Ask {
         request: usize,
         coordinator: usize,
     },
-    /// A question was not answered.
+    /// The reply to a request may be overdue.
     Late {
         request: usize,
         round: u32,
@@ -65,16 +66,16 @@
     began: u64,
 }
 
-/// What became of the requests for one allowance.
+/// Results of the requests for one allowance.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
     /// When units were granted, and how many.
     pub granted: Vec<(u64, f64)>,
-    /// When requests came, and for how many units.
+    /// When units were requested, and how many.
     pub asked: Vec<(u64, f64)>,
-    /// Requests that nobody answered.
+    /// Requests for which no coordinator responded.
     pub failed: usize,
-    /// Milliseconds between the request and its answer.
+    /// Milliseconds between each request and its reply.
     pub waits: Vec<u64>,
 }
 
@@ -82,18 +83,18 @@
     now: u64,
     pub rng: fastrand::Rng,
     tables: Vec<AllowanceTable>,
-    /// Which processes stand still, and what came for them meanwhile.
+    /// Suspended processes, with the events that have arrived for them since.
     suspended: HashMap<usize, Vec<Event>>,
-    /// Which side of a cut each process is on.
+    /// The side of the partition that each process is on.
     pub side: Vec<u8>,
-    /// Processes that control does not reach, though others may.
+    /// Processes that control can't reach, though other processes may.
     pub unreachable_from_control: HashSet<usize>,
-    /// The entry processes as control knows them.
+    /// The entry processes that control lists.
     listed: Vec<usize>,
-    /// Of a thousand datagrams, so many are lost.
+    /// Datagrams of a thousand that are lost.
     pub lost: u64,
     limits: Vec<(Key, RateLimit)>,
-    /// Terms that stand in no configuration, with which processes ask, and when each has heard them.
+    /// Limits that are not configured but were reported to a process, and when.
     reported: HashMap<(usize, Key), (RateLimit, u64)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
@@ -101,7 +102,7 @@
     requests: Vec<Request>,
     waiting: HashMap<(usize, u64), usize>,
     pub outcomes: BTreeMap<Key, Outcome>,
-    /// Datagrams and bytes that each process sent.
+    /// Datagrams and bytes that each process has sent.
     pub sent: Vec<(u64, u64)>,
 }
 
@@ -114,7 +115,7 @@
 }
 
 impl World {
-    /// So many processes that have known each other for a while.
+    /// Creates processes that have known each other for a while.
     pub fn new(seed: u64, entries: usize, limits: Vec<(Key, RateLimit)>) -> Self {
         let mut world = Self {
             now: 0,
@@ -151,8 +152,8 @@
         table
     }
 
-    /// All processes that control reaches are told this list of entry processes, and others later, when it reaches
-    /// them.
+    /// Sends a list of entry processes to all processes that control reaches, and later to the others when
+    /// it reaches them.
     pub fn list(&mut self, entries: &[usize]) {
         self.listed = entries.to_vec();
         for at in 0..self.tables.len() {
@@ -162,18 +163,18 @@
         }
     }
 
-    /// Whether control reaches a process: it is on the side of those that are cut off from nobody.
+    /// Whether control reaches a process: it has to be on the main side of the partition.
     fn is_reachable_from_control(&self, at: usize) -> bool {
         self.side[at] == 0 && !self.unreachable_from_control.contains(&at)
     }
 
-    /// One process is told a list of entry processes.
+    /// Sends a list of entry processes to one process.
     pub fn set_list(&mut self, at: usize, entries: &[usize]) {
         let list: Vec<_> = entries.iter().map(|it| ip(*it)).collect();
         self.tables[at].set_entries(Instant(self.now), &list);
     }
 
-    /// Another configuration is in force at all of them.
+    /// Puts another configuration into force on all processes.
     pub fn set_limits(&mut self, limits: Vec<(Key, RateLimit)>) {
         self.limits = limits;
         for table in &mut self.tables {
@@ -181,12 +182,12 @@
         }
     }
 
-    /// An endpoint names these terms to a process.
+    /// Reports a limit of an endpoint to a process.
     pub fn report_limit(&mut self, at: usize, of: Key, limit: RateLimit) {
         self.reported.insert((at, of), (limit, self.now));
     }
 
-    /// A process is killed and is back at once, with nothing but the list that control tells.
+    /// Kills a process and restarts it at once, with nothing but the list that control sends.
     pub fn restart(&mut self, at: usize) {
         self.tables[at] = self.start(at);
         if self.is_reachable_from_control(at) {
@@ -196,7 +197,7 @@
         self.waiting.retain(|(entry, _), _| *entry != at);
     }
 
-    /// A process stands still; what comes for it is there when it goes on.
+    /// Suspends a process; the events that arrive for it are delivered when it resumes.
     pub fn suspend(&mut self, at: usize) {
         self.suspended.insert(at, Vec::new());
     }
@@ -229,12 +230,12 @@
         self.queue.push(Reverse((self.now + after, self.count)));
     }
 
-    /// A caller asks for units at `entry`, so many milliseconds from now.
+    /// Has a caller request units at `entry`, so many milliseconds from now.
     pub fn ask(&mut self, after: u64, entry: usize, of: Key, amount: f64) {
         self.push(after, Event::Arrive { entry, of, amount });
     }
 
-    /// Goes on for so many milliseconds.
+    /// Runs the simulation for so many milliseconds.
     pub fn run(&mut self, span: u64) {
         let until = self.now + span;
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
@@ -424,7 +425,7 @@
 }
 
 impl Outcome {
-    /// The most that was granted in any span of so many milliseconds.
+    /// The most that was granted in any window of so many milliseconds.
     pub fn most_in(&self, span: u64) -> f64 {
         let mut window: VecDeque<(u64, f64)> = VecDeque::new();
         let (mut sum, mut most) = (0.0, 0.0_f64);
@@ -439,14 +440,14 @@
         most
     }
 
-    /// What one bucket of these terms, which all could see at once, would have granted from `since` on, and what
-    /// was granted.
+    /// What a single bucket with this limit, visible to all processes, would have granted from `since` on,
+    /// and what was granted.
     pub fn compare_with_one_bucket(&self, limit: &RateLimit, since: u64) -> (f64, f64) {
         let (mut level, mut at, mut ideal) = (limit.burst, 0, 0.0);
         for (now, amount) in &self.asked {
             level = (level + limit.accrued(Millis(now - at))).min(limit.burst.max(0.0));
             at = *now;
-            // As the pot does: what is larger than the bucket is granted by a full one.
+            // As in the shipped bucket, a full one grants an amount that is larger than itself.
             if level > 0.0 && level >= amount.min(limit.burst) {
                 level -= amount;
                 if *now >= since {
@@ -458,7 +459,7 @@
         (ideal, granted.map(|(_, amount)| amount).sum())
     }
 
-    /// The wait that this part of the requests did not exceed.
+    /// The wait that this share of the requests did not exceed.
     pub fn wait(&self, part: f64) -> u64 {
         let mut waits = self.waits.clone();
         waits.sort_unstable();
@@ -473,7 +474,7 @@
     }
 }
 
-/// Processes that no list names twice.
+/// A random sample of the processes.
 pub fn sample(rng: &mut fastrand::Rng, count: usize, of: usize) -> HashSet<usize> {
     rng.choose_multiple(0..of, count).into_iter().collect()
 }
--- a/crates/sageshed-fleet/tests/workspaces.rs
+++ b/crates/sageshed-fleet/tests/workspaces.rs
@@ -1,5 +1,5 @@
-//! Who sends a request: which keys a configuration knows, which routes ask for one, and what a change of
-//! the configuration does to a key.
+//! Authentication of requests: which keys a configuration accepts, which routes require one, and how a
+//! change of the configuration affects a key.
 
 mod support;
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// What a request shows on a route that is open or not, and who it is taken for.
+/// The credentials of a request on an open route or another one, and the workspace that it is attributed
+/// to.
 struct Case {
     name: &'static str,
     shown: secret::Credential,
@@ -109,13 +110,13 @@
         let found = found.map(|it| it.map(|it| it.name.clone()));
         let expected = case.known.map(|it| it.map(str::to_owned));
         assert_eq!(found, expected, "{}", case.name);
-        // Without workspaces nobody is asked.
+        // Without workspaces no key is needed.
         let anybody = workspaces::identify(None, case.shown, case.is_open);
         assert_eq!(anybody.map(|it| it.is_none()), Ok(true), "{}", case.name);
     }
 }
 
-/// A configuration follows another, and who holds the key then.
+/// A change of the configuration, and the holder of the key after it.
 struct Change {
     name: &'static str,
     apply: fn(&mut config::Workspaces),
@@ -165,14 +166,15 @@
     }
 }
 
-/// Workspaces whose keys collide or not, and the two that are named.
+/// Workspaces whose keys collide or not, and the two that the error names.
 struct Keys {
     name: &'static str,
     held: &'static [(&'static str, usize)],
     shared: Option<(&'static str, &'static str)>,
 }
 
-/// Of two workspaces with one key nobody could tell who asks, and one would use up the other's allowance.
+/// With one key for two workspaces, requests could not be attributed, and one would use up the quota of the
+/// other.
 #[test]
 fn a_key_that_two_hold_is_refused_with_both_names_and_without_the_key() {
     let cases = [
@@ -210,8 +212,8 @@
     }
 }
 
-/// Configurations and identities are printed in the course of a search for a fault. A digest of a short key
-/// would give it away.
+/// Configurations and identities are printed while debugging. The digest of a short key would reveal the
+/// key.
 #[test]
 fn what_is_printed_of_a_key_tells_nothing() {
     let shown = format!("{:?} {:?}", two(), workspaces::Workspaces::new(&two()));
@@ -220,7 +222,8 @@
     assert!(shown.contains("KeyDigest(..)"), "{shown}");
 }
 
-/// As many keys as a large deployment has: each is found, and a lookup allocates nothing that grows with them.
+/// As many keys as a large deployment has: each is found, and a lookup allocates nothing that grows with
+/// their number.
 #[test]
 fn each_of_a_hundred_thousand_keys_is_found() {
     let keys = |at: usize| (digest(&format!("key {at}")), at % 500);
