--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -174,7 +174,7 @@
     vec![
         scenario("a lossy network", |it, _| it.lost = 40, 0.9),
         scenario(
-            "the home is killed again and again",
+            "the coordinator is killed again and again",
             |it, second| {
                 if second % 3 == 0 {
                     let coordinator = coordinator(it);
@@ -184,7 +184,7 @@
             0.75,
         ),
         scenario(
-            "the home stands still for five seconds",
+            "the coordinator is suspended for five seconds",
             |it, second| {
                 let coordinator = coordinator(it);
                 match second % 10 {
@@ -203,7 +203,7 @@
             0.85,
         ),
         scenario(
-            "the fleet is cut in two",
+            "the fleet is partitioned in two",
             |it, second| {
                 for at in 0..ENTRIES {
                     it.side[at] = u8::from(second % 12 >= 4 && at % 2 == 0);
@@ -212,7 +212,7 @@
             0.7,
         ),
         scenario(
-            "the home is cut off",
+            "the coordinator is partitioned",
             |it, second| {
                 let coordinator = coordinator(it);
                 it.side[coordinator] = u8::from(second % 10 >= 3);
@@ -220,7 +220,7 @@
             0.75,
         ),
         scenario(
-            "processes are cut off one by one",
+            "processes are partitioned one by one",
             |it, second| {
                 let cut = sample(&mut it.rng, 3, ENTRIES);
                 for at in 0..ENTRIES {
@@ -234,7 +234,7 @@
             0.7,
         ),
         scenario(
-            "control starts again and lists few",
+            "control restarts and lists few processes",
             |it, second| {
                 let listed = match second % 6 {
                     0 => 1,
@@ -246,7 +246,7 @@
             0.85,
         ),
         scenario(
-            "all are killed at once",
+            "all processes are killed at once",
             |it, second| {
                 if second % 12 == 4 {
                     for at in 0..ENTRIES {
--- a/crates/sageshed-fleet/tests/backlog.rs
+++ b/crates/sageshed-fleet/tests/backlog.rs
@@ -114,7 +114,7 @@
             second: soon_late.clone(),
         },
         Case {
-            name: "the one that is late first",
+            name: "earlier deadline first",
             first: soon_late,
             second: PLAIN,
         },
@@ -142,7 +142,7 @@
         let time_of = |ticket| {
             backlog
                 .expected_wait(soon, "m0", ticket)
-                .expect("a speed is known")
+                .expect("a rate is known")
         };
         assert!(time_of(of_first) < time_of(of_second), "{name}");
         assert!(backlog.remove("m0", of_first), "{name}");
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -53,7 +53,7 @@
 }
 
 /// A world in which an endpoint has reported its limit to all processes.
-fn told(seed: u64, entries: usize, per_s: f64) -> World {
+fn limited_world(seed: u64, entries: usize, per_s: f64) -> World {
     let mut world = World::new(seed, entries, Vec::new());
     world.run(3_000);
     for at in 0..entries {
@@ -81,7 +81,7 @@
 fn processes_send_as_much_as_a_limit_allows_and_no_more() {
     for entries in [1, 7, 73, 195, 860] {
         for per_s in [0.25, 1.1, 10.0, 40.0] {
-            let mut world = told(entries as u64, entries, per_s);
+            let mut world = limited_world(entries as u64, entries, per_s);
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             world.run(40_000);
             let (most, rate) = granted(&world, 6_000, 43_000);
@@ -99,7 +99,7 @@
     for seed in 0..6 {
         for per_s in [1.1, 10.0] {
             let entries = 73;
-            let mut world = told(seed, entries, per_s);
+            let mut world = limited_world(seed, entries, per_s);
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             for round in 0..12 {
                 world.run(3_000);
@@ -129,7 +129,7 @@
 /// applies, whoever asks last.
 #[test]
 fn of_two_limits_the_younger_holds() {
-    let mut world = told(1, 7, 40.0);
+    let mut world = limited_world(1, 7, 40.0);
     demand(&mut world, 7, 60.0, 10_000);
     world.run(4_000);
     for at in 0..3 {
@@ -198,7 +198,7 @@
     }
 }
 
-fn ask(wanted: &dialect::ModelRef) -> EndpointQuery<'_> {
+fn query(wanted: &dialect::ModelRef) -> EndpointQuery<'_> {
     EndpointQuery {
         service: "engines",
         wanted: Some(wanted),
@@ -242,15 +242,15 @@
     chooser.set_limit(now, &engines[0].id, 1.0);
     chooser.close(now, &engines[0].id, Millis(900));
     for _ in 0..8 {
-        let choice = chooser.choose(now, &ask(&wanted));
+        let choice = chooser.choose(now, &query(&wanted));
         assert_eq!(goes_to(&choice), Some("e2"));
     }
     assert_eq!(chooser.counts(now), (2, 1));
     chooser.close(now, &engines[1].id, Millis(2_000));
     let later = Instant(10_300);
-    let none = chooser.choose(later, &ask(&wanted));
+    let none = chooser.choose(later, &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(600))));
-    let opened = chooser.choose(Instant(10_900), &ask(&wanted));
+    let opened = chooser.choose(Instant(10_900), &query(&wanted));
     assert_eq!(goes_to(&opened), Some("e1"));
 }
 
@@ -308,9 +308,9 @@
     chooser.rest(now, id, Millis(3_000));
     chooser.rest(Instant(10_100), id, Millis(200));
     chooser.clear_limit(id);
-    let none = chooser.choose(Instant(12_000), &ask(&wanted));
+    let none = chooser.choose(Instant(12_000), &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
-    let after = chooser.choose(Instant(13_000), &ask(&wanted));
+    let after = chooser.choose(Instant(13_000), &query(&wanted));
     assert_eq!(goes_to(&after), Some("e1"));
     chooser.rest(now, id, Millis(u64::MAX));
     assert_eq!(chooser.counts(Instant(13_000)), (1, 0));
@@ -334,12 +334,12 @@
 /// The head of a response, and whether the engine is limited and paused after it.
 struct Head {
     name: &'static str,
-    answered: dialect::ResponseMetadata<'static>,
+    response: dialect::ResponseMetadata<'static>,
     is_limited: bool,
-    rests: bool,
+    is_paused: bool,
 }
 
-fn answered(
+fn response(
     execution: dialect::ExecutionStatus,
     notice: dialect::Notice,
 ) -> dialect::ResponseMetadata<'static> {
@@ -365,66 +365,71 @@
         ..dialect::Notice::default()
     };
     let none = dialect::Notice::default();
-    let head = |name, answered, is_limited, rests| Head {
+    let head = |name, response, is_limited, is_paused| Head {
         name,
-        answered,
+        response,
         is_limited,
-        rests,
+        is_paused,
     };
-    let vouched = dialect::ExecutionStatus::Verified;
+    let verified = dialect::ExecutionStatus::Verified;
     let misdirected = dialect::ExecutionStatus::Misdirected;
     let other = dialect::ResponseMetadata {
         endpoint: Some("e9"),
-        ..answered(misdirected, none)
+        ..response(misdirected, none)
     };
     let own = dialect::ResponseMetadata {
         endpoint: Some("e1"),
-        ..answered(misdirected, rest)
+        ..response(misdirected, rest)
     };
     let cases = [
         head(
-            "it runs under its limit",
-            answered(vouched, limit),
+            "runs the request and is limited",
+            response(verified, limit),
             true,
             false,
         ),
-        head("it runs without one", answered(vouched, none), false, false),
         head(
-            "it rejects",
-            answered(dialect::ExecutionStatus::NotRun, none),
+            "runs the request without a limit",
+            response(verified, none),
+            false,
+            false,
+        ),
+        head(
+            "rejects the request",
+            response(dialect::ExecutionStatus::NotRun, none),
             true,
             false,
         ),
         head(
-            "it rejects and rests",
-            answered(dialect::ExecutionStatus::NotRun, rest),
+            "rejects the request and asks for a pause",
+            response(dialect::ExecutionStatus::NotRun, rest),
             true,
             true,
         ),
         head(
-            "nobody vouches",
-            answered(dialect::ExecutionStatus::Unverified, none),
+            "unverified response",
+            response(dialect::ExecutionStatus::Unverified, none),
             true,
             false,
         ),
-        head("another answers", other, true, false),
+        head("another engine responds", other, true, false),
         head(
-            "nobody says who refuses",
-            answered(misdirected, rest),
+            "anonymous refusal",
+            response(misdirected, rest),
             true,
             false,
         ),
-        head("it says that it refuses", own, true, true),
+        head("its own refusal", own, true, true),
     ];
     for case in cases {
         let (mut chooser, engines) = chooser(&["e1"]);
         let (now, id) = (Instant(10_000), &engines[0].id);
-        let first = chooser.apply_notice(now, id, &answered(vouched, limit));
+        let first = chooser.apply_notice(now, id, &response(verified, limit));
         assert_eq!(first, Some(Change::Named(1.0)));
-        chooser.apply_notice(now, id, &case.answered);
+        chooser.apply_notice(now, id, &case.response);
         let is_limited = chooser.limit(now, id).is_some();
         assert_eq!(is_limited, case.is_limited, "{}", case.name);
-        let rests = !chooser.closed_endpoints(now, "engines").is_empty();
-        assert_eq!(rests, case.rests, "{}", case.name);
+        let is_paused = !chooser.closed_endpoints(now, "engines").is_empty();
+        assert_eq!(is_paused, case.is_paused, "{}", case.name);
     }
 }
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -109,7 +109,7 @@
     let after = world.units();
     for _ in 0..3 {
         assert_eq!(world.acquire(now, request(7, 15.0)), AcquireReply::Granted);
-        assert!((after - world.units()).abs() < 1e-6, "it was charged once");
+        assert!((after - world.units()).abs() < 1e-6, "charged once");
     }
     // The same id from another process is another acquisition.
     let reply = world.coordinator.acquire(now, ip(98), &request(7, 15.0));
@@ -123,7 +123,9 @@
 #[test]
 fn what_a_producer_gives_counts_once() {
     let mut world = World::new();
-    let first = world.start_collection(at(0)).expect("a new home draws");
+    let first = world
+        .start_collection(at(0))
+        .expect("a new coordinator collects");
     let from = world.others[0];
     let before = world.units();
     world
@@ -135,19 +137,24 @@
         .coordinator
         .add_collected(at(2), from, &collected(&first, 1.0));
     assert!((world.units() - once).abs() < 1e-9, "delivered twice");
-    let second = world.start_collection(at(400)).expect("it draws again");
+    let second = world
+        .start_collection(at(400))
+        .expect("the next collection is due");
     assert_ne!(first.id, second.id);
     let then = world.units();
     world
         .coordinator
         .add_collected(at(401), world.others[1], &collected(&first, 1.0));
-    assert!((world.units() - then).abs() < 1e-9, "of an earlier drawing");
+    assert!(
+        (world.units() - then).abs() < 1e-9,
+        "reply to an earlier collection"
+    );
     world
         .coordinator
         .add_collected(at(402), ip(77), &collected(&second, 1.0));
     assert!(
         (world.units() - then).abs() < 1e-9,
-        "of one that was not asked"
+        "reply of a process that was not asked"
     );
 }
 
@@ -202,7 +209,7 @@
     assert_eq!(
         world.acquire(at(1_101), request(2, 10.0)),
         AcquireReply::Granted,
-        "for the urgent there is some"
+        "a share is reserved for urgent requests"
     );
 }
 
@@ -423,7 +430,7 @@
         .buckets()
         .filter(|(_, units)| *units <= 0.0)
         .count();
-    assert_eq!(empty, 0, "each was filled");
+    assert_eq!(empty, 0, "each bucket was filled");
 }
 
 /// Datagrams can be corrupt or come from anybody. A number that is not finite must not end up in the
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn plain<'a>() -> EndpointQuery<'a> {
+fn plain_query<'a>() -> EndpointQuery<'a> {
     EndpointQuery {
         service: support::PLAIN,
         wanted: None,
@@ -221,9 +221,9 @@
 /// Why a request waits that can't be sent.
 struct Case {
     name: &'static str,
-    know: fn(&mut Chooser),
+    setup: fn(&mut Chooser),
     wanted: dialect::ModelRef,
-    missing: WaitReason,
+    reason: WaitReason,
 }
 
 #[test]
@@ -236,34 +236,34 @@
     let cases = [
         Case {
             name: "no engine at all",
-            know: |_| {},
+            setup: |_| {},
             wanted: wanted("m0", None),
-            missing: WaitReason::Endpoint,
+            reason: WaitReason::Endpoint,
         },
         Case {
-            name: "the only one leaves",
-            know: leaving,
+            name: "the only engine is leaving",
+            setup: leaving,
             wanted: wanted("m0", None),
-            missing: WaitReason::Endpoint,
+            reason: WaitReason::Endpoint,
         },
         Case {
             name: "no engine holds the model",
-            know: |it| it.update_instance(&support::engine("e1", &["m0"])),
+            setup: |it| it.update_instance(&support::engine("e1", &["m0"])),
             wanted: wanted("m1", None),
-            missing: WaitReason::Model,
+            reason: WaitReason::Model,
         },
         Case {
             name: "no engine holds the adapter",
-            know: |it| it.update_instance(&support::engine("e1", &["m0"])),
+            setup: |it| it.update_instance(&support::engine("e1", &["m0"])),
             wanted: wanted("m0", Some("a1")),
-            missing: WaitReason::Adapter,
+            reason: WaitReason::Adapter,
         },
     ];
     for case in cases {
         let mut chooser = Chooser::new("z1", 7);
-        (case.know)(&mut chooser);
+        (case.setup)(&mut chooser);
         let choice = chooser.choose(T0, &support::ask(&case.wanted, 100));
-        assert_eq!(choice, Choice::Wait(case.missing), "{}", case.name);
+        assert_eq!(choice, Choice::Wait(case.reason), "{}", case.name);
     }
 }
 
@@ -420,7 +420,7 @@
     chooser.update_instance(&support::instance("p1", support::PLAIN, &[]));
     let mut picks = Vec::new();
     loop {
-        match chooser.choose(T0, &plain()) {
+        match chooser.choose(T0, &plain_query()) {
             Choice::Send(pick) => picks.push(pick),
             other => {
                 assert_eq!(other, Choice::Wait(WaitReason::Place));
@@ -430,7 +430,7 @@
     }
     assert!((4..=8).contains(&picks.len()), "{}", picks.len());
     chooser.record_end(T0, &picks[0], None, true, AttemptOutcome::Answered);
-    sent(chooser.choose(T0, &plain()));
+    sent(chooser.choose(T0, &plain_query()));
 }
 
 #[test]
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -41,7 +41,7 @@
     chooser
 }
 
-fn asks(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
+fn query(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
     EndpointQuery {
         patience: time::Millis(300),
         may_be_late: true,
@@ -56,13 +56,13 @@
     }
 }
 
-fn short(id: &str) -> u64 {
+fn key_of(id: &str) -> u64 {
     entry_peers::instance_key(&id.into())
 }
 
 fn observation(id: &str, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
-        engine: short(id),
+        engine: key_of(id),
         pending_prefill_us: micros,
         cached_prefix: None,
         ttft: None,
@@ -84,7 +84,7 @@
     let mut picked = collections::BTreeSet::new();
     for (number, from) in entries().into_iter().take(12).enumerate() {
         let now = at(number as u64 * 2);
-        let decision = coordinator.route_for(now, from, number as u64, &asks(&wanted, 3_000));
+        let decision = coordinator.route_for(now, from, number as u64, &query(&wanted, 3_000));
         picked.insert(engine_of(decision));
     }
     assert_eq!(picked.len(), 12);
@@ -98,28 +98,28 @@
     let wanted = m0();
     let from = entries()[9];
     let RoutingDecision::Engine { estimate, .. } =
-        coordinator.route_for(T0, from, 1, &asks(&wanted, 6_000))
+        coordinator.route_for(T0, from, 1, &query(&wanted, 6_000))
     else {
-        panic!("e1 reads nothing");
+        panic!("e1 has no prefill pending");
     };
     assert!(estimate >= time::Millis(300), "{estimate:?}");
     let other = entries()[10];
     assert!(matches!(
-        coordinator.route_for(at(5), other, 2, &asks(&wanted, 6_000)),
+        coordinator.route_for(at(5), other, 2, &query(&wanted, 6_000)),
         RoutingDecision::Wait { .. }
     ));
     coordinator.apply_observation(at(6), from, &observation("e1", 316_000));
     assert!(matches!(
-        coordinator.route_for(at(300), other, 2, &asks(&wanted, 6_000)),
+        coordinator.route_for(at(300), other, 2, &query(&wanted, 6_000)),
         RoutingDecision::Wait { .. }
     ));
     assert!(
         coordinator.apply_observation(at(330), from, &observation("e1", 0)),
-        "it has less to read"
+        "it has less prefill pending"
     );
     assert_eq!(
-        engine_of(coordinator.route_for(at(331), other, 2, &asks(&wanted, 6_000))),
-        short("e1")
+        engine_of(coordinator.route_for(at(331), other, 2, &query(&wanted, 6_000))),
+        key_of("e1")
     );
 }
 
@@ -128,9 +128,9 @@
 fn a_routed_request_without_observation_expires() {
     let mut coordinator = coordinator(&["e1"]);
     let wanted = m0();
-    coordinator.route_for(T0, entries()[9], 1, &asks(&wanted, 6_000));
-    let decision = coordinator.route_for(at(200), entries()[10], 2, &asks(&wanted, 6_000));
-    assert_eq!(engine_of(decision), short("e1"));
+    coordinator.route_for(T0, entries()[9], 1, &query(&wanted, 6_000));
+    let decision = coordinator.route_for(at(200), entries()[10], 2, &query(&wanted, 6_000));
+    assert_eq!(engine_of(decision), key_of("e1"));
 }
 
 /// One process runs into an engine that unloads the model. With two requests a second at each of 195
@@ -138,21 +138,21 @@
 /// way.
 #[test]
 fn requests_of_others_avoid_an_engine_that_rejected_one_process() {
-    for trouble in [
+    for fault in [
         EngineFault::Rejects(entry_peers::name_key("m0")),
         EngineFault::Lacks(entry_peers::name_key("m0")),
     ] {
         let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
-        let told = entry_peers::EngineObservation {
-            fault: Some(trouble),
+        let sent_observation = entry_peers::EngineObservation {
+            fault: Some(fault),
             ..observation("e1", 0)
         };
-        coordinator.apply_observation(T0, entries()[3], &told);
+        coordinator.apply_observation(T0, entries()[3], &sent_observation);
         for number in 0..20 {
             let decision =
-                coordinator.route_for(at(10 + number), entries()[7], number, &asks(&wanted, 100));
-            assert_eq!(engine_of(decision), short("e2"), "{trouble:?}");
+                coordinator.route_for(at(10 + number), entries()[7], number, &query(&wanted, 100));
+            assert_eq!(engine_of(decision), key_of("e2"), "{fault:?}");
         }
     }
 }
@@ -172,7 +172,7 @@
         coordinator.apply_observation(at(ms), entries()[3], &lost("e1"));
         coordinator.apply_observation(at(ms), entries()[3], &lost("e2"));
     }
-    let decision = coordinator.route_for(at(20), entries()[7], 1, &asks(&wanted, 100));
+    let decision = coordinator.route_for(at(20), entries()[7], 1, &query(&wanted, 100));
     assert!(
         matches!(decision, RoutingDecision::Engine { .. }),
         "{decision:?}"
@@ -180,8 +180,8 @@
     coordinator.apply_observation(at(30), entries()[4], &lost("e1"));
     for number in 0..20 {
         let decision =
-            coordinator.route_for(at(40 + number), entries()[7], number, &asks(&wanted, 100));
-        assert_eq!(engine_of(decision), short("e2"));
+            coordinator.route_for(at(40 + number), entries()[7], number, &query(&wanted, 100));
+        assert_eq!(engine_of(decision), key_of("e2"));
     }
 }
 
@@ -196,20 +196,20 @@
     for number in 0..10 {
         let now = at(number * 200);
         coordinator.apply_observation(now, from, &observation("e1", 0));
-        engine_of(coordinator.route_for(now, from, number, &asks(&wanted, 3_000)));
+        engine_of(coordinator.route_for(now, from, number, &query(&wanted, 3_000)));
         coordinator.apply_observation(at(number * 200 + 1), from, &observation("e1", 400_000));
     }
     let mut expected = None;
     for request in 100..150 {
         let decision =
-            coordinator.route_for(at(1_900), entries()[10], request, &asks(&wanted, 3_000));
+            coordinator.route_for(at(1_900), entries()[10], request, &query(&wanted, 3_000));
         let RoutingDecision::Wait { expected: told } = decision else {
             panic!("{decision:?}");
         };
         expected = told;
     }
     // One is routed each 200 ms, and 50 wait.
-    let expected = expected.expect("ten were sent on");
+    let expected = expected.expect("ten requests were routed");
     assert!((8_000..12_000).contains(&expected.0), "{expected:?}");
 }
 
@@ -222,9 +222,10 @@
     chooser.set_entries(entries()[9], &entries());
     chooser.update_instance(&support::engine("e1", &["m0"]));
     chooser.update_instance(&support::engine("e2", &["m1"]));
-    let ask = asks(&wanted, 100);
+    let routed = query(&wanted, 100);
     let estimate = time::Millis(70);
-    let Some(Choice::Send(pick)) = chooser.follow_decision(T0, short("e1"), estimate, &ask) else {
+    let Some(Choice::Send(pick)) = chooser.follow_decision(T0, key_of("e1"), estimate, &routed)
+    else {
         panic!("e1 holds it");
     };
     assert_eq!(
@@ -232,25 +233,25 @@
         ("e1", estimate)
     );
     assert_eq!(
-        chooser.follow_decision(T0, short("e2"), estimate, &ask),
+        chooser.follow_decision(T0, key_of("e2"), estimate, &routed),
         None
     );
     assert_eq!(
-        chooser.follow_decision(T0, short("e3"), estimate, &ask),
+        chooser.follow_decision(T0, key_of("e3"), estimate, &routed),
         None
     );
     let tried = [pick.key];
     let again = EndpointQuery {
         tried: &tried,
-        ..ask
+        ..routed
     };
     assert_eq!(
-        chooser.follow_decision(T0, short("e1"), estimate, &again),
+        chooser.follow_decision(T0, key_of("e1"), estimate, &again),
         None
     );
     chooser.record_end(T0, &pick, Some(&wanted), false, AttemptOutcome::Unreachable);
     assert_eq!(
-        chooser.follow_decision(at(5), short("e1"), estimate, &ask),
+        chooser.follow_decision(at(5), key_of("e1"), estimate, &routed),
         None
     );
 }
@@ -280,27 +281,27 @@
 fn a_coordinator_learns_from_the_timings_of_others() {
     let mut coordinator = coordinator(&["e1", "e2"]);
     let wanted = m0();
-    let pace = entry_peers::TtftSample {
+    let sample = entry_peers::TtftSample {
         model: entry_peers::name_key("m0"),
         took: 800,
         estimated: 200,
     };
     for number in 0..60_u64 {
-        let told = entry_peers::EngineObservation {
-            ttft: Some(pace),
+        let sent_observation = entry_peers::EngineObservation {
+            ttft: Some(sample),
             ..observation("e1", 0)
         };
         coordinator.apply_observation(
             at(number * 20),
             entries()[usize::try_from(number).expect("small")],
-            &told,
+            &sent_observation,
         );
     }
     let mut counts = [0, 0];
     for number in 0..20 {
         let now = at(2_000 + number * 500);
-        let advised = coordinator.route_for(now, entries()[7], number, &asks(&wanted, 3_000));
-        counts[usize::from(engine_of(advised) == short("e2"))] += 1;
+        let decision = coordinator.route_for(now, entries()[7], number, &query(&wanted, 3_000));
+        counts[usize::from(engine_of(decision) == key_of("e2"))] += 1;
     }
     assert_eq!(counts, [0, 20]);
 }
@@ -324,18 +325,18 @@
         for number in 0..12 {
             let now = at(round * 1_000 + number);
             let decision =
-                coordinator.route_for(now, from, round * 100 + number, &asks(&wanted, 2_000));
+                coordinator.route_for(now, from, round * 100 + number, &query(&wanted, 2_000));
             if matches!(decision, RoutingDecision::Engine { .. }) {
                 waiting += 1;
                 coordinator.apply_observation(now, from, &observation("e1", waiting * 105_000));
             }
         }
         sent.push(waiting);
-        let told = entry_peers::EngineObservation {
+        let sent_observation = entry_peers::EngineObservation {
             pauses: Some(pauses),
             ..observation("e1", 0)
         };
-        coordinator.apply_observation(at(round * 1_000 + 500), from, &told);
+        coordinator.apply_observation(at(round * 1_000 + 500), from, &sent_observation);
     }
     assert!(sent[0] <= 4 && sent[7] >= 2 * sent[0], "{sent:?}");
 }
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -44,11 +44,14 @@
     let mut coordinators = coordinators::Coordinators::default();
     coordinators.add_models(&engine);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
-    let told = coordinators.observers(&engine);
-    assert!(told.len() <= 6, "{told:?}");
+    let observers = coordinators.observers(&engine);
+    assert!(observers.len() <= 6, "{observers:?}");
     for model in ["m0", "m1", "m2"] {
         let coordinators = entry_peers::coordinators(entry_peers::name_key(model), &many);
-        assert!(coordinators.iter().all(|it| told.contains(it)), "{model}");
+        assert!(
+            coordinators.iter().all(|it| observers.contains(it)),
+            "{model}"
+        );
     }
     let few = entries(7);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
@@ -106,7 +109,7 @@
 }
 
 /// A request that may wait 300 ms for an engine with little prefill pending.
-fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
+fn waiting_query(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
     EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
@@ -119,7 +122,7 @@
 #[test]
 fn a_prompt_does_not_go_on_top_of_what_a_peer_sent() {
     let mut chooser = Chooser::new("z1", 7);
-    let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
+    let peer = net::Ipv4Addr::new(10, 0, 1, 2);
     chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.update_instance(&support::engine("e1", &["m0"]));
     let observation = |micros| entry_peers::EngineObservation {
@@ -135,19 +138,19 @@
         model: "m0".to_owned(),
         adapter: None,
     };
-    assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
+    assert!(!chooser.apply_observation(T0, peer, &observation(316_000)));
     let waits = Choice::Wait(WaitReason::Place);
-    assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
+    assert_eq!(chooser.choose(T0, &waiting_query(&m0, 3_000)), waits);
     // It has waited for as long as it may.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
     assert!(matches!(last, Choice::Send(_)), "{last:?}");
     chooser.update_instance(&support::engine("e2", &["m0"]));
-    let Choice::Send(pick) = chooser.choose(T0, &waiting_ask(&m0, 3_000)) else {
-        panic!("e2 reads nothing");
+    let Choice::Send(pick) = chooser.choose(T0, &waiting_query(&m0, 3_000)) else {
+        panic!("e2 has no prefill pending");
     };
     assert_eq!(pick.instance.name, "e2");
     assert!(
-        chooser.apply_observation(T0, neighbour, &observation(0)),
+        chooser.apply_observation(T0, peer, &observation(0)),
         "there is room again"
     );
 }
@@ -174,7 +177,7 @@
         adapter: None,
     };
     let later = T0 + time::Millis(2_000);
-    let choice = chooser.choose(later, &waiting_ask(&m0, 100));
+    let choice = chooser.choose(later, &waiting_query(&m0, 100));
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
@@ -203,11 +206,11 @@
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
-        let ask = EndpointQuery {
+        let query = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 6_500)
         };
-        match chooser.choose(T0, &ask) {
+        match chooser.choose(T0, &query) {
             Choice::Send(pick) => (pick.instance.name, pick.uncached_tokens),
             other => panic!("not sent: {other:?}"),
         }
--- a/crates/sageshed-fleet/tests/fingerprint.rs
+++ b/crates/sageshed-fleet/tests/fingerprint.rs
@@ -16,7 +16,7 @@
 #[test]
 fn requests_are_the_same_by_what_they_ask() {
     let same = Case {
-        name: "sent again",
+        name: "retried",
         method: "POST",
         host: "a.example",
         path: "/x/1",
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -19,7 +19,7 @@
     net::Ipv4Addr::new(10, 0, 0, last)
 }
 
-fn answer(differs: bool, has_more: bool) -> SyncReply<'static> {
+fn reply(differs: bool, has_more: bool) -> SyncReply<'static> {
     SyncReply {
         differs,
         has_more,
@@ -41,8 +41,8 @@
 fn linked(zone: &str) -> (Links, Vec<net::Ipv4Addr>) {
     let mut links = Links::new(zone, (1..=3).map(ip).collect());
     links.add_control_vms(control());
-    let held = pick_all(&mut links, T0);
-    (links, held)
+    let targets = pick_all(&mut links, T0);
+    (links, targets)
 }
 
 fn pick_all(links: &mut Links, now: time::Instant) -> Vec<net::Ipv4Addr> {
@@ -60,11 +60,14 @@
 /// control processes reach it in every case.
 #[test]
 fn links_go_to_different_control_processes_and_the_first_to_the_near_one() {
-    for (zone, near) in [("z4", Some(ip(4))), ("z1", Some(ip(1))), ("z6", None)] {
-        let (_, held) = linked(zone);
-        let different: collections::BTreeSet<_> = held.iter().collect();
-        assert_eq!(different.len(), LINK_COUNT, "{zone}: {held:?}");
-        assert!(near.is_none_or(|it| held[0] == it), "{zone}: {held:?}");
+    for (zone, local) in [("z4", Some(ip(4))), ("z1", Some(ip(1))), ("z6", None)] {
+        let (_, targets) = linked(zone);
+        let different: collections::BTreeSet<_> = targets.iter().collect();
+        assert_eq!(different.len(), LINK_COUNT, "{zone}: {targets:?}");
+        assert!(
+            local.is_none_or(|it| targets[0] == it),
+            "{zone}: {targets:?}"
+        );
     }
 }
 
@@ -76,9 +79,12 @@
     let mut links = Links::new("z2", vec![ip(2)]);
     assert_eq!(links.pick(T0, 1, 0), Some(ip(2)));
     links.add_control_vms(control());
-    let held = pick_all(&mut links, T0);
-    assert_eq!(held[0], ip(2));
-    assert!(held[1] != ip(2) && held[1] != held[2], "{held:?}");
+    let targets = pick_all(&mut links, T0);
+    assert_eq!(targets[0], ip(2));
+    assert!(
+        targets[1] != ip(2) && targets[1] != targets[2],
+        "{targets:?}"
+    );
 }
 
 /// A process that starts gets all it needs with its first response, from whichever control process. From
@@ -87,7 +93,7 @@
 fn one_link_brings_endpoints_once_one_has_answered() {
     let (mut links, _) = linked("z4");
     assert_eq!(wants(&links, T0), [DirectoryDetail::News; LINK_COUNT]);
-    links.record_reply(at(5), 2, &answer(false, false));
+    links.record_reply(at(5), 2, &reply(false, false));
     assert_eq!(
         wants(&links, at(5)),
         [
@@ -96,7 +102,7 @@
             DirectoryDetail::News
         ]
     );
-    links.record_reply(at(9), 0, &answer(false, false));
+    links.record_reply(at(9), 0, &reply(false, false));
     assert_eq!(
         wants(&links, at(9)),
         [
@@ -112,11 +118,11 @@
 /// seconds: if its VM has no power, each attempt takes long.
 #[test]
 fn a_lost_control_process_is_replaced_and_tried_again_later() {
-    let (mut links, held) = linked("z4");
+    let (mut links, targets) = linked("z4");
     for number in 0..LINK_COUNT {
-        links.record_reply(T0, number, &answer(false, false));
+        links.record_reply(T0, number, &reply(false, false));
     }
-    links.mark_unreachable(at(100), 0, held[0]);
+    links.mark_unreachable(at(100), 0, targets[0]);
     assert_eq!(
         wants(&links, at(100)),
         [
@@ -127,7 +133,7 @@
     );
     for ms in [130, 2_500, 7_000] {
         let next = links.pick(at(ms), 0, 3).expect("others are known");
-        assert!(!held.contains(&next), "after {ms} ms: {next}");
+        assert!(!targets.contains(&next), "after {ms} ms: {next}");
     }
     assert_eq!(links.pick(at(8_200), 0, 3), Some(ip(4)));
 }
@@ -140,14 +146,14 @@
 fn links_whose_digest_differs_bring_endpoints_too() {
     let (mut links, _) = linked("z4");
     for number in 0..LINK_COUNT {
-        links.record_reply(T0, number, &answer(false, false));
+        links.record_reply(T0, number, &reply(false, false));
     }
-    links.record_reply(at(100), 1, &answer(true, false));
+    links.record_reply(at(100), 1, &reply(true, false));
     assert_eq!(links.wants(at(150), 1), DirectoryDetail::Digest);
-    links.record_reply(at(300), 1, &answer(true, false));
+    links.record_reply(at(300), 1, &reply(true, false));
     assert_eq!(links.wants(at(300), 1), DirectoryDetail::News);
     assert_eq!(links.wants(at(300), 2), DirectoryDetail::Digest);
-    links.record_reply(at(400), 1, &answer(false, false));
+    links.record_reply(at(400), 1, &reply(false, false));
     assert_eq!(links.wants(at(400), 1), DirectoryDetail::Digest);
 }
 
@@ -168,27 +174,27 @@
 /// milliseconds behind. One that lags, or is partitioned, must still be detected.
 #[test]
 fn links_stay_quiet_while_the_near_control_process_keeps_up() {
-    let (mut links, held) = linked("z4");
+    let (mut links, targets) = linked("z4");
     for number in 0..LINK_COUNT {
-        links.record_reply(T0, number, &answer(false, false));
+        links.record_reply(T0, number, &reply(false, false));
     }
-    let mark = |change| Cursor { start: 9, change };
-    let near = |links: &mut Links, ms, change| {
-        let peers = [(held[1], mark(change)), (held[2], mark(change))];
+    let cursor = |change| Cursor { start: 9, change };
+    let local = |links: &mut Links, ms, change| {
+        let peers = [(targets[1], cursor(change)), (targets[2], cursor(change))];
         let told = SyncReply {
             peers: &peers,
-            ..answer(false, false)
+            ..reply(false, false)
         };
         links.record_reply(at(ms), 0, &told);
     };
     let other = |links: &mut Links, ms, change| {
         let told = SyncReply {
-            news: Some(mark(change)),
-            ..answer(true, false)
+            news: Some(cursor(change)),
+            ..reply(true, false)
         };
         links.record_reply(at(ms), 1, &told);
     };
-    near(&mut links, 10, 100);
+    local(&mut links, 10, 100);
     for step in 0..100 {
         let ms = 20 + step * 30;
         other(&mut links, ms, 101 + step);
@@ -198,14 +204,14 @@
             "after {ms} ms"
         );
         // A hundred milliseconds behind.
-        near(&mut links, ms + 10, 101 + step.saturating_sub(3));
+        local(&mut links, ms + 10, 101 + step.saturating_sub(3));
     }
     // From here on, the local control process learns nothing more.
     other(&mut links, 4_000, 300);
-    near(&mut links, 4_050, 200);
+    local(&mut links, 4_050, 200);
     assert_eq!(links.wants(at(4_100), 1), DirectoryDetail::Digest);
     assert_eq!(links.wants(at(4_200), 1), DirectoryDetail::News);
-    near(&mut links, 4_300, 300);
+    local(&mut links, 4_300, 300);
     assert_eq!(links.wants(at(4_300), 1), DirectoryDetail::Digest);
     // Changes of another start of the control process are counted anew.
     let restarted = SyncReply {
@@ -213,9 +219,9 @@
             start: 10,
             change: 5,
         }),
-        ..answer(true, false)
+        ..reply(true, false)
     };
     links.record_reply(at(5_000), 1, &restarted);
-    near(&mut links, 5_100, 300);
+    local(&mut links, 5_100, 300);
     assert_eq!(links.wants(at(5_200), 1), DirectoryDetail::News);
 }
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -55,11 +55,11 @@
         is_held,
     };
     let steps = [
-        step("the first end", 1, Change::Noted, false),
-        step("told once more", 1, Change::None, false),
-        step("the second end", 2, Change::Noted, false),
-        step("the third end", 3, Change::Held, true),
-        step("a fourth, that was under way", 4, Change::Noted, true),
+        step("first crash", 1, Change::Noted, false),
+        step("reported again", 1, Change::None, false),
+        step("second crash", 2, Change::Noted, false),
+        step("third crash", 3, Change::Held, true),
+        step("a fourth crash that was under way", 4, Change::Noted, true),
     ];
     let mut quarantine = Quarantine::new(1);
     for it in &steps {
@@ -67,7 +67,7 @@
         assert_eq!(change, it.change, "{}", it.name);
         assert_eq!(holds(&quarantine, 1), it.is_held, "{}", it.name);
     }
-    assert!(!holds(&quarantine, 2), "another request goes on");
+    assert!(!holds(&quarantine, 2), "another request is passed on");
 }
 
 /// A request of many callers runs on three endpoints that crash one after the other, and completes in
@@ -88,7 +88,7 @@
     }
     assert!(quarantine.held_for(now, content(1)).is_none());
     let other = quarantine.held_for(now, content(2));
-    assert!(other.is_some(), "the one that is never answered is held");
+    assert!(other.is_some(), "a request that never completes is held");
     assert!(
         !quarantine.record_success(now, content(3)),
         "nothing to clear"
@@ -102,7 +102,7 @@
 fn what_is_answered_all_the_time_is_not_held_when_a_rack_is_lost() {
     let crashes = [crash(1, 1), crash(1, 2), crash(1, 3)];
     let control = seen(1, &crashes);
-    assert!(holds(&control, 1), "the ends alone would hold it");
+    assert!(holds(&control, 1), "it is held by the crashes alone");
     for (answered_before, is_held) in [(1_000, false), (29_000, false), (61_000, true)] {
         let mut entry = Quarantine::new(2);
         let then = Instant(NOW.0 + 100_000 - answered_before);
@@ -112,13 +112,13 @@
             entry.merge(now, &it);
         }
         let holds = entry.held_for(now, content(1)).is_some();
-        assert_eq!(holds, is_held, "answered {answered_before} ms before");
+        assert_eq!(holds, is_held, "completed {answered_before} ms before");
         // Control learns of it, and everybody from control.
-        let mut told = control.clone();
+        let mut informed = control.clone();
         for it in entry.since(now, Cursor::default(), SyncScope::All) {
-            told.merge(now, &it);
+            informed.merge(now, &it);
         }
-        assert_eq!(told.held_for(now, content(1)).is_some(), is_held);
+        assert_eq!(informed.held_for(now, content(1)).is_some(), is_held);
     }
 }
 
@@ -145,16 +145,16 @@
                 (2, 1),
             ];
             for (to, from) in order.into_iter().filter(|(to, from)| to != from) {
-                let told = control[from].since(NOW, known[to][from], SyncScope::All);
+                let to_send = control[from].since(NOW, known[to][from], SyncScope::All);
                 known[to][from] = control[from].cursor();
-                for it in told {
+                for it in to_send {
                     control[to].merge(NOW, &it);
                 }
             }
             for it in &control {
                 assert!(holds(it, 1), "{first} {second}: {it:?}");
                 let quiet = it.since(NOW, it.cursor(), SyncScope::All);
-                assert!(quiet.is_empty(), "nothing is left to tell: {quiet:?}");
+                assert!(quiet.is_empty(), "nothing is left to send: {quiet:?}");
             }
         }
     }
@@ -167,12 +167,12 @@
     let mut entry = Quarantine::new(9);
     let mut known = Cursor::default();
     let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
-        let told = control.since(NOW, *known, SyncScope::Held);
+        let to_send = control.since(NOW, *known, SyncScope::Held);
         *known = control.cursor();
-        for it in &told {
+        for it in &to_send {
             entry.merge(NOW, it);
         }
-        told.len()
+        to_send.len()
     };
     assert!(!control.has_news(known, SyncScope::Held));
     assert_eq!(tell(&control, &mut entry, &mut known), 0);
@@ -184,7 +184,7 @@
     assert_eq!(
         tell(&control, &mut entry, &mut known),
         0,
-        "not held, not told"
+        "not held, not sent"
     );
     control.record_success(NOW, content(1));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
@@ -203,22 +203,34 @@
     let mut entry = seen(9, &[crash(1, 1)]);
     let mut link = PeerSync::default();
     let exchange = |entry: &Quarantine, control: &mut Quarantine, link: &mut PeerSync| {
-        let told = entry.cursor();
+        let sent = entry.cursor();
         let crashes = entry.since(NOW, link.sent, SyncScope::All);
         control.merge_all(NOW, &crashes);
-        link.record_exchange(told, control.cursor());
+        link.record_exchange(sent, control.cursor());
         crashes.len()
     };
     let mut control = Quarantine::new(1);
     exchange(&entry, &mut control, &mut link);
     // The control process was not known before, and is sent everything once more.
     assert_eq!(exchange(&entry, &mut control, &mut link), 1);
-    assert_eq!(exchange(&entry, &mut control, &mut link), 0, "all is told");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        0,
+        "everything was sent"
+    );
     entry.merge(NOW, &crash(1, 2));
-    assert_eq!(exchange(&entry, &mut control, &mut link), 1, "what is new");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        1,
+        "the new crash"
+    );
     let mut control = Quarantine::new(2);
     exchange(&entry, &mut control, &mut link);
-    assert_eq!(exchange(&entry, &mut control, &mut link), 2, "all again");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        2,
+        "everything again"
+    );
     assert_eq!(control.crash_count(NOW, content(1)), 2);
 }
 
@@ -250,10 +262,10 @@
     }
     assert_eq!(quarantine.held_for(NOW, content(1)), Some(Millis(1_000)));
     assert_eq!(quarantine.held_for(NOW + Millis(1_000), content(1)), None);
-    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
     assert!(
-        told.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
-        "{told:?}"
+        to_send.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
+        "{to_send:?}"
     );
     let too_old = Crash {
         age: RETENTION,
@@ -270,8 +282,12 @@
         quarantine.merge(NOW + Millis(number), &crash(number, 4));
     }
     assert!(holds(&quarantine, 1));
-    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
-    assert!(told.len() <= MAX_REQUESTS + CRASH_LIMIT, "{}", told.len());
+    let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    assert!(
+        to_send.len() <= MAX_REQUESTS + CRASH_LIMIT,
+        "{}",
+        to_send.len()
+    );
     for endpoint in 10..100 {
         quarantine.merge(NOW, &crash(1, endpoint));
     }
@@ -288,7 +304,7 @@
     after.restore(Instant(10), &kept);
     assert!(holds(&after, 1) && !holds(&after, 2));
     assert_eq!(after.held(NOW), kept);
-    let mark = after.cursor();
+    let cursor = after.cursor();
     after.restore(NOW, &kept);
-    assert_eq!(after.cursor(), mark, "it is nothing new");
+    assert_eq!(after.cursor(), cursor, "nothing has changed");
 }
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -7,15 +7,15 @@
 use sageshed_types::time::{Instant, Millis};
 
 /// The request that crashes each endpoint that runs it.
-const CAUSE: Fingerprint = Fingerprint(1);
+const POISON: Fingerprint = Fingerprint(1);
 
 /// An entry process counts as in contact once it has run for this long, and all control processes too, in
 /// milliseconds.
-const IN_TOUCH_AFTER: u64 = 3_000;
+const CONTACT_AFTER: u64 = 3_000;
 
 /// How often the request may still reach an endpoint through processes in contact, later than that after
 /// the third crash.
-const MOST_AFTER: usize = 3;
+const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// Seeds of each case.
 const SEEDS: u64 = 8;
@@ -24,10 +24,10 @@
 const STEP: u64 = 20;
 
 /// Interval between calls of an entry process to the control process that it reports to, in milliseconds.
-const TELLS_EVERY: u64 = 260;
+const REPORT_INTERVAL: u64 = 260;
 
 /// The same for the other two control processes.
-const LISTENS_EVERY: u64 = 840;
+const POLL_INTERVAL: u64 = 840;
 
 /// A process and when it was started.
 struct Process {
@@ -49,13 +49,13 @@
     to: usize,
     every: u64,
     next: u64,
-    link: PeerSync,
+    sync: PeerSync,
 }
 
 /// A simulation, in virtual time, of entry processes, control processes and the log of these.
 struct World {
     now: u64,
-    draws: u64,
+    rng_state: u64,
     starts: u64,
     entries: Vec<(Process, Vec<Watch>)>,
     control: Vec<Process>,
@@ -63,7 +63,7 @@
     known: Vec<Vec<Cursor>>,
     log: Vec<Held>,
     /// When endpoints crashed, and when processes in contact sent the request to one.
-    ends: Vec<u64>,
+    crashes: Vec<u64>,
     arrivals: Vec<u64>,
     /// Calls of a hundred that are lost.
     lost: u64,
@@ -73,13 +73,13 @@
     fn new(seed: u64, entries: usize, lost: u64) -> Self {
         let mut world = Self {
             now: 0,
-            draws: seed,
+            rng_state: seed,
             starts: 0,
             entries: Vec::new(),
             control: Vec::new(),
             known: vec![vec![Cursor::default(); 5]; 5],
             log: Vec::new(),
-            ends: Vec::new(),
+            crashes: Vec::new(),
             arrivals: Vec::new(),
             lost,
         };
@@ -96,11 +96,11 @@
 
     /// A random number below `limit`, by a linear congruential generator.
     fn draw(&mut self, limit: u64) -> u64 {
-        self.draws = self
-            .draws
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.draws >> 33) % limit
+        (self.rng_state >> 33) % limit
     }
 
     /// The index of one of `count` processes.
@@ -117,35 +117,39 @@
     fn start_entry(&mut self) -> (Process, Vec<Watch>) {
         let process = self.start();
         let first = self.pick(5);
-        let links = (0..3).map(|at| Watch {
+        let watches = (0..3).map(|at| Watch {
             to: (first + at) % 5,
-            every: if at == 0 { TELLS_EVERY } else { LISTENS_EVERY },
+            every: if at == 0 {
+                REPORT_INTERVAL
+            } else {
+                POLL_INTERVAL
+            },
             next: self.now,
-            link: PeerSync::default(),
+            sync: PeerSync::default(),
         });
-        (process, links.collect())
+        (process, watches.collect())
     }
 
     fn instant(&self) -> Instant {
         Instant(self.now)
     }
 
-    fn is_in_touch(&self, entry: usize) -> bool {
+    fn is_in_contact(&self, entry: usize) -> bool {
         let since = |it: &Process| self.now - it.started;
         let control = self.control.iter().map(since).min().unwrap_or(0);
-        since(&self.entries[entry].0).min(control) >= IN_TOUCH_AFTER
+        since(&self.entries[entry].0).min(control) >= CONTACT_AFTER
     }
 
     /// Entry processes call control when they are due or there is something for them.
     fn call_control(&mut self) {
         let now = self.instant();
         for at in 0..self.entries.len() {
-            for link in 0..3 {
+            for number in 0..3 {
                 let is_lost = self.draw(100) < self.lost;
-                let (process, links) = &mut self.entries[at];
-                let watch = &mut links[link];
+                let (process, watches) = &mut self.entries[at];
+                let watch = &mut watches[number];
                 let control = &mut self.control[watch.to].quarantine;
-                let has_news = control.has_news(watch.link.received, SyncScope::Held);
+                let has_news = control.has_news(watch.sync.received, SyncScope::Held);
                 if self.now < watch.next && !has_news {
                     continue;
                 }
@@ -153,20 +157,20 @@
                 if is_lost {
                     continue;
                 }
-                let told = process.quarantine.cursor();
+                let sent = process.quarantine.cursor();
                 let crashes = process
                     .quarantine
-                    .since(now, watch.link.sent, SyncScope::All);
+                    .since(now, watch.sync.sent, SyncScope::All);
                 control.merge_all(now, &crashes);
-                let answer = control.since(now, watch.link.received, SyncScope::Held);
-                watch.link.record_exchange(told, control.cursor());
+                let answer = control.since(now, watch.sync.received, SyncScope::Held);
+                watch.sync.record_exchange(sent, control.cursor());
                 process.quarantine.merge_all(now, &answer);
             }
         }
     }
 
     /// Control processes exchange what is new.
-    fn call_among_control(&mut self) {
+    fn sync_control(&mut self) {
         let now = self.instant();
         for to in 0..5 {
             for from in (0..5).filter(|from| *from != to) {
@@ -182,29 +186,29 @@
     }
 
     /// The first control process is the leader and persists in the log what it knows.
-    fn keep(&mut self) {
+    fn persist(&mut self) {
         let now = self.instant();
         self.log = self.control[0].quarantine.held(now);
     }
 
     /// An attempt of the caller arrives at an entry process, which sends it to two endpoints.
-    fn try_at(&mut self, entry: usize) {
+    fn attempt_at(&mut self, entry: usize) {
         let now = self.instant();
-        let in_touch = self.is_in_touch(entry);
+        let is_in_contact = self.is_in_contact(entry);
         for _ in 0..2 {
             let quarantine = &mut self.entries[entry].0.quarantine;
-            if quarantine.held_for(now, CAUSE).is_some() {
+            if quarantine.held_for(now, POISON).is_some() {
                 return;
             }
-            self.ends.push(self.now);
+            self.crashes.push(self.now);
             let crash = Crash {
-                content: CAUSE,
-                endpoint: self.ends.len() as u64,
+                content: POISON,
+                endpoint: self.crashes.len() as u64,
                 age: Millis(0),
                 is_cleared: false,
             };
             quarantine.merge(now, &crash);
-            if in_touch {
+            if is_in_contact {
                 self.arrivals.push(self.now);
             }
         }
@@ -240,12 +244,12 @@
     }
 
     /// Attempts through processes in contact that came too late after the third crash.
-    fn too_late(&self) -> usize {
-        let Some(third) = self.ends.get(CRASH_LIMIT - 1) else {
+    fn late_attempts(&self) -> usize {
+        let Some(third) = self.crashes.get(CRASH_LIMIT - 1) else {
             return 0;
         };
         let late = self.arrivals.iter();
-        late.filter(|at| **at > third + IN_TOUCH_AFTER).count()
+        late.filter(|at| **at > third + CONTACT_AFTER).count()
     }
 }
 
@@ -275,15 +279,22 @@
         gap,
     };
     let cases = [
-        case("calm", 7, 0, 0, false, 200),
-        case("calm, seldom", 7, 0, 0, false, 4_000),
+        case("no faults", 7, 0, 0, false, 200),
+        case("no faults, rare attempts", 7, 0, 0, false, 4_000),
         case("many entry processes", 195, 0, 0, false, 200),
-        case("many entry processes, seldom", 195, 0, 0, false, 4_000),
+        case(
+            "many entry processes, rare attempts",
+            195,
+            0,
+            0,
+            false,
+            4_000,
+        ),
         case("lossy", 7, 10, 0, false, 1_500),
         case("restarts", 7, 10, 30, false, 1_500),
         case("restarts of many", 195, 10, 60, false, 1_500),
-        case("all lose their power", 7, 0, 0, true, 4_000),
-        case("all that", 40, 10, 20, true, 1_500),
+        case("power loss", 7, 0, 0, true, 4_000),
+        case("all faults together", 40, 10, 20, true, 1_500),
     ];
     for case in &cases {
         for seed in 0..SEEDS {
@@ -291,8 +302,8 @@
             while world.now < 60_000 {
                 world.now += STEP;
                 world.call_control();
-                world.call_among_control();
-                world.keep();
+                world.sync_control();
+                world.persist();
                 let draw = world.draw(60_000 / STEP);
                 if draw < case.restarts {
                     world.restart_one();
@@ -302,14 +313,14 @@
                 }
                 if world.draw(case.gap / STEP) == 0 {
                     let entry = world.pick(case.entries);
-                    world.try_at(entry);
+                    world.attempt_at(entry);
                 }
             }
-            let late = world.too_late();
-            let ends = world.ends.len();
+            let late = world.late_attempts();
+            let crashes = world.crashes.len();
             assert!(
-                late <= MOST_AFTER,
-                "{}, seed {seed}: {late} of {ends} ends",
+                late <= MAX_LATE_ATTEMPTS,
+                "{}, seed {seed}: {late} of {crashes} crashes",
                 case.name
             );
         }
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -29,14 +29,14 @@
     }
 }
 
-fn short(id: &str) -> u64 {
+fn key_of(id: &str) -> u64 {
     entry_peers::instance_key(&id.into())
 }
 
 /// The observation of an engine whose response has just begun.
-fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
+fn observation(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
-        engine: short(id),
+        engine: key_of(id),
         pending_prefill_us: micros,
         cached_prefix: None,
         ttft: None,
@@ -53,12 +53,12 @@
     chooser.set_entries(own, &entries());
     for (id, running) in engines {
         chooser.update_instance(&support::engine(id, &["m0"]));
-        chooser.apply_observation(T0, entries()[1], &began(id, *running, 0));
+        chooser.apply_observation(T0, entries()[1], &observation(id, *running, 0));
     }
     chooser
 }
 
-fn asked(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
+fn route(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
     let wanted = m0();
     let ask = EndpointQuery {
         patience: time::Millis(300),
@@ -77,50 +77,50 @@
     /// Milliseconds since the engines reported their running requests.
     later: u64,
     /// Pending prefill, in milliseconds, of the engine without streams.
-    ahead: u64,
+    pending_ms: u64,
     /// Whether the prompt goes to the engine without streams.
-    to_the_calm: bool,
+    to_idle_engine: bool,
 }
 
 #[test]
 fn a_prompt_goes_where_it_stops_the_fewest_streams_for_long() {
-    let case = |name, tokens, later, ahead, to_the_calm| Case {
+    let case = |name, tokens, later, pending_ms, to_idle_engine| Case {
         name,
         tokens,
         later,
-        ahead,
-        to_the_calm,
+        pending_ms,
+        to_idle_engine,
     };
     let cases = [
         case("400 ms to read", 7_600, 10, 0, true),
         case("300 ms to read", 5_700, 10, 0, true),
-        case("a short one does not wait for that", 1_900, 10, 60, false),
         case(
-            "a long one does not wait for seconds",
-            7_600,
+            "a short prompt does not wait for that",
+            1_900,
             10,
-            900,
+            60,
             false,
         ),
         case(
-            "what an engine said long ago says nothing",
+            "a long prompt does not wait for seconds",
             7_600,
-            2_500,
-            60,
+            10,
+            900,
             false,
         ),
+        case("an outdated report does not count", 7_600, 2_500, 60, false),
     ];
     for case in cases {
         let mut chooser = coordinator(&[("e1", 12), ("e2", 0), ("e3", 14)]);
-        let micros = case.ahead * 1_000;
+        let micros = case.pending_ms * 1_000;
         let now = at(case.later);
-        let told = entry_peers::EngineObservation {
+        let observed = entry_peers::EngineObservation {
             running: None,
-            ..began("e2", 0, micros)
+            ..observation("e2", 0, micros)
         };
-        chooser.apply_observation(now, entries()[3], &told);
-        let engine = asked(&mut chooser, now, 1, case.tokens);
-        assert_eq!(engine == short("e2"), case.to_the_calm, "{}", case.name);
+        chooser.apply_observation(now, entries()[3], &observed);
+        let engine = route(&mut chooser, now, 1, case.tokens);
+        assert_eq!(engine == key_of("e2"), case.to_idle_engine, "{}", case.name);
     }
 }
 
@@ -139,27 +139,31 @@
         .collect();
     let mut chooser = coordinator(&engines);
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut stopped = collections::BTreeMap::<bool, u32>::new();
+    let mut stalled = collections::BTreeMap::<bool, u32>::new();
     let (mut long, mut now) = (0, 0);
     for request in 0..1_560_u64 {
         now += rng.u64(1..77);
         for (id, running) in &engines {
-            chooser.apply_observation(at(now), entries()[1], &began(id, *running, 0));
+            chooser.apply_observation(at(now), entries()[1], &observation(id, *running, 0));
         }
         let is_long = rng.u32(0..12) == 0;
         let tokens = if is_long { 7_600 } else { 1_800 };
-        let engine = asked(&mut chooser, at(now), request, tokens);
+        let engine = route(&mut chooser, at(now), request, tokens);
         let index = ids
             .iter()
-            .position(|id| short(id) == engine)
+            .position(|id| key_of(id) == engine)
             .expect("known");
-        chooser.apply_observation(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
+        chooser.apply_observation(
+            at(now),
+            entries()[2],
+            &observation(&ids[index], crowd(index), 0),
+        );
         if is_long {
             long += 1;
-            *stopped.entry(crowd(index) > 5).or_default() += 1;
+            *stalled.entry(crowd(index) > 5).or_default() += 1;
         }
     }
-    let at_crowded = stopped.get(&true).copied().unwrap_or_default();
+    let at_crowded = stalled.get(&true).copied().unwrap_or_default();
     assert!(
         at_crowded * 10 <= long,
         "{at_crowded} of {long} long prompts"
--- a/crates/sageshed-fleet/tests/workspaces.rs
+++ b/crates/sageshed-fleet/tests/workspaces.rs
@@ -72,7 +72,7 @@
             Err(workspaces::AuthError::UnknownKey),
         ),
         case(
-            "the beginning of a key",
+            "a prefix of a key",
             key("key-of-du"),
             false,
             Err(workspaces::AuthError::UnknownKey),
@@ -84,7 +84,7 @@
             Err(workspaces::AuthError::NoKey),
         ),
         case(
-            "what is no key",
+            "a malformed key",
             bad,
             false,
             Err(workspaces::AuthError::Malformed("twice")),
@@ -102,7 +102,7 @@
             true,
             Ok(None),
         ),
-        case("what is no key on an open route", bad, true, Ok(None)),
+        case("a malformed key on an open route", bad, true, Ok(None)),
     ];
     let known = workspaces::Workspaces::new(&two());
     for case in cases {
@@ -117,7 +117,7 @@
 }
 
 /// A change of the configuration, and the holder of the key after it.
-struct Change {
+struct KeyChange {
     name: &'static str,
     apply: fn(&mut config::Workspaces),
     holder: Option<&'static str>,
@@ -126,32 +126,32 @@
 #[test]
 fn a_key_belongs_to_whom_the_newest_configuration_gives_it() {
     let cases = [
-        Change {
+        KeyChange {
             name: "nothing changes",
             apply: |_| (),
             holder: Some("dug"),
         },
-        Change {
-            name: "the key is taken away",
+        KeyChange {
+            name: "the key is revoked",
             apply: |it| it.keys = it.keys.split_off(1),
             holder: None,
         },
-        Change {
-            name: "another key of the workspace is taken away",
+        KeyChange {
+            name: "another key of the workspace is revoked",
             apply: |it| it.keys.retain(|(key, _)| *key != digest(OLD)),
             holder: Some("dug"),
         },
-        Change {
+        KeyChange {
             name: "the workspace loses its last key",
             apply: |it| it.keys.retain(|(_, at)| *at != 0),
             holder: None,
         },
-        Change {
+        KeyChange {
             name: "the key moves to another workspace",
             apply: |it| it.keys[0].1 = 1,
             holder: Some("pipe"),
         },
-        Change {
+        KeyChange {
             name: "no workspace is left",
             apply: |it| *it = config::Workspaces::default(),
             holder: None,
@@ -179,17 +179,17 @@
 fn a_key_that_two_hold_is_refused_with_both_names_and_without_the_key() {
     let cases = [
         Keys {
-            name: "each its own",
+            name: "separate keys",
             held: &[("a", 0), ("b", 1)],
             shared: None,
         },
         Keys {
-            name: "one lists its key twice",
+            name: "a workspace lists its key twice",
             held: &[("a", 0), ("a", 0), ("b", 1)],
             shared: None,
         },
         Keys {
-            name: "two share one of theirs",
+            name: "two workspaces share a key",
             held: &[("a", 0), ("b", 0), ("c", 1), ("b", 1)],
             shared: Some(("dug", "pipe")),
         },
