--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -239,7 +239,7 @@
     ) -> Choice {
         let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
         if !with_adapter.is_empty() || !without_adapter.is_empty() {
-            return self.choose_engine_of(now, query, &with_adapter, &without_adapter);
+            return self.choose_among_engines(now, query, &with_adapter, &without_adapter);
         }
         let is_any_open = self.open_endpoints(now, query).next().is_some();
         Choice::Wait(if is_any_open {
@@ -279,7 +279,7 @@
     }
 
     /// Selects among the engines `with_adapter` and those `without_adapter`, on which it could be loaded.
-    fn choose_engine_of(
+    fn choose_among_engines(
         &mut self,
         now: time::Instant,
         query: &EndpointQuery<'_>,
