--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, reports and requests for the tests.
+//! Settings, reports, requests and a test harness for the decider.
 
 #![allow(dead_code, reason = "each test binary uses its own part")]
 
@@ -102,7 +102,7 @@
     report
 }
 
-/// A plain request of the first caller for a model.
+/// A simple request of the first caller for a model.
 pub fn facts(id: event::ReqId, model: arena::ModelKey) -> event::RequestInfo {
     event::RequestInfo {
         id,
@@ -119,14 +119,14 @@
     }
 }
 
-/// A decider with a clock, and the requests that it is given.
-pub struct Bench {
+/// A decider with a clock and request ids.
+pub struct Harness {
     pub decider: decider::Decider,
     pub now: time::Instant,
     next: u64,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: settings::Settings) -> Self {
         Self {
             decider: decider::Decider::new(settings, 7),
@@ -135,25 +135,25 @@
         }
     }
 
-    /// With endpoints of one slot each that hold `sort` and its adapter.
+    /// Creates a harness with engines of one slot each that hold `sort` and its adapter.
     pub fn with_engines(settings: settings::Settings, names: &[&str]) -> Self {
-        let mut bench = Self::new(settings);
+        let mut harness = Self::new(settings);
         for name in names {
-            bench.report(report(name, 1, 1, &["sort", "sort-leith"]));
+            harness.report(report(name, 1, 1, &["sort", "sort-leith"]));
         }
-        bench
+        harness
     }
 
     pub fn step(&mut self, event: event::Event) -> Vec<event::Action> {
         self.decider.step(self.now, event)
     }
 
-    pub fn pass(&mut self, span: u64) {
+    pub fn advance(&mut self, span: u64) {
         self.now = self.now + time::Millis(span);
     }
 
     pub fn tick_after(&mut self, span: u64) -> Vec<event::Action> {
-        self.pass(span);
+        self.advance(span);
         self.step(event::Event::Tick)
     }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A request as `change` makes it of the usual one for `sort`.
+    /// Sends a request for `sort`, modified by `change`.
     pub fn arrive(
         &mut self,
         change: impl Fn(&mut event::RequestInfo),
@@ -196,15 +196,15 @@
         self.step(event::Event::AttemptEnded { req, outcome })
     }
 
-    /// Teaches the decider that `sort` takes `span` milliseconds.
-    pub fn teach(&mut self, span: u64) {
+    /// Trains the estimate for `sort` to a service time of `span` milliseconds.
+    pub fn train(&mut self, span: u64) {
         for _ in 0..8 {
             let (req, actions) = self.arrive(|_| {});
             assert!(
                 sent_to(&actions, req).is_some(),
                 "there is room: {actions:?}"
             );
-            self.pass(span);
+            self.advance(span);
             self.done(req);
         }
     }
@@ -217,7 +217,7 @@
     }
 }
 
-/// Where a request was sent by these actions.
+/// The endpoint to which the actions send a request, if any.
 pub fn sent_to(actions: &[event::Action], req: event::ReqId) -> Option<arena::EndpointKey> {
     actions.iter().find_map(|action| match action {
         event::Action::Send {
@@ -227,7 +227,7 @@
     })
 }
 
-/// How a request was refused by these actions.
+/// The refusal of a request in the actions, if any.
 pub fn refused(actions: &[event::Action], req: event::ReqId) -> Option<&refusal::Refusal> {
     actions.iter().find_map(|action| match action {
         event::Action::Refuse { req: r, refusal } if *r == req => Some(refusal),
@@ -239,8 +239,8 @@
     actions.contains(&event::Action::Queue { req })
 }
 
-/// What a table row expects of a request.
-pub fn told(actions: &[event::Action], req: event::ReqId) -> String {
+/// A summary of the actions for a request, as the test cases state it.
+pub fn summary(actions: &[event::Action], req: event::ReqId) -> String {
     let words = actions.iter().filter_map(|action| match action {
         event::Action::Send { req: r, .. } if *r == req => Some("send".to_owned()),
         event::Action::Claim { req: r } if *r == req => Some("claim".to_owned()),
--- a/crates/sageshed-place/src/planner/reach.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -1,4 +1,4 @@
-//! A route for each model and adapter.
+//! Gives each model and adapter a route.
 
 use std::cmp;
 
@@ -8,12 +8,12 @@
 
 use planner::{Attempt, Planner};
 
-/// Models without a route for which one plan looks for room; the others wait for the next.
+/// Maximum number of models without a route that one plan handles. The others wait for later plans.
 const ATTEMPTS: usize = 64;
 
-/// The models on offer in the order in which they get their first route: critical ones first (the
-/// base of a critical adapter is critical), then bases, then what takes most memory together with
-/// its adapters, since it is hardest to find room for.
+/// The models of the catalog in the order in which they get their first route: critical ones first
+/// (the base of a critical adapter is critical too), then base models, then those that need most
+/// memory together with their adapters, since it is hardest to find room for them.
 #[must_use]
 pub fn ranking(ledger: &ledger::Ledger) -> Vec<ModelKey> {
     let offers = ledger.offers();
@@ -40,18 +40,18 @@
 }
 
 impl Planner<'_> {
-    /// Begins a load for each model that has no route and none on its way.
-    pub(super) fn reach(&mut self) {
-        let ranking = self.src.ranking;
+    /// Starts a load for each model that has no route and is not being loaded.
+    pub(super) fn ensure_routes(&mut self) {
+        let ranking = self.inputs.ranking;
         for model in ranking {
             if !self.routes[model.index()].is_empty() {
-                self.src.efforts.forget(*model);
+                self.inputs.move_limits.reset(*model);
             }
         }
         let start = self.first_attempt();
         let lacking = ranking
             .iter()
-            .filter(|m| self.routes[m.index()].is_empty() && self.coming[m.index()].is_empty());
+            .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
         let lacking: Vec<ModelKey> = lacking.copied().collect();
         let critical = lacking.iter().filter(|m| self.offer(**m).model.critical);
         let first = critical.count().min(ATTEMPTS);
@@ -60,30 +60,31 @@
         let order = (0..first).chain((0..rest).map(|i| first + (i + turn) % rest));
         for at in order.take(ATTEMPTS) {
             let model = lacking[at];
-            let attempt = self.give_route_within_bounds(model);
+            let attempt = self.give_route_within_limits(model);
             if attempt == Attempt::Impossible {
                 self.report_problem(model, "no engine that takes orders now can make room");
             }
         }
     }
 
-    /// Where the turn of those that wait for an attempt begins: it moves on with time.
+    /// The offset at which the rotation through models without a route starts. It advances with time, so
+    /// that each model gets its turn.
     fn first_attempt(&self) -> usize {
-        let interval = self.src.policy.plan_interval_ms.0.max(1);
-        let plans = self.src.now.0 / interval;
+        let interval = self.inputs.policy.plan_interval_ms.0.max(1);
+        let plans = self.inputs.now.0 / interval;
         usize::try_from(plans).unwrap_or(0) * ATTEMPTS
     }
 
-    /// Gives `model` a route, but moves copies for it only as far as its efforts allow.
-    fn give_route_within_bounds(&mut self, model: ModelKey) -> Attempt {
-        let now = self.src.now;
-        self.resting = !self.src.efforts.allow(model, now);
-        let before = self.cleared;
+    /// Gives `model` a route, but moves replicas for it only as far as the move limits allow.
+    fn give_route_within_limits(&mut self, model: ModelKey) -> Attempt {
+        let now = self.inputs.now;
+        self.moves_paused = !self.inputs.move_limits.allow(model, now);
+        let before = self.evictions;
         let attempt = self.give_route(model);
-        if self.cleared > before {
-            self.src.efforts.count(model, now);
+        if self.evictions > before {
+            self.inputs.move_limits.count(model, now);
         }
-        self.resting = false;
+        self.moves_paused = false;
         attempt
     }
 
@@ -105,14 +106,14 @@
         }
     }
 
-    /// An adapter goes where its base serves; failing that, the base gets another copy where both
-    /// have room.
+    /// Loads an adapter where its base serves. If there is no room, loads another replica of the base
+    /// on an engine with room for both.
     fn give_adapter_route(&mut self, model: ModelKey, base: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
         if let Some(key) = self.roomiest(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
-        if !self.coming[base.index()].is_empty() {
+        if !self.loading_on[base.index()].is_empty() {
             return Attempt::Waiting;
         }
         if self.make_room(model, need_mib) != Attempt::Impossible {
@@ -134,13 +135,16 @@
         }
     }
 
-    /// The engine with room for `need_mib` where `model` does best: pinned there, with room for its
-    /// adapters too, in an availability zone that has no copy yet, with most memory left.
+    /// The best engine with `need_mib` of free memory for `model`. In this order, prefers one where it
+    /// is pinned, with room for its adapters too, in an availability zone without a replica, and with
+    /// the most free memory.
     pub(super) fn roomiest(&self, model: ModelKey, need_mib: u64) -> Option<EndpointKey> {
         let family_mib = self.family_mib(model);
         self.keys()
             .filter(|key| {
-                self.room(*key) >= need_mib && self.suits(*key, model) && self.has_base(*key, model)
+                self.room(*key) >= need_mib
+                    && self.can_host(*key, model)
+                    && self.has_base(*key, model)
             })
             .max_by_key(|key| {
                 let room = self.room(*key);
@@ -154,24 +158,24 @@
             })
     }
 
-    /// Memory of `model` and of the adapters on it that have no route, in MiB.
+    /// The memory of `model` and of its adapters without a route, in MiB.
     fn family_mib(&self, model: ModelKey) -> u64 {
         if self.offer(model).base.is_some() {
             return self.memory(model);
         }
-        let adapters = self.src.ledger.offers().iter().zip(&self.routes);
+        let adapters = self.inputs.ledger.offers().iter().zip(&self.routes);
         let lacking = adapters
             .filter(|(offer, routes)| offer.base == Some(model) && routes.is_empty())
             .map(|(offer, _)| offer.model.memory_mib);
         self.memory(model) + lacking.sum::<u64>()
     }
 
-    /// Whether no copy of `model` is in the availability zone of `key`.
+    /// Whether there is no replica of `model` in the availability zone of `key`.
     pub(super) fn is_new_zone(&self, key: EndpointKey, model: ModelKey) -> bool {
         let zone = self.engine(key).zone;
         let routes = self.routes[model.index()].iter();
         routes
-            .chain(&self.coming[model.index()])
+            .chain(&self.loading_on[model.index()])
             .all(|other| self.engine(*other).zone != zone)
     }
 }
