--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -38,7 +38,7 @@
 
 /// Added for an engine of which this process receives no observations, in milliseconds: what others send
 /// there is unknown here, and they don't expect this process to send there.
-const UNREPORTED_LOAD_MS: f64 = 40.0;
+const UNOBSERVED_LOAD_MS: f64 = 40.0;
 
 /// How long another process's pending prefill counts. All but the largest prompts are prefilled
 /// within that time.
@@ -104,14 +104,14 @@
     pub(super) near_limit_at: Option<time::Instant>,
     pub(super) failures: f64,
     failed_at: time::Instant,
-    pub(super) ejection: time::Millis,
+    pub(super) ejection_time: time::Millis,
     pub(super) ejected_until: time::Instant,
     pub(super) denied_models: collections::HashMap<dialect::ModelRef, time::Instant>,
     /// Models for which it rejected requests, and until when it is not selected for them.
     rejected_models: collections::HashMap<String, time::Instant>,
     pub(super) prefix_cache: prefix_cache::PrefixCache,
     /// Pending prefill of other processes in microseconds, by their observations, and when these arrived.
-    pub(super) reported_prefill: collections::HashMap<net::Ipv4Addr, (u64, time::Instant)>,
+    pub(super) peer_prefill: collections::HashMap<net::Ipv4Addr, (u64, time::Instant)>,
     /// Requests routed there for other processes of which these have not yet sent an observation.
     pub(super) routed: Vec<RoutedRequest>,
     /// The last other process that could not reach it, and when that was.
@@ -134,12 +134,12 @@
             near_limit_at: None,
             failures: 0.0,
             failed_at: time::Instant(0),
-            ejection: time::Millis(0),
+            ejection_time: time::Millis(0),
             ejected_until: time::Instant(0),
             denied_models: collections::HashMap::new(),
             rejected_models: collections::HashMap::new(),
             prefix_cache: prefix_cache::PrefixCache::default(),
-            reported_prefill: collections::HashMap::new(),
+            peer_prefill: collections::HashMap::new(),
             routed: Vec::new(),
             unreachable_from: None,
         }
@@ -173,7 +173,7 @@
         self.failures * 0.5_f64.powf(age / FAILURE_HALF_LIFE_MS)
     }
 
-    pub(super) fn failures_ms(&self, now: time::Instant) -> f64 {
+    pub(super) fn failure_penalty_ms(&self, now: time::Instant) -> f64 {
         self.decayed_failures(now) * FAILURE_PENALTY_MS
     }
 
@@ -220,9 +220,9 @@
     }
 
     pub(super) fn eject(&mut self, now: time::Instant) {
-        let doubled = time::Millis(self.ejection.0 * 2);
-        self.ejection = doubled.clamp(MIN_EJECTION, MAX_EJECTION);
-        self.ejected_until = now + self.ejection;
+        let doubled = time::Millis(self.ejection_time.0 * 2);
+        self.ejection_time = doubled.clamp(MIN_EJECTION, MAX_EJECTION);
+        self.ejected_until = now + self.ejection_time;
     }
 
     /// Records a request that was routed here for the process `to`.
@@ -236,7 +236,7 @@
     }
 
     /// Replaces the pending prefill of the process `from`. Returns whether it has shrunk.
-    pub(super) fn set_reported_prefill(
+    pub(super) fn set_peer_prefill(
         &mut self,
         now: time::Instant,
         from: net::Ipv4Addr,
@@ -246,21 +246,21 @@
         if let Some(at) = sent {
             self.routed.remove(at);
         }
-        let before = self.reported_prefill.insert(from, (prefill_us, now));
+        let before = self.peer_prefill.insert(from, (prefill_us, now));
         before.is_some_and(|(before, _)| before > prefill_us)
     }
 
     /// Pending prefill in milliseconds, of this process and of all others whose observations it receives.
     pub(super) fn total_pending_prefill_ms(&self, now: time::Instant) -> f64 {
         let fresh = self
-            .reported_prefill
+            .peer_prefill
             .values()
             .filter(|(_, at)| now.since(*at) < PENDING_PREFILL_TTL);
-        let reported_us: u64 = fresh.map(|(prefill_us, _)| *prefill_us).sum();
+        let peers_us: u64 = fresh.map(|(prefill_us, _)| *prefill_us).sum();
         let routed = self.routed.iter();
         let fresh = routed.filter(|it| now.since(it.at) < ROUTED_TTL);
         let routed_us: u64 = fresh.map(|it| it.prefill_us).sum();
-        (self.pending_prefill_us + reported_us + routed_us) as f64 / MICROS_PER_MS
+        (self.pending_prefill_us + peers_us + routed_us) as f64 / MICROS_PER_MS
     }
 
     /// Requests queued there by its latest load report, whose weight falls with age.
@@ -307,8 +307,8 @@
         prefill_ms: f64,
         is_observer: bool,
     ) -> f64 {
-        let unreported = if is_observer { 0.0 } else { UNREPORTED_LOAD_MS };
-        self.total_pending_prefill_ms(now) + prefill_ms + BATCH_STEP_MS + unreported
+        let unobserved_ms = if is_observer { 0.0 } else { UNOBSERVED_LOAD_MS };
+        self.total_pending_prefill_ms(now) + prefill_ms + BATCH_STEP_MS + unobserved_ms
     }
 
     /// Whether another `prefill_ms` would raise the pending prefill above `prefill_limit_ms`. A single
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -512,7 +512,7 @@
 
     /// Penalty for the endpoint's failures and silence.
     fn failure_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
-        let penalty_ms = |it: &Endpoint| it.failures_ms(now) + it.silence_penalty_ms(now);
+        let penalty_ms = |it: &Endpoint| it.failure_penalty_ms(now) + it.silence_penalty_ms(now);
         self.get(key).map_or(0.0, penalty_ms)
     }
 
--- a/crates/sageshed-fleet/src/chooser/outcomes.rs
+++ b/crates/sageshed-fleet/src/chooser/outcomes.rs
@@ -32,7 +32,7 @@
             endpoint.load = Some((load, now));
             endpoint.reported_running = Some((load.running, now));
         }
-        endpoint.ejection = time::Millis(0);
+        endpoint.ejection_time = time::Millis(0);
         let Some(prefill) = prefill else {
             let ms = took.0 as f64;
             endpoint.response_ms += RESPONSE_TIME_GAIN * (ms.min(1_000.0) - endpoint.response_ms);
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -38,7 +38,7 @@
     }
 
     /// Records a prefix that the engine prefilled for another process.
-    pub(super) fn insert_reported(&mut self, prefix: &entry_peers::PromptPrefix) {
+    pub(super) fn insert_observed(&mut self, prefix: &entry_peers::PromptPrefix) {
         self.insert_parts(prefix.scope, prefix.parts.iter().copied());
     }
 
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -34,16 +34,16 @@
             return false;
         };
         if let Some(prefix) = &observation.cached_prefix {
-            endpoint.prefix_cache.insert_reported(prefix);
+            endpoint.prefix_cache.insert_observed(prefix);
         }
         if observation.ttft.is_some() {
             endpoint.last_activity = now;
-            endpoint.ejection = time::Millis(0);
+            endpoint.ejection_time = time::Millis(0);
         }
         if let Some(running) = observation.running {
             endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.set_reported_prefill(now, from, observation.pending_prefill_us);
+        let has_less = endpoint.set_peer_prefill(now, from, observation.pending_prefill_us);
         if let Some(fault) = observation.fault {
             endpoint.apply_fault(now, from, fault);
         }
@@ -213,7 +213,7 @@
                 }
             }
             entry_peers::EngineFault::Fails | entry_peers::EngineFault::Silent => {
-                self.record_failure(now)
+                self.record_failure(now);
             }
             entry_peers::EngineFault::Unreachable => {
                 self.record_failure(now);
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -193,7 +193,7 @@
         !self.is_cleared && now < self.expires_at
     }
 
-    fn to_crash(&self, now: time::Instant, content: Fingerprint) -> Crash {
+    fn evidence(&self, now: time::Instant, content: Fingerprint) -> Crash {
         Crash {
             content,
             endpoint: self.endpoint,
@@ -295,7 +295,7 @@
         let after = cursor.of(self.start);
         let mut to_send = Vec::new();
         for (content, suspect) in &self.requests {
-            let crashes = suspect.crashes.iter().map(|it| it.to_crash(now, *content));
+            let crashes = suspect.crashes.iter().map(|it| it.evidence(now, *content));
             match scope {
                 // Includes all crashes of the request, since the peer was told none before it was held.
                 SyncScope::Held if suspect.was_held && suspect.last_change() > after => {
@@ -304,7 +304,7 @@
                 SyncScope::Held => {}
                 SyncScope::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
-                    to_send.extend(news.map(|it| it.to_crash(now, *content)));
+                    to_send.extend(news.map(|it| it.evidence(now, *content)));
                 }
             }
         }
@@ -367,7 +367,7 @@
         let cleared: Vec<_> = crashes
             .map(|it| Crash {
                 is_cleared: true,
-                ..it.to_crash(now, content)
+                ..it.evidence(now, content)
             })
             .collect();
         for crash in &cleared {
