--- a/crates/sageshed-fleet/src/allowance/acquisition.rs
+++ b/crates/sageshed-fleet/src/allowance/acquisition.rs
@@ -9,7 +9,7 @@
 /// How often a coordinator is asked that doesn't respond. A link in trouble may lose one datagram of a
 /// hundred; after a single try, the coordinator would be given up for that, and the next one starts with an
 /// empty bucket.
-const MAX_TRIES: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 
 /// How often a coordinator may postpone its reply.
 const MAX_POSTPONEMENTS: u32 = 5;
@@ -32,7 +32,7 @@
 pub struct Acquisition {
     coordinators: Vec<net::Ipv4Addr>,
     at: usize,
-    tries: u32,
+    attempts: u32,
     postponements: u32,
 }
 
@@ -43,7 +43,7 @@
         Self {
             coordinators,
             at: 0,
-            tries: 0,
+            attempts: 0,
             postponements: 0,
         }
     }
@@ -54,7 +54,7 @@
     }
 
     fn ask_after(&mut self, span: time::Millis) -> Next {
-        self.tries += 1;
+        self.attempts += 1;
         match self.coordinators.get(self.at) {
             Some(coordinator) => Next::Ask(*coordinator, span),
             None => Next::Unreachable,
@@ -69,7 +69,7 @@
             AcquireReply::Soon(span) if self.postponements >= MAX_POSTPONEMENTS => Next::Over(span),
             AcquireReply::Soon(span) => {
                 self.postponements += 1;
-                self.tries = 0;
+                self.attempts = 0;
                 self.ask_after(span)
             }
         }
@@ -78,12 +78,12 @@
     /// Handles the timeout of the coordinator that was asked. Returns the coordinator too if it is given
     /// up.
     pub fn timed_out(&mut self) -> (Next, Option<net::Ipv4Addr>) {
-        if self.tries < MAX_TRIES {
+        if self.attempts < MAX_ATTEMPTS {
             return (self.ask_after(time::Millis(0)), None);
         }
         let unresponsive = self.coordinators.get(self.at).copied();
         self.at += 1;
-        self.tries = 0;
+        self.attempts = 0;
         (self.ask_after(time::Millis(0)), unresponsive)
     }
 }
--- a/crates/sageshed-fleet/src/allowance/bucket.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -236,11 +236,11 @@
             return;
         }
         self.awaited.swap_remove(at);
-        self.fill(now, limit, producers, from, units);
+        self.add_units(now, limit, producers, from, units);
     }
 
     /// Adds the units of `from`, which is this process itself or a producer that replied.
-    pub fn fill(
+    pub fn add_units(
         &mut self,
         now: time::Instant,
         limit: &RateLimit,
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -57,8 +57,8 @@
 /// Number of producers, in order of rank, that may act as the coordinator.
 pub const COORDINATORS: usize = 3;
 
-/// A producer stores what accrues in this time: twice the collection interval, so that nothing is lost when
-/// a single collection fails.
+/// A producer stores what accrues in this time: more than twice the collection interval, so that nothing is
+/// lost when a single collection fails.
 pub const SHARE_WINDOW: time::Millis = time::Millis(600);
 
 /// Collection interval of a coordinator whose bucket is not full. With 15 producers it exchanges 120
@@ -80,8 +80,8 @@
 const QUOTA_WINDOW: time::Millis = time::Millis(8_000);
 
 /// How long an entry process counts as one after it was last listed. Control processes that restart list
-/// few entry processes at first, and by such a list each of these would produce the whole rate. It is as
-/// long as the time over which quotas are measured.
+/// few entry processes at first, and by such a list each of these would produce the whole rate. It is
+/// longer than the time over which quotas are measured.
 pub const LISTING_TIMEOUT: time::Millis = time::Millis(10_000);
 
 /// How long nothing is produced after the list of entry processes has grown by more than a tenth, while it
@@ -184,7 +184,7 @@
     pub reported: Option<ReportedLimit>,
 }
 
-/// The reply to a [`AcquireRequest`].
+/// The reply to an [`AcquireRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcquireReply {
     /// The units are granted.
--- a/crates/sageshed-fleet/src/allowance/table.rs
+++ b/crates/sageshed-fleet/src/allowance/table.rs
@@ -292,7 +292,7 @@
         let producers = self.producers(of).len();
         let own = self.own;
         if let (Some(limit), Some(bucket)) = (self.limit(of), self.buckets.get_mut(&of)) {
-            bucket.fill(now, &limit, producers, own, units);
+            bucket.add_units(now, &limit, producers, own, units);
         }
     }
 
--- a/crates/sageshed-fleet/src/budget.rs
+++ b/crates/sageshed-fleet/src/budget.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 struct Window {
     requests: collections::VecDeque<time::Instant>,
-    repeats: collections::VecDeque<time::Instant>,
+    retries: collections::VecDeque<time::Instant>,
 }
 
 impl RetryBudget {
@@ -64,7 +64,7 @@
         if !self.has_token(now, service, entries) {
             return false;
         }
-        self.window(now, service).repeats.push_back(now);
+        self.window(now, service).retries.push_back(now);
         true
     }
 
@@ -83,7 +83,7 @@
         let window = self.window(now, service);
         let own_slack = slack / entries.max(1) as f64;
         let most = (window.requests.len() as f64 * ratio + own_slack) * USED_SHARE;
-        most - window.repeats.len() as f64
+        most - window.retries.len() as f64
     }
 
     fn window(&mut self, now: time::Instant, service: &str) -> &mut Window {
@@ -96,7 +96,7 @@
             .get_mut(service)
             .expect("inserted just before if it was missing");
         remove_expired(&mut window.requests, now, self.allowance.window);
-        remove_expired(&mut window.repeats, now, self.allowance.window);
+        remove_expired(&mut window.retries, now, self.allowance.window);
         window
     }
 }
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -62,7 +62,7 @@
     /// By the limit, this process may not send before this time.
     closed_until: time::Instant,
     /// The endpoint asked this process to pause until this time.
-    rests_until: time::Instant,
+    paused_until: time::Instant,
     heard_at: time::Instant,
 }
 
@@ -79,7 +79,7 @@
             return None;
         }
         let state = self.by_instance.get(id)?;
-        let until = state.closed_until.max(state.rests_until);
+        let until = state.closed_until.max(state.paused_until);
         (now < until).then(|| until.since(now))
     }
 
@@ -102,18 +102,18 @@
         &mut self,
         now: time::Instant,
         id: &directory::InstanceId,
-        answered: &dialect::ResponseMetadata<'_>,
+        response: &dialect::ResponseMetadata<'_>,
     ) -> Option<Change> {
-        if !answered.is_of(id) {
+        if !response.is_of(id) {
             return None;
         }
-        if let Some(span) = answered.notice.retry_after {
+        if let Some(span) = response.notice.retry_after {
             self.rest(now, id, span);
         }
-        match answered.notice.limit {
+        match response.notice.limit {
             Some(per_s) => self.set_limit(now, id, per_s),
             // A rejection may be too short to include the limit.
-            None if answered.execution != dialect::ExecutionStatus::Verified => None,
+            None if response.execution != dialect::ExecutionStatus::Verified => None,
             None => self.clear_limit(id),
         }
     }
@@ -187,7 +187,7 @@
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
         state.heard_at = now;
-        state.rests_until = state.rests_until.max(now + span);
+        state.paused_until = state.paused_until.max(now + span);
     }
 
     /// Counts a request that is sent to this instance. Returns the count if the instance is limited and a
@@ -208,8 +208,8 @@
     /// Number of known endpoints that reported a limit.
     #[must_use]
     pub fn count_limited(&self) -> usize {
-        let state = self.backpressure.by_instance.iter();
-        let limited = state.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
+        let all = self.backpressure.by_instance.iter();
+        let limited = all.filter(|(id, it)| it.limit.is_some() && self.by_id.contains_key(*id));
         limited.count()
     }
 
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -16,7 +16,7 @@
 const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
 /// How long one process's observation that an engine is unreachable waits for confirmation by a second one.
-const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
+const UNREACHABLE_OBSERVATION_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
     /// Applies another process's observation of an engine. Returns whether the engine has less pending
@@ -175,8 +175,8 @@
 
     /// Looks up an endpoint by its [`entry_peers::instance_key`].
     #[must_use]
-    pub fn by_instance_key(&self, name: u64) -> Option<arena::EndpointKey> {
-        self.by_key.get(&name).copied()
+    pub fn by_instance_key(&self, key: u64) -> Option<arena::EndpointKey> {
+        self.by_key.get(&key).copied()
     }
 
     /// The [`entry_peers::instance_key`] of an endpoint.
@@ -218,8 +218,9 @@
             entry_peers::EngineFault::Unreachable => {
                 self.record_failure(now);
                 let before = self.unreachable_from.replace((from, now));
-                let is_second = before
-                    .is_some_and(|(it, at)| it != from && now.since(at) < UNREACHABLE_REPORT_TTL);
+                let is_second = before.is_some_and(|(it, at)| {
+                    it != from && now.since(at) < UNREACHABLE_OBSERVATION_TTL
+                });
                 if is_second {
                     self.eject(now);
                 }
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -1,4 +1,4 @@
-//! Messages between entry processes about engines and allowances, and the choice of whom to send them to.
+//! Messages between entry processes about engines and allowances, and the choice of their recipients.
 //!
 //! An engine may prefill all waiting prompts in one step, and all its streams pause meanwhile. So a process
 //! that selects an engine has to know what the others have just sent there; the engine's own report comes
@@ -230,7 +230,7 @@
 /// Parts of a prefix that are sent, to bound the size of a datagram.
 const MAX_PREFIX_PARTS: usize = 8;
 
-/// The hash that identifies a model in datagrams.
+/// The hash that stands for the name of a model or a request in datagrams.
 #[must_use]
 pub fn name_key(name: &str) -> u64 {
     hash(&name)
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -52,7 +52,7 @@
 struct Link {
     target: Option<net::Ipv4Addr>,
     /// Whether the control process has responded since it was selected.
-    has_answered: bool,
+    has_responded: bool,
     /// Since when it is known to have changes that the local one was not told.
     differs_since: Option<time::Instant>,
     /// Its cursors, with the time of each, that arrived with a differing digest and that the local one is
@@ -130,14 +130,14 @@
         self.unreachable_since
             .retain(|_, since| now.since(*since) < LOCAL_RETRY_DELAY);
         let all: Vec<net::Ipv4Addr> = self.zones.keys().chain(&self.seeds).copied().collect();
-        let takes =
+        let is_available =
             |ip: &net::Ipv4Addr| !self.is_unreachable(now, *ip) && !self.is_taken(number, *ip);
         let is_local =
             |ip: &net::Ipv4Addr| self.is_local(*ip) && !self.unreachable_since.contains_key(ip);
         let local = all.iter().copied().find(is_local).filter(|_| number == 0);
-        let target = self.connections[number].target.filter(takes);
+        let target = self.connections[number].target.filter(is_available);
         let chosen = local.or(target).or_else(|| {
-            let free: Vec<_> = all.iter().copied().filter(takes).collect();
+            let free: Vec<_> = all.iter().copied().filter(is_available).collect();
             let reachable = all
                 .iter()
                 .copied()
@@ -173,13 +173,13 @@
     /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
     pub fn endpoint_source(&self) -> Option<usize> {
-        self.connections.iter().position(|it| it.has_answered)
+        self.connections.iter().position(|it| it.has_responded)
     }
 
     /// Handles the response of a control process. While it has more endpoint records to send, what makes
     /// digests differ is still on its way, and need not come over other links.
     pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
-        self.connections[number].has_answered = true;
+        self.connections[number].has_responded = true;
         if reply.has_more {
             self.connections.iter_mut().for_each(Link::clear_difference);
             return;
