--- a/crates/sageshed-fleet/src/chooser/coordinators.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -126,12 +126,8 @@
         }
         let mut models = instance.models.iter();
         models.any(|it| {
-            let coordinators = self.by_model.get(&it.model);
-            coordinators.is_some_and(|coordinators| {
-                coordinators
-                    .iter()
-                    .any(|coordinator| coordinator.1 == self.own)
-            })
+            let ranked = self.by_model.get(&it.model);
+            ranked.is_some_and(|ranked| ranked.iter().any(|entry| entry.1 == self.own))
         })
     }
 
