--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -106,7 +106,7 @@
 
     /// The retries of requests to a service.
     #[must_use]
-    pub fn of_repeats(service: &str) -> Self {
+    pub fn of_retries(service: &str) -> Self {
         Self(entry_peers::hash(&("repeats", service)))
     }
 
--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -35,11 +35,11 @@
 
 /// A change of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Change {
+pub enum LimitChange {
     /// It reported this limit in requests per second, and none or another one before.
-    Named(f64),
+    Reported(f64),
     /// It no longer reports a limit.
-    Lifted,
+    Cleared,
     /// This process has sent it so many requests in the time since the last count.
     Sent(u64, time::Millis),
 }
@@ -103,12 +103,12 @@
         now: time::Instant,
         id: &directory::InstanceId,
         response: &dialect::ResponseMetadata<'_>,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         if !response.is_of(id) {
             return None;
         }
         if let Some(span) = response.notice.retry_after {
-            self.rest(now, id, span);
+            self.pause_for(now, id, span);
         }
         match response.notice.limit {
             Some(per_s) => self.set_limit(now, id, per_s),
@@ -124,7 +124,7 @@
         now: time::Instant,
         id: &directory::InstanceId,
         per_s: f64,
-    ) -> Option<Change> {
+    ) -> Option<LimitChange> {
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
         state.heard_at = now;
@@ -137,18 +137,18 @@
         });
         limit.per_s = per_s;
         limit.heard_at = now;
-        (before != Some(per_s)).then_some(Change::Named(per_s))
+        (before != Some(per_s)).then_some(LimitChange::Reported(per_s))
     }
 
     /// Records that an instance responded without a limit. Returns the change, if any.
-    pub fn clear_limit(&mut self, id: &directory::InstanceId) -> Option<Change> {
+    pub fn clear_limit(&mut self, id: &directory::InstanceId) -> Option<LimitChange> {
         if self.backpressure.by_instance.is_empty() {
             return None;
         }
         let state = self.backpressure.by_instance.get_mut(id)?;
         state.limit.take()?;
         state.closed_until = time::Instant(0);
-        Some(Change::Lifted)
+        Some(LimitChange::Cleared)
     }
 
     /// Rate and burst at which requests may go to this instance, if it reported a limit.
@@ -169,7 +169,12 @@
 
     /// Holds back requests to this instance for `span`, until it is this process's turn. The earliest of
     /// several turns counts.
-    pub fn close(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
+    pub fn close_for(
+        &mut self,
+        now: time::Instant,
+        id: &directory::InstanceId,
+        span: time::Millis,
+    ) {
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
         state.heard_at = now;
         let is_closed = now < state.closed_until;
@@ -183,7 +188,12 @@
 
     /// Holds back requests to this instance for `span`, as it rejected one and asked this process to pause.
     /// The longest of several pauses counts: a later response does not shorten an earlier one.
-    pub fn rest(&mut self, now: time::Instant, id: &directory::InstanceId, span: time::Millis) {
+    pub fn pause_for(
+        &mut self,
+        now: time::Instant,
+        id: &directory::InstanceId,
+        span: time::Millis,
+    ) {
         self.expire(now);
         let state = self.backpressure.by_instance.entry(id.clone()).or_default();
         state.heard_at = now;
@@ -192,7 +202,11 @@
 
     /// Counts a request that is sent to this instance. Returns the count if the instance is limited and a
     /// report is due.
-    pub fn count_send(&mut self, now: time::Instant, id: &directory::InstanceId) -> Option<Change> {
+    pub fn count_send(
+        &mut self,
+        now: time::Instant,
+        id: &directory::InstanceId,
+    ) -> Option<LimitChange> {
         let limit = self.backpressure.limit(id)?;
         limit.sent += 1;
         let span = now.since(limit.counted_from);
@@ -202,7 +216,7 @@
         let sent = limit.sent;
         limit.sent = 0;
         limit.counted_from = now;
-        Some(Change::Sent(sent, span))
+        Some(LimitChange::Sent(sent, span))
     }
 
     /// Number of known endpoints that reported a limit.
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -35,7 +35,7 @@
 
 use self::endpoint::Endpoint;
 pub use self::{
-    backpressure::Change,
+    backpressure::LimitChange,
     query::{AttemptOutcome, Choice, EndpointQuery, Pick, Policy, Prefill, Routing, WaitReason},
 };
 pub use crate::entry_peers::Pauses;
@@ -72,7 +72,7 @@
     /// Send to this engine.
     Engine(arena::EndpointKey),
     /// Load the adapter on this engine first.
-    Fetch(directory::InstanceId),
+    LoadAdapter(directory::InstanceId),
     /// No engine can take the request now.
     Wait(WaitReason),
 }
@@ -209,7 +209,7 @@
 
     /// Number of known endpoints, and of those that accept requests now.
     #[must_use]
-    pub fn counts(&self, now: time::Instant) -> (usize, usize) {
+    pub fn endpoint_counts(&self, now: time::Instant) -> (usize, usize) {
         let known = self.endpoints.iter().flatten();
         let is_closed = |it: &Endpoint| self.backpressure.is_closed(now, &it.instance.id);
         let open = known
@@ -251,7 +251,7 @@
 
     /// Whether an endpoint could start on the request now, as far as this process knows.
     #[must_use]
-    pub fn has_free(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
+    pub fn has_free_endpoint(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
         let Some(wanted) = query.wanted else {
             let mut open = self
                 .open_endpoints(now, query)
@@ -288,7 +288,7 @@
     ) -> Choice {
         match self.select_engine(now, query, with_adapter, without_adapter) {
             EngineSelection::Engine(key) => self.dispatch(now, key, query),
-            EngineSelection::Fetch(instance) => Choice::Fetch { instance },
+            EngineSelection::LoadAdapter(instance) => Choice::LoadAdapter { instance },
             EngineSelection::Wait(missing) => Choice::Wait(missing),
         }
     }
@@ -316,10 +316,10 @@
         let other = self.lowest_score(now, query, &ready_without);
         let fetch = other.filter(|(ms, _)| {
             let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
-            query.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
+            query.may_load_adapter && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
         if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
-            return EngineSelection::Fetch(endpoint.instance.id.clone());
+            return EngineSelection::LoadAdapter(endpoint.instance.id.clone());
         }
         if let Some((_, key)) = best {
             return EngineSelection::Engine(key);
--- a/crates/sageshed-fleet/src/chooser/query.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -63,7 +63,7 @@
     /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
     /// Whether its adapter may be loaded on another engine.
-    pub may_fetch: bool,
+    pub may_load_adapter: bool,
 }
 
 /// The prompt that an engine has prefilled.
@@ -81,7 +81,7 @@
     /// Send it to this endpoint.
     Send(Pick),
     /// Load the adapter on this engine, then choose again.
-    Fetch {
+    LoadAdapter {
         /// Instance of the engine.
         instance: directory::InstanceId,
     },
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -137,7 +137,7 @@
                     .record_waiting(now, &wanted.model, request);
                 return entry_peers::RoutingDecision::Wait { expected };
             }
-            EngineSelection::Wait(_) | EngineSelection::Fetch(_) => {
+            EngineSelection::Wait(_) | EngineSelection::LoadAdapter(_) => {
                 return entry_peers::RoutingDecision::Unknown;
             }
         };
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -160,7 +160,7 @@
 
     /// What link `number` requests: endpoint records or a digest.
     #[must_use]
-    pub fn wants(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
+    pub fn requested_detail(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
         let differs = self.connections[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
         if lags || self.endpoint_source().is_none_or(|source| source == number) {
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -7,7 +7,7 @@
 
 use sageshed_fleet::{
     allowance::{self, Key, RateLimit},
-    chooser::{Change, Choice, Chooser, EndpointQuery, WaitReason},
+    chooser::{Choice, Chooser, EndpointQuery, LimitChange, WaitReason},
     dialect, directory,
 };
 use sageshed_types::time::{Instant, Millis};
@@ -209,7 +209,7 @@
         patience: Millis(0),
         on_time: Millis(1_000),
         may_be_late: false,
-        may_fetch: false,
+        may_load_adapter: false,
     }
 }
 
@@ -240,13 +240,13 @@
     let wanted = wanted();
     let now = Instant(10_000);
     chooser.set_limit(now, &engines[0].id, 1.0);
-    chooser.close(now, &engines[0].id, Millis(900));
+    chooser.close_for(now, &engines[0].id, Millis(900));
     for _ in 0..8 {
         let choice = chooser.choose(now, &query(&wanted));
         assert_eq!(goes_to(&choice), Some("e2"));
     }
-    assert_eq!(chooser.counts(now), (2, 1));
-    chooser.close(now, &engines[1].id, Millis(2_000));
+    assert_eq!(chooser.endpoint_counts(now), (2, 1));
+    chooser.close_for(now, &engines[1].id, Millis(2_000));
     let later = Instant(10_300);
     let none = chooser.choose(later, &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(600))));
@@ -260,10 +260,10 @@
 fn of_several_turns_the_first_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let (now, id) = (Instant(10_000), &engines[0].id);
-    chooser.close(now, id, Millis(400));
-    chooser.close(now, id, Millis(1_400));
-    assert_eq!(chooser.counts(Instant(10_399)), (1, 0));
-    assert_eq!(chooser.counts(Instant(10_400)), (1, 1));
+    chooser.close_for(now, id, Millis(400));
+    chooser.close_for(now, id, Millis(1_400));
+    assert_eq!(chooser.endpoint_counts(Instant(10_399)), (1, 0));
+    assert_eq!(chooser.endpoint_counts(Instant(10_400)), (1, 1));
 }
 
 /// The limit of an engine applies even if control loses sight of the engine for a while, but not to another
@@ -273,7 +273,10 @@
     let (mut chooser, engines) = chooser(&["e1"]);
     let now = Instant(10_000);
     let id = &engines[0].id;
-    assert_eq!(chooser.set_limit(now, id, 1.5), Some(Change::Named(1.5)));
+    assert_eq!(
+        chooser.set_limit(now, id, 1.5),
+        Some(LimitChange::Reported(1.5))
+    );
     assert_eq!(chooser.set_limit(now, id, 1.5), None);
     chooser.remove_instance(id);
     chooser.update_instance(&engines[0]);
@@ -282,7 +285,7 @@
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
     assert_eq!(chooser.limit(now, &other), None);
-    assert_eq!(chooser.clear_limit(id), Some(Change::Lifted));
+    assert_eq!(chooser.clear_limit(id), Some(LimitChange::Cleared));
     assert_eq!(chooser.clear_limit(id), None);
     assert_eq!(chooser.limit(now, id), None);
 }
@@ -305,15 +308,15 @@
     let now = Instant(10_000);
     let id = &engines[0].id;
     chooser.set_limit(now, id, 5.0);
-    chooser.rest(now, id, Millis(3_000));
-    chooser.rest(Instant(10_100), id, Millis(200));
+    chooser.pause_for(now, id, Millis(3_000));
+    chooser.pause_for(Instant(10_100), id, Millis(200));
     chooser.clear_limit(id);
     let none = chooser.choose(Instant(12_000), &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
     let after = chooser.choose(Instant(13_000), &query(&wanted));
     assert_eq!(goes_to(&after), Some("e1"));
-    chooser.rest(now, id, Millis(u64::MAX));
-    assert_eq!(chooser.counts(Instant(13_000)), (1, 0));
+    chooser.pause_for(now, id, Millis(u64::MAX));
+    assert_eq!(chooser.endpoint_counts(Instant(13_000)), (1, 0));
 }
 
 /// With many processes, the coordinator of a model decides where requests go. It doesn't know what an
@@ -323,7 +326,7 @@
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let now = Instant(10_000);
     assert!(chooser.closed_endpoints(now, "engines").is_empty());
-    chooser.rest(now, &engines[1].id, Millis(500));
+    chooser.pause_for(now, &engines[1].id, Millis(500));
     let closed = chooser.closed_endpoints(now, "engines");
     let names: Vec<_> = closed.iter().map(|it| chooser.instance_key(*it)).collect();
     let expected = sageshed_fleet::entry_peers::instance_key(&engines[1].id);
@@ -425,7 +428,7 @@
         let (mut chooser, engines) = chooser(&["e1"]);
         let (now, id) = (Instant(10_000), &engines[0].id);
         let first = chooser.apply_notice(now, id, &response(verified, limit));
-        assert_eq!(first, Some(Change::Named(1.0)));
+        assert_eq!(first, Some(LimitChange::Reported(1.0)));
         chooser.apply_notice(now, id, &case.response);
         let is_limited = chooser.limit(now, id).is_some();
         assert_eq!(is_limited, case.is_limited, "{}", case.name);
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -31,7 +31,7 @@
         patience: time::Millis(0),
         on_time: time::Millis(0),
         may_be_late: false,
-        may_fetch: false,
+        may_load_adapter: false,
     }
 }
 
@@ -280,8 +280,8 @@
         assert_ne!(next.instance, pick.instance);
         chooser.record_end(T0, &next, Some(&m0), false, AttemptOutcome::GivenUp);
     }
-    assert_eq!(chooser.counts(T0), (2, 1));
-    assert_eq!(chooser.counts(T0 + time::Millis(5_000)), (2, 2));
+    assert_eq!(chooser.endpoint_counts(T0), (2, 1));
+    assert_eq!(chooser.endpoint_counts(T0 + time::Millis(5_000)), (2, 2));
 }
 
 /// An engine fails four of ten requests while its health check is good. It has to get fewer requests than
@@ -480,7 +480,7 @@
         false,
         AttemptOutcome::Silent,
     );
-    assert_eq!(chooser.counts(T0 + time::Millis(9_000)), (2, 1));
+    assert_eq!(chooser.endpoint_counts(T0 + time::Millis(9_000)), (2, 1));
 }
 
 /// More prompts arrive than the engine can prefill. One whose response will be late in any case waits as
@@ -521,7 +521,7 @@
         ..support::engine("e1", &["m1"])
     };
     chooser.update_instance(&moved);
-    assert!(chooser.has_free(T0, &support::ask(&m0, 100)));
+    assert!(chooser.has_free_endpoint(T0, &support::ask(&m0, 100)));
     for _ in 0..20 {
         let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
         assert_eq!(pick.instance.name, "e2");
@@ -531,5 +531,5 @@
     chooser.remove_instance(&moved.id);
     let choice = chooser.choose(T0, &support::ask(&m1, 100));
     assert_eq!(choice, Choice::Wait(WaitReason::Model));
-    assert!(!chooser.has_free(T0, &support::ask(&m1, 100)));
+    assert!(!chooser.has_free_endpoint(T0, &support::ask(&m1, 100)));
 }
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -50,9 +50,9 @@
     picks.map(|it| it.expect("some are known")).collect()
 }
 
-fn wants(links: &Links, now: time::Instant) -> Vec<DirectoryDetail> {
+fn requested_details(links: &Links, now: time::Instant) -> Vec<DirectoryDetail> {
     (0..LINK_COUNT)
-        .map(|number| links.wants(now, number))
+        .map(|number| links.requested_detail(now, number))
         .collect()
 }
 
@@ -92,10 +92,13 @@
 #[test]
 fn one_link_brings_endpoints_once_one_has_answered() {
     let (mut links, _) = linked("z4");
-    assert_eq!(wants(&links, T0), [DirectoryDetail::News; LINK_COUNT]);
+    assert_eq!(
+        requested_details(&links, T0),
+        [DirectoryDetail::News; LINK_COUNT]
+    );
     links.record_reply(at(5), 2, &reply(false, false));
     assert_eq!(
-        wants(&links, at(5)),
+        requested_details(&links, at(5)),
         [
             DirectoryDetail::Digest,
             DirectoryDetail::Digest,
@@ -104,7 +107,7 @@
     );
     links.record_reply(at(9), 0, &reply(false, false));
     assert_eq!(
-        wants(&links, at(9)),
+        requested_details(&links, at(9)),
         [
             DirectoryDetail::News,
             DirectoryDetail::Digest,
@@ -124,7 +127,7 @@
     }
     links.mark_unreachable(at(100), 0, targets[0]);
     assert_eq!(
-        wants(&links, at(100)),
+        requested_details(&links, at(100)),
         [
             DirectoryDetail::Digest,
             DirectoryDetail::News,
@@ -149,12 +152,12 @@
         links.record_reply(T0, number, &reply(false, false));
     }
     links.record_reply(at(100), 1, &reply(true, false));
-    assert_eq!(links.wants(at(150), 1), DirectoryDetail::Digest);
+    assert_eq!(links.requested_detail(at(150), 1), DirectoryDetail::Digest);
     links.record_reply(at(300), 1, &reply(true, false));
-    assert_eq!(links.wants(at(300), 1), DirectoryDetail::News);
-    assert_eq!(links.wants(at(300), 2), DirectoryDetail::Digest);
+    assert_eq!(links.requested_detail(at(300), 1), DirectoryDetail::News);
+    assert_eq!(links.requested_detail(at(300), 2), DirectoryDetail::Digest);
     links.record_reply(at(400), 1, &reply(false, false));
-    assert_eq!(links.wants(at(400), 1), DirectoryDetail::Digest);
+    assert_eq!(links.requested_detail(at(400), 1), DirectoryDetail::Digest);
 }
 
 /// All control processes are lost at once and return one by one: links have to retry soon.
@@ -199,7 +202,7 @@
         let ms = 20 + step * 30;
         other(&mut links, ms, 101 + step);
         assert_eq!(
-            links.wants(at(ms), 1),
+            links.requested_detail(at(ms), 1),
             DirectoryDetail::Digest,
             "after {ms} ms"
         );
@@ -209,10 +212,16 @@
     // From here on, the local control process learns nothing more.
     other(&mut links, 4_000, 300);
     local(&mut links, 4_050, 200);
-    assert_eq!(links.wants(at(4_100), 1), DirectoryDetail::Digest);
-    assert_eq!(links.wants(at(4_200), 1), DirectoryDetail::News);
+    assert_eq!(
+        links.requested_detail(at(4_100), 1),
+        DirectoryDetail::Digest
+    );
+    assert_eq!(links.requested_detail(at(4_200), 1), DirectoryDetail::News);
     local(&mut links, 4_300, 300);
-    assert_eq!(links.wants(at(4_300), 1), DirectoryDetail::Digest);
+    assert_eq!(
+        links.requested_detail(at(4_300), 1),
+        DirectoryDetail::Digest
+    );
     // Changes of another start of the control process are counted anew.
     let restarted = SyncReply {
         news: Some(Cursor {
@@ -223,5 +232,5 @@
     };
     links.record_reply(at(5_000), 1, &restarted);
     local(&mut links, 5_100, 300);
-    assert_eq!(links.wants(at(5_200), 1), DirectoryDetail::News);
+    assert_eq!(links.requested_detail(at(5_200), 1), DirectoryDetail::News);
 }
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -45,7 +45,7 @@
         patience: time::Millis(0),
         on_time: time::Millis(0),
         may_be_late: false,
-        may_fetch: false,
+        may_load_adapter: false,
     }
 }
 
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -254,7 +254,7 @@
             patience: query.patience,
             on_time: query.on_time,
             may_be_late: query.may_be_late,
-            may_fetch: false,
+            may_load_adapter: false,
         };
         core.chooser.route_for(now, from, request, &query)
     });
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -181,7 +181,7 @@
     pub fn text<D: sageshed_fleet::dialect::Dialect>(&self, shared: &state::Shared<D>) -> String {
         let now = shared.clock.now();
         let ((known, open), entries) =
-            shared.with_core(|core| (core.chooser.counts(now), core.entries.len()));
+            shared.with_core(|core| (core.chooser.endpoint_counts(now), core.entries.len()));
         let left = shared.with_core(|core| {
             let entries = core.entries.len();
             core.budget.left(now, entries)
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -60,7 +60,7 @@
             "gateway: endpoint closed by its rate limit");
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.chooser.close(now, &pick.instance, span));
+            .with_core(|core| core.chooser.close_for(now, &pick.instance, span));
         false
     }
 
@@ -73,17 +73,17 @@
         self.log_limit(pick, change);
     }
 
-    fn log_limit(&self, pick: &chooser::Pick, change: Option<chooser::Change>) {
+    fn log_limit(&self, pick: &chooser::Pick, change: Option<chooser::LimitChange>) {
         match change {
-            Some(chooser::Change::Named(per_s)) => {
+            Some(chooser::LimitChange::Reported(per_s)) => {
                 ::log::info!(request = self.id(), endpoint:% = pick.instance, per_s;
                     "gateway: endpoint reports a rate limit");
             }
-            Some(chooser::Change::Lifted) => {
+            Some(chooser::LimitChange::Cleared) => {
                 ::log::info!(request = self.id(), endpoint:% = pick.instance;
                     "gateway: endpoint no longer reports a rate limit");
             }
-            Some(chooser::Change::Sent(sent, span)) => {
+            Some(chooser::LimitChange::Sent(sent, span)) => {
                 ::log::info!(endpoint:% = pick.instance, sent, span_ms = span.0;
                     "gateway: requests sent to an endpoint with a rate limit");
             }
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -120,11 +120,11 @@
             patience: time::Millis(0),
             on_time: time::Millis(0),
             may_be_late: false,
-            may_fetch: false,
+            may_load_adapter: false,
         };
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.chooser.has_free(now, &ask))
+            .with_core(|core| core.chooser.has_free_endpoint(now, &ask))
     }
 
     /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -90,7 +90,7 @@
                 ),
                 on_time: self.on_time(),
                 may_be_late: left > MIN_TIME_LEFT_IF_LATE,
-                may_fetch: adapter_requests < MAX_ADAPTER_REQUESTS,
+                may_load_adapter: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
             let queued_here = self.queued_request(now);
             let decision = self.query_coordinator(&ask, &mut queried_at);
@@ -126,7 +126,7 @@
                         self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail),
                     );
                 }
-                chooser::Choice::Fetch { instance } => {
+                chooser::Choice::LoadAdapter { instance } => {
                     adapter_requests += 1;
                     self.request_adapter(now, adapter_engine.get_or_insert(instance).clone());
                     let _changes = self
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -89,7 +89,7 @@
         let (wants, is_source) = {
             let links = locks::lock(&watching.links);
             (
-                links.wants(shared.clock.now(), number),
+                links.requested_detail(shared.clock.now(), number),
                 links.endpoint_source() == Some(number),
             )
         };
