--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -331,7 +331,8 @@
             return EngineSelection::Wait(WaitReason::Adapter);
         };
         // A request that will be late anyway loses nothing by waiting; sent now, it would make others late.
-        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.on_time {
+        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.time_until_late
+        {
             return EngineSelection::Wait(WaitReason::Place);
         }
         EngineSelection::Engine(key)
@@ -549,7 +550,7 @@
         query: &EndpointQuery<'_>,
         estimate: time::Millis,
     ) -> Choice {
-        if self.policy.turn_away && estimate >= query.left {
+        if self.policy.turn_away && estimate >= query.time_left {
             return Choice::TooLate { estimate };
         }
         let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
--- a/crates/sageshed-fleet/src/chooser/query.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -55,11 +55,11 @@
     /// Endpoints on which an earlier attempt failed.
     pub tried: &'a [arena::EndpointKey],
     /// Time left until the deadline, after which nobody waits for the response.
-    pub left: time::Millis,
+    pub time_left: time::Millis,
     /// How much longer the request may be held back for an engine with little prefill pending.
     pub patience: time::Millis,
     /// Time left until the response would be late.
-    pub on_time: time::Millis,
+    pub time_until_late: time::Millis,
     /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
     /// Whether its adapter may be loaded on another engine.
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -77,11 +77,13 @@
     /// Engines on which an earlier attempt failed, by [`instance_key`].
     pub tried: Vec<u64>,
     /// Time left until the deadline, after which nobody waits for the response.
-    pub left: time::Millis,
+    #[serde(rename = "left")]
+    pub time_left: time::Millis,
     /// How much longer the request may be held back for an engine with little prefill pending.
     pub patience: time::Millis,
     /// Time left until the response would be late.
-    pub on_time: time::Millis,
+    #[serde(rename = "on_time")]
+    pub time_until_late: time::Millis,
     /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
 }
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -205,9 +205,9 @@
         parts: &[],
         prompt_tokens: 100,
         tried: &[],
-        left: Millis(5_000),
+        time_left: Millis(5_000),
         patience: Millis(0),
-        on_time: Millis(1_000),
+        time_until_late: Millis(1_000),
         may_be_late: false,
         may_load_adapter: false,
     }
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -27,9 +27,9 @@
         parts: &[],
         prompt_tokens: 0,
         tried: &[],
-        left: time::Millis(1_000),
+        time_left: time::Millis(1_000),
         patience: time::Millis(0),
-        on_time: time::Millis(0),
+        time_until_late: time::Millis(0),
         may_be_late: false,
         may_load_adapter: false,
     }
@@ -101,7 +101,7 @@
         turn_away: false,
     };
     let hopeless = EndpointQuery {
-        left: time::Millis(50),
+        time_left: time::Millis(50),
         ..support::ask(&m0, 9_000)
     };
     let turned_away = two_engines().choose(T0, &hopeless);
@@ -407,7 +407,7 @@
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
     }
     let urgent = EndpointQuery {
-        left: time::Millis(300),
+        time_left: time::Millis(300),
         ..support::ask(&m0, 100)
     };
     let choice = chooser.choose(T0, &urgent);
@@ -494,13 +494,13 @@
         sent(chooser.choose(T0, &support::ask(&m0, 1_800)));
     }
     let late = EndpointQuery {
-        on_time: time::Millis(100),
+        time_until_late: time::Millis(100),
         may_be_late: true,
         ..support::ask(&m0, 1_800)
     };
     assert_eq!(chooser.choose(T0, &late), Choice::Wait(WaitReason::Place));
     let in_time = EndpointQuery {
-        on_time: time::Millis(900),
+        time_until_late: time::Millis(900),
         ..late
     };
     sent(chooser.choose(T0, &in_time));
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -41,9 +41,9 @@
         parts: &[],
         prompt_tokens: tokens,
         tried: &[],
-        left: time::Millis(10_000),
+        time_left: time::Millis(10_000),
         patience: time::Millis(0),
-        on_time: time::Millis(0),
+        time_until_late: time::Millis(0),
         may_be_late: false,
         may_load_adapter: false,
     }
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -250,9 +250,9 @@
             parts: &parts,
             prompt_tokens: query.prompt_tokens,
             tried: &tried,
-            left: query.left,
+            time_left: query.time_left,
             patience: query.patience,
-            on_time: query.on_time,
+            time_until_late: query.time_until_late,
             may_be_late: query.may_be_late,
             may_load_adapter: false,
         };
@@ -296,9 +296,9 @@
         parts: parts.map(|it| (it.id, it.tokens)).collect(),
         prompt_tokens: query.prompt_tokens,
         tried,
-        left: query.left,
+        time_left: query.time_left,
         patience: query.patience,
-        on_time: query.on_time,
+        time_until_late: query.time_until_late,
         may_be_late: query.may_be_late,
     };
     peers.query_routing(&coordinators, message)
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -116,9 +116,9 @@
             parts: &self.metadata.parts,
             prompt_tokens: self.metadata.prompt_tokens,
             tried: &tried,
-            left: self.time_left(),
+            time_left: self.time_left(),
             patience: time::Millis(0),
-            on_time: time::Millis(0),
+            time_until_late: time::Millis(0),
             may_be_late: false,
             may_load_adapter: false,
         };
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -84,11 +84,11 @@
                 parts: &self.metadata.parts,
                 prompt_tokens: self.metadata.prompt_tokens,
                 tried: &self.tried_endpoints,
-                left,
+                time_left: left,
                 patience: time::Millis::from(
                     self.idle_engine_wait().saturating_sub(arrived.elapsed()),
                 ),
-                on_time: self.on_time(),
+                time_until_late: self.on_time(),
                 may_be_late: left > MIN_TIME_LEFT_IF_LATE,
                 may_load_adapter: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
