--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -110,7 +110,7 @@
     /// the fastest and attract the traffic of the others.
     fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
-            self.record_failure(now, sent, event::Fault::Status(status));
+            self.record_failure(now, sent, event::AttemptError::Status(status));
         } else {
             let endpoint = self.router.fleet.get_mut(sent.endpoint);
             endpoint.health.succeeded(now, sent.at);
@@ -136,7 +136,7 @@
         req: event::ReqId,
         sent: request::Sent,
         verdict: verdict::Verdict,
-        fault: event::Fault,
+        fault: event::AttemptError,
         out: &mut Actions,
     ) {
         self.release_slot(now, sent);
@@ -161,23 +161,31 @@
     ///
     /// Under load an endpoint responds later than estimated. If such timeouts counted as failures,
     /// healthy endpoints would be ejected just when all of them are needed.
-    fn was_only_late(&self, sent: request::Sent, fault: event::Fault) -> bool {
+    fn was_only_late(&self, sent: request::Sent, fault: event::AttemptError) -> bool {
         let endpoint = self.router.fleet.get(sent.endpoint);
         is_timeout(fault) && sent.limited_by_deadline && endpoint.health.answered_since(sent.at)
     }
 
     /// Records a failure of the endpoint. Attempts sent to an earlier incarnation don't count for the
     /// current one.
-    fn record_failure(&mut self, now: time::Instant, sent: request::Sent, fault: event::Fault) {
+    fn record_failure(
+        &mut self,
+        now: time::Instant,
+        sent: request::Sent,
+        fault: event::AttemptError,
+    ) {
         let router = &mut self.router;
         let endpoint = router.fleet.get_mut(sent.endpoint);
         if endpoint.incarnation != sent.incarnation {
             return;
         }
-        if matches!(fault, event::Fault::Status(TOO_MANY_REQUESTS | UNAVAILABLE)) {
+        if matches!(
+            fault,
+            event::AttemptError::Status(TOO_MANY_REQUESTS | UNAVAILABLE)
+        ) {
             endpoint.pause(now + self.policy.busy_pause_ms);
         }
-        if fault != event::Fault::Status(TOO_MANY_REQUESTS) {
+        if fault != event::AttemptError::Status(TOO_MANY_REQUESTS) {
             let random = &mut router.random;
             endpoint
                 .health
@@ -216,7 +224,7 @@
         now: time::Instant,
         req: event::ReqId,
         sent: request::Sent,
-        fault: event::Fault,
+        fault: event::AttemptError,
         why: &str,
         out: &mut Actions,
     ) {
@@ -244,8 +252,11 @@
 }
 
 /// Whether the fault is a timeout while waiting for response data.
-fn is_timeout(fault: event::Fault) -> bool {
-    matches!(fault, event::Fault::NoFirstByte | event::Fault::Stalled)
+fn is_timeout(fault: event::AttemptError) -> bool {
+    matches!(
+        fault,
+        event::AttemptError::NoFirstByte | event::AttemptError::Stalled
+    )
 }
 
 /// The least share of an attempt's duration that counts as service time, however long the predicted
@@ -257,30 +268,30 @@
 /// Once a connection was established, bytes may have been sent, and only a response of the endpoint
 /// can prove that the request did not run. `NotRun` with any other fault is an error of the client
 /// code; trusting it could run a request twice.
-fn safe_verdict(fault: event::Fault, verdict: verdict::Verdict) -> verdict::Verdict {
+fn safe_verdict(fault: event::AttemptError, verdict: verdict::Verdict) -> verdict::Verdict {
     match fault {
-        event::Fault::ConnectRefused
-        | event::Fault::ConnectTimeout
-        | event::Fault::Status(TOO_MANY_REQUESTS | UNAVAILABLE) => verdict,
-        event::Fault::SendFailed
-        | event::Fault::NoFirstByte
-        | event::Fault::Stalled
-        | event::Fault::Cut
-        | event::Fault::Corrupt
-        | event::Fault::Status(_) => verdict.and(verdict::Verdict::MayHaveRun),
+        event::AttemptError::ConnectRefused
+        | event::AttemptError::ConnectTimeout
+        | event::AttemptError::Status(TOO_MANY_REQUESTS | UNAVAILABLE) => verdict,
+        event::AttemptError::SendFailed
+        | event::AttemptError::NoFirstByte
+        | event::AttemptError::Stalled
+        | event::AttemptError::Cut
+        | event::AttemptError::Corrupt
+        | event::AttemptError::Status(_) => verdict.and(verdict::Verdict::MayHaveRun),
     }
 }
 
-fn describe_fault(fault: event::Fault) -> String {
+fn describe_fault(fault: event::AttemptError) -> String {
     let words = match fault {
-        event::Fault::ConnectRefused => "connection refused",
-        event::Fault::ConnectTimeout => "no connection in time",
-        event::Fault::SendFailed => "the request could not be written",
-        event::Fault::NoFirstByte => "no answer began in time",
-        event::Fault::Stalled => "the answer stopped",
-        event::Fault::Cut => "the connection closed before the answer was whole",
-        event::Fault::Corrupt => "the answer made no sense",
-        event::Fault::Status(status) => return format!("status {status}"),
+        event::AttemptError::ConnectRefused => "connection refused",
+        event::AttemptError::ConnectTimeout => "no connection in time",
+        event::AttemptError::SendFailed => "the request could not be written",
+        event::AttemptError::NoFirstByte => "no answer began in time",
+        event::AttemptError::Stalled => "the answer stopped",
+        event::AttemptError::Cut => "the connection closed before the answer was whole",
+        event::AttemptError::Corrupt => "the answer made no sense",
+        event::AttemptError::Status(status) => return format!("status {status}"),
     };
     words.to_owned()
 }
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -63,7 +63,7 @@
 }
 
 pub fn report(name: &str, sequence: u64, slots: u32, models: &[&str]) -> endpoints::Report {
-    let resident = models.iter().map(|model| endpoints::Resident {
+    let resident = models.iter().map(|model| endpoints::ResidentModel {
         model: (*model).to_owned(),
         version: 1,
         phase: endpoints::Phase::Ready,
@@ -190,7 +190,7 @@
         &mut self,
         req: event::ReqId,
         verdict: sageshed_types::verdict::Verdict,
-        fault: event::Fault,
+        fault: event::AttemptError,
     ) -> Vec<event::Action> {
         let outcome = event::AttemptOutcome::Failed { verdict, fault };
         self.step(event::Event::AttemptEnded { req, outcome })
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -13,12 +13,12 @@
     /// Whether the request is streamed and its first token was passed on.
     answer_started: bool,
     verdict: verdict::Verdict,
-    fault: event::Fault,
+    fault: event::AttemptError,
     expected: &'static str,
 }
 
-const REFUSED: event::Fault = event::Fault::ConnectRefused;
-const CUT: event::Fault = event::Fault::Cut;
+const REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
+const CUT: event::AttemptError = event::AttemptError::Cut;
 
 const FAILURES: &[Failure] = &[
     Failure {
@@ -55,7 +55,7 @@
         not_repeatable: true,
         answer_started: false,
         verdict: MAY_HAVE_RUN,
-        fault: event::Fault::NoFirstByte,
+        fault: event::AttemptError::NoFirstByte,
         expected: "endpoint_failed may_have_run",
     },
     // Once a connection was established, `NotRun` is not trusted.
@@ -70,14 +70,14 @@
         not_repeatable: true,
         answer_started: false,
         verdict: NOT_RUN,
-        fault: event::Fault::Status(500),
+        fault: event::AttemptError::Status(500),
         expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
         answer_started: false,
         verdict: NOT_RUN,
-        fault: event::Fault::Status(429),
+        fault: event::AttemptError::Status(429),
         expected: "send",
     },
 ];
@@ -192,7 +192,7 @@
 }
 
 /// A harness in which the endpoint `bad` has failed `times` times and `good` has not.
-fn with_failures(times: usize, fault: event::Fault) -> common::Harness {
+fn with_failures(times: usize, fault: event::AttemptError) -> common::Harness {
     let mut settings = common::settings();
     settings.policy.retry_share = 0.0;
     settings.policy.retry_burst = 0.0;
@@ -226,7 +226,7 @@
         (2, CUT, false),
         (3, CUT, true),
         (1, REFUSED, true),
-        (8, event::Fault::Status(429), false),
+        (8, event::AttemptError::Status(429), false),
     ] {
         let mut harness = with_failures(times, fault);
         harness.advance(300);
@@ -471,7 +471,7 @@
                 });
             }
             harness.advance(500);
-            let actions = harness.fail(late, MAY_HAVE_RUN, event::Fault::NoFirstByte);
+            let actions = harness.fail(late, MAY_HAVE_RUN, event::AttemptError::NoFirstByte);
             assert_eq!(
                 common::summary(&actions, late),
                 "deadline_passed may_have_run",
@@ -505,7 +505,7 @@
         }
         let span = time::Millis(3_000);
         harness.step(event::Event::BackoffRequested { req, span });
-        harness.fail(req, NOT_RUN, event::Fault::Status(503));
+        harness.fail(req, NOT_RUN, event::AttemptError::Status(503));
         harness.advance(after);
         let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -2,7 +2,7 @@
 //! calls between them are lost.
 
 use sageshed_fleet::quarantine::{
-    CRASH_LIMIT, Crash, Cursor, Fingerprint, Held, PeerSync, Quarantine, SyncScope,
+    CRASH_LIMIT, Crash, Cursor, Fingerprint, PeerSync, Quarantine, QuarantinedRequest, SyncScope,
 };
 use sageshed_types::time::{Instant, Millis};
 
@@ -61,7 +61,7 @@
     control: Vec<Process>,
     /// How far each control process knows the evidence of each other one.
     known: Vec<Vec<Cursor>>,
-    log: Vec<Held>,
+    log: Vec<QuarantinedRequest>,
     /// When endpoints crashed, and when processes in contact sent the request to one.
     crashes: Vec<u64>,
     arrivals: Vec<u64>,
--- a/crates/sageshed-operators/src/wire.rs
+++ b/crates/sageshed-operators/src/wire.rs
@@ -8,7 +8,7 @@
 pub mod paths {
     /// `GET`: a [`sageshed_types::rules::RuleSet`].
     pub const RULES: &str = "/rules";
-    /// `GET` with `after=N`: a list of [`sageshed_types::rules::Accepted`].
+    /// `GET` with `after=N`: a list of [`sageshed_types::rules::AcceptedChange`].
     pub const HISTORY: &str = "/rules/history";
     /// `POST` of a [`super::ChangeReq`]: a [`sageshed_types::rules::ChangeOutcome`].
     pub const CHANGES: &str = "/rules/changes";
@@ -20,7 +20,7 @@
     pub const MODELS: &str = "/models";
     /// `GET`: a list of [`sageshed_types::endpoints::Report`].
     pub const ENDPOINTS: &str = "/endpoints";
-    /// `GET` with a request id after it: a [`sageshed_types::account::Account`].
+    /// `GET` with a request id after it: a [`sageshed_types::request_trace::RequestTrace`].
     pub const EXPLAIN: &str = "/explain/";
     /// `POST` of a [`super::DrainReq`].
     pub const DRAIN: &str = "/drain";
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -75,7 +75,7 @@
     /// If the restored entries have a hole. Such a log must be treated as a lost disk: what is
     /// missing may have been acknowledged.
     #[must_use]
-    pub fn new(mut cfg: config::Config, restored: log::Restored, seed: u64) -> Self {
+    pub fn new(mut cfg: config::Config, restored: log::PersistedState, seed: u64) -> Self {
         let hard = restored.hard_state;
         let (log, snapshot) = entries::Entries::new(restored);
         if !cfg.guards.generation && !log.membership().contains(cfg.id) {
@@ -154,7 +154,7 @@
     /// The snapshot of the state machine after the committed entry at `index`, with `data` as its
     /// encoding. None if that entry isn't committed or is already covered by a snapshot.
     #[must_use]
-    pub fn snapshot_of(&self, index: log::Index, data: Vec<u8>) -> Option<log::Snapshot> {
+    pub fn build_snapshot(&self, index: log::Index, data: Vec<u8>) -> Option<log::Snapshot> {
         let state = &self.state;
         if index <= state.log.base().index || index > state.commit {
             return None;
@@ -193,9 +193,15 @@
             event::Event::HeartbeatDue => self.heartbeat_due(out),
             event::Event::QuorumLost => self.lose_quorum(out),
             event::Event::Message { from, message } => self.receive(from, message, out),
-            event::Event::Propose { ticket, payload } => self.propose(ticket, payload, out),
-            event::Event::ChangeMembership { ticket, change } => self.change(ticket, change, out),
-            event::Event::ReadIndex { ticket } => self.read_index(ticket, out),
+            event::Event::Propose {
+                correlation_id,
+                payload,
+            } => self.propose(correlation_id, payload, out),
+            event::Event::ChangeMembership {
+                correlation_id,
+                change,
+            } => self.change(correlation_id, change, out),
+            event::Event::ReadIndex { correlation_id } => self.read_index(correlation_id, out),
             event::Event::Compact { snapshot } => self.compact(snapshot, out),
         }
     }
@@ -370,7 +376,7 @@
             term: self.state.hard.term,
         });
         for read in leader.reads {
-            self.reject(read.ticket, event::Reason::NotLeader, out);
+            self.reject(read.correlation_id, event::Reason::NotLeader, out);
         }
         self.restart_election_timer();
     }
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -139,7 +139,7 @@
 
     fn forwards_header(&self, name: &str) -> bool {
         let is = |it: &&str| name.eq_ignore_ascii_case(it);
-        let of_connection = headers::OF_CONNECTION.iter().any(is) && !is(&"host");
+        let of_connection = headers::HOP_BY_HOP.iter().any(is) && !is(&"host");
         !of_connection
             && !self.req.is_connection_option(name)
             && !self.shared.dialect.strips_header(name)
--- a/src/sageshed/gateway/proxy/attempt_log.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -1,7 +1,7 @@
 //! Collects the attempts of one request for its request trace, which `sageshed explain` shows.
 
 use sageshed_fleet::{chooser, config, dialect};
-use sageshed_types::{account, rules, time, verdict};
+use sageshed_types::{request_trace, rules, time, verdict};
 
 use super::ProxiedRequest;
 use crate::{clock, locks};
@@ -12,19 +12,19 @@
 /// The chosen endpoints and the attempts of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct AttemptLog {
-    chosen: Vec<account::Candidate>,
-    tries: Vec<account::Try>,
+    chosen: Vec<request_trace::Candidate>,
+    tries: Vec<request_trace::Attempt>,
 }
 
 impl AttemptLog {
     /// Adds an attempt at the endpoint of `pick`, `started` after the arrival of the request.
     pub(super) fn record_attempt(&mut self, pick: &chooser::Pick, started: time::Millis) {
-        self.chosen.push(account::Candidate {
+        self.chosen.push(request_trace::Candidate {
             endpoint: pick.instance.to_string(),
             estimate: pick.estimate,
             passed_over: None,
         });
-        self.tries.push(account::Try {
+        self.tries.push(request_trace::Attempt {
             endpoint: pick.instance.to_string(),
             started,
             verdict: verdict::Verdict::MayHaveRun,
@@ -43,7 +43,7 @@
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Stores the trace of this request, which has ended.
-    pub(super) fn keep_account(&mut self, end: account::End) {
+    pub(super) fn keep_account(&mut self, end: request_trace::RequestOutcome) {
         let took = time::Millis::from(self.req.received.elapsed());
         let log = std::mem::take(&mut self.attempt_log);
         let queued = log.tries.first().map_or(took, |it| it.started);
@@ -52,7 +52,7 @@
             self.route.kind,
             config::RequestKind::NonIdempotent | config::RequestKind::Stream
         );
-        let account = account::Account {
+        let account = request_trace::RequestTrace {
             request_id: self.id().to_owned(),
             arrived_unix_ms: clock::unix_ms().saturating_sub(took.0),
             caller: self.workspace.as_ref().map(|it| it.name.clone()),
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -59,7 +59,7 @@
         let refusal = self.final_refusal(verdict::Reason::Quarantined, detail);
         // A request that may have run gets no `Retry-After`.
         Some(match refusal.retry_after {
-            Some(_) => refusal.retry_after(left),
+            Some(_) => refusal.with_retry_after(left),
             None => refusal,
         })
     }
