--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -35,7 +35,7 @@
 
 use self::endpoint::Endpoint;
 pub use self::{
-    backpressure::Change,
+    backpressure::LimitChange,
     query::{AttemptOutcome, Choice, EndpointQuery, Pick, Policy, Prefill, Routing, WaitReason},
 };
 pub use crate::entry_peers::Pauses;
@@ -72,7 +72,7 @@
     /// Send to this engine.
     Engine(arena::EndpointKey),
     /// Load the adapter on this engine first.
-    Fetch(directory::InstanceId),
+    LoadAdapter(directory::InstanceId),
     /// No engine can take the request now.
     Wait(WaitReason),
 }
@@ -209,7 +209,7 @@
 
     /// Number of known endpoints, and of those that accept requests now.
     #[must_use]
-    pub fn counts(&self, now: time::Instant) -> (usize, usize) {
+    pub fn endpoint_counts(&self, now: time::Instant) -> (usize, usize) {
         let known = self.endpoints.iter().flatten();
         let is_closed = |it: &Endpoint| self.backpressure.is_closed(now, &it.instance.id);
         let open = known
@@ -239,7 +239,7 @@
     ) -> Choice {
         let (with_adapter, without_adapter) = self.engines_with_model(now, query, wanted);
         if !with_adapter.is_empty() || !without_adapter.is_empty() {
-            return self.choose_engine_of(now, query, &with_adapter, &without_adapter);
+            return self.choose_among_engines(now, query, &with_adapter, &without_adapter);
         }
         let is_any_open = self.open_endpoints(now, query).next().is_some();
         Choice::Wait(if is_any_open {
@@ -251,7 +251,7 @@
 
     /// Whether an endpoint could start on the request now, as far as this process knows.
     #[must_use]
-    pub fn has_free(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
+    pub fn has_free_endpoint(&self, now: time::Instant, query: &EndpointQuery<'_>) -> bool {
         let Some(wanted) = query.wanted else {
             let mut open = self
                 .open_endpoints(now, query)
@@ -279,7 +279,7 @@
     }
 
     /// Selects among the engines `with_adapter` and those `without_adapter`, on which it could be loaded.
-    fn choose_engine_of(
+    fn choose_among_engines(
         &mut self,
         now: time::Instant,
         query: &EndpointQuery<'_>,
@@ -288,7 +288,7 @@
     ) -> Choice {
         match self.select_engine(now, query, with_adapter, without_adapter) {
             EngineSelection::Engine(key) => self.dispatch(now, key, query),
-            EngineSelection::Fetch(instance) => Choice::Fetch { instance },
+            EngineSelection::LoadAdapter(instance) => Choice::LoadAdapter { instance },
             EngineSelection::Wait(missing) => Choice::Wait(missing),
         }
     }
@@ -316,10 +316,10 @@
         let other = self.lowest_score(now, query, &ready_without);
         let fetch = other.filter(|(ms, _)| {
             let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
-            query.may_fetch && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
+            query.may_load_adapter && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
         if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
-            return EngineSelection::Fetch(endpoint.instance.id.clone());
+            return EngineSelection::LoadAdapter(endpoint.instance.id.clone());
         }
         if let Some((_, key)) = best {
             return EngineSelection::Engine(key);
@@ -331,7 +331,8 @@
             return EngineSelection::Wait(WaitReason::Adapter);
         };
         // A request that will be late anyway loses nothing by waiting; sent now, it would make others late.
-        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.on_time {
+        if query.may_be_late && to_millis(self.estimate_ms(now, key, query)) > query.time_until_late
+        {
             return EngineSelection::Wait(WaitReason::Place);
         }
         EngineSelection::Engine(key)
@@ -512,7 +513,7 @@
 
     /// Penalty for the endpoint's failures and silence.
     fn failure_penalty_ms(&self, now: time::Instant, key: arena::EndpointKey) -> f64 {
-        let penalty_ms = |it: &Endpoint| it.failures_ms(now) + it.silence_penalty_ms(now);
+        let penalty_ms = |it: &Endpoint| it.failure_penalty_ms(now) + it.silence_penalty_ms(now);
         self.get(key).map_or(0.0, penalty_ms)
     }
 
@@ -549,7 +550,7 @@
         query: &EndpointQuery<'_>,
         estimate: time::Millis,
     ) -> Choice {
-        if self.policy.turn_away && estimate >= query.left {
+        if self.policy.turn_away && estimate >= query.time_left {
             return Choice::TooLate { estimate };
         }
         let Some((endpoint, prefill_us)) = self.prepare_dispatch(now, key, query) else {
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: what they get from all entry processes together, and what a process does meanwhile.
+//! Limits that endpoints report: what all entry processes together send, and what a single process does
+//! meanwhile.
 
 mod support;
 
@@ -6,13 +7,13 @@
 
 use sageshed_fleet::{
     allowance::{self, Key, RateLimit},
-    chooser::{Change, Choice, Chooser, EndpointQuery, WaitReason},
+    chooser::{Choice, Chooser, EndpointQuery, LimitChange, WaitReason},
     dialect, directory,
 };
 use sageshed_types::time::{Instant, Millis};
 use support::allowances::World;
 
-/// Requests to an endpoint count in any span of this length, in milliseconds.
+/// Window over which requests to an endpoint are counted, in milliseconds.
 const WINDOW: u64 = 4_000;
 
 fn start(name: &str) -> directory::InstanceId {
@@ -23,17 +24,17 @@
     Key::of_endpoint(&start("e1"))
 }
 
-/// As the chooser reckons them from a limit.
-fn terms(per_s: f64) -> RateLimit {
+/// The rate and burst that the chooser derives from a limit.
+fn limit(per_s: f64) -> RateLimit {
     RateLimit { per_s, burst: 2.0 }
 }
 
-/// One and a half times what the limit allows in the window, and five.
+/// One and a half times what the limit allows in the window, plus five.
 fn bound(per_s: f64) -> f64 {
     1.5 * per_s * WINDOW as f64 / 1_000.0 + 5.0
 }
 
-/// Asks for one unit after the other at random processes, so many a second, for so many milliseconds.
+/// Generates acquisitions of one unit at random processes, at this rate for so many milliseconds.
 fn demand(world: &mut World, entries: usize, per_s: f64, span: u64) {
     let mut at = 0.0;
     loop {
@@ -51,17 +52,17 @@
     }
 }
 
-/// A world in which an endpoint has named its limit to all.
-fn told(seed: u64, entries: usize, per_s: f64) -> World {
+/// A world in which an endpoint has reported its limit to all processes.
+fn limited_world(seed: u64, entries: usize, per_s: f64) -> World {
     let mut world = World::new(seed, entries, Vec::new());
     world.run(3_000);
     for at in 0..entries {
-        world.name(at, key(), terms(per_s));
+        world.report_limit(at, key(), limit(per_s));
     }
     world
 }
 
-/// The most that was granted in a window, and what was granted in a second from then on.
+/// The most that was granted in a window, and the rate that was granted from `since` on.
 fn granted(world: &World, since: u64, until: u64) -> (f64, f64) {
     let outcome = world.outcomes.get(&key()).cloned().unwrap_or_default();
     let count = outcome
@@ -73,13 +74,14 @@
     (outcome.most_in(WINDOW), count as f64 / seconds)
 }
 
-/// An endpoint names a limit, and callers ask for three times that and for less. It gets what it takes, and never more.
-/// A fixed share of 1.1 a second for each of 73 processes would be a request in 66 s.
+/// An endpoint reports a limit, and callers request three times that. The endpoint has to get about what it
+/// accepts, and never more. With a fixed share of 1.1 a second, each of 73 processes could send one request
+/// in 66 s.
 #[test]
 fn processes_send_as_much_as_a_limit_allows_and_no_more() {
     for entries in [1, 7, 73, 195, 860] {
         for per_s in [0.25, 1.1, 10.0, 40.0] {
-            let mut world = told(entries as u64, entries, per_s);
+            let mut world = limited_world(entries as u64, entries, per_s);
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             world.run(40_000);
             let (most, rate) = granted(&world, 6_000, 43_000);
@@ -90,14 +92,14 @@
     }
 }
 
-/// The process that keeps the limit is killed every three seconds, the fleet is cut in two, processes that were told
-/// stand still and wake. None of this adds to what the endpoint gets.
+/// The coordinator of the limit is killed every three seconds, the fleet is partitioned, or processes that
+/// know the limit are suspended and resumed. None of this may add to what the endpoint gets.
 #[test]
 fn a_limit_holds_in_trouble() {
     for seed in 0..6 {
         for per_s in [1.1, 10.0] {
             let entries = 73;
-            let mut world = told(seed, entries, per_s);
+            let mut world = limited_world(seed, entries, per_s);
             demand(&mut world, entries, 3.0 * per_s, 40_000);
             for round in 0..12 {
                 world.run(3_000);
@@ -108,8 +110,8 @@
                         world.side = (0..entries).map(|it| u8::from(it % 2 == 0)).collect();
                     }
                     (1 | 4, _) => world.side = vec![0; entries],
-                    (_, 0) => world.freeze(coordinator),
-                    (_, _) => world.thaw(coordinator),
+                    (_, 0) => world.suspend(coordinator),
+                    (_, _) => world.resume(coordinator),
                 }
             }
             world.run(4_000);
@@ -123,15 +125,15 @@
     }
 }
 
-/// The limit is lowered. Some processes have heard of that, others ask by what they were told before: the younger
-/// word holds, whoever asks last.
+/// A limit is lowered. Some processes know the new one and others send the old one along: the newer one
+/// applies, whoever asks last.
 #[test]
 fn of_two_limits_the_younger_holds() {
-    let mut world = told(1, 7, 40.0);
+    let mut world = limited_world(1, 7, 40.0);
     demand(&mut world, 7, 60.0, 10_000);
     world.run(4_000);
     for at in 0..3 {
-        world.name(at, key(), terms(2.0));
+        world.report_limit(at, key(), limit(2.0));
     }
     world.run(6_000);
     let (_, after) = granted(&world, 9_000, 13_000);
@@ -139,9 +141,9 @@
     assert!(after > 0.5, "{after} a second");
 }
 
-/// Anybody can send a datagram. Terms that are no numbers would leave the allowance at no number for good.
+/// Anybody can send a datagram. A limit that is not finite would turn the allowance into NaN for good.
 #[test]
-fn terms_that_are_no_numbers_are_not_taken() {
+fn non_finite_limits_are_ignored() {
     for bad in [f64::NAN, f64::INFINITY, -1.0] {
         let entries = [net::Ipv4Addr::LOCALHOST];
         let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
@@ -153,7 +155,7 @@
             returned: 0.0,
             rank: 0,
             reported: Some(allowance::ReportedLimit {
-                limit: terms(bad),
+                limit: limit(bad),
                 age: Millis(0),
             }),
         };
@@ -163,9 +165,9 @@
     }
 }
 
-/// What nobody asks by any more is forgotten, with what was drawn of it.
+/// A limit that no message refers to any more is removed, together with its bucket.
 #[test]
-fn terms_are_forgotten_when_nobody_asks_by_them() {
+fn limits_expire_when_no_message_refers_to_them() {
     let entries = [net::Ipv4Addr::LOCALHOST];
     let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
     coordinator.set_entries(Instant(0), &entries);
@@ -176,7 +178,7 @@
         returned: 0.0,
         rank: 0,
         reported: Some(allowance::ReportedLimit {
-            limit: terms(1.0),
+            limit: limit(1.0),
             age: Millis(0),
         }),
     };
@@ -196,18 +198,18 @@
     }
 }
 
-fn ask(wanted: &dialect::ModelRef) -> EndpointQuery<'_> {
+fn query(wanted: &dialect::ModelRef) -> EndpointQuery<'_> {
     EndpointQuery {
         service: "engines",
         wanted: Some(wanted),
         parts: &[],
         prompt_tokens: 100,
         tried: &[],
-        left: Millis(5_000),
+        time_left: Millis(5_000),
         patience: Millis(0),
-        on_time: Millis(1_000),
+        time_until_late: Millis(1_000),
         may_be_late: false,
-        may_fetch: false,
+        may_load_adapter: false,
     }
 }
 
@@ -230,61 +232,65 @@
     }
 }
 
-/// An engine takes nothing more for a while. Requests go to another; where there is none they are told when it opens,
-/// and it is asked again then.
+/// An engine accepts nothing for a while. Requests go to another one; if there is none, they get the time
+/// at which the engine opens, and it is selected again then.
 #[test]
 fn nothing_goes_to_an_engine_until_it_opens() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let wanted = wanted();
     let now = Instant(10_000);
     chooser.set_limit(now, &engines[0].id, 1.0);
-    chooser.close(now, &engines[0].id, Millis(900));
+    chooser.close_for(now, &engines[0].id, Millis(900));
     for _ in 0..8 {
-        let choice = chooser.choose(now, &ask(&wanted));
+        let choice = chooser.choose(now, &query(&wanted));
         assert_eq!(goes_to(&choice), Some("e2"));
     }
-    assert_eq!(chooser.counts(now), (2, 1));
-    chooser.close(now, &engines[1].id, Millis(2_000));
+    assert_eq!(chooser.endpoint_counts(now), (2, 1));
+    chooser.close_for(now, &engines[1].id, Millis(2_000));
     let later = Instant(10_300);
-    let none = chooser.choose(later, &ask(&wanted));
+    let none = chooser.choose(later, &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(600))));
-    let opened = chooser.choose(Instant(10_900), &ask(&wanted));
+    let opened = chooser.choose(Instant(10_900), &query(&wanted));
     assert_eq!(goes_to(&opened), Some("e1"));
 }
 
-/// Two requests of one process ask for a turn at once, and are given one each. The process goes on at the first of them:
-/// waiting for the last, it would leave what the others were given unused.
+/// Two requests of one process acquire a turn at the same time and get one each. The process continues at
+/// the earlier one; if it waited for the later one, it would leave unused what others were granted.
 #[test]
 fn of_several_turns_the_first_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let (now, id) = (Instant(10_000), &engines[0].id);
-    chooser.close(now, id, Millis(400));
-    chooser.close(now, id, Millis(1_400));
-    assert_eq!(chooser.counts(Instant(10_399)), (1, 0));
-    assert_eq!(chooser.counts(Instant(10_400)), (1, 1));
+    chooser.close_for(now, id, Millis(400));
+    chooser.close_for(now, id, Millis(1_400));
+    assert_eq!(chooser.endpoint_counts(Instant(10_399)), (1, 0));
+    assert_eq!(chooser.endpoint_counts(Instant(10_400)), (1, 1));
 }
 
-/// What an engine has said holds though control loses sight of it for a while, and not for another start of it.
+/// The limit of an engine applies even if control loses sight of the engine for a while, but not to another
+/// instance of it.
 #[test]
-fn a_limit_is_kept_by_the_start_that_named_it() {
+fn a_limit_is_kept_for_the_instance_that_reported_it() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let now = Instant(10_000);
     let id = &engines[0].id;
-    assert_eq!(chooser.set_limit(now, id, 1.5), Some(Change::Named(1.5)));
+    assert_eq!(
+        chooser.set_limit(now, id, 1.5),
+        Some(LimitChange::Reported(1.5))
+    );
     assert_eq!(chooser.set_limit(now, id, 1.5), None);
     chooser.remove_instance(id);
     chooser.update_instance(&engines[0]);
     let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
-    assert_eq!(named.limit, terms(1.5));
+    assert_eq!(named.limit, limit(1.5));
     assert_eq!(named.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
     assert_eq!(chooser.limit(now, &other), None);
-    assert_eq!(chooser.clear_limit(id), Some(Change::Lifted));
+    assert_eq!(chooser.clear_limit(id), Some(LimitChange::Cleared));
     assert_eq!(chooser.clear_limit(id), None);
     assert_eq!(chooser.limit(now, id), None);
 }
 
-/// An engine that names no requests at all would never be heard again if nothing went there.
+/// An engine that reports a limit of zero could never report another one if nothing were sent to it.
 #[test]
 fn a_limit_of_none_lets_one_through_now_and_then() {
     let (mut chooser, engines) = chooser(&["e1"]);
@@ -293,33 +299,34 @@
     assert!(named.is_some_and(|it| it.limit.per_s > 0.0));
 }
 
-/// An engine has turned a request away and wants rest. A shorter word, or the end of its limit, takes nothing back.
+/// An engine has rejected a request and asked for a pause. Neither a shorter pause nor the end of its limit
+/// shortens it.
 #[test]
-fn an_engine_rests_as_long_as_the_longest_of_its_words() {
+fn the_longest_pause_that_an_engine_requested_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let wanted = wanted();
     let now = Instant(10_000);
     let id = &engines[0].id;
     chooser.set_limit(now, id, 5.0);
-    chooser.rest(now, id, Millis(3_000));
-    chooser.rest(Instant(10_100), id, Millis(200));
+    chooser.pause_for(now, id, Millis(3_000));
+    chooser.pause_for(Instant(10_100), id, Millis(200));
     chooser.clear_limit(id);
-    let none = chooser.choose(Instant(12_000), &ask(&wanted));
+    let none = chooser.choose(Instant(12_000), &query(&wanted));
     assert_eq!(none, Choice::Wait(WaitReason::Allowance(Millis(1_000))));
-    let after = chooser.choose(Instant(13_000), &ask(&wanted));
+    let after = chooser.choose(Instant(13_000), &query(&wanted));
     assert_eq!(goes_to(&after), Some("e1"));
-    chooser.rest(now, id, Millis(u64::MAX));
-    assert_eq!(chooser.counts(Instant(13_000)), (1, 0));
+    chooser.pause_for(now, id, Millis(u64::MAX));
+    assert_eq!(chooser.endpoint_counts(Instant(13_000)), (1, 0));
 }
 
-/// Among many processes the home of a model says where requests go. It was not told what an engine has said to another
-/// process, which names such engines in its question.
+/// With many processes, the coordinator of a model decides where requests go. It doesn't know what an
+/// engine has told another process, so that process names such engines in its query.
 #[test]
-fn engines_that_take_nothing_from_a_process_are_known_by_their_keys() {
+fn closed_engines_are_listed_by_their_keys() {
     let (mut chooser, engines) = chooser(&["e1", "e2"]);
     let now = Instant(10_000);
     assert!(chooser.closed_endpoints(now, "engines").is_empty());
-    chooser.rest(now, &engines[1].id, Millis(500));
+    chooser.pause_for(now, &engines[1].id, Millis(500));
     let closed = chooser.closed_endpoints(now, "engines");
     let names: Vec<_> = closed.iter().map(|it| chooser.instance_key(*it)).collect();
     let expected = sageshed_fleet::entry_peers::instance_key(&engines[1].id);
@@ -327,15 +334,15 @@
     assert!(chooser.closed_endpoints(now, "plain").is_empty());
 }
 
-/// The head of an answer, and whether the engine has its limit and rests after it.
+/// The head of a response, and whether the engine is limited and paused after it.
 struct Head {
     name: &'static str,
-    answered: dialect::ResponseMetadata<'static>,
+    response: dialect::ResponseMetadata<'static>,
     is_limited: bool,
-    rests: bool,
+    is_paused: bool,
 }
 
-fn answered(
+fn response(
     execution: dialect::ExecutionStatus,
     notice: dialect::Notice,
 ) -> dialect::ResponseMetadata<'static> {
@@ -348,10 +355,10 @@
     }
 }
 
-/// An engine with a limit answers once more. The answer of another engine, which was given its address, is not its own;
-/// and a rejection that names no limit does not say that there is none.
+/// An engine with a limit responds once more. A response of another engine that has taken over its address
+/// does not count, and a rejection without a limit does not mean that there is none.
 #[test]
-fn an_answer_says_something_of_the_engine_that_gave_it_alone() {
+fn a_response_changes_only_the_state_of_the_engine_that_sent_it() {
     let limit = dialect::Notice {
         limit: Some(1.0),
         ..dialect::Notice::default()
@@ -361,66 +368,71 @@
         ..dialect::Notice::default()
     };
     let none = dialect::Notice::default();
-    let head = |name, answered, is_limited, rests| Head {
+    let head = |name, response, is_limited, is_paused| Head {
         name,
-        answered,
+        response,
         is_limited,
-        rests,
+        is_paused,
     };
-    let vouched = dialect::ExecutionStatus::Verified;
+    let verified = dialect::ExecutionStatus::Verified;
     let misdirected = dialect::ExecutionStatus::Misdirected;
     let other = dialect::ResponseMetadata {
         endpoint: Some("e9"),
-        ..answered(misdirected, none)
+        ..response(misdirected, none)
     };
     let own = dialect::ResponseMetadata {
         endpoint: Some("e1"),
-        ..answered(misdirected, rest)
+        ..response(misdirected, rest)
     };
     let cases = [
         head(
-            "it runs under its limit",
-            answered(vouched, limit),
+            "runs the request and is limited",
+            response(verified, limit),
             true,
             false,
         ),
-        head("it runs without one", answered(vouched, none), false, false),
         head(
-            "it rejects",
-            answered(dialect::ExecutionStatus::NotRun, none),
+            "runs the request without a limit",
+            response(verified, none),
+            false,
+            false,
+        ),
+        head(
+            "rejects the request",
+            response(dialect::ExecutionStatus::NotRun, none),
             true,
             false,
         ),
         head(
-            "it rejects and rests",
-            answered(dialect::ExecutionStatus::NotRun, rest),
+            "rejects the request and asks for a pause",
+            response(dialect::ExecutionStatus::NotRun, rest),
             true,
             true,
         ),
         head(
-            "nobody vouches",
-            answered(dialect::ExecutionStatus::Unverified, none),
+            "unverified response",
+            response(dialect::ExecutionStatus::Unverified, none),
             true,
             false,
         ),
-        head("another answers", other, true, false),
+        head("another engine responds", other, true, false),
         head(
-            "nobody says who refuses",
-            answered(misdirected, rest),
+            "anonymous refusal",
+            response(misdirected, rest),
             true,
             false,
         ),
-        head("it says that it refuses", own, true, true),
+        head("its own refusal", own, true, true),
     ];
     for case in cases {
         let (mut chooser, engines) = chooser(&["e1"]);
         let (now, id) = (Instant(10_000), &engines[0].id);
-        let first = chooser.apply_notice(now, id, &answered(vouched, limit));
-        assert_eq!(first, Some(Change::Named(1.0)));
-        chooser.apply_notice(now, id, &case.answered);
+        let first = chooser.apply_notice(now, id, &response(verified, limit));
+        assert_eq!(first, Some(LimitChange::Reported(1.0)));
+        chooser.apply_notice(now, id, &case.response);
         let is_limited = chooser.limit(now, id).is_some();
         assert_eq!(is_limited, case.is_limited, "{}", case.name);
-        let rests = !chooser.closed_endpoints(now, "engines").is_empty();
-        assert_eq!(rests, case.rests, "{}", case.name);
+        let is_paused = !chooser.closed_endpoints(now, "engines").is_empty();
+        assert_eq!(is_paused, case.is_paused, "{}", case.name);
     }
 }
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -1,31 +1,33 @@
-//! How fast entry processes learn of a request under which endpoints end, while processes are started anew and calls
-//! between them are lost.
+//! How fast entry processes learn of a request that crashes endpoints, while processes are restarted and
+//! calls between them are lost.
 
 use sageshed_fleet::quarantine::{
     CRASH_LIMIT, Crash, Cursor, Fingerprint, PeerSync, Quarantine, QuarantinedRequest, SyncScope,
 };
 use sageshed_types::time::{Instant, Millis};
 
-/// The request that ends each endpoint that runs it.
-const CAUSE: Fingerprint = Fingerprint(1);
+/// The request that crashes each endpoint that runs it.
+const POISON: Fingerprint = Fingerprint(1);
 
-/// An entry process counts as in touch once it has run for this long, and all control processes too.
-const IN_TOUCH_AFTER: u64 = 3_000;
+/// An entry process counts as in contact once it has run for this long, and all control processes too, in
+/// milliseconds.
+const CONTACT_AFTER: u64 = 3_000;
 
-/// How often the request may reach an endpoint, by processes in touch, later than that after its third end.
-const MOST_AFTER: usize = 3;
+/// How often the request may still reach an endpoint through processes in contact, later than that after
+/// the third crash.
+const MAX_LATE_ATTEMPTS: usize = 3;
 
-/// Seeds of each case. Sixty were run by hand.
+/// Seeds of each case.
 const SEEDS: u64 = 8;
 
-/// One step of the clock, in milliseconds: the way between two processes and back, and its pauses.
+/// Step of the clock in milliseconds: a round trip between two processes, with its delays.
 const STEP: u64 = 20;
 
-/// Between two calls of an entry process to the control process that it tells, in milliseconds.
-const TELLS_EVERY: u64 = 260;
+/// Interval between calls of an entry process to the control process that it reports to, in milliseconds.
+const REPORT_INTERVAL: u64 = 260;
 
-/// The same to its other two.
-const LISTENS_EVERY: u64 = 840;
+/// The same for the other two control processes.
+const POLL_INTERVAL: u64 = 840;
 
 /// A process and when it was started.
 struct Process {
@@ -47,23 +49,23 @@
     to: usize,
     every: u64,
     next: u64,
-    link: PeerSync,
+    sync: PeerSync,
 }
 
-/// Entry processes, control processes and the log of these, in virtual time.
+/// A simulation, in virtual time, of entry processes, control processes and the log of these.
 struct World {
     now: u64,
-    draws: u64,
+    rng_state: u64,
     starts: u64,
     entries: Vec<(Process, Vec<Watch>)>,
     control: Vec<Process>,
-    /// How far each control process knows each other one.
+    /// How far each control process knows the evidence of each other one.
     known: Vec<Vec<Cursor>>,
     log: Vec<QuarantinedRequest>,
-    /// Ends of endpoints, and arrivals at them by processes in touch.
-    ends: Vec<u64>,
+    /// When endpoints crashed, and when processes in contact sent the request to one.
+    crashes: Vec<u64>,
     arrivals: Vec<u64>,
-    /// Of a hundred calls, so many are lost.
+    /// Calls of a hundred that are lost.
     lost: u64,
 }
 
@@ -71,13 +73,13 @@
     fn new(seed: u64, entries: usize, lost: u64) -> Self {
         let mut world = Self {
             now: 0,
-            draws: seed,
+            rng_state: seed,
             starts: 0,
             entries: Vec::new(),
             control: Vec::new(),
             known: vec![vec![Cursor::default(); 5]; 5],
             log: Vec::new(),
-            ends: Vec::new(),
+            crashes: Vec::new(),
             arrivals: Vec::new(),
             lost,
         };
@@ -92,16 +94,16 @@
         world
     }
 
-    /// Below `limit`, by a linear congruential generator.
+    /// A random number below `limit`, by a linear congruential generator.
     fn draw(&mut self, limit: u64) -> u64 {
-        self.draws = self
-            .draws
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.draws >> 33) % limit
+        (self.rng_state >> 33) % limit
     }
 
-    /// One of `count` processes.
+    /// The index of one of `count` processes.
     fn pick(&mut self, count: usize) -> usize {
         let drawn = self.draw(count as u64);
         usize::try_from(drawn).expect("below the count")
@@ -115,35 +117,39 @@
     fn start_entry(&mut self) -> (Process, Vec<Watch>) {
         let process = self.start();
         let first = self.pick(5);
-        let links = (0..3).map(|at| Watch {
+        let watches = (0..3).map(|at| Watch {
             to: (first + at) % 5,
-            every: if at == 0 { TELLS_EVERY } else { LISTENS_EVERY },
+            every: if at == 0 {
+                REPORT_INTERVAL
+            } else {
+                POLL_INTERVAL
+            },
             next: self.now,
-            link: PeerSync::default(),
+            sync: PeerSync::default(),
         });
-        (process, links.collect())
+        (process, watches.collect())
     }
 
     fn instant(&self) -> Instant {
         Instant(self.now)
     }
 
-    fn is_in_touch(&self, entry: usize) -> bool {
+    fn is_in_contact(&self, entry: usize) -> bool {
         let since = |it: &Process| self.now - it.started;
         let control = self.control.iter().map(since).min().unwrap_or(0);
-        since(&self.entries[entry].0).min(control) >= IN_TOUCH_AFTER
+        since(&self.entries[entry].0).min(control) >= CONTACT_AFTER
     }
 
-    /// Entry processes call those that are due, or have something for them.
+    /// Entry processes call control when they are due or there is something for them.
     fn call_control(&mut self) {
         let now = self.instant();
         for at in 0..self.entries.len() {
-            for link in 0..3 {
+            for number in 0..3 {
                 let is_lost = self.draw(100) < self.lost;
-                let (process, links) = &mut self.entries[at];
-                let watch = &mut links[link];
+                let (process, watches) = &mut self.entries[at];
+                let watch = &mut watches[number];
                 let control = &mut self.control[watch.to].quarantine;
-                let has_news = control.has_news(watch.link.received, SyncScope::Held);
+                let has_news = control.has_news(watch.sync.received, SyncScope::Held);
                 if self.now < watch.next && !has_news {
                     continue;
                 }
@@ -151,20 +157,20 @@
                 if is_lost {
                     continue;
                 }
-                let told = process.quarantine.cursor();
+                let sent = process.quarantine.cursor();
                 let crashes = process
                     .quarantine
-                    .since(now, watch.link.sent, SyncScope::All);
+                    .since(now, watch.sync.sent, SyncScope::All);
                 control.merge_all(now, &crashes);
-                let answer = control.since(now, watch.link.received, SyncScope::Held);
-                watch.link.record_exchange(told, control.cursor());
+                let answer = control.since(now, watch.sync.received, SyncScope::Held);
+                watch.sync.record_exchange(sent, control.cursor());
                 process.quarantine.merge_all(now, &answer);
             }
         }
     }
 
-    /// Control processes tell each other what is new.
-    fn call_among_control(&mut self) {
+    /// Control processes exchange what is new.
+    fn sync_control(&mut self) {
         let now = self.instant();
         for to in 0..5 {
             for from in (0..5).filter(|from| *from != to) {
@@ -179,36 +185,36 @@
         }
     }
 
-    /// The first control process leads, and has the log hold what it knows.
-    fn keep(&mut self) {
+    /// The first control process is the leader and persists in the log what it knows.
+    fn persist(&mut self) {
         let now = self.instant();
         self.log = self.control[0].quarantine.held(now);
     }
 
-    /// A try of the caller reaches an entry process, which passes it on to two endpoints.
-    fn try_at(&mut self, entry: usize) {
+    /// An attempt of the caller arrives at an entry process, which sends it to two endpoints.
+    fn attempt_at(&mut self, entry: usize) {
         let now = self.instant();
-        let in_touch = self.is_in_touch(entry);
+        let is_in_contact = self.is_in_contact(entry);
         for _ in 0..2 {
             let quarantine = &mut self.entries[entry].0.quarantine;
-            if quarantine.held_for(now, CAUSE).is_some() {
+            if quarantine.held_for(now, POISON).is_some() {
                 return;
             }
-            self.ends.push(self.now);
+            self.crashes.push(self.now);
             let crash = Crash {
-                content: CAUSE,
-                endpoint: self.ends.len() as u64,
+                content: POISON,
+                endpoint: self.crashes.len() as u64,
                 age: Millis(0),
                 is_cleared: false,
             };
             quarantine.merge(now, &crash);
-            if in_touch {
+            if is_in_contact {
                 self.arrivals.push(self.now);
             }
         }
     }
 
-    /// A process is killed and started anew. A control process has what the log holds.
+    /// A process is killed and restarted. A control process restores what the log holds.
     fn restart_one(&mut self) {
         let now = self.instant();
         if self.draw(10) == 0 {
@@ -237,31 +243,31 @@
         }
     }
 
-    /// Arrivals by processes in touch, later than the bound after the third end.
-    fn too_late(&self) -> usize {
-        let Some(third) = self.ends.get(CRASH_LIMIT - 1) else {
+    /// Attempts through processes in contact that came too late after the third crash.
+    fn late_attempts(&self) -> usize {
+        let Some(third) = self.crashes.get(CRASH_LIMIT - 1) else {
             return 0;
         };
         let late = self.arrivals.iter();
-        late.filter(|at| **at > third + IN_TOUCH_AFTER).count()
+        late.filter(|at| **at > third + CONTACT_AFTER).count()
     }
 }
 
-/// A size of the system and what goes wrong in it.
+/// A size of the system, and the faults in it.
 struct Case {
     name: &'static str,
     entries: usize,
     lost: u64,
-    /// Restarts of one process in a minute.
+    /// Restarts of one process per minute.
     restarts: u64,
-    /// Whether all lose their power half way.
+    /// Whether all processes lose their power halfway through.
     all: bool,
-    /// Between two tries of the caller, in milliseconds at the mean. One that comes seldom finds processes that had
-    /// the time to be in touch again, and to forget.
+    /// Mean time between two attempts of the caller in milliseconds. With rare attempts, processes have the
+    /// time to be in contact again, and to forget.
     gap: u64,
 }
 
-/// The caller sends its request for a minute, to any entry process, whichever were started anew.
+/// The caller sends its request for a minute, to any entry process, whichever processes are restarted.
 #[test]
 fn entry_processes_learn_in_time_whatever_is_restarted() {
     let case = |name, entries, lost, restarts, all, gap| Case {
@@ -273,15 +279,22 @@
         gap,
     };
     let cases = [
-        case("calm", 7, 0, 0, false, 200),
-        case("calm, seldom", 7, 0, 0, false, 4_000),
+        case("no faults", 7, 0, 0, false, 200),
+        case("no faults, rare attempts", 7, 0, 0, false, 4_000),
         case("many entry processes", 195, 0, 0, false, 200),
-        case("many entry processes, seldom", 195, 0, 0, false, 4_000),
+        case(
+            "many entry processes, rare attempts",
+            195,
+            0,
+            0,
+            false,
+            4_000,
+        ),
         case("lossy", 7, 10, 0, false, 1_500),
         case("restarts", 7, 10, 30, false, 1_500),
         case("restarts of many", 195, 10, 60, false, 1_500),
-        case("all lose their power", 7, 0, 0, true, 4_000),
-        case("all that", 40, 10, 20, true, 1_500),
+        case("power loss", 7, 0, 0, true, 4_000),
+        case("all faults together", 40, 10, 20, true, 1_500),
     ];
     for case in &cases {
         for seed in 0..SEEDS {
@@ -289,8 +302,8 @@
             while world.now < 60_000 {
                 world.now += STEP;
                 world.call_control();
-                world.call_among_control();
-                world.keep();
+                world.sync_control();
+                world.persist();
                 let draw = world.draw(60_000 / STEP);
                 if draw < case.restarts {
                     world.restart_one();
@@ -300,14 +313,14 @@
                 }
                 if world.draw(case.gap / STEP) == 0 {
                     let entry = world.pick(case.entries);
-                    world.try_at(entry);
+                    world.attempt_at(entry);
                 }
             }
-            let late = world.too_late();
-            let ends = world.ends.len();
+            let late = world.late_attempts();
+            let crashes = world.crashes.len();
             assert!(
-                late <= MOST_AFTER,
-                "{}, seed {seed}: {late} of {ends} ends",
+                late <= MAX_LATE_ATTEMPTS,
+                "{}, seed {seed}: {late} of {crashes} crashes",
                 case.name
             );
         }
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Long prompts beside streams: an engine reads a prompt between two events of all that it streams.
+//! Long prompts beside streams: an engine prefills a prompt between two events of all its streams.
 
 mod support;
 
@@ -29,14 +29,14 @@
     }
 }
 
-fn short(id: &str) -> u64 {
+fn key_of(id: &str) -> u64 {
     entry_peers::instance_key(&id.into())
 }
 
-/// What an entry process says of an engine whose answer has just begun.
-fn began(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
+/// The observation of an engine whose response has just begun.
+fn observation(id: &str, running: u32, micros: u64) -> entry_peers::EngineObservation {
     entry_peers::EngineObservation {
-        engine: short(id),
+        engine: key_of(id),
         pending_prefill_us: micros,
         cached_prefix: None,
         ttft: None,
@@ -46,19 +46,19 @@
     }
 }
 
-/// The home of m0, which was told at `T0` how many requests each of these engines runs.
+/// The coordinator of m0, which learned at `T0` how many requests each of these engines runs.
 fn coordinator(engines: &[(&str, u32)]) -> Chooser {
     let own = entry_peers::coordinators(entry_peers::name_key("m0"), &entries())[0];
     let mut chooser = Chooser::new("z1", 7);
     chooser.set_entries(own, &entries());
     for (id, running) in engines {
         chooser.update_instance(&support::engine(id, &["m0"]));
-        chooser.apply_observation(T0, entries()[1], &began(id, *running, 0));
+        chooser.apply_observation(T0, entries()[1], &observation(id, *running, 0));
     }
     chooser
 }
 
-fn asked(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
+fn route(chooser: &mut Chooser, now: time::Instant, request: u64, tokens: u64) -> u64 {
     let wanted = m0();
     let ask = EndpointQuery {
         patience: time::Millis(300),
@@ -70,64 +70,64 @@
     }
 }
 
-/// A prompt and the engines that it may go to.
+/// A prompt, and the engine that it has to go to.
 struct Case {
     name: &'static str,
     tokens: u64,
-    /// Milliseconds since the engines said what they run.
+    /// Milliseconds since the engines reported their running requests.
     later: u64,
-    /// The engine that streams to nobody has so many milliseconds to read already.
-    ahead: u64,
-    /// Whether it goes there.
-    to_the_calm: bool,
+    /// Pending prefill, in milliseconds, of the engine without streams.
+    pending_ms: u64,
+    /// Whether the prompt goes to the engine without streams.
+    to_idle_engine: bool,
 }
 
 #[test]
 fn a_prompt_goes_where_it_stops_the_fewest_streams_for_long() {
-    let case = |name, tokens, later, ahead, to_the_calm| Case {
+    let case = |name, tokens, later, pending_ms, to_idle_engine| Case {
         name,
         tokens,
         later,
-        ahead,
-        to_the_calm,
+        pending_ms,
+        to_idle_engine,
     };
     let cases = [
         case("400 ms to read", 7_600, 10, 0, true),
         case("300 ms to read", 5_700, 10, 0, true),
-        case("a short one does not wait for that", 1_900, 10, 60, false),
         case(
-            "a long one does not wait for seconds",
-            7_600,
+            "a short prompt does not wait for that",
+            1_900,
             10,
-            900,
+            60,
             false,
         ),
         case(
-            "what an engine said long ago says nothing",
+            "a long prompt does not wait for seconds",
             7_600,
-            2_500,
-            60,
+            10,
+            900,
             false,
         ),
+        case("an outdated report does not count", 7_600, 2_500, 60, false),
     ];
     for case in cases {
         let mut chooser = coordinator(&[("e1", 12), ("e2", 0), ("e3", 14)]);
-        let micros = case.ahead * 1_000;
+        let micros = case.pending_ms * 1_000;
         let now = at(case.later);
-        let told = entry_peers::EngineObservation {
+        let observed = entry_peers::EngineObservation {
             running: None,
-            ..began("e2", 0, micros)
+            ..observation("e2", 0, micros)
         };
-        chooser.apply_observation(now, entries()[3], &told);
-        let engine = asked(&mut chooser, now, 1, case.tokens);
-        assert_eq!(engine == short("e2"), case.to_the_calm, "{}", case.name);
+        chooser.apply_observation(now, entries()[3], &observed);
+        let engine = route(&mut chooser, now, 1, case.tokens);
+        assert_eq!(engine == key_of("e2"), case.to_idle_engine, "{}", case.name);
     }
 }
 
-/// Some 26 prompts a second come for a model with eight copies, one of twelve so long that it stops an engine for as
-/// long as its streams bear; half of the engines run many long streams, half few. Sent by what there is to read
-/// alone, the long ones are spread over all engines, and reach as many streams as there are; now they go where
-/// few run.
+/// Some 26 prompts a second arrive for a model with eight replicas; one of twelve is so long that it stalls
+/// an engine for as long as its streams accept. Half of the engines run many long streams, half few. Routed
+/// by pending prefill alone, the long prompts are spread over all engines and stall as many streams as
+/// there are; they have to go where few run.
 #[test]
 fn long_prompts_stay_away_from_crowded_engines_for_a_minute_of_load() {
     let ids: Vec<String> = (0..8).map(|it| format!("e{it}")).collect();
@@ -139,28 +139,31 @@
         .collect();
     let mut chooser = coordinator(&engines);
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut stopped = collections::BTreeMap::<bool, u32>::new();
+    let mut stalled = collections::BTreeMap::<bool, u32>::new();
     let (mut long, mut now) = (0, 0);
-    // Microseconds that each engine has to read by the words of the processes.
     for request in 0..1_560_u64 {
         now += rng.u64(1..77);
         for (id, running) in &engines {
-            chooser.apply_observation(at(now), entries()[1], &began(id, *running, 0));
+            chooser.apply_observation(at(now), entries()[1], &observation(id, *running, 0));
         }
         let is_long = rng.u32(0..12) == 0;
         let tokens = if is_long { 7_600 } else { 1_800 };
-        let engine = asked(&mut chooser, at(now), request, tokens);
+        let engine = route(&mut chooser, at(now), request, tokens);
         let index = ids
             .iter()
-            .position(|id| short(id) == engine)
+            .position(|id| key_of(id) == engine)
             .expect("known");
-        chooser.apply_observation(at(now), entries()[2], &began(&ids[index], crowd(index), 0));
+        chooser.apply_observation(
+            at(now),
+            entries()[2],
+            &observation(&ids[index], crowd(index), 0),
+        );
         if is_long {
             long += 1;
-            *stopped.entry(crowd(index) > 5).or_default() += 1;
+            *stalled.entry(crowd(index) > 5).or_default() += 1;
         }
     }
-    let at_crowded = stopped.get(&true).copied().unwrap_or_default();
+    let at_crowded = stalled.get(&true).copied().unwrap_or_default();
     assert!(
         at_crowded * 10 <= long,
         "{at_crowded} of {long} long prompts"
