--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -67,7 +67,7 @@
             .filter(|it| it.resident(&req.model).is_some())
             .copied()
             .collect();
-        let is_there = |it: &&directory::Instance| {
+        let is_present = |it: &&directory::Instance| {
             let has_or_loads =
                 |engine: &engine::Engine| engine.holds_or_loads_adapter(&req.model, &req.adapter);
             it.holds(&req.model, Some(&req.adapter))
@@ -77,10 +77,10 @@
             let engine = req.engine.as_ref();
             engine.is_none_or(|id| *id == it.id)
         };
-        if holders.iter().filter(|it| is_meant(it)).any(is_there) {
+        if holders.iter().filter(|it| is_meant(it)).any(is_present) {
             return Progress::Done;
         }
-        let is_elsewhere = holders.iter().any(is_there);
+        let is_elsewhere = holders.iter().any(is_present);
         let free_slots = |it: &&directory::Instance| {
             let engine = self.engines.get(&it.id)?;
             let used = engine.max_adapters(it);
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -179,14 +179,15 @@
         &self,
         instance: &directory::Instance,
     ) -> Vec<dialect::Task> {
-        let dropped = self.pending.iter().filter(|it| {
-            let is_dropped = matches!(it.task, dialect::Task::Unload(_));
-            let is_taken = matches!(it.state, OrderState::Accepted(_));
-            is_dropped && is_taken && instance.resident(it.task.model()).is_some()
+        let unloads = self.pending.iter().filter(|it| {
+            let is_unload = matches!(it.task, dialect::Task::Unload(_));
+            let is_accepted = matches!(it.state, OrderState::Accepted(_));
+            is_unload && is_accepted && instance.resident(it.task.model()).is_some()
         });
-        dropped.map(|it| it.task.clone()).collect()
+        unloads.map(|it| it.task.clone()).collect()
     }
 
+    /// Whether it was ordered to unload the adapter.
     fn unloads_adapter(&self, model: &str, adapter: &str) -> bool {
         self.pending.iter().any(|it| {
             matches!(&it.task, dialect::Task::UnloadAdapter(m, a) if m == model && a == adapter)
@@ -233,6 +234,7 @@
         self.calls_paused_until = self.calls_paused_until.max(now + span);
     }
 
+    /// Records that a report request is sent now.
     pub(super) fn report_requested(&mut self, now: time::Instant) {
         self.report_requested_at = Some(now);
         self.report_pending = true;
@@ -251,6 +253,7 @@
         !self.pending.is_empty()
     }
 
+    /// Applies the outcome of a report request: the report, or none where none came.
     pub(super) fn apply_report(&mut self, now: time::Instant, report: Option<dialect::Report>) {
         self.report_pending = false;
         let Some(report) = report else {
@@ -259,13 +262,14 @@
         };
         self.failed_reports = 0;
         self.reported_models = report.models.iter().map(|it| it.model.clone()).collect();
-        // It executes an order of an earlier leader, whose outcome shows only once it is done.
+        // A busy engine without a pending order about weights executes one of an earlier leader, whose outcome shows
+        // only once it is done.
         let is_foreign = report.is_busy && !self.pending.iter().any(|it| it.task.is_weights());
         self.accepted = (!is_foreign).then_some(report.accepted);
         for order in &mut self.pending {
-            let is_carried_out = report.accepted > order.accepted_before;
+            let is_accepted = report.accepted > order.accepted_before;
             order.state = match order.state {
-                OrderState::Unconfirmed(_) | OrderState::Resendable(_) if is_carried_out => {
+                OrderState::Unconfirmed(_) | OrderState::Resendable(_) if is_accepted => {
                     OrderState::Accepted(now + order.load_time)
                 }
                 OrderState::Unconfirmed(until) => OrderState::Resendable(until),
@@ -298,11 +302,11 @@
                     false
                 }
                 (dialect::Task::UnloadAdapter(model, adapter), OrderState::Accepted(_)) => {
-                    let is_there = has(model, adapter);
-                    if !is_there {
+                    let is_present = has(model, adapter);
+                    if !is_present {
                         adapters.remove(&(model.clone(), adapter.clone()));
                     }
-                    is_there
+                    is_present
                 }
                 _ => true,
             });
@@ -315,13 +319,13 @@
             let adapters = it.adapters.iter();
             adapters.map(|adapter| (it.model.clone(), adapter.clone()))
         });
-        let there: collections::BTreeSet<(String, String)> = held
+        let present: collections::BTreeSet<(String, String)> = held
             .chain(report.adapters_pending.iter().cloned())
             .collect();
         self.adapters.retain(|key, arrives| {
-            there.contains(key) || now.since(*arrives) < MAX_REPORT_AGE || now < *arrives
+            present.contains(key) || now.since(*arrives) < MAX_REPORT_AGE || now < *arrives
         });
-        for key in there {
+        for key in present {
             self.adapters.entry(key).or_insert(now);
         }
     }
@@ -516,6 +520,7 @@
         self.pending.iter().any(is_load) || self.adapters.contains_key(&key)
     }
 
+    /// Whether it was ordered to unload the model.
     pub(super) fn unloads(&self, model: &str) -> bool {
         let is_drop =
             |it: &PendingOrder| matches!(&it.task, dialect::Task::Unload(m) if m == model);
--- a/crates/sageshed-fleet/src/planner/leadership.rs
+++ b/crates/sageshed-fleet/src/planner/leadership.rs
@@ -8,9 +8,9 @@
 /// The leadership of one elected leader.
 ///
 /// An engine that doesn't check the fencing token executes the orders of two leaders. The previous leader may give
-/// orders for as long as it believes to have a majority, which ends at most a lease after it has lost it; so the new
-/// leader waits for a lease before its first order. The clock has to advance while a VM is suspended: otherwise a
-/// leader whose VM was suspended beyond its lease would go on giving orders.
+/// orders for as long as it believes to have a majority, which ends before another leader can be elected. From then on
+/// the new leader waits for a lease. The clock has to advance while a VM is suspended: otherwise a leader that was
+/// suspended while its majority ended would go on giving orders by a clock that stood still.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Leadership {
     /// No order is given before.
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -354,9 +354,9 @@
     fn update_engines(&mut self, now: time::Instant, instances: &[&directory::Instance]) {
         let present: collections::HashSet<&directory::InstanceId> =
             instances.iter().map(|it| &it.id).collect();
-        let is_there = |id: &directory::InstanceId| present.contains(id);
-        self.restarts.record_ended(now, &self.engines, is_there);
-        self.engines.retain(|id, _| is_there(id));
+        let is_present = |id: &directory::InstanceId| present.contains(id);
+        self.restarts.record_ended(now, &self.engines, is_present);
+        self.engines.retain(|id, _| is_present(id));
         for instance in instances {
             let engine = self.engines.entry(instance.id.clone()).or_insert_with(|| {
                 let until = self.restarts.unsettled_until(&instance.id);
--- a/crates/sageshed-fleet/src/planner/restarts.rs
+++ b/crates/sageshed-fleet/src/planner/restarts.rs
@@ -41,10 +41,10 @@
         &mut self,
         now: time::Instant,
         engines: &collections::BTreeMap<directory::InstanceId, engine::Engine>,
-        is_there: impl Fn(&directory::InstanceId) -> bool,
+        is_present: impl Fn(&directory::InstanceId) -> bool,
     ) {
         self.unsettled.retain(|_, until| now < *until);
-        for (id, engine) in engines.iter().filter(|(id, _)| !is_there(id)) {
+        for (id, engine) in engines.iter().filter(|(id, _)| !is_present(id)) {
             if let Some(until) = engine.unsettled_until(now) {
                 self.unsettled.insert(id.name.clone(), until);
             }
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -25,8 +25,8 @@
 /// other's work.
 const LAST_REPLICA_MAX_WORK_SHARE: f64 = 0.5;
 
-/// A replica may be evicted if the remaining replicas of its model then have at most this share of the work per replica of
-/// the model that replaces it. Without such a relative bound no replica would be evicted under overload, where every
+/// A replica may be evicted if the remaining replicas of its model then have at most this share of the work per replica
+/// of the model that replaces it. Without such a relative bound no replica would be evicted under overload, where every
 /// replica has much work.
 const VICTIM_MAX_LOAD_SHARE: f64 = 0.5;
 
