--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -99,11 +99,11 @@
         if id.born.is_some() || known.born.is_none() {
             return (id == known).then(|| known.clone());
         }
-        let has_spoken_since = current.heard > heard_at(now, record.age);
+        let has_announced_since = current.heard > heard_at(now, record.age);
         let is_young = current.instance.sequence <= FIRST_ANNOUNCEMENTS;
         let was_replaced = |it: &Entry| it.instance.state == State::Replaced;
         let is_late = is_young && self.instances_of(&id.name).any(was_replaced);
-        (!has_spoken_since && !is_late).then(|| known.clone())
+        (!has_announced_since && !is_late).then(|| known.clone())
     }
 
     /// Marks `id` as replaced by another instance of its endpoint.
@@ -115,14 +115,14 @@
     pub(super) fn merge_replaced(&mut self, now: time::Instant, record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let rival = self.current(&id.name);
-        let comes_back = match rival {
+        let is_running_again = match rival {
             Some(rival) => is_later(&record, rival),
             None => self
                 .entries
                 .get(&id)
                 .is_some_and(|it| record.rank > it.rank),
         };
-        if comes_back && record.instance.is_present() {
+        if is_running_again && record.instance.is_present() {
             if let Some(rival) = rival.map(|it| it.instance.id.clone()) {
                 self.replace(now, &rival);
             }
--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -55,6 +55,7 @@
         actions
     }
 
+    /// Gives the next order for one request, if it needs one and an engine can take it.
     fn serve_adapter_request(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -74,6 +74,7 @@
 }
 
 impl<'a, 'p> PoolState<'a, 'p> {
+    /// The state of `pool` as the planner knows it now.
     pub(super) fn new(planner: &'a Planner, now: time::Instant, pool: &'a Pool<'p>) -> Self {
         let mut models: collections::HashMap<&'p str, ModelState> = collections::HashMap::new();
         for model in &pool.offer.models {
