--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -21,13 +21,13 @@
         )
     }
 
-    /// The refusal of a request that has waited for `missing` for too long; `load` is the load time of its model.
+    /// The refusal of a request that has waited too long for `wait_reason`; `load` is the load time of its model.
     pub(super) fn not_served(
         &self,
-        missing: chooser::WaitReason,
+        wait_reason: chooser::WaitReason,
         load: time::Millis,
     ) -> refusal::Refusal {
-        let detail = match missing {
+        let detail = match wait_reason {
             chooser::WaitReason::Endpoint => "no endpoint of the service can be reached now",
             chooser::WaitReason::Model => {
                 "no engine holds the model, and a load would take too long"
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -107,7 +107,7 @@
                 };
                 (choice, core.changes())
             });
-            let missing = match choice {
+            let wait_reason = match choice {
                 chooser::Choice::Send(pick) => match self.permission_to_send(&pick) {
                     Permission::Granted => return NextStep::Send(pick),
                     Permission::Refused(refusal) => return NextStep::Refuse(refusal),
@@ -134,34 +134,34 @@
                         .wait(seen, ADAPTER_REQUEST_WAIT.min(left.into()));
                     continue;
                 }
-                chooser::Choice::Wait(missing) => missing,
+                chooser::Choice::Wait(wait_reason) => wait_reason,
             };
-            self.waited_for = Some(missing);
+            self.waited_for = Some(wait_reason);
             let waited = arrived.elapsed();
-            if missing.is_of_model() && !reported_waiting {
+            if wait_reason.is_of_model() && !reported_waiting {
                 reported_waiting = true;
                 self.report_waiting();
             }
             if self.shared.settings.routing.turn_away {
-                let queued = queued_here.filter(|_| missing == chooser::WaitReason::Place);
+                let queued = queued_here.filter(|_| wait_reason == chooser::WaitReason::Place);
                 let refusal = self
-                    .refuse_closed_endpoints(missing, left)
+                    .refuse_closed_endpoints(wait_reason, left)
                     .or_else(|| self.refuse_by_coordinator(decision, left))
                     .or_else(|| self.refuse_by_local_queue(now, queued?, left, ticket));
                 if let Some(refusal) = refusal {
                     return NextStep::Refuse(refusal);
                 }
             }
-            let load = self.load_time(missing);
-            if waited >= self.wait_limit(missing, load) || left <= load {
-                return NextStep::Refuse(self.not_served(missing, load));
+            let load = self.load_time(wait_reason);
+            if waited >= self.wait_limit(wait_reason, load) || left <= load {
+                return NextStep::Refuse(self.not_served(wait_reason, load));
             }
             let limit = CALLER_CHECK_INTERVAL.min(left.into());
             let waiting = &self.shared.waiting;
             waiting.fetch_add(1, atomic::Ordering::Relaxed);
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-            if missing == chooser::WaitReason::Adapter {
+            if wait_reason == chooser::WaitReason::Adapter {
                 // The leader may have failed before it acted on the request for the adapter.
                 adapter_requests = 0;
             }
@@ -216,10 +216,10 @@
     /// elsewhere before that.
     fn refuse_closed_endpoints(
         &self,
-        missing: chooser::WaitReason,
+        wait_reason: chooser::WaitReason,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let chooser::WaitReason::Allowance(opens) = missing else {
+        let chooser::WaitReason::Allowance(opens) = wait_reason else {
             return None;
         };
         let load = self
@@ -230,7 +230,7 @@
         if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
             return None;
         }
-        Some(self.not_served(missing, opens))
+        Some(self.not_served(wait_reason, opens))
     }
 
     /// Takes a retry from the budget, unless the request holds one. Returns whether it holds one now.
@@ -303,9 +303,13 @@
     }
 
     /// How long the request may wait for what is missing.
-    fn wait_limit(&self, missing: chooser::WaitReason, load: time::Millis) -> std_time::Duration {
+    fn wait_limit(
+        &self,
+        wait_reason: chooser::WaitReason,
+        load: time::Millis,
+    ) -> std_time::Duration {
         let latency_target = self.route.latency_target.0;
-        match missing {
+        match wait_reason {
             chooser::WaitReason::Model => (load + LOAD_MARGIN).into(),
             chooser::WaitReason::Adapter | chooser::WaitReason::Allowance(_) => {
                 self.route.timeout.into()
@@ -319,8 +323,8 @@
     }
 
     /// The load time of the missing model; zero if no model is missing.
-    fn load_time(&self, missing: chooser::WaitReason) -> time::Millis {
-        match (missing, self.model) {
+    fn load_time(&self, wait_reason: chooser::WaitReason) -> time::Millis {
+        match (wait_reason, self.model) {
             (chooser::WaitReason::Model, Some(model)) => self
                 .shared
                 .with_core(|core| core.chooser.load_time(self.service, model)),
--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -105,7 +105,7 @@
 
 /// Guards against requests that are interrupted or refused by frequent changes of other routes.
 #[test]
-fn a_storm_of_changes_cuts_no_request() {
+fn frequent_changes_interrupt_no_request() {
     let (fleet, _engines) = Fleet::ready();
     let fleet = Arc::new(fleet);
     let done = Arc::new(atomic::AtomicBool::new(false));
--- a/tests/fleet/identity.rs
+++ b/tests/fleet/identity.rs
@@ -29,7 +29,7 @@
 }
 
 /// Two workspaces, of which the first holds two keys.
-fn two(version: u64) -> String {
+fn two_workspaces(version: u64) -> String {
     let dug = operator::workspace("dug", &[DUG, DUG_TWO]);
     config(version, &[dug, operator::workspace("pipe", &[PIPE])])
 }
@@ -57,10 +57,10 @@
     });
 }
 
-/// A fleet of two entry processes and four endpoints, with the workspaces of [`two`] in force.
+/// A fleet of two entry processes and four endpoints, with the workspaces of [`two_workspaces`] in force.
 fn with_workspaces() -> (Fleet, Vec<Engine>) {
     let (fleet, engines) = Fleet::ready();
-    fleet.replace(&two(20));
+    fleet.replace(&two_workspaces(20));
     for entry in 0..2 {
         // The previous configuration requires no key and serves any.
         until_status(&fleet, entry, NOBODY, 401);
@@ -69,7 +69,7 @@
 }
 
 /// The request with this id as an endpoint received it.
-fn ran(engines: &[Engine], id: &str) -> Option<Message> {
+fn request_received(engines: &[Engine], id: &str) -> Option<Message> {
     engines.iter().find_map(|engine| {
         engine.seen(|seen| {
             let mut ran = seen.ran.iter();
@@ -87,7 +87,7 @@
 }
 
 /// Requests with missing, unknown or malformed credentials, and three that need none or that no route matches.
-fn strangers() -> Vec<Case> {
+fn unauthenticated_cases() -> Vec<Case> {
     let case = |name, lines: String, path, status| Case {
         name,
         lines,
@@ -178,7 +178,7 @@
 #[test]
 fn strangers_are_refused_before_anything_is_sent_and_no_key_is_written_down() {
     let (fleet, engines) = with_workspaces();
-    let cases = strangers();
+    let cases = unauthenticated_cases();
     for case in &cases {
         let id = case.name.replace(' ', "-");
         let answer = ask_with(&fleet, 0, case.path, &id, &case.lines);
@@ -192,7 +192,7 @@
             "{}: {asked:?}",
             case.name
         );
-        let got = ran(&engines, &id);
+        let got = request_received(&engines, &id);
         assert_eq!(got.is_some(), case.status == 200, "{}", case.name);
         for key in [DUG, DUG_TWO, PIPE, NOBODY] {
             assert!(!text.contains(key), "{}: {text}", case.name);
@@ -210,7 +210,7 @@
             operator::workspace("pipe", &[DUG]),
         ],
     );
-    let misplaced = two(30).replace(&format!("[\"{PIPE}\"]"), &format!("\"{PIPE}\""));
+    let misplaced = two_workspaces(30).replace(&format!("[\"{PIPE}\"]"), &format!("\"{PIPE}\""));
     for bad in [shared, misplaced] {
         assert_eq!(Fleet::try_replace(&fleet.control[0], &bad), 400);
     }
@@ -259,7 +259,7 @@
             let id = format!("{name} {path}");
             let answer = ask_with(&fleet, 1, path, &id, &(forged.to_owned() + &key));
             assert_eq!(answer.map_or(0, |it| it.status()), 200, "{id}");
-            let got = ran(&engines, &id).expect("it ran");
+            let got = request_received(&engines, &id).expect("it ran");
             let head = got.head.to_ascii_lowercase();
             assert_eq!(got.header("tenant"), Some("dug"), "{id}");
             assert_eq!(head.matches("\r\ntenant:").count(), 1, "{id}: {head}");
@@ -280,7 +280,7 @@
     let (fleet, engines) = Fleet::ready();
     let answer = ask_with(&fleet, 0, "/again/x", "own key", &bearer(DUG));
     assert_eq!(answer.map_or(0, |it| it.status()), 200);
-    let got = ran(&engines, "own key").expect("it ran");
+    let got = request_received(&engines, "own key").expect("it ran");
     assert_eq!(
         got.header("authorization"),
         Some(format!("Bearer {DUG}").as_str())
@@ -294,12 +294,13 @@
 #[test]
 fn a_key_that_is_taken_away_ends_what_has_not_begun_and_cuts_nothing() {
     let fleet = Fleet::start(3, 1);
-    fleet.replace(&two(20));
+    fleet.replace(&two_workspaces(20));
     let engine = fleet.engine("p1", "plain", 33, &[]);
     until_status(&fleet, 0, DUG, 200);
     let address = fleet.entries[0].address();
     // There is no engine, so the request waits for one.
-    let waiting = thread::spawn(move || kept(address).ask(&patient()).expect("an answer"));
+    let waiting =
+        thread::spawn(move || connect(address).ask(&waiting_request()).expect("an answer"));
     fleet.until("the request waits", || {
         let text = operator::call(fleet.entries[0].metrics(), "GET", "/metrics", "");
         text.is_ok_and(|it| {
@@ -308,7 +309,7 @@
         })
     });
     engine.does(Does::Hangs);
-    let mut open = kept(address);
+    let mut open = connect(address);
     let lines = bearer(DUG);
     let held = Ask {
         lines: &lines,
@@ -346,14 +347,16 @@
     for engine in &engines[..2] {
         engine.does(Does::PausesAfter(2));
     }
-    let mut caller = kept(fleet.entries[0].address());
+    let mut caller = connect(fleet.entries[0].address());
     let lines = bearer(DUG);
     let ask = Ask {
         lines: &lines,
         ..Ask::new("POST", "/stream/x", "runs on")
     };
     caller.send(&ask).expect("it is sent");
-    fleet.until("an engine runs it", || ran(&engines, "runs on").is_some());
+    fleet.until("an engine runs it", || {
+        request_received(&engines, "runs on").is_some()
+    });
     fleet.replace(&config(30, &[operator::workspace("pipe", &[PIPE])]));
     let answer = caller.answer().expect("an answer").expect("an answer");
     assert_eq!(answer.status(), 200);
@@ -361,11 +364,11 @@
     until_status(&fleet, 0, DUG, 401);
 }
 
-fn kept(address: net::SocketAddrV4) -> Caller {
+fn connect(address: net::SocketAddrV4) -> Caller {
     Caller::connect(address).expect("a connection")
 }
 
-fn patient() -> Ask<'static> {
+fn waiting_request() -> Ask<'static> {
     Ask {
         deadline_ms: 60_000,
         lines: "Authorization: Bearer kdug5f1a0c77\r\n",
@@ -448,7 +451,7 @@
             tries += 1;
             let id = format!("after {}, try {tries}", step.name);
             drop(ask_with(&fleet, 1, "/again/x", &id, &bearer(DUG)));
-            let got = ran(&engines, &id);
+            let got = request_received(&engines, &id);
             let got = got.as_ref().and_then(|it| it.header("tenant"));
             assert!(step.runs_for.is_some() || got.is_none(), "{}", step.name);
             got == step.runs_for
@@ -495,7 +498,8 @@
             fleet.until("the last holder is known", || {
                 let id = format!("{round} {entry} {:?}", time::Instant::now());
                 drop(ask_with(&fleet, entry, "/again/x", &id, &bearer(DUG)));
-                ran(&engines, &id).is_some_and(|it| it.header("tenant") == Some("pipe"))
+                request_received(&engines, &id)
+                    .is_some_and(|it| it.header("tenant") == Some("pipe"))
             });
         }
     }
--- a/tests/fleet/limits.rs
+++ b/tests/fleet/limits.rs
@@ -16,13 +16,13 @@
 
 /// The requests that the endpoint may get in [`SPAN`]: one and a half times what its limit allows, and five that are in
 /// flight when it reports the limit.
-const MOST: usize = 11;
+const MAX_REQUESTS: usize = 11;
 
 /// The time after the last entry process has learned of the limit before requests are counted.
-const TOLD: time::Duration = time::Duration::from_millis(500);
+const SETTLE_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// The most requests that arrived within [`SPAN`], of those that arrived at or after `from`.
-fn most(arrived: &[Arrival], from: time::Instant) -> usize {
+fn max_in_window(arrived: &[Arrival], from: time::Instant) -> usize {
     let arrived: Vec<_> = arrived.iter().map(|it| it.at).collect();
     let arrived: Vec<_> = arrived.into_iter().filter(|at| *at >= from).collect();
     let begun = arrived.iter().enumerate();
@@ -69,13 +69,13 @@
         let (fleet, engines) = Fleet::ready();
         let endpoint = &engines[case.endpoint];
         endpoint.names_limit(Some(LIMIT));
-        load::tell_all(&fleet, endpoint, &engines[case.beside], &case.load);
-        let from = time::Instant::now() + TOLD;
+        load::deliver_notice_to_all(&fleet, endpoint, &engines[case.beside], &case.load);
+        let from = time::Instant::now() + SETTLE_TIME;
         let answers = load::answers(&fleet, &case.load);
-        let most = endpoint.seen(|seen| most(&seen.arrived, from));
+        let most = endpoint.seen(|seen| max_in_window(&seen.arrived, from));
         assert!(
-            most <= MOST,
-            "{most} in 4 s at {}, {MOST} allowed",
+            most <= MAX_REQUESTS,
+            "{most} in 4 s at {}, {MAX_REQUESTS} allowed",
             case.load.path
         );
         // The other endpoint takes the remaining requests.
@@ -97,11 +97,14 @@
         path: "/stream/x",
         deadline_ms: 2_000,
     };
-    load::tell_all(&fleet, &endpoint, &beside, &load);
-    let from = time::Instant::now() + TOLD;
+    load::deliver_notice_to_all(&fleet, &endpoint, &beside, &load);
+    let from = time::Instant::now() + SETTLE_TIME;
     let answers = load::answers(&fleet, &load);
-    let most = endpoint.seen(|seen| most(&seen.arrived, from));
-    assert!(most <= MOST, "{most} in 4 s, {MOST} allowed");
+    let most = endpoint.seen(|seen| max_in_window(&seen.arrived, from));
+    assert!(
+        most <= MAX_REQUESTS,
+        "{most} in 4 s, {MAX_REQUESTS} allowed"
+    );
     let served = answers.iter().filter(|it| it.status() == 200).count();
     assert!(served > 0, "none is served");
     for answer in answers.iter().filter(|it| it.status() != 200) {
--- a/tests/fleet/load.rs
+++ b/tests/fleet/load.rs
@@ -34,14 +34,20 @@
 }
 
 /// Sends requests until each entry process has received a response of `endpoint`, while `beside` rejects all.
-pub fn tell_all(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
+pub fn deliver_notice_to_all(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
     for entry in 0..fleet.entries.len() {
-        tell(fleet, entry, endpoint, beside, load);
+        deliver_notice(fleet, entry, endpoint, beside, load);
     }
 }
 
 /// The same for one entry process.
-pub fn tell(fleet: &Fleet, entry: usize, endpoint: &Engine, beside: &Engine, load: &Load) {
+pub fn deliver_notice(
+    fleet: &Fleet,
+    entry: usize,
+    endpoint: &Engine,
+    beside: &Engine,
+    load: &Load,
+) {
     beside.does(Does::Rejects);
     let mut number = 0;
     fleet.until("an entry process has an answer of the endpoint", || {
--- a/tests/fleet/notices.rs
+++ b/tests/fleet/notices.rs
@@ -12,13 +12,13 @@
 };
 
 /// The time for requests that are in flight when an entry process receives a notice; later ones count.
-const TOLD: time::Duration = time::Duration::from_millis(500);
+const IN_FLIGHT_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// The back-off that an endpoint asks for, in seconds.
-const REST: f64 = 3.0;
+const BACK_OFF_S: f64 = 3.0;
 
 /// The requests that one entry process may send during the back-off.
-const MOST: usize = 2;
+const MAX_REQUESTS: usize = 2;
 
 /// One kind of endpoint.
 struct Case {
@@ -50,7 +50,7 @@
 }
 
 /// Whether an entry process knows that the endpoint is leaving, by control or by a response that it received.
-fn knows(entry: &Process) -> bool {
+fn knows_leaving(entry: &Process) -> bool {
     let log = entry.log();
     log.contains("\"state\":\"Leaving\"")
         || log.contains("endpoint reports in a response that it is leaving")
@@ -72,11 +72,11 @@
         let endpoint = &engines[case.endpoint];
         endpoint.says_that_it_leaves();
         let load = load_of(&case);
-        load::tell(&fleet, 0, endpoint, &engines[case.beside], &load);
+        load::deliver_notice(&fleet, 0, endpoint, &engines[case.beside], &load);
         fleet.until("the other one has heard it too", || {
-            knows(&fleet.entries[1])
+            knows_leaving(&fleet.entries[1])
         });
-        let from = time::Instant::now() + TOLD;
+        let from = time::Instant::now() + IN_FLIGHT_TIME;
         let answers = load::answers(&fleet, &load);
         let count = since(endpoint, from);
         assert_eq!(count, 0, "{count} requests at {}", case.path);
@@ -96,8 +96,10 @@
     let endpoint = &engines[case.endpoint];
     let load = load_of(case);
     endpoint.says_that_it_leaves();
-    load::tell(&fleet, 0, endpoint, &engines[case.beside], &load);
-    fleet.until("the other one hears it", || knows(&fleet.entries[1]));
+    load::deliver_notice(&fleet, 0, endpoint, &engines[case.beside], &load);
+    fleet.until("the other one hears it", || {
+        knows_leaving(&fleet.entries[1])
+    });
     fleet.entries[1].kill();
     fleet.entries[1].start();
     fleet.until("it is back", || fleet.entries[1].ready() == 200);
@@ -108,11 +110,11 @@
     assert!(answers.iter().all(|it| it.status() == 200));
 }
 
-/// The most requests that one of the entry processes sent between [`TOLD`] after a rejection by the endpoint and the
-/// end of the back-off that it asked for. The ids of requests contain the number of the caller, which determines the
-/// entry process.
-fn most_in_rest(arrived: &[Arrival], entries: usize) -> usize {
-    let rest = time::Duration::from_secs_f64(REST);
+/// The most requests that one of the entry processes sent between [`IN_FLIGHT_TIME`] after a rejection by the
+/// endpoint and the end of the back-off that it asked for. The ids of requests contain the number of the caller,
+/// which determines the entry process.
+fn max_during_back_off(arrived: &[Arrival], entries: usize) -> usize {
+    let back_off = time::Duration::from_secs_f64(BACK_OFF_S);
     let counts = (0..entries).flat_map(|entry| {
         let is_of = |it: &&Arrival| {
             let mut parts = it.id.split('-').skip(1);
@@ -124,7 +126,7 @@
         begun.into_iter().map(move |begin| {
             let within = of_entry.iter();
             within
-                .filter(|at| **at >= begin + TOLD && **at < begin + rest)
+                .filter(|at| **at >= begin + IN_FLIGHT_TIME && **at < begin + back_off)
                 .count()
         })
     });
@@ -133,7 +135,7 @@
 
 /// Sends requests until the endpoint has rejected one of each entry process. The other endpoint rejects all meanwhile:
 /// if it responded faster, it might be chosen each time.
-fn turn_all_away(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
+fn reject_one_of_each_entry(fleet: &Fleet, endpoint: &Engine, beside: &Engine, load: &Load) {
     beside.does(Does::Rejects);
     for entry in 0..fleet.entries.len() {
         let own = format!("rest-{entry}-");
@@ -152,17 +154,21 @@
 /// entry process sent it three more requests in that time: it ignored the duration, and paused for half a second as
 /// after any rejection.
 #[test]
-fn an_endpoint_gets_the_rest_that_it_asks_for() {
+fn an_endpoint_gets_the_back_off_that_it_asks_for() {
     for case in CASES {
         let (fleet, engines) = Fleet::ready();
         let endpoint = &engines[case.endpoint];
-        endpoint.asks_for_rest(REST);
+        endpoint.asks_for_rest(BACK_OFF_S);
         let load = load_of(&case);
-        turn_all_away(&fleet, endpoint, &engines[case.beside], &load);
+        reject_one_of_each_entry(&fleet, endpoint, &engines[case.beside], &load);
         let answers = load::answers(&fleet, &load);
         let arrived = endpoint.seen(|seen| seen.arrived.clone());
-        let most = most_in_rest(&arrived, fleet.entries.len());
-        assert!(most <= MOST, "{most} in its rest at {}", case.path);
+        let most = max_during_back_off(&arrived, fleet.entries.len());
+        assert!(
+            most <= MAX_REQUESTS,
+            "{most} during its back-off at {}",
+            case.path
+        );
         for answer in answers {
             assert_eq!(answer.status(), 200, "{}: {}", case.path, answer.head);
         }
@@ -172,7 +178,7 @@
 /// The same if no other endpoint holds the model: callers are refused at once, with the end of the back-off in
 /// `Retry-After`.
 #[test]
-fn callers_are_told_when_the_rest_of_the_only_endpoint_is_over() {
+fn callers_are_told_when_the_back_off_of_the_only_endpoint_is_over() {
     let fleet = Fleet::start(3, 2);
     fleet.replace(&operator::config(10));
     let endpoint = fleet.engine("e1", "engines", 31, &["m1"]);
@@ -181,12 +187,12 @@
         deadline_ms: 1_500,
     };
     let beside = fleet.engine("p1", "plain", 33, &[]);
-    load::tell_all(&fleet, &endpoint, &beside, &load);
-    endpoint.asks_for_rest(REST);
+    load::deliver_notice_to_all(&fleet, &endpoint, &beside, &load);
+    endpoint.asks_for_rest(BACK_OFF_S);
     let answers = load::answers(&fleet, &load);
     let arrived = endpoint.seen(|seen| seen.arrived.clone());
-    let most = most_in_rest(&arrived, fleet.entries.len());
-    assert!(most <= MOST, "{most} in its rest");
+    let most = max_during_back_off(&arrived, fleet.entries.len());
+    assert!(most <= MAX_REQUESTS, "{most} during its back-off");
     for answer in answers {
         assert_eq!(answer.status(), 503, "{}", answer.head);
         assert!(answer.header("retry-after").is_some(), "{}", answer.head);
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -117,7 +117,7 @@
 
 /// The most requests that may have been admitted in a time: by the rate, with one more second for what a restart grants,
 /// and by the burst.
-fn most(quota: &Quota, per_request: f64, took: time::Duration) -> f64 {
+fn max_admitted(quota: &Quota, per_request: f64, took: time::Duration) -> f64 {
     let grown = f64::from(quota.per_s) * (took.as_secs_f64() + 1.0);
     ((grown + f64::from(quota.burst)) / per_request).ceil()
 }
@@ -140,7 +140,7 @@
         );
         assert!(allowed > 0, "{statuses:?}");
         assert!(
-            allowed as f64 <= most(&quota, per_request, took),
+            allowed as f64 <= max_admitted(&quota, per_request, took),
             "{allowed} in {took:?}"
         );
         assert_eq!(
@@ -191,7 +191,7 @@
     let took = began.elapsed();
     let runs = runs_of(&engines, "dug-");
     // A process that starts may grant what one second yields, and three are killed.
-    let allowed = most(&IN_REQUESTS, 1.0, took) + 3.0 * f64::from(IN_REQUESTS.per_s);
+    let allowed = max_admitted(&IN_REQUESTS, 1.0, took) + 3.0 * f64::from(IN_REQUESTS.per_s);
     assert!(runs as f64 <= allowed, "{runs} ran in {took:?}");
     fleet.until("the workspace is served again", || {
         status(&fleet, 0, "/again/x", "after", DUG) == 200
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -112,7 +112,7 @@
 /// Guards against wrong statuses of failed requests: a request that may run once must never run twice, and callers
 /// retry after a 503, which promises that the request has not run and never will.
 #[test]
-fn a_request_that_ends_without_an_answer_is_told_the_truth() {
+fn the_status_of_a_failed_request_states_whether_it_may_have_run() {
     let (fleet, engines) = Fleet::ready();
     let case = |name, does, path, status, runs| Case {
         name,
