--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -235,8 +235,10 @@
     let limit = std_time::Duration::from(WATCH_TIMEOUT) + CALL_MARGIN;
     let mut mark = directory::Cursor::default();
     let mut crashes_known = quarantine::Cursor::default();
-    let mut heard = std_time::Instant::now();
-    while !shared.stopping.load(atomic::Ordering::Relaxed) && heard.elapsed() < PEER_LOST_AFTER {
+    let mut last_response = std_time::Instant::now();
+    while !shared.stopping.load(atomic::Ordering::Relaxed)
+        && last_response.elapsed() < PEER_LOST_AFTER
+    {
         let is_leader = shared.leader().and_then(|it| shared.vm_number(&it)) == Some(vm);
         let demand = if is_leader {
             shared.hub.with_demand(demand_counter::DemandCounter::take)
@@ -269,7 +271,7 @@
             client.call(&address, messages::paths::WATCH, &req, limit);
         match answer {
             Ok(resp) => {
-                heard = std_time::Instant::now();
+                last_response = std_time::Instant::now();
                 mark = resp.mark;
                 if is_leader {
                     shared
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -54,12 +54,13 @@
         else {
             return;
         };
-        let kept = match decision {
+        let cached_tokens = match decision {
             Some(entry_peers::RoutingDecision::Engine { cached_tokens, .. }) => Some(cached_tokens),
             _ => None,
         };
-        self.shared
-            .with_core(|core| core.count_demand(self.service, wanted, self.metadata, kept));
+        self.shared.with_core(|core| {
+            core.count_demand(self.service, wanted, self.metadata, cached_tokens)
+        });
     }
 
     /// Refuses a request that can't start before its deadline because of all those that wait for its model at any
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoint of the next attempt, and waits until one can take the request.
 //!
 //! A request waits only while what it waits for (a free slot, a model, an adapter or an endpoint) can
-//! become available before its deadline; otherwise it is refused at once.
+//! become available before its deadline.
 
 use std::{net, sync::atomic, time as std_time};
 
@@ -226,8 +226,8 @@
             .model
             .is_some()
             .then(|| self.load_time(chooser::WaitReason::Model));
-        let reading = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
-        if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
+        let prefill = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
+        if opens + prefill < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
             return None;
         }
         Some(self.not_served(wait_reason, opens))
@@ -261,11 +261,11 @@
     fn refuse_by_local_queue(
         &self,
         now: time::Instant,
-        waiter: backlog::QueuedRequest,
+        queued: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<refusal::Refusal> {
-        let expected = self.unmeetable_wait(now, waiter, left, ticket)?;
+        let expected = self.unmeetable_wait(now, queued, left, ticket)?;
         let detail = format!(
             "those before it take {} ms, and {} ms are left",
             expected.0, left.0
@@ -279,13 +279,13 @@
     fn unmeetable_wait(
         &self,
         now: time::Instant,
-        waiter: backlog::QueuedRequest,
+        queued: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<time::Millis> {
         let model = self.model_name();
         let expected = self.shared.with_core(|core| {
-            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, waiter));
+            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, queued));
             core.backlog.expected_wait(now, model, *ticket)
         })?;
         (expected + PREFILL_RESERVE > left).then_some(expected)
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -389,16 +389,18 @@
         self.changes
     }
 
-    /// Counts the demand of a request. `kept` is the number of its prompt tokens that the chosen engine has cached
-    /// according to the model's coordinator.
+    /// Counts the demand of a request. `cached_tokens` is the number of its prompt tokens that the chosen engine has
+    /// cached according to the model's coordinator.
     pub fn count_demand(
         &mut self,
         service: &str,
         wanted: &dialect::ModelRef,
         metadata: &dialect::RequestMetadata,
-        kept: Option<u64>,
+        cached_tokens: Option<u64>,
     ) {
-        let prefill_us = self.chooser.prefill_us(service, wanted, metadata, kept);
+        let prefill_us = self
+            .chooser
+            .prefill_us(service, wanted, metadata, cached_tokens);
         let request = demand_counter::RequestDemand {
             prefill_us,
             output_tokens: metadata.output_tokens,
