--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -54,13 +54,12 @@
         else {
             return;
         };
-        let cached_tokens = match decision {
+        let cached = match decision {
             Some(entry_peers::RoutingDecision::Engine { cached_tokens, .. }) => Some(cached_tokens),
             _ => None,
         };
-        self.shared.with_core(|core| {
-            core.count_demand(self.service, wanted, self.metadata, cached_tokens)
-        });
+        self.shared
+            .with_core(|core| core.count_demand(self.service, wanted, self.metadata, cached));
     }
 
     /// Refuses a request that can't start before its deadline because of all those that wait for its model at any
