--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -41,7 +41,7 @@
 ) {
     let now = shared.clock.now();
     shared.hub.note_watcher(now, &req);
-    take_demand(shared, &mut req);
+    route_demand(shared, &mut req);
     shared.hub.merge_crashes(now, &req.crashes);
     shared.hub.mark_leaving(now, &req.leaving);
     if req.watcher == messages::Watcher::Control {
@@ -88,7 +88,7 @@
     }
 
     fn answer(&self, shared: &shared::Shared, req: &messages::WatchReq) -> messages::WatchResp {
-        let news = shared.hub.updates(shared.clock.now(), req);
+        let updates = shared.hub.updates(shared.clock.now(), req);
         // Only the link that receives endpoint records receives the list of entry processes too.
         let takes_entries = req.wants == messages::DirectoryDetail::News;
         let entries_number = if takes_entries {
@@ -101,22 +101,22 @@
             leader: self.leader,
             entries_number,
             entries: (entries_number != req.entries_known).then(|| self.entries.clone()),
-            newest_config: news.config,
+            newest_config: updates.config,
             config: newer_config(shared, req),
-            mark: news.mark,
-            digest: news.digest,
-            digest_mark: Some(news.digest_mark),
-            news_mark: Some(news.news_mark),
+            mark: updates.mark,
+            digest: updates.digest,
+            digest_mark: Some(updates.digest_mark),
+            news_mark: Some(updates.news_mark),
             peers: if takes_entries {
                 self.peers.clone()
             } else {
                 Vec::new()
             },
-            records: news.records,
-            alive: news.alive,
-            has_more: news.has_more,
-            crashes_mark: Some(news.crashes_mark),
-            crashes: news.crashes,
+            records: updates.records,
+            alive: updates.alive,
+            has_more: updates.has_more,
+            crashes_mark: Some(updates.crashes_mark),
+            crashes: updates.crashes,
         }
     }
 }
@@ -170,7 +170,7 @@
 
 /// Hands the reported demand to the planner if this process leads. Otherwise adds what an entry process has reported to
 /// the demand that is reported to the leader.
-fn take_demand(shared: &shared::Shared, req: &mut messages::WatchReq) {
+fn route_demand(shared: &shared::Shared, req: &mut messages::WatchReq) {
     let demand = std::mem::take(&mut req.demand);
     if shared.leads() {
         shared.hub.demand(demand);
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -243,6 +243,8 @@
         }
     }
 
+    /// Records that the response of the endpoint of `pick` has started, which means that the prefill is done, and reports
+    /// it to entry peers.
     pub(super) fn record_start(
         &self,
         pick: &chooser::Pick,
@@ -268,6 +270,8 @@
         self.shared.wake_waiting();
     }
 
+    /// Records the end of the attempt at the endpoint of `pick`, whose response `began` or not, and reports it to entry
+    /// peers.
     pub(super) fn end_attempt(
         &self,
         pick: &chooser::Pick,
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -143,6 +143,7 @@
         }
     }
 
+    /// The name of the model that the request asks for; empty if it asks for none.
     pub(super) fn model_name(&self) -> &str {
         self.wanted.map_or("", |it| it.model.as_str())
     }
