--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -8,7 +8,7 @@
 //! or [`AttemptOutcome::Refused`], or with [`Event::CallerGone`] or [`Event::ClaimDenied`]. Later
 //! events about it have no effect.
 
-pub use sageshed_types::fault::Fault;
+pub use sageshed_types::attempt_error::AttemptError;
 use sageshed_types::{arena, endpoints, refusal, time, verdict};
 
 /// Identifies a request. Assigned by the daemon and unique within its process.
@@ -126,7 +126,7 @@
         /// Whether the request may have run, as far as the connection shows.
         verdict: verdict::Verdict,
         /// The cause of the failure.
-        fault: Fault,
+        fault: AttemptError,
     },
 }
 
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -232,7 +232,7 @@
     fn apply_models(
         &mut self,
         now: time::Instant,
-        resident: &[endpoints::Resident],
+        resident: &[endpoints::ResidentModel],
         names: &names::Names,
     ) {
         let mut ready = bits::BitSet::empty(names.models.len());
--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -128,7 +128,7 @@
         &mut self,
         now: time::Instant,
         sent: time::Instant,
-        fault: event::Fault,
+        fault: event::AttemptError,
         policy: &settings::Policy,
         random: &mut random::Random,
     ) -> bool {
@@ -159,12 +159,12 @@
         self.recent_attempts = (self.recent_attempts + 1).min(WINDOW);
     }
 
-    fn must_eject(&self, fault: event::Fault, policy: &settings::Policy) -> bool {
+    fn must_eject(&self, fault: event::AttemptError, policy: &settings::Policy) -> bool {
         let recovering = matches!(self.state, State::Recovering { .. });
         let share =
             f64::from(self.recent_failures.count_ones()) / f64::from(self.recent_attempts.max(1));
         recovering
-            || fault == event::Fault::ConnectRefused
+            || fault == event::AttemptError::ConnectRefused
             || self.consecutive_failures >= policy.eject_after_failures.max(1)
             || (self.recent_attempts >= MIN_ATTEMPTS && share >= policy.eject_failure_share)
     }
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -59,7 +59,7 @@
     /// The model.
     pub model: ModelKey,
     /// The name of the endpoint, its incarnation, and the task with names instead of keys.
-    pub named: (String, endpoints::Incarnation, endpoints::Task),
+    pub named: (String, endpoints::Incarnation, endpoints::OrderTask),
     /// The reason, shown to operators.
     pub reason: &'static str,
 }
--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -60,11 +60,11 @@
 pub struct Engine {
     pub identity: endpoints::Identity,
     pub sequence: u64,
-    pub resident: Vec<endpoints::Resident>,
+    pub resident: Vec<endpoints::ResidentModel>,
     pub orders: Vec<endpoints::OrderResult>,
     pub highest: endpoints::Fence,
     pub leaving: bool,
-    accepted: Vec<(endpoints::OrderId, endpoints::Task)>,
+    accepted: Vec<(endpoints::OrderId, endpoints::OrderTask)>,
 }
 
 impl Engine {
@@ -154,7 +154,7 @@
     }
 
     /// The task that is being carried out.
-    pub fn task(&self) -> Option<&endpoints::Task> {
+    pub fn task(&self) -> Option<&endpoints::OrderTask> {
         self.accepted.first().map(|(_, task)| task)
     }
 
@@ -164,21 +164,21 @@
             return;
         };
         let (name, wanted, begins) = match &task {
-            endpoints::Task::Load { model, version, .. } => {
+            endpoints::OrderTask::Load { model, version, .. } => {
                 (model, *version, !self.holds(model, *version))
             }
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 let ready = self.ready(model, *version);
                 (model, *version, ready)
             }
-            endpoints::Task::ChangeRole { .. } => return,
+            endpoints::OrderTask::ChangeRole { .. } => return,
         };
         if begins {
             self.begin(&task);
             return;
         }
-        let unloads = matches!(task, endpoints::Task::Unload { .. });
-        let this = |r: &endpoints::Resident| r.model == *name && r.version == wanted;
+        let unloads = matches!(task, endpoints::OrderTask::Unload { .. });
+        let this = |r: &endpoints::ResidentModel| r.model == *name && r.version == wanted;
         if unloads {
             self.resident.retain(|r| !this(r));
         } else if let Some(resident) = self.resident.iter_mut().find(|r| this(r)) {
@@ -190,27 +190,27 @@
         }
     }
 
-    fn begin(&mut self, task: &endpoints::Task) {
+    fn begin(&mut self, task: &endpoints::OrderTask) {
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
                 ..
-            } => self.resident.push(endpoints::Resident {
+            } => self.resident.push(endpoints::ResidentModel {
                 model: model.clone(),
                 version: *version,
                 phase: endpoints::Phase::Loading,
                 memory_mib: *memory_mib,
             }),
-            endpoints::Task::Unload { model, version } => {
+            endpoints::OrderTask::Unload { model, version } => {
                 for resident in &mut self.resident {
                     if resident.model == *model && resident.version == *version {
                         resident.phase = endpoints::Phase::Unloading;
                     }
                 }
             }
-            endpoints::Task::ChangeRole { .. } => {}
+            endpoints::OrderTask::ChangeRole { .. } => {}
         }
     }
 
@@ -247,7 +247,7 @@
 impl Table {
     pub fn commit(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
     ) -> endpoints::Order {
         self.committed += 1;
         let order = endpoints::Order {
--- a/crates/sageshed-quorum/tests/testsuite/scenarios.rs
+++ b/crates/sageshed-quorum/tests/testsuite/scenarios.rs
@@ -250,14 +250,14 @@
     let mut cfg = config::Config::new(id(1, 1));
     cfg.max_batch_bytes = 1000;
     let membership = log::Membership::of_voters([id(1, 1)]);
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         membership,
-        ..log::Restored::default()
+        ..log::PersistedState::default()
     };
     let mut node = node::Node::new(cfg, restored, 1);
     node.step(time::Instant(0), event::Event::ElectionTimeout);
-    let propose = |ticket| event::Event::Propose {
-        ticket,
+    let propose = |correlation_id| event::Event::Propose {
+        correlation_id,
         payload: vec![0; 400],
     };
     let actions = node.step_all(time::Instant(0), (0..10).map(propose));
@@ -269,7 +269,10 @@
     let change = event::Change::AddLearner(id(2, 1));
     node.step(
         time::Instant(0),
-        event::Event::ChangeMembership { ticket: 0, change },
+        event::Event::ChangeMembership {
+            correlation_id: 0,
+            change,
+        },
     );
     let body = message::Body::Rejected {
         prev: log::Index(11),
@@ -335,9 +338,9 @@
         data: log::EntryData::Noop,
     };
     let entries = vec![entry(1), entry(3)];
-    let restored = log::Restored {
+    let restored = log::PersistedState {
         entries,
-        ..log::Restored::default()
+        ..log::PersistedState::default()
     };
     let _ = node::Node::new(config::Config::new(id(1, 1)), restored, 1);
 }
--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -1,55 +1,57 @@
-//! Brings an entry's copy of the rules up to date, and never back.
+//! Applies updates to an entry process's copy of the rules.
 //!
-//! Updates reach an entry from several control processes, late and out of order; one that has been
-//! cut off may send what was the newest hours ago. Taking that would put withdrawn rules in force
-//! again. So only what is newer than the copy is ever taken, and a delta only without a gap.
+//! An entry process receives updates from several control processes, late and out of order. A control
+//! process that was partitioned may send rules that are hours old, and applying these would put
+//! withdrawn rules in force again. So an update is applied only if it is newer than the copy, and a
+//! delta only if it has no gap.
 
 use sageshed_types::{messages, rules};
 
 use crate::edit;
 
-/// What came of an update.
+/// The outcome of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Updated {
-    /// The copy is at this later revision now.
-    To(rules::Revision),
-    /// The update holds nothing newer; the copy is as it was.
-    NothingNewer,
-    /// The delta begins after the copy's next revision; the copy is as it was. Ask again from the
-    /// copy's revision.
+pub enum UpdateOutcome {
+    /// The copy was advanced to this revision.
+    Applied(rules::Revision),
+    /// The update contains nothing newer. The copy is unchanged.
+    UpToDate,
+    /// The delta begins after the copy's next revision. The copy is unchanged, and the delta must be
+    /// requested again from the copy's revision.
     Gap {
-        /// The revision that was needed.
+        /// The next revision of the copy.
         needed: rules::Revision,
-        /// The one that came.
+        /// The revision found in the delta.
         came: rules::Revision,
     },
-    /// A change does not fit the copy, which is as it was. Ask from revision 0 for the whole.
-    Misfit {
-        /// The revision that does not fit.
+    /// A change cannot be applied to the copy. The copy is unchanged, and a snapshot must be requested
+    /// by asking from revision 0.
+    Inapplicable {
+        /// The revision of that change.
         revision: rules::Revision,
-        /// Why.
-        problem: edit::Problem,
+        /// Why it cannot be applied.
+        problem: edit::EditError,
     },
 }
 
 /// Applies `update` to the copy `set`.
-pub fn apply_update(set: &mut rules::RuleSet, update: messages::ConfigUpdate) -> Updated {
+pub fn apply_update(set: &mut rules::RuleSet, update: messages::ConfigUpdate) -> UpdateOutcome {
     match update {
         messages::ConfigUpdate::Snapshot(whole) => replace(set, whole),
         messages::ConfigUpdate::Delta(changes) => advance(set, &changes),
     }
 }
 
-fn replace(set: &mut rules::RuleSet, whole: rules::RuleSet) -> Updated {
+fn replace(set: &mut rules::RuleSet, whole: rules::RuleSet) -> UpdateOutcome {
     if whole.revision <= set.revision {
-        return Updated::NothingNewer;
+        return UpdateOutcome::UpToDate;
     }
     *set = whole;
-    Updated::To(set.revision)
+    UpdateOutcome::Applied(set.revision)
 }
 
-/// Applies the changes to a second copy first, so that a gap or misfit halfway leaves the first.
-fn advance(set: &mut rules::RuleSet, changes: &[rules::Accepted]) -> Updated {
+/// Applies the changes to a clone, so that a failure halfway leaves the copy unchanged.
+fn advance(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> UpdateOutcome {
     let newer = changes
         .iter()
         .filter(|accepted| accepted.revision > set.revision);
@@ -58,10 +60,10 @@
         let needed = rules::Revision(next.revision.0 + 1);
         let came = accepted.revision;
         if came != needed {
-            return Updated::Gap { needed, came };
+            return UpdateOutcome::Gap { needed, came };
         }
         if let Err(problem) = edit::apply(&mut next.rules, &accepted.change.edit) {
-            return Updated::Misfit {
+            return UpdateOutcome::Inapplicable {
                 revision: came,
                 problem,
             };
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -212,7 +212,7 @@
             digest: 1,
             retention: RETENTION,
         };
-        if let claim_table::Claimed::Answer(answer) = self.table.claim(claim) {
+        if let claim_table::ClaimAttempt::Answer(answer) = self.table.claim(claim) {
             self.answers.push((arrival, answer));
         }
     }
@@ -224,9 +224,9 @@
 
     fn settle_holder(&mut self, holder: claims::Holder, end: End) {
         let end = match end {
-            End::Ran => claims::End::Ran { answer: None },
-            End::NotRun => claims::End::NotRun,
-            End::Unknown => claims::End::Unknown,
+            End::Ran => claims::ExecutionOutcome::Ran { answer: None },
+            End::NotRun => claims::ExecutionOutcome::NotRun,
+            End::Unknown => claims::ExecutionOutcome::Unknown,
         };
         let key = key();
         self.table.settle(claims::Settle { key, holder, end });
@@ -388,7 +388,7 @@
             self.push(all, event, Self::clock);
         }
         let held = self.table.get(&key());
-        let running = held.filter(|held| held.state == claim_table::State::Running);
+        let running = held.filter(|held| held.state == claim_table::ClaimState::Running);
         if let Some(held) = running.filter(|_| !guards.no_expiry) {
             let holder = held.holder.clone();
             self.push(all, "a running claim ends by time".to_owned(), |next| {
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -272,7 +272,7 @@
         );
         let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
         // No engine is free before the prefill of the queued requests is done.
-        Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
+        Some(refusal.with_retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 
     /// The expected wait behind the requests queued here, if it exceeds the time left.
