--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -1,18 +1,19 @@
-//! Requests that crash endpoints, and are therefore held: refused instead of passed on.
+//! Requests that crash endpoints, and are therefore quarantined: refused instead of passed on.
 //!
 //! A poison request crashes each endpoint that runs it. Its caller gets no response and sends it again,
 //! with another id and to another entry process; passed on each time, it takes down the whole pool. So
 //! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
 //! all processes together: an entry process reports what it saw to control, control processes exchange
 //! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints
-//! crashed under. It is then *held*, that is refused at once by every entry process, for [`RETENTION`].
+//! crashed under. It is then *quarantined*, that is refused at once by every entry process, for
+//! [`RETENTION`].
 //!
 //! # Evidence, and how it is merged
 //!
 //! A [`Crash`] says that one instance of an endpoint ended while it ran one request. Evidence only grows:
 //! that a crash happened, and that it was *cleared*, are facts that stay true. So processes may merge what
-//! they receive in any order, repeatedly or late, and arrive at the same state. A request is held while
-//! [`CRASH_LIMIT`] crashes under it are not cleared.
+//! they receive in any order, repeatedly or late, and arrive at the same state. A request is quarantined
+//! while [`CRASH_LIMIT`] crashes under it are not cleared.
 //!
 //! # Bystanders
 //!
@@ -20,14 +21,14 @@
 //! request that any endpoint completes afterwards was not: its crashes are cleared. For most bystanders
 //! this happens when they are retried. A request that many callers send at once may run on three endpoints
 //! that end together, for instance with a rack; a process that has completed it within the last minute
-//! takes any crash under it as cleared and tells the others. So a bystander is held only if it ran on three
-//! endpoints that ended and completed nowhere.
+//! takes any crash under it as cleared and tells the others. So a bystander is quarantined only if it ran
+//! on three endpoints that ended and completed nowhere.
 //!
 //! # Bounds
 //!
 //! Anyone who sends requests can create entries here, at the price of one crash for each batch that an
 //! endpoint runs. [`MAX_REQUESTS`] requests are remembered. The one with the oldest last crash is evicted
-//! first, and requests that are not held are evicted before those that are.
+//! first, and requests that are not quarantined are evicted before those that are.
 
 use std::{cmp, collections};
 
@@ -38,9 +39,9 @@
     quarantine::{Crash, Fingerprint, QuarantinedRequest},
 };
 
-/// Crashes of endpoint instances after which a request is held. A single crash may have any cause, and two
-/// happen to a bystander that is retried on the endpoint where the poison request went as well. Each
-/// further crash costs every caller an endpoint for the seconds of its restart.
+/// Crashes of endpoint instances after which a request is quarantined. A single crash may have any cause,
+/// and two happen to a bystander that is retried on the endpoint where the poison request went as well.
+/// Each further crash costs every caller an endpoint for the seconds of its restart.
 pub const CRASH_LIMIT: usize = 3;
 
 /// How long a crash is remembered. Endpoints get new software in hours, not minutes, and callers without a
@@ -54,11 +55,11 @@
 /// Requests that are evicted together when there is no room for another one.
 const EVICTION_BATCH: usize = MAX_REQUESTS / 16;
 
-/// Held requests that the control group persists: some 10 KB of its log for each change.
+/// Quarantined requests that the control group persists: some 10 KB of its log for each change.
 const MAX_PERSISTED: usize = 256;
 
-/// Crashes that are remembered for each request: enough to keep it held if all but three were cleared
-/// elsewhere.
+/// Crashes that are remembered for each request: enough to keep it quarantined if all but three were
+/// cleared elsewhere.
 const MAX_CRASHES: usize = 2 * CRASH_LIMIT;
 
 /// How long a completed request is remembered at least; at most it is twice as long. A request that is sent
@@ -76,8 +77,8 @@
 pub enum SyncScope {
     /// All crashes, for peers that merge them with those of others.
     All,
-    /// Those under requests that are or were held.
-    Held,
+    /// Those under requests that are or were quarantined.
+    Quarantined,
 }
 
 /// Effect of a piece of evidence.
@@ -85,11 +86,11 @@
 pub enum Change {
     /// None: it was known or is too old.
     None,
-    /// It is new, but doesn't change whether the request is held.
+    /// It is new, but doesn't change whether the request is quarantined.
     Noted,
-    /// The request is now held.
-    Held,
-    /// The request is no longer held.
+    /// The request is now quarantined.
+    Quarantined,
+    /// The request is no longer quarantined.
     Released,
 }
 
@@ -98,9 +99,9 @@
 pub struct MergeResult {
     /// Whether any of them was new.
     pub has_changes: bool,
-    /// Requests that are now held.
-    pub held: Vec<Fingerprint>,
-    /// Requests that are no longer held.
+    /// Requests that are now quarantined.
+    pub quarantined: Vec<Fingerprint>,
+    /// Requests that are no longer quarantined.
     pub released: Vec<Fingerprint>,
 }
 
@@ -128,8 +129,8 @@
 pub struct Quarantine {
     start: u64,
     change: u64,
-    /// The last change that concerned a held request.
-    held_change: u64,
+    /// The last change that concerned a quarantined request.
+    last_quarantine_change: u64,
     requests: collections::HashMap<Fingerprint, Suspect>,
     swept: time::Instant,
     recent_successes: RecentSuccesses,
@@ -173,8 +174,8 @@
 #[derive(Debug, Clone, Default)]
 struct Suspect {
     crashes: Vec<KnownCrash>,
-    /// Whether it is or was held, so that entry processes were told of it.
-    was_held: bool,
+    /// Whether it is or was quarantined, so that entry processes were told of it.
+    was_quarantined: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -204,7 +205,7 @@
 }
 
 impl Suspect {
-    fn is_held(&self, now: time::Instant) -> bool {
+    fn is_quarantined(&self, now: time::Instant) -> bool {
         let counting = self.crashes.iter().filter(|it| it.is_counted(now));
         counting.count() >= CRASH_LIMIT
     }
@@ -216,7 +217,7 @@
     }
 
     /// The record that the control group persists.
-    fn to_held(&self, now: time::Instant, content: Fingerprint) -> QuarantinedRequest {
+    fn to_quarantined(&self, now: time::Instant, content: Fingerprint) -> QuarantinedRequest {
         let crashes = self.crashes.iter().filter(|it| it.is_counted(now));
         let mut endpoints: Vec<_> = crashes.map(|it| it.endpoint).collect();
         endpoints.sort_unstable();
@@ -281,7 +282,7 @@
     pub fn has_news(&self, cursor: Cursor, scope: SyncScope) -> bool {
         let newest = match scope {
             SyncScope::All => self.change,
-            SyncScope::Held => self.held_change,
+            SyncScope::Quarantined => self.last_quarantine_change,
         };
         newest > cursor.position_in(self.start)
     }
@@ -297,11 +298,14 @@
         for (content, suspect) in &self.requests {
             let crashes = suspect.crashes.iter().map(|it| it.evidence(now, *content));
             match scope {
-                // Includes all crashes of the request, since the peer was told none before it was held.
-                SyncScope::Held if suspect.was_held && suspect.last_change() > after => {
+                // Includes all crashes of the request, since the peer was told none before it was
+                // quarantined.
+                SyncScope::Quarantined
+                    if suspect.was_quarantined && suspect.last_change() > after =>
+                {
                     to_send.extend(crashes);
                 }
-                SyncScope::Held => {}
+                SyncScope::Quarantined => {}
                 SyncScope::All => {
                     let news = suspect.crashes.iter().filter(|it| it.change > after);
                     to_send.extend(news.map(|it| it.evidence(now, *content)));
@@ -319,7 +323,7 @@
             result.has_changes |= change != Change::None;
             match change {
                 Change::None | Change::Noted => {}
-                Change::Held => result.held.push(crash.content),
+                Change::Quarantined => result.quarantined.push(crash.content),
                 Change::Released => result.released.push(crash.content),
             }
         }
@@ -339,18 +343,18 @@
         };
         let change = self.change + 1;
         let suspect = self.requests.entry(crash.content).or_default();
-        let was_held = suspect.is_held(now);
+        let was_quarantined = suspect.is_quarantined(now);
         if !suspect.merge(now, crash, change) {
             return Change::None;
         }
         self.change = change;
-        let is_held = suspect.is_held(now);
-        suspect.was_held |= is_held;
-        if suspect.was_held {
-            self.held_change = change;
+        let is_quarantined = suspect.is_quarantined(now);
+        suspect.was_quarantined |= is_quarantined;
+        if suspect.was_quarantined {
+            self.last_quarantine_change = change;
         }
-        match (was_held, is_held) {
-            (false, true) => Change::Held,
+        match (was_quarantined, is_quarantined) {
+            (false, true) => Change::Quarantined,
             (true, false) => Change::Released,
             _ => Change::Noted,
         }
@@ -376,15 +380,19 @@
         !cleared.is_empty()
     }
 
-    /// How much longer a request is held; none if it is not held.
+    /// How much longer a request is quarantined; none if it is not quarantined.
     #[must_use]
-    pub fn held_for(&self, now: time::Instant, content: Fingerprint) -> Option<time::Millis> {
+    pub fn quarantined_for(
+        &self,
+        now: time::Instant,
+        content: Fingerprint,
+    ) -> Option<time::Millis> {
         let suspect = self.requests.get(&content)?;
         let crashes = suspect.crashes.iter().filter(|it| it.is_counted(now));
         let mut until: Vec<_> = crashes.map(|it| it.expires_at).collect();
         until.sort_unstable();
         until.reverse();
-        // The request is held until fewer than that are left.
+        // The request is quarantined until fewer than that are left.
         let end = until.get(CRASH_LIMIT - 1)?;
         Some(end.since(now))
     }
@@ -398,33 +406,36 @@
         })
     }
 
-    /// Number of held requests.
+    /// Number of quarantined requests.
     #[must_use]
-    pub fn count_held(&self, now: time::Instant) -> usize {
+    pub fn count_quarantined(&self, now: time::Instant) -> usize {
         let requests = self.requests.values();
-        requests.filter(|it| it.is_held(now)).count()
+        requests.filter(|it| it.is_quarantined(now)).count()
     }
 
-    /// The held requests that the control group persists, in order: the [`MAX_PERSISTED`] that crashed an
-    /// endpoint last.
+    /// The quarantined requests that the control group persists, in order: the [`MAX_PERSISTED`] that
+    /// crashed an endpoint last.
     #[must_use]
-    pub fn held(&self, now: time::Instant) -> Vec<QuarantinedRequest> {
-        let held = self.requests.iter().filter(|(_, it)| it.is_held(now));
-        let mut held: Vec<_> = held.collect();
-        held.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.expires()), **content));
-        held.truncate(MAX_PERSISTED);
-        let mut held: Vec<_> = held
+    pub fn quarantined(&self, now: time::Instant) -> Vec<QuarantinedRequest> {
+        let quarantined = self
+            .requests
+            .iter()
+            .filter(|(_, it)| it.is_quarantined(now));
+        let mut quarantined: Vec<_> = quarantined.collect();
+        quarantined.sort_unstable_by_key(|(content, it)| (cmp::Reverse(it.expires()), **content));
+        quarantined.truncate(MAX_PERSISTED);
+        let mut quarantined: Vec<_> = quarantined
             .into_iter()
-            .map(|(content, it)| it.to_held(now, *content))
+            .map(|(content, it)| it.to_quarantined(now, *content))
             .collect();
-        held.sort_unstable();
-        held
+        quarantined.sort_unstable();
+        quarantined
     }
 
-    /// Restores held requests that the control group has persisted. As the time of the crashes is unknown,
-    /// they count from now.
-    pub fn restore(&mut self, now: time::Instant, held: &[QuarantinedRequest]) {
-        for it in held {
+    /// Restores quarantined requests that the control group has persisted. As the time of the crashes is
+    /// unknown, they count from now.
+    pub fn restore(&mut self, now: time::Instant, quarantined: &[QuarantinedRequest]) {
+        for it in quarantined {
             for endpoint in &it.endpoints {
                 let crash = Crash {
                     content: it.content,
@@ -456,7 +467,7 @@
         }
         let all = self.requests.iter();
         let mut all: Vec<_> = all
-            .map(|(content, it)| (it.is_held(now), it.expires(), *content))
+            .map(|(content, it)| (it.is_quarantined(now), it.expires(), *content))
             .collect();
         all.sort_unstable();
         for (_, _, oldest) in all.iter().take(EVICTION_BATCH) {
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held.
+//! Which requests are quarantined.
 
 use sageshed_fleet::quarantine::{
     CRASH_LIMIT, Change, Crash, Cursor, Fingerprint, MAX_REQUESTS, PeerSync, Quarantine, RETENTION,
@@ -30,51 +30,59 @@
     quarantine
 }
 
-fn holds(quarantine: &Quarantine, number: u64) -> bool {
-    quarantine.held_for(NOW, content(number)).is_some()
+fn is_quarantined_in(quarantine: &Quarantine, number: u64) -> bool {
+    quarantine.quarantined_for(NOW, content(number)).is_some()
 }
 
-/// One step of a sequence of events for request 1, and whether it is held after it.
+/// One step of a sequence of events for request 1, and whether it is quarantined after it.
 struct Step {
     name: &'static str,
     now: Instant,
     crash: Crash,
     change: Change,
-    is_held: bool,
+    is_quarantined: bool,
 }
 
-/// A request crashes one endpoint after the other. It is held after the third; a crash that several
+/// A request crashes one endpoint after the other. It is quarantined after the third; a crash that several
 /// processes report, or one that is reported twice, counts once.
 #[test]
-fn a_request_is_held_after_the_third_crash() {
-    let step = |name, endpoint, change, is_held| Step {
+fn a_request_is_quarantined_after_the_third_crash() {
+    let step = |name, endpoint, change, is_quarantined| Step {
         name,
         now: NOW,
         crash: crash(1, endpoint),
         change,
-        is_held,
+        is_quarantined,
     };
     let steps = [
         step("first crash", 1, Change::Noted, false),
         step("reported again", 1, Change::None, false),
         step("second crash", 2, Change::Noted, false),
-        step("third crash", 3, Change::Held, true),
+        step("third crash", 3, Change::Quarantined, true),
         step("a fourth crash that was under way", 4, Change::Noted, true),
     ];
     let mut quarantine = Quarantine::new(1);
     for it in &steps {
         let change = quarantine.merge(it.now, &it.crash);
         assert_eq!(change, it.change, "{}", it.name);
-        assert_eq!(holds(&quarantine, 1), it.is_held, "{}", it.name);
+        assert_eq!(
+            is_quarantined_in(&quarantine, 1),
+            it.is_quarantined,
+            "{}",
+            it.name
+        );
     }
-    assert!(!holds(&quarantine, 2), "another request is passed on");
+    assert!(
+        !is_quarantined_in(&quarantine, 2),
+        "another request is passed on"
+    );
 }
 
 /// A request of many callers runs on three endpoints that crash one after the other, and completes in
-/// between: it was not the cause. If it were held, a page that all callers request would be refused for an
-/// hour.
+/// between: it was not the cause. If it were quarantined, a page that all callers request would be refused
+/// for an hour.
 #[test]
-fn a_request_that_is_answered_in_between_is_not_held() {
+fn a_request_that_is_answered_in_between_is_not_quarantined() {
     let mut quarantine = Quarantine::new(1);
     let mut now = NOW;
     for endpoint in 0..10 {
@@ -86,9 +94,12 @@
             assert!(quarantine.record_success(now, content(1)));
         }
     }
-    assert!(quarantine.held_for(now, content(1)).is_none());
-    let other = quarantine.held_for(now, content(2));
-    assert!(other.is_some(), "a request that never completes is held");
+    assert!(quarantine.quarantined_for(now, content(1)).is_none());
+    let other = quarantine.quarantined_for(now, content(2));
+    assert!(
+        other.is_some(),
+        "a request that never completes is quarantined"
+    );
     assert!(
         !quarantine.record_success(now, content(3)),
         "nothing to clear"
@@ -96,29 +107,38 @@
 }
 
 /// A rack is lost, and with it three of the eighty endpoints that a request of all callers was running on.
-/// Each entry process completes it many times a second on the others. If it were held by the reports of
-/// three of them, it would be refused for all callers for an hour.
+/// Each entry process completes it many times a second on the others. If it were quarantined by the reports
+/// of three of them, it would be refused for all callers for an hour.
 #[test]
-fn what_is_answered_all_the_time_is_not_held_when_a_rack_is_lost() {
+fn what_is_answered_all_the_time_is_not_quarantined_when_a_rack_is_lost() {
     let crashes = [crash(1, 1), crash(1, 2), crash(1, 3)];
     let control = seen(1, &crashes);
-    assert!(holds(&control, 1), "it is held by the crashes alone");
-    for (answered_before, is_held) in [(1_000, false), (29_000, false), (61_000, true)] {
+    assert!(
+        is_quarantined_in(&control, 1),
+        "it is quarantined by the crashes alone"
+    );
+    for (answered_before, is_quarantined) in [(1_000, false), (29_000, false), (61_000, true)] {
         let mut entry = Quarantine::new(2);
         let then = Instant(NOW.0 + 100_000 - answered_before);
         let now = Instant(NOW.0 + 100_000);
         entry.record_success(then, content(1));
-        for it in control.since(NOW, Cursor::default(), SyncScope::Held) {
+        for it in control.since(NOW, Cursor::default(), SyncScope::Quarantined) {
             entry.merge(now, &it);
         }
-        let holds = entry.held_for(now, content(1)).is_some();
-        assert_eq!(holds, is_held, "completed {answered_before} ms before");
+        let found = entry.quarantined_for(now, content(1)).is_some();
+        assert_eq!(
+            found, is_quarantined,
+            "completed {answered_before} ms before"
+        );
         // Control learns of it, and everybody from control.
         let mut informed = control.clone();
         for it in entry.since(now, Cursor::default(), SyncScope::All) {
             informed.merge(now, &it);
         }
-        assert_eq!(informed.held_for(now, content(1)).is_some(), is_held);
+        assert_eq!(
+            informed.quarantined_for(now, content(1)).is_some(),
+            is_quarantined
+        );
     }
 }
 
@@ -152,7 +172,7 @@
                 }
             }
             for it in &control {
-                assert!(holds(it, 1), "{first} {second}: {it:?}");
+                assert!(is_quarantined_in(it, 1), "{first} {second}: {it:?}");
                 let quiet = it.since(NOW, it.cursor(), SyncScope::All);
                 assert!(quiet.is_empty(), "nothing is left to send: {quiet:?}");
             }
@@ -160,44 +180,45 @@
     }
 }
 
-/// An entry process is told only of held requests, with all the evidence for them, and of their release.
+/// An entry process is told only of quarantined requests, with all the evidence for them, and of their
+/// release.
 #[test]
-fn an_entry_process_is_told_what_is_held() {
+fn an_entry_process_is_told_what_is_quarantined() {
     let mut control = seen(7, &[crash(1, 1), crash(1, 2), crash(2, 1)]);
     let mut entry = Quarantine::new(9);
     let mut known = Cursor::default();
     let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
-        let to_send = control.since(NOW, *known, SyncScope::Held);
+        let to_send = control.since(NOW, *known, SyncScope::Quarantined);
         *known = control.cursor();
         for it in &to_send {
             entry.merge(NOW, it);
         }
         to_send.len()
     };
-    assert!(!control.has_news(known, SyncScope::Held));
+    assert!(!control.has_news(known, SyncScope::Quarantined));
     assert_eq!(tell(&control, &mut entry, &mut known), 0);
     control.merge(NOW, &crash(1, 3));
-    assert!(control.has_news(known, SyncScope::Held));
+    assert!(control.has_news(known, SyncScope::Quarantined));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
-    assert!(holds(&entry, 1));
+    assert!(is_quarantined_in(&entry, 1));
     control.merge(NOW, &crash(2, 2));
     assert_eq!(
         tell(&control, &mut entry, &mut known),
         0,
-        "not held, not sent"
+        "not quarantined, not sent"
     );
     control.record_success(NOW, content(1));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
-    assert!(!holds(&entry, 1));
+    assert!(!is_quarantined_in(&entry, 1));
     // A process that was just started knows nothing.
     let mut started = Quarantine::new(11);
     control.merge(NOW, &crash(2, 3));
     assert_eq!(tell(&control, &mut started, &mut Cursor::default()), 6);
-    assert!(holds(&started, 2) && !holds(&started, 1));
+    assert!(is_quarantined_in(&started, 2) && !is_quarantined_in(&started, 1));
 }
 
 /// A control process restarts with an empty state. Two crashes that an entry process has reported to its
-/// previous start would be lost, and the request held only after three more.
+/// previous start would be lost, and the request quarantined only after three more.
 #[test]
 fn a_restarted_control_process_is_sent_everything_again() {
     let mut entry = seen(9, &[crash(1, 1)]);
@@ -246,7 +267,7 @@
         quarantine.merge(NOW, &cleared);
         quarantine.merge(NOW, &crash(1, endpoint));
     }
-    assert!(!holds(&quarantine, 1));
+    assert!(!is_quarantined_in(&quarantine, 1));
 }
 
 /// A crash of an hour ago that another process reports now must not be kept for another hour.
@@ -260,8 +281,14 @@
         };
         quarantine.merge(NOW, &old);
     }
-    assert_eq!(quarantine.held_for(NOW, content(1)), Some(Millis(1_000)));
-    assert_eq!(quarantine.held_for(NOW + Millis(1_000), content(1)), None);
+    assert_eq!(
+        quarantine.quarantined_for(NOW, content(1)),
+        Some(Millis(1_000))
+    );
+    assert_eq!(
+        quarantine.quarantined_for(NOW + Millis(1_000), content(1)),
+        None
+    );
     let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
     assert!(
         to_send.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
@@ -274,14 +301,14 @@
     assert_eq!(quarantine.merge(NOW, &too_old), Change::None);
 }
 
-/// Many requests run on endpoints that crash. Held requests stay, and memory stays bounded.
+/// Many requests run on endpoints that crash. Quarantined requests stay, and memory stays bounded.
 #[test]
-fn a_flood_of_suspects_pushes_out_none_that_is_held() {
+fn a_flood_of_suspects_evicts_none_that_is_quarantined() {
     let mut quarantine = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3)]);
     for number in 10..10 + 2 * MAX_REQUESTS as u64 {
         quarantine.merge(NOW + Millis(number), &crash(number, 4));
     }
-    assert!(holds(&quarantine, 1));
+    assert!(is_quarantined_in(&quarantine, 1));
     let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
     assert!(
         to_send.len() <= MAX_REQUESTS + CRASH_LIMIT,
@@ -294,16 +321,16 @@
     assert!(quarantine.crash_count(NOW, content(1)) < 10);
 }
 
-/// Requests that the control group has persisted are held again after all processes were restarted.
+/// Requests that the control group has persisted are quarantined again after all processes were restarted.
 #[test]
-fn persisted_requests_are_held_again() {
+fn persisted_requests_are_quarantined_again() {
     let before = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3), crash(2, 1)]);
-    let kept = before.held(NOW);
+    let kept = before.quarantined(NOW);
     assert_eq!(kept.len(), 1);
     let mut after = Quarantine::new(2);
     after.restore(Instant(10), &kept);
-    assert!(holds(&after, 1) && !holds(&after, 2));
-    assert_eq!(after.held(NOW), kept);
+    assert!(is_quarantined_in(&after, 1) && !is_quarantined_in(&after, 2));
+    assert_eq!(after.quarantined(NOW), kept);
     let cursor = after.cursor();
     after.restore(NOW, &kept);
     assert_eq!(after.cursor(), cursor, "nothing has changed");
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -149,7 +149,7 @@
                 let (process, watches) = &mut self.entries[at];
                 let watch = &mut watches[number];
                 let control = &mut self.control[watch.to].quarantine;
-                let has_news = control.has_news(watch.sync.received, SyncScope::Held);
+                let has_news = control.has_news(watch.sync.received, SyncScope::Quarantined);
                 if self.now < watch.next && !has_news {
                     continue;
                 }
@@ -162,7 +162,7 @@
                     .quarantine
                     .since(now, watch.sync.sent, SyncScope::All);
                 control.merge_all(now, &crashes);
-                let answer = control.since(now, watch.sync.received, SyncScope::Held);
+                let answer = control.since(now, watch.sync.received, SyncScope::Quarantined);
                 watch.sync.record_exchange(sent, control.cursor());
                 process.quarantine.merge_all(now, &answer);
             }
@@ -188,7 +188,7 @@
     /// The first control process is the leader and persists in the log what it knows.
     fn persist(&mut self) {
         let now = self.instant();
-        self.log = self.control[0].quarantine.held(now);
+        self.log = self.control[0].quarantine.quarantined(now);
     }
 
     /// An attempt of the caller arrives at an entry process, which sends it to two endpoints.
@@ -197,7 +197,7 @@
         let is_in_contact = self.is_in_contact(entry);
         for _ in 0..2 {
             let quarantine = &mut self.entries[entry].0.quarantine;
-            if quarantine.held_for(now, POISON).is_some() {
+            if quarantine.quarantined_for(now, POISON).is_some() {
                 return;
             }
             self.crashes.push(self.now);
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -387,7 +387,7 @@
             return;
         }
         let taken = self.change(|inner| inner.quarantine.merge_all(now, crashes));
-        for content in &taken.held {
+        for content in &taken.quarantined {
             ::log::warn!(content:% = content, ends = quarantine::CRASH_LIMIT;
                 "control: request is quarantined, endpoints crashed while running it");
         }
@@ -559,7 +559,7 @@
 fn sync_scope(req: &messages::WatchReq) -> quarantine::SyncScope {
     match req.watcher {
         messages::Watcher::Control => quarantine::SyncScope::All,
-        messages::Watcher::Entry => quarantine::SyncScope::Held,
+        messages::Watcher::Entry => quarantine::SyncScope::Quarantined,
     }
 }
 
--- a/src/sageshed/control/keeping.rs
+++ b/src/sageshed/control/keeping.rs
@@ -48,7 +48,7 @@
     kept: &[quarantine::QuarantinedRequest],
 ) -> std_time::Duration {
     let now = shared.clock.now();
-    let held = shared.hub.with_quarantine(|it| it.held(now));
+    let held = shared.hub.with_quarantine(|it| it.quarantined(now));
     if held == kept {
         return LOOK;
     }
--- a/src/sageshed/control/metrics.rs
+++ b/src/sageshed/control/metrics.rs
@@ -99,7 +99,7 @@
         self.behind.set(behind.longest.0 as f64 / 1_000.0);
         self.endpoints.set(shared.reports().len() as f64);
         self.misread.set(shared.hub.misread.total() as f64);
-        let held = shared.hub.with_quarantine(|it| it.count_held(now));
+        let held = shared.hub.with_quarantine(|it| it.count_quarantined(now));
         self.held.set(held as f64);
         self.registry.text()
     }
--- a/src/sageshed/control/vms.rs
+++ b/src/sageshed/control/vms.rs
@@ -155,7 +155,7 @@
         let now = self.shared.clock.now();
         let since = req.crashes_known.unwrap_or_default();
         let (crashes_mark, crashes) = self.shared.hub.with_quarantine(|it| {
-            let news = it.since(now, since, quarantine::SyncScope::Held);
+            let news = it.since(now, since, quarantine::SyncScope::Quarantined);
             (it.cursor(), news)
         });
         messages::SyncResp {
--- a/src/sageshed/entry/crashes.rs
+++ b/src/sageshed/entry/crashes.rs
@@ -63,7 +63,7 @@
     /// Takes crashes that another process tells of.
     pub fn take(&mut self, now: time::Instant, crashes: &[quarantine::Crash]) {
         let taken = self.quarantine.merge_all(now, crashes);
-        for content in taken.held {
+        for content in taken.quarantined {
             log::warn!(content:% = content; "entry: request is held, endpoints ended under it");
         }
         for content in taken.released {
@@ -139,7 +139,7 @@
     pub(super) fn refuse_held(&self) -> Option<refusal::Refusal> {
         let now = self.shared.clock.now();
         let crashes = locks::lock(&self.shared.crashes);
-        let left = crashes.quarantine.held_for(now, self.content())?;
+        let left = crashes.quarantine.quarantined_for(now, self.content())?;
         let detail = format!(
             "{} endpoints ended while they ran this request; it is passed on no more for {} s",
             quarantine::CRASH_LIMIT,
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -213,7 +213,7 @@
         self.gauges.limited_endpoints.set(limited as f64);
         self.gauges.connections.set(shared.pool.opened() as f64);
         self.gauges.idle.set(shared.pool.idle() as f64);
-        let held = shared.with_core(|core| core.quarantine.count_held(now));
+        let held = shared.with_core(|core| core.quarantine.count_quarantined(now));
         self.gauges.held.set(held as f64);
         self.registry.text()
     }
--- a/src/sageshed/gateway/proxy/crash_quarantine.rs
+++ b/src/sageshed/gateway/proxy/crash_quarantine.rs
@@ -50,7 +50,7 @@
         let now = self.shared.clock.now();
         let left = self
             .shared
-            .with_core(|core| core.quarantine.held_for(now, self.content))?;
+            .with_core(|core| core.quarantine.quarantined_for(now, self.content))?;
         let detail = format!(
             "{} endpoints ended while they ran this request; it is passed on no more for {} s",
             quarantine::CRASH_LIMIT,
