--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -129,8 +129,8 @@
 
     /// What it requires of an endpoint.
     #[must_use]
-    pub fn requirements(&self) -> router::Ask<'_> {
-        router::Ask {
+    pub fn requirements(&self) -> router::Requirements<'_> {
+        router::Requirements {
             target: self.lane.target,
             pool: self.lane.pool,
             urgent: self.urgent,
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -36,7 +36,7 @@
 
 /// What a request requires of an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Requirements<'a> {
     /// The model, adapter or service to serve.
     pub target: event::Target,
     /// The only pool that may serve the request, if a rule names one.
@@ -142,7 +142,7 @@
     /// the predicted wait.
     pub fn learn(
         &mut self,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
         endpoint: arena::EndpointKey,
         span: f64,
         tokens: u32,
@@ -155,13 +155,13 @@
 
     /// Service time on an endpoint of average speed, in milliseconds.
     #[must_use]
-    pub fn service(&self, requirements: &Ask<'_>) -> f64 {
+    pub fn service(&self, requirements: &Requirements<'_>) -> f64 {
         let learned = self.learned(requirements.target);
         learned.service(requirements.max_tokens, self.policy.initial_service_ms)
     }
 
     /// Selects an endpoint that has room for one more request.
-    pub fn choose(&mut self, now: time::Instant, requirements: &Ask<'_>) -> Choice {
+    pub fn choose(&mut self, now: time::Instant, requirements: &Requirements<'_>) -> Choice {
         let eligible = match self.eligible(now, requirements) {
             Ok(eligible) => eligible,
             Err(choice) => return choice,
@@ -182,7 +182,7 @@
     pub fn eligible(
         &self,
         now: time::Instant,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
     ) -> Result<Vec<arena::EndpointKey>, Choice> {
         let holders = self.fleet.holders(requirements.target);
         let mut eligible = Vec::with_capacity(holders.len());
@@ -207,7 +207,7 @@
     /// Whether no eligible endpoint serves the target of a lane.
     #[must_use]
     pub fn is_cold(&self, now: time::Instant, lane: queue::Lane) -> bool {
-        let requirements = Ask {
+        let requirements = Requirements {
             target: lane.target,
             pool: lane.pool,
             urgent: false,
@@ -223,7 +223,7 @@
     pub fn standing(
         &self,
         now: time::Instant,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
         key: arena::EndpointKey,
     ) -> Eligibility {
         let endpoint = self.fleet.get(key);
@@ -261,7 +261,7 @@
         &self,
         now: time::Instant,
         key: arena::EndpointKey,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
     ) -> f64 {
         let endpoint = self.fleet.get(key);
         let limit = endpoint.limit(now, &self.policy, self.entries, requirements.urgent);
@@ -275,7 +275,7 @@
 
     /// Computes the estimate for a request on an endpoint.
     #[must_use]
-    pub fn pick(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> Pick {
+    pub fn pick(&self, requirements: &Requirements<'_>, key: arena::EndpointKey) -> Pick {
         let endpoint = self.fleet.get(key);
         let service = self.service(requirements) * endpoint.learned.slowdown();
         let slot_time = endpoint.learned.slot_time().unwrap_or(service);
@@ -295,7 +295,7 @@
 
     fn two_choices(
         &mut self,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
         room: &[arena::EndpointKey],
     ) -> Option<arena::EndpointKey> {
         let first = self.draw(room)?;
@@ -318,7 +318,7 @@
 
     fn better(
         &self,
-        requirements: &Ask<'_>,
+        requirements: &Requirements<'_>,
         a: arena::EndpointKey,
         b: arena::EndpointKey,
     ) -> arena::EndpointKey {
@@ -332,7 +332,7 @@
     /// The score of an endpoint; lower is better. It is the estimate plus the cost of crossing zones,
     /// less the time saved by a cached prefix, plus a penalty for utilization, which decides between
     /// endpoints that have free slots.
-    fn score(&self, requirements: &Ask<'_>, key: arena::EndpointKey) -> f64 {
+    fn score(&self, requirements: &Requirements<'_>, key: arena::EndpointKey) -> f64 {
         let endpoint = self.fleet.get(key);
         let pick = self.pick(requirements, key);
         let far = endpoint.zone != names::OWN_ZONE;
@@ -353,7 +353,7 @@
 
     /// The endpoint that owns a prefix by rendezvous hashing: the holder with the greatest combined
     /// hash. When an endpoint joins or leaves, only the prefixes that it owns move.
-    fn prefix_owner(&self, requirements: &Ask<'_>) -> Option<arena::EndpointKey> {
+    fn prefix_owner(&self, requirements: &Requirements<'_>) -> Option<arena::EndpointKey> {
         if requirements.prefix == 0 {
             return None;
         }
