--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -121,7 +121,7 @@
             estimate: router::estimate(router.pick(&requirements, *key)),
             room: router.has_room(now, *key, requirements.urgent),
             chosen: chosen == Some(*key),
-            standing: router.standing(now, &requirements, *key),
+            eligibility: router.eligibility(now, &requirements, *key),
         });
         request.candidates = considered.collect();
     }
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -88,7 +88,7 @@
     }
 
     fn candidate(&self, considered: &request::ConsideredEndpoint) -> types_account::Candidate {
-        let why = match considered.standing {
+        let why = match considered.eligibility {
             _ if considered.chosen => None,
             router::Eligibility::OtherPool => Some("the rule names another pool"),
             router::Eligibility::Leaving => Some("it is leaving"),
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -58,7 +58,7 @@
     /// Whether it was chosen.
     pub chosen: bool,
     /// Whether it was eligible for the request.
-    pub standing: router::Eligibility,
+    pub eligibility: router::Eligibility,
 }
 
 /// A request and its processing state.
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -189,7 +189,7 @@
         let mut doubtful = Vec::new();
         let mut any_failed = false;
         for key in holders {
-            match self.standing(now, requirements, *key) {
+            match self.eligibility(now, requirements, *key) {
                 Eligibility::Eligible => eligible.push(*key),
                 Eligibility::Ejected | Eligibility::Silent => doubtful.push(*key),
                 Eligibility::Failed => any_failed = true,
@@ -220,7 +220,7 @@
 
     /// The eligibility of an endpoint that holds the target.
     #[must_use]
-    pub fn standing(
+    pub fn eligibility(
         &self,
         now: time::Instant,
         requirements: &Requirements<'_>,
