--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -136,10 +136,10 @@
         out: &mut Actions,
     ) {
         let router = &mut self.router;
-        let taken = router
+        let outcome = router
             .fleet
             .report(now, report, age, &mut self.names, &mut router.random);
-        if let fleet::ReportOutcome::Applied(endpoint) = taken {
+        if let fleet::ReportOutcome::Applied(endpoint) = outcome {
             self.send_waiting(now, Some(endpoint), out);
         }
     }
@@ -181,10 +181,10 @@
         }
         let expiry = self.expiry(req);
         self.expiries.remove(&(expiry, req));
-        self.keep_account(req);
+        self.keep_ended(req);
     }
 
-    fn keep_account(&mut self, req: event::ReqId) {
+    fn keep_ended(&mut self, req: event::ReqId) {
         if self.ended.len() == KEPT_ENDED_REQUESTS
             && let Some(oldest) = self.ended.pop_front()
         {
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -260,8 +260,8 @@
         clippy::cast_sign_loss,
         reason = "the value is clamped to what fits"
     )]
-    let floor_to_u32 = value.floor().clamp(1.0, f64::from(u32::MAX)) as u32;
-    floor_to_u32
+    let floored = value.floor().clamp(1.0, f64::from(u32::MAX)) as u32;
+    floored
 }
 
 /// What became of a report.
@@ -312,8 +312,8 @@
         let key = names.endpoints.intern(&report.identity.endpoint);
         let incarnation = report.identity.incarnation;
         let known = self.endpoints.get(key.index());
-        let news = known.map(|e| (incarnation, report.sequence) > (e.incarnation, e.sequence));
-        match news {
+        let is_newer = known.map(|e| (incarnation, report.sequence) > (e.incarnation, e.sequence));
+        match is_newer {
             Some(false) => return ReportOutcome::Outdated,
             Some(true) if self.endpoints[key.index()].incarnation == incarnation => {}
             Some(true) => {
--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -235,15 +235,15 @@
         &mut self,
         test: impl Fn(&orders::OpenOrder) -> bool,
     ) -> Vec<endpoints::OrderId> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         self.orders.retain(|open| {
             let take = test(open);
             if take {
-                taken.push(open.order.order);
+                removed.push(open.order.order);
             }
             !take
         });
-        taken
+        removed
     }
 
     /// Adds an order of the replicated table. Returns the orders to remove from the table.
