--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -34,9 +34,9 @@
 }
 
 impl Planner<'_> {
-    /// Loads a model whose only route is in the way of `model` on another engine, so that later plans
-    /// can evict the replica here. If the other engine has no room either, spare replicas are evicted
-    /// there first. Longer chains of moves are not considered.
+    /// Starts to move a model whose only route occupies memory that `model` needs: loads it on another
+    /// engine, so that later plans can evict it here. If the other engine has no room, spare replicas
+    /// are evicted there first. Longer chains of moves are not considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
