--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -107,7 +107,7 @@
         let id = rule.map(|rule| std::sync::Arc::clone(&rule.id));
         request.rule = Some(id.unwrap_or_else(|| std::sync::Arc::from(refusal::DEFAULT_RULE)));
         if let Some(rule) = rule {
-            apply_marks(request, rule);
+            apply_rule(request, rule);
             request.urgent = request.priority >= self.policy.urgent_priority;
         }
         self.expiries.remove(&(old, req));
@@ -207,7 +207,7 @@
 ///
 /// A deadline of the caller that is shorter than that of the rule takes precedence. A rule may mark
 /// any request as non-repeatable, but removes the mark only if it comes from the HTTP method.
-fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
+fn apply_rule(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
         let asked = request.info.deadline.unwrap_or(deadline);
         request.deadline = deadline.min(asked);
