--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -124,7 +124,10 @@
             return RuleOutcome::Continue;
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
-        match self.limits.take(now, limits::Owner::Caller(caller), share) {
+        match self
+            .limits
+            .take(now, limits::BucketKey::Caller(caller), share)
+        {
             limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
@@ -244,15 +247,17 @@
     }
 }
 
-fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::Owner {
+fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::BucketKey {
     let class: arena::ClassKey = request.class;
     match (per, request.info.target) {
-        (types_rules::Per::Rule, _) => limits::Owner::Rule(slot),
-        (types_rules::Per::Caller, _) => limits::Owner::RuleCaller(slot, request.info.caller),
-        (types_rules::Per::Class, _) => limits::Owner::RuleClass(slot, class),
-        (types_rules::Per::Model, event::Target::Model(key)) => limits::Owner::RuleModel(slot, key),
+        (types_rules::Per::Rule, _) => limits::BucketKey::Rule(slot),
+        (types_rules::Per::Caller, _) => limits::BucketKey::RuleCaller(slot, request.info.caller),
+        (types_rules::Per::Class, _) => limits::BucketKey::RuleClass(slot, class),
+        (types_rules::Per::Model, event::Target::Model(key)) => {
+            limits::BucketKey::RuleModel(slot, key)
+        }
         (types_rules::Per::Model, event::Target::Service(key)) => {
-            limits::Owner::RuleService(slot, key)
+            limits::BucketKey::RuleService(slot, key)
         }
     }
 }
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -16,7 +16,7 @@
 
 /// What a bucket applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Owner {
+pub enum BucketKey {
     /// The limit of a caller in the settings.
     Caller(arena::CallerKey),
     /// All requests to which the rule limit with this slot applies.
@@ -31,7 +31,7 @@
     RuleClass(u32, arena::ClassKey),
 }
 
-impl Owner {
+impl BucketKey {
     /// The slot of the rule limit that the bucket belongs to, if any.
     #[must_use]
     pub fn slot(self) -> Option<u32> {
@@ -83,7 +83,7 @@
 /// All token buckets of one entry process.
 #[derive(Debug)]
 pub struct Limits {
-    buckets: collections::HashMap<Owner, Bucket>,
+    buckets: collections::HashMap<BucketKey, Bucket>,
     max: usize,
 }
 
@@ -119,7 +119,7 @@
     }
 
     /// Takes one token from the bucket of `owner`, if it has one.
-    pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> LimitOutcome {
+    pub fn take(&mut self, now: time::Instant, owner: BucketKey, share: Share) -> LimitOutcome {
         if !self.make_room(now, owner) {
             return LimitOutcome::Within;
         }
@@ -142,7 +142,7 @@
             .retain(|owner, _| owner.slot().is_none_or(&in_force));
     }
 
-    fn make_room(&mut self, now: time::Instant, owner: Owner) -> bool {
+    fn make_room(&mut self, now: time::Instant, owner: BucketKey) -> bool {
         if self.buckets.len() < self.max || self.buckets.contains_key(&owner) {
             return true;
         }
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -416,7 +416,7 @@
     let mut limits = limits::Limits::new(2);
     let share = limits::Share::new(1.0, 1.0, 1);
     let mut take = |now, slot| {
-        let pass = limits.take(time::Instant(now), limits::Owner::Rule(slot), share);
+        let pass = limits.take(time::Instant(now), limits::BucketKey::Rule(slot), share);
         (pass == limits::LimitOutcome::Within, limits.len())
     };
     assert_eq!(take(0, 1), (true, 1));
