--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -151,9 +151,9 @@
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
-        let owner = owner(limit.per, slot, request);
+        let bucket_key = bucket_key(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
-        match self.limits.take(now, owner, share) {
+        match self.limits.take(now, bucket_key, share) {
             limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
@@ -247,7 +247,7 @@
     }
 }
 
-fn owner(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::BucketKey {
+fn bucket_key(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::BucketKey {
     let class: arena::ClassKey = request.class;
     match (per, request.info.target) {
         (types_rules::Per::Rule, _) => limits::BucketKey::Rule(slot),
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -118,12 +118,17 @@
         self.buckets.is_empty()
     }
 
-    /// Takes one token from the bucket of `owner`, if it has one.
-    pub fn take(&mut self, now: time::Instant, owner: BucketKey, share: Share) -> LimitOutcome {
-        if !self.make_room(now, owner) {
+    /// Takes one token from the bucket of `bucket_key`, if it has one.
+    pub fn take(
+        &mut self,
+        now: time::Instant,
+        bucket_key: BucketKey,
+        share: Share,
+    ) -> LimitOutcome {
+        if !self.make_room(now, bucket_key) {
             return LimitOutcome::Within;
         }
-        let bucket = self.buckets.entry(owner).or_insert(Bucket {
+        let bucket = self.buckets.entry(bucket_key).or_insert(Bucket {
             share,
             tokens: share.burst,
             at: now,
@@ -139,11 +144,11 @@
     /// Drops the buckets of rule limits whose slots are no longer in use.
     pub fn retain_slots(&mut self, in_force: impl Fn(u32) -> bool) {
         self.buckets
-            .retain(|owner, _| owner.slot().is_none_or(&in_force));
+            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&in_force));
     }
 
-    fn make_room(&mut self, now: time::Instant, owner: BucketKey) -> bool {
-        if self.buckets.len() < self.max || self.buckets.contains_key(&owner) {
+    fn make_room(&mut self, now: time::Instant, bucket_key: BucketKey) -> bool {
+        if self.buckets.len() < self.max || self.buckets.contains_key(&bucket_key) {
             return true;
         }
         self.buckets.retain(|_, bucket| {
