--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -77,12 +77,12 @@
         let query = query(request, &self.names);
         let Some(rule) = self.rules.first_match(&query).cloned() else {
             self.set_rule(req, None);
-            return self.within_caller_limit(now, req);
+            return self.check_caller_limit(now, req);
         };
         self.set_rule(req, Some(&rule));
         let id = &rule.id;
         match &rule.compiled_action {
-            rules::CompiledAction::Route { .. } => self.within_caller_limit(now, req),
+            rules::CompiledAction::Route { .. } => self.check_caller_limit(now, req),
             rules::CompiledAction::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
@@ -91,7 +91,7 @@
             rules::CompiledAction::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::CompiledAction::Limit { limit, slot } => {
                 match self.within_rule_limit(now, req, *limit, *slot, id) {
-                    RuleOutcome::Continue => self.within_caller_limit(now, req),
+                    RuleOutcome::Continue => self.check_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
                 }
             }
@@ -114,7 +114,7 @@
         self.expiries.insert((self.expiry(req), req));
     }
 
-    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
+    fn check_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
