--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -90,7 +90,7 @@
             }),
             rules::CompiledAction::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::CompiledAction::Limit { limit, slot } => {
-                match self.within_rule_limit(now, req, *limit, *slot, id) {
+                match self.check_rule_limit(now, req, *limit, *slot, id) {
                     RuleOutcome::Continue => self.check_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
                 }
@@ -140,7 +140,7 @@
         }
     }
 
-    fn within_rule_limit(
+    fn check_rule_limit(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
