--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -185,7 +185,7 @@
     }
 
     fn fill_rule(&mut self, i: usize, when: &rules::When, names: &names::Names) {
-        if !zone_holds(when, names) {
+        if !zone_matches(when, names) {
             return;
         }
         for (key, name) in names.callers.iter() {
@@ -277,7 +277,7 @@
 }
 
 /// Whether the rule applies in the availability zone of this entry process.
-fn zone_holds(when: &rules::When, names: &names::Names) -> bool {
+fn zone_matches(when: &rules::When, names: &names::Names) -> bool {
     any(&when.availability_zone, names.own_zone())
 }
 
