--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -195,11 +195,11 @@
             insert_if(&mut self.by_class[key.index()], i, any(&when.class, name));
         }
         for (key, _) in names.models.iter() {
-            let holds = target_holds(when, event::Target::Model(key), names);
+            let holds = target_matches(when, event::Target::Model(key), names);
             insert_if(&mut self.by_model[key.index()], i, holds);
         }
         for (key, _) in names.services.iter() {
-            let holds = target_holds(when, event::Target::Service(key), names);
+            let holds = target_matches(when, event::Target::Service(key), names);
             insert_if(&mut self.by_service[key.index()], i, holds);
         }
         for streaming in [false, true] {
@@ -283,7 +283,7 @@
 
 /// Whether the conditions on model, adapter and service hold for a target. Conditions on the other
 /// kind of target must be empty.
-fn target_holds(when: &rules::When, target: event::Target, names: &names::Names) -> bool {
+fn target_matches(when: &rules::When, target: event::Target, names: &names::Names) -> bool {
     match target {
         event::Target::Service(key) => {
             when.model.is_empty()
--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -231,8 +231,8 @@
 
 impl Scope {
     fn new(when: &rules::When, names: &names::Names) -> Self {
-        let model = |key| super::target_holds(when, event::Target::Model(key), names);
-        let service = |key| super::target_holds(when, event::Target::Service(key), names);
+        let model = |key| super::target_matches(when, event::Target::Model(key), names);
+        let service = |key| super::target_matches(when, event::Target::Service(key), names);
         let zones = &when.availability_zone;
         Self {
             callers: members(&names.callers, |_, name| super::any(&when.caller, name)),
