--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -227,7 +227,7 @@
             let mut left = caller[word] & class[word] & target[word] & flags[word];
             while left != 0 {
                 let rule = &self.rules[word * 64 + left.trailing_zeros() as usize];
-                if rule.ranges_hold(query) {
+                if rule.ranges_match(query) {
                     return Some(rule);
                 }
                 left &= left - 1;
@@ -238,7 +238,7 @@
 }
 
 impl Rule {
-    fn ranges_hold(&self, query: &Query) -> bool {
+    fn ranges_match(&self, query: &Query) -> bool {
         let prompt = self.prompt_tokens;
         let priority = self.priority;
         prompt.is_none_or(|range| range.contains(query.prompt_tokens))
