--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -95,7 +95,7 @@
                 self.end_request(now, req);
             }
             event::AttemptOutcome::Refused { status } => {
-                self.judge_status(now, sent, status);
+                self.record_status(now, sent, status);
                 self.end_request(now, req);
             }
             event::AttemptOutcome::Failed { verdict, fault } => {
@@ -108,7 +108,7 @@
     /// Updates the health of an endpoint by the status of an error response that was passed on. The
     /// duration is not used for estimates: an instance that fails every request immediately would seem
     /// the fastest and attract the traffic of the others.
-    fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
+    fn record_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
             self.record_failure(now, sent, event::Fault::Status(status));
         } else {
