--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -210,12 +210,12 @@
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
         self.cold.retain(|lane, _| router.is_cold(now, *lane));
-        self.give_up_overdue(now, out);
+        self.end_expired_requests(now, out);
         self.send_waiting(now, None, out);
         self.shed_waiting(now, out);
     }
 
-    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Actions) {
+    fn end_expired_requests(&mut self, now: time::Instant, out: &mut Actions) {
         while let Some((at, req)) = self.expiries.first().copied() {
             if at > now {
                 return;
