--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -221,11 +221,11 @@
                 return;
             }
             self.expiries.pop_first();
-            self.give_up(now, req, out);
+            self.end_expired_request(now, req, out);
         }
     }
 
-    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    fn end_expired_request(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
