--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -152,7 +152,7 @@
         match self.next(now, req) {
             Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
             Next::Again(_) => self.enqueue(now, req, out),
-            Next::GiveUp(why) => self.give_up_failed(now, req, sent, fault, why, out),
+            Next::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
         }
     }
 
@@ -211,7 +211,7 @@
         Next::Again(admission)
     }
 
-    fn give_up_failed(
+    fn refuse_failed(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
