--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -259,7 +259,7 @@
         }
         let lanes = self.queues.lanes().map(|(lane, _)| lane);
         for lane in lanes.collect::<Vec<_>>() {
-            for (req, cause) in self.late_in(now, lane) {
+            for (req, cause) in self.late_requests(now, lane) {
                 self.refuse_late(now, req, cause, out);
             }
         }
@@ -267,7 +267,11 @@
 
     /// The queued requests of a lane that can no longer meet their deadline. The wait of each request
     /// is computed without the ones found before it.
-    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, RefusalCause)> {
+    fn late_requests(
+        &self,
+        now: time::Instant,
+        lane: queue::Lane,
+    ) -> Vec<(event::ReqId, RefusalCause)> {
         let mut found = Vec::new();
         let cold = self.router.is_cold(now, lane);
         let mut first_wait = None;
