--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -149,7 +149,7 @@
         request.state = request::State::Deciding;
         request.failed_on.push(sent.endpoint);
         request.verdict = request.verdict.and(safe_verdict(fault, verdict));
-        match self.next(now, req) {
+        match self.next_step(now, req) {
             Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
             Next::Again(_) => self.enqueue(now, req, out),
             Next::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
@@ -185,7 +185,7 @@
         }
     }
 
-    fn next(&mut self, now: time::Instant, req: event::ReqId) -> Next {
+    fn next_step(&mut self, now: time::Instant, req: event::ReqId) -> Next {
         let Some(request) = self.requests.get(&req) else {
             return Next::GiveUp("it is gone");
         };
