--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -27,7 +27,7 @@
 const FIRST_SERVER_ERROR: u16 = 500;
 
 /// What follows a failed attempt.
-enum Next {
+enum NextStep {
     /// Retry as admission control decided.
     Again(admit::Admission),
     /// Refuse the request for this reason.
@@ -150,9 +150,9 @@
         request.failed_on.push(sent.endpoint);
         request.verdict = request.verdict.and(safe_verdict(fault, verdict));
         match self.next_step(now, req) {
-            Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
-            Next::Again(_) => self.enqueue(now, req, out),
-            Next::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
+            NextStep::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
+            NextStep::Again(_) => self.enqueue(now, req, out),
+            NextStep::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
         }
     }
 
@@ -185,30 +185,30 @@
         }
     }
 
-    fn next_step(&mut self, now: time::Instant, req: event::ReqId) -> Next {
+    fn next_step(&mut self, now: time::Instant, req: event::ReqId) -> NextStep {
         let Some(request) = self.requests.get(&req) else {
-            return Next::GiveUp("it is gone");
+            return NextStep::GiveUp("it is gone");
         };
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
-            return Next::GiveUp("it may not be repeated");
+            return NextStep::GiveUp("it may not be repeated");
         }
         if request.answer_started && request.info.streaming {
-            return Next::GiveUp("part of the answer had been passed on");
+            return NextStep::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
-            return Next::GiveUp("no more tries are allowed");
+            return NextStep::GiveUp("no more tries are allowed");
         }
         if request.left(now).0 == 0 {
-            return Next::GiveUp("its deadline has passed");
+            return NextStep::GiveUp("its deadline has passed");
         }
         let admission = self.assess(now, req);
         if matches!(admission, admit::Admission::Refuse(_)) {
-            return Next::GiveUp("no other endpoint can answer in time");
+            return NextStep::GiveUp("no other endpoint can answer in time");
         }
         if !self.budget.spend() {
-            return Next::GiveUp("the retry budget is used up");
+            return NextStep::GiveUp("the retry budget is used up");
         }
-        Next::Again(admission)
+        NextStep::Again(admission)
     }
 
     fn refuse_failed(
