--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -29,7 +29,7 @@
 /// What follows a failed attempt.
 enum NextStep {
     /// Retry as admission control decided.
-    Again(admit::Admission),
+    Retry(admit::Admission),
     /// Refuse the request for this reason.
     GiveUp(&'static str),
 }
@@ -150,8 +150,8 @@
         request.failed_on.push(sent.endpoint);
         request.verdict = request.verdict.and(safe_verdict(fault, verdict));
         match self.next_step(now, req) {
-            NextStep::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
-            NextStep::Again(_) => self.enqueue(now, req, out),
+            NextStep::Retry(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
+            NextStep::Retry(_) => self.enqueue(now, req, out),
             NextStep::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
         }
     }
@@ -208,7 +208,7 @@
         if !self.budget.spend() {
             return NextStep::GiveUp("the retry budget is used up");
         }
-        NextStep::Again(admission)
+        NextStep::Retry(admission)
     }
 
     fn refuse_failed(
