--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -13,7 +13,7 @@
 
 /// The least number of samples for an estimate by which requests may be refused. With fewer, the
 /// estimate is only a guess.
-pub const TRUSTED_SAMPLES: u32 = 5;
+pub const MIN_SAMPLES: u32 = 5;
 
 /// The least and the greatest factor by which one endpoint may count as slower than average.
 const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 8.0);
@@ -97,7 +97,7 @@
     /// Whether there are enough samples to refuse requests by the estimate.
     #[must_use]
     pub fn has_enough_samples(&self) -> bool {
-        self.service.samples >= TRUSTED_SAMPLES
+        self.service.samples >= MIN_SAMPLES
     }
 
     /// The ratio of the longest response that `max_tokens` allows to the mean response; at least 1.
