--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -63,8 +63,8 @@
     /// Adds a complete response. `span` is its duration in milliseconds without the predicted wait, and
     /// `max_tokens` the maximum length that the request allowed.
     pub fn add(&mut self, span: f64, tokens: u32, max_tokens: u32) {
-        let length = self.length(max_tokens);
-        self.service.add(span / length);
+        let length_ratio = self.length_ratio(max_tokens);
+        self.service.add(span / length_ratio);
         if tokens > 0 {
             self.tokens.add(f64::from(tokens));
         }
@@ -85,7 +85,7 @@
     #[must_use]
     pub fn service(&self, max_tokens: u32, initial: time::Millis) -> f64 {
         let mean = self.service.mean().unwrap_or(initial.0 as f64);
-        mean * self.length(max_tokens)
+        mean * self.length_ratio(max_tokens)
     }
 
     /// Mean absolute deviation of the service time, in milliseconds.
@@ -112,7 +112,7 @@
     }
 
     /// The ratio of the expected length of a response of at most `max_tokens` to the mean length.
-    fn length(&self, max_tokens: u32) -> f64 {
+    fn length_ratio(&self, max_tokens: u32) -> f64 {
         match self.tokens.mean() {
             Some(mean) if max_tokens > 0 && f64::from(max_tokens) < mean => {
                 (f64::from(max_tokens) / mean).max(MIN_LENGTH_RATIO)
