--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -5,7 +5,7 @@
 use crate::{engine, ledger, policy};
 
 /// The least burst of loads after a time without any.
-const MAX_SAVED_LOADS: f64 = 2.0;
+const MIN_LOAD_BURST: f64 = 2.0;
 
 /// The loads that may still start.
 #[derive(Debug, Clone, Default)]
@@ -19,7 +19,7 @@
 impl Budget {
     /// Refills the rate limit and counts the loads in progress.
     pub fn refill(&mut self, now: time::Instant, ledger: &ledger::Ledger, policy: &policy::Policy) {
-        let most = policy.store_loads_per_second.max(MAX_SAVED_LOADS);
+        let most = policy.store_loads_per_second.max(MIN_LOAD_BURST);
         let earned = match self.refilled.replace(now) {
             Some(before) => now.since(before).0 as f64 / 1_000.0 * policy.store_loads_per_second,
             None => most,
