--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -181,8 +181,8 @@
         let task = self.ledger.task(&order.task);
         let id = order.order;
         let engine = self.ledger.engine_mut(&order.endpoint);
-        let same_start = order.incarnation == engine.incarnation;
-        let ours = engine.remove_proposal(task) && same_start;
+        let same_incarnation = order.incarnation == engine.incarnation;
+        let ours = engine.remove_proposal(task) && same_incarnation;
         let allowed = ours && self.still_allowed(now, &order.endpoint, task);
         let mut actions = settle(self.ledger.add(now, order.clone(), !ours));
         if !ours {
