--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -52,7 +52,7 @@
 
     fn move_blocking_model(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         let mut best: Option<(u64, MoveStep)> = None;
-        for key in self.nearly_suitable(model) {
+        for key in self.move_candidates(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
                 if !self.loading_on[moved.index()].is_empty() || self.await_room(moved, memory_mib)
                 {
@@ -80,7 +80,7 @@
 
     /// The engines that could hold `model` if there were enough memory, those with the most memory to be
     /// gained first.
-    fn nearly_suitable(&self, model: ModelKey) -> Vec<EndpointKey> {
+    fn move_candidates(&self, model: ModelKey) -> Vec<EndpointKey> {
         let keep = self.offer(model).base;
         let mut suitable: Vec<(u64, EndpointKey)> = self
             .keys()
