--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -144,8 +144,8 @@
     /// enough memory, only their adapters are in the way.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
-        let had_mib = self.room(key) + self.redundant_mib(key, keep);
-        let missing_mib = need_mib.saturating_sub(had_mib);
+        let obtainable_mib = self.room(key) + self.redundant_mib(key, keep);
+        let missing_mib = need_mib.saturating_sub(obtainable_mib);
         let engine = self.engine(key);
         let alone = engine.held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
