--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -168,8 +168,8 @@
     /// The memory that a replica and its adapters use on `key`, in MiB.
     fn local_family_mib(&self, key: EndpointKey, replica: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
-        let on_top = held.filter(|other| self.is_adapter_of(other.model, replica.model));
-        replica.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
+        let adapters = held.filter(|other| self.is_adapter_of(other.model, replica.model));
+        replica.memory_mib + adapters.map(|other| other.memory_mib).sum::<u64>()
     }
 
     fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
