--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -152,7 +152,7 @@
         let mut spares: Vec<Spare> = single.iter().filter(|s| may_go(s)).copied().collect();
         let losses: Vec<f64> = spares
             .iter()
-            .map(|s| s.loss + self.loss_on_top(s.model, &single))
+            .map(|s| s.loss + self.adapter_loss(s.model, &single))
             .collect();
         for (spare, loss) in spares.iter_mut().zip(losses) {
             spare.loss = loss;
@@ -161,7 +161,7 @@
     }
 
     /// The loss of the adapters of `base`, which are evicted before it.
-    fn loss_on_top(&self, base: ModelKey, spares: &[Spare]) -> f64 {
+    fn adapter_loss(&self, base: ModelKey, spares: &[Spare]) -> f64 {
         let adapters = spares.iter().filter(|s| self.is_adapter_of(s.model, base));
         adapters.map(|s| s.loss).sum()
     }
