--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -139,7 +139,7 @@
                 loss: self.loss(key, held.model),
             })
             .collect();
-        let may_go = |spare: &Spare| {
+        let may_evict = |spare: &Spare| {
             let adapters = engine.held.iter().map(|held| held.model);
             let awaited = engine.pending().filter_map(Task::loaded);
             adapters
@@ -149,7 +149,7 @@
                     .into_iter()
                     .all(|m| !self.is_adapter_of(m, spare.model))
         };
-        let mut spares: Vec<Spare> = single.iter().filter(|s| may_go(s)).copied().collect();
+        let mut spares: Vec<Spare> = single.iter().filter(|s| may_evict(s)).copied().collect();
         let losses: Vec<f64> = spares
             .iter()
             .map(|s| s.loss + self.adapter_loss(s.model, &single))
