--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -13,7 +13,7 @@
     /// Loads models that are requested and evicts the least recently requested ones, even if this
     /// removes the last route of a model.
     pub(super) fn on_demand(&mut self) {
-        let asked = |p: &Self, m: &ModelKey| {
+        let requested = |p: &Self, m: &ModelKey| {
             let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
                 || estimate
@@ -22,7 +22,7 @@
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
             .map(ModelKey::from_index)
-            .filter(|m| self.replicas(*m) == 0 && asked(self, m))
+            .filter(|m| self.replicas(*m) == 0 && requested(self, m))
             .collect();
         for model in wanted {
             self.load_on_demand(model);
@@ -47,7 +47,7 @@
             .filter(|key| self.can_host(*key, model) && self.has_base(*key, model));
         let oldest = suitable
             .filter_map(|key| self.least_recent(key, model).map(|found| (found, key)))
-            .min_by_key(|((asked, ..), key)| (*asked, *key));
+            .min_by_key(|((requested, ..), key)| (*requested, *key));
         let Some(((_, evicted, version), key)) = oldest else {
             return Attempt::Impossible;
         };
@@ -66,8 +66,8 @@
                 && !self.inputs.ledger.has_adapter_of(engine, held.model)
         });
         held.map(|held| {
-            let asked = self.inputs.demand.of(held.model).last_request;
-            (asked.map_or(0, |t| t.0 + 1), held.model, held.version)
+            let requested = self.inputs.demand.of(held.model).last_request;
+            (requested.map_or(0, |t| t.0 + 1), held.model, held.version)
         })
         .min()
     }
