--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -165,7 +165,7 @@
                     self.spread();
                 }
             }
-            policy::PlannerKind::OnDemandLru => self.on_demand(),
+            policy::PlannerKind::OnDemandLru => self.load_requested(),
             policy::PlannerKind::StaticEven => self.even(),
         }
         (self.proposals, self.problems)
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -12,7 +12,7 @@
 impl Planner<'_> {
     /// Loads models that are requested and evicts the least recently requested ones, even if this
     /// removes the last route of a model.
-    pub(super) fn on_demand(&mut self) {
+    pub(super) fn load_requested(&mut self) {
         let requested = |p: &Self, m: &ModelKey| {
             let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
