--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -166,7 +166,7 @@
                 }
             }
             policy::PlannerKind::OnDemandLru => self.load_requested(),
-            policy::PlannerKind::StaticEven => self.even(),
+            policy::PlannerKind::StaticEven => self.distribute_evenly(),
         }
         (self.proposals, self.problems)
     }
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -81,7 +81,7 @@
     }
 
     /// Gives each model a route, then fills the memory with replicas evenly, regardless of demand.
-    pub(super) fn even(&mut self) {
+    pub(super) fn distribute_evenly(&mut self) {
         self.ensure_routes();
         let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
         models.sort_by_key(|m| self.replicas(*m));
