--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -189,10 +189,18 @@
             return;
         }
         for (key, name) in names.callers.iter() {
-            insert_if(&mut self.by_caller[key.index()], i, any(&when.caller, name));
+            insert_if(
+                &mut self.by_caller[key.index()],
+                i,
+                list_matches(&when.caller, name),
+            );
         }
         for (key, name) in names.classes.iter() {
-            insert_if(&mut self.by_class[key.index()], i, any(&when.class, name));
+            insert_if(
+                &mut self.by_class[key.index()],
+                i,
+                list_matches(&when.class, name),
+            );
         }
         for (key, _) in names.models.iter() {
             let holds = target_matches(when, event::Target::Model(key), names);
@@ -272,13 +280,13 @@
 }
 
 /// Whether a list condition holds for a name: the list is empty or contains it.
-fn any(list: &[String], name: &str) -> bool {
+fn list_matches(list: &[String], name: &str) -> bool {
     list.is_empty() || list.iter().any(|member| member == name)
 }
 
 /// Whether the rule applies in the availability zone of this entry process.
 fn zone_matches(when: &rules::When, names: &names::Names) -> bool {
-    any(&when.availability_zone, names.own_zone())
+    list_matches(&when.availability_zone, names.own_zone())
 }
 
 /// Whether the conditions on model, adapter and service hold for a target. Conditions on the other
@@ -288,7 +296,7 @@
         event::Target::Service(key) => {
             when.model.is_empty()
                 && when.adapter.is_empty()
-                && any(&when.service, names.services.name(key))
+                && list_matches(&when.service, names.services.name(key))
         }
         event::Target::Model(key) => {
             let name = names.models.name(key);
@@ -298,8 +306,9 @@
                 when.model.iter().any(|member| member == base)
             });
             when.service.is_empty()
-                && (any(&when.model, name) || by_base)
-                && (when.adapter.is_empty() || (base.is_some() && any(&when.adapter, name)))
+                && (list_matches(&when.model, name) || by_base)
+                && (when.adapter.is_empty()
+                    || (base.is_some() && list_matches(&when.adapter, name)))
         }
     }
 }
--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -235,8 +235,12 @@
         let service = |key| super::target_matches(when, event::Target::Service(key), names);
         let zones = &when.availability_zone;
         Self {
-            callers: members(&names.callers, |_, name| super::any(&when.caller, name)),
-            classes: members(&names.classes, |_, name| super::any(&when.class, name)),
+            callers: members(&names.callers, |_, name| {
+                super::list_matches(&when.caller, name)
+            }),
+            classes: members(&names.classes, |_, name| {
+                super::list_matches(&when.class, name)
+            }),
             models: members(&names.models, |key, _| model(key)),
             services: members(&names.services, |key, _| service(key)),
             zones: (!zones.is_empty()).then(|| zones.iter().cloned().collect()),
