--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -155,7 +155,7 @@
         key
     }
 
-    fn of(&mut self, name: &str) -> &mut Engine {
+    fn engine_or_insert(&mut self, name: &str) -> &mut Engine {
         let key = self.intern(name);
         &mut self.engines[key.index()]
     }
@@ -196,8 +196,8 @@
     }
 
     /// Marks `endpoint` as silent: no order is issued to it until a newer report arrives.
-    pub fn silent(&mut self, endpoint: &str) {
-        self.of(endpoint).silent = true;
+    pub fn mark_silent(&mut self, endpoint: &str) {
+        self.engine_or_insert(endpoint).silent = true;
     }
 
     /// Replaces all orders by those of the replicated table. Returns the orders to remove from it.
@@ -222,7 +222,8 @@
         restored: bool,
     ) -> Vec<endpoints::OrderId> {
         let task = self.task(&order.task);
-        self.of(&order.endpoint).add(now, order, task, restored)
+        self.engine_or_insert(&order.endpoint)
+            .add(now, order, task, restored)
     }
 
     /// Replaces the names of a task by keys.
@@ -287,7 +288,7 @@
 
     /// Mutable access to the engine called `name`, which is added if it is unknown.
     pub fn engine_mut(&mut self, name: &str) -> &mut Engine {
-        self.of(name)
+        self.engine_or_insert(name)
     }
 
     /// Mutable access to all engines.
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -138,21 +138,21 @@
                 settle(removed)
             }
             Event::EndpointSilent { endpoint } => {
-                self.ledger.silent(&endpoint);
+                self.ledger.mark_silent(&endpoint);
                 Vec::new()
             }
-            Event::OrderCommitted(order) => self.commit(now, order),
+            Event::OrderCommitted(order) => self.handle_committed(now, order),
             Event::OrdersRestored(orders) => {
                 self.leading = true;
                 settle(self.ledger.restore(now, orders))
             }
             Event::OrderNotSent(id) => self.cancel_unsent(id),
             Event::OrderSent(id) => {
-                self.sent(now, id);
+                self.handle_sent(now, id);
                 Vec::new()
             }
             Event::OrdersRemoved(orders) => {
-                self.removed(&orders);
+                self.handle_removed(&orders);
                 Vec::new()
             }
             Event::Demand { from_vm, demand } => {
@@ -174,7 +174,7 @@
 
     /// Sends a committed order of this leader, or cancels it if it is no longer allowed after the
     /// events since its proposal. Cancelling is safe, since it was never sent.
-    fn commit(&mut self, now: time::Instant, order: endpoints::Order) -> Vec<Action> {
+    fn handle_committed(&mut self, now: time::Instant, order: endpoints::Order) -> Vec<Action> {
         if !self.leading {
             return Vec::new();
         }
@@ -241,7 +241,7 @@
         Vec::new()
     }
 
-    fn removed(&mut self, orders: &[endpoints::OrderId]) {
+    fn handle_removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
             if let Some(engine) = self.ledger.engine_with_order(*id) {
                 engine.remove(*id);
@@ -256,7 +256,7 @@
         settle(engines.flat_map(engine::Engine::cancelled).collect())
     }
 
-    fn sent(&mut self, now: time::Instant, id: endpoints::OrderId) {
+    fn handle_sent(&mut self, now: time::Instant, id: endpoints::OrderId) {
         if let Some(open) = self.open_order(id) {
             open.sent = now;
         }
