--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -14,7 +14,7 @@
 
 use sageshed_types::{arena, time};
 
-/// What a bucket applies to.
+/// Identifies a token bucket by what it applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum BucketKey {
     /// The limit of a caller in the settings.
