--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -4,7 +4,7 @@
 
 use crate::{engine, ledger, policy};
 
-/// The least burst of loads after a time without any.
+/// The number of loads that may start at once after a time without any, unless the rate is greater.
 const MIN_LOAD_BURST: f64 = 2.0;
 
 /// The loads that may still start.
