--- a/crates/sageshed-place/src/orders.rs
+++ b/crates/sageshed-place/src/orders.rs
@@ -7,19 +7,19 @@
 pub enum Task {
     /// Load a version of a model.
     Load {
-        /// Which.
-        model: ModelKey,
-        /// Which version.
-        version: u32,
+    /// The model or adapter.
+    model: ModelKey,
+    /// The version of the weights.
+    version: u32,
         /// The memory that it will use, in MiB.
         memory_mib: u64,
     },
     /// Unload a version of a model.
     Unload {
-        /// Which.
-        model: ModelKey,
-        /// Which version.
-        version: u32,
+    /// The model or adapter.
+    model: ModelKey,
+    /// The version of the weights.
+    version: u32,
     },
     /// Change the engine's pool.
     ChangeRole,
@@ -53,7 +53,7 @@
     pub order: endpoints::Order,
     /// Its task.
     pub task: Task,
-    /// Whether a report of the engine's incarnation that it is meant for has shown it.
+    /// Whether a report of the incarnation that it was issued to has shown it.
     pub seen: bool,
     /// How often this process has been instructed to send it.
     pub sends: u32,
