--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -110,7 +110,7 @@
 }
 
 impl Placement {
-    /// Creates a placement without engines. It is inactive until [`Event::OrdersRestored`].
+    /// Creates a placement without engines. It issues no orders until [`Event::OrdersRestored`].
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let Settings { models, policy } = settings;
