--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -247,16 +247,22 @@
     }
 }
 
-fn bucket_key(per: types_rules::Per, slot: u32, request: &request::Request) -> limits::BucketKey {
+fn bucket_key(
+    per: types_rules::LimitScope,
+    slot: u32,
+    request: &request::Request,
+) -> limits::BucketKey {
     let class: arena::ClassKey = request.class;
     match (per, request.info.target) {
-        (types_rules::Per::Rule, _) => limits::BucketKey::Rule(slot),
-        (types_rules::Per::Caller, _) => limits::BucketKey::RuleCaller(slot, request.info.caller),
-        (types_rules::Per::Class, _) => limits::BucketKey::RuleClass(slot, class),
-        (types_rules::Per::Model, event::Target::Model(key)) => {
+        (types_rules::LimitScope::Rule, _) => limits::BucketKey::Rule(slot),
+        (types_rules::LimitScope::Caller, _) => {
+            limits::BucketKey::RuleCaller(slot, request.info.caller)
+        }
+        (types_rules::LimitScope::Class, _) => limits::BucketKey::RuleClass(slot, class),
+        (types_rules::LimitScope::Model, event::Target::Model(key)) => {
             limits::BucketKey::RuleModel(slot, key)
         }
-        (types_rules::Per::Model, event::Target::Service(key)) => {
+        (types_rules::LimitScope::Model, event::Target::Service(key)) => {
             limits::BucketKey::RuleService(slot, key)
         }
     }
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -1,4 +1,4 @@
-//! Messages between entry processes about engines and allowances, and the choice of whom to send them to.
+//! Messages between entry processes about engines and allowances, and the choice of their recipients.
 //!
 //! An engine may prefill all waiting prompts in one step, and all its streams pause meanwhile. So a process
 //! that selects an engine has to know what the others have just sent there; the engine's own report comes
@@ -77,11 +77,13 @@
     /// Engines on which an earlier attempt failed, by [`instance_key`].
     pub tried: Vec<u64>,
     /// Time left until the deadline, after which nobody waits for the response.
-    pub left: time::Millis,
+    #[serde(rename = "left")]
+    pub time_left: time::Millis,
     /// How much longer the request may be held back for an engine with little prefill pending.
     pub patience: time::Millis,
     /// Time left until the response would be late.
-    pub on_time: time::Millis,
+    #[serde(rename = "on_time")]
+    pub time_until_late: time::Millis,
     /// Whether there is time to keep waiting after the response is late.
     pub may_be_late: bool,
 }
@@ -230,7 +232,7 @@
 /// Parts of a prefix that are sent, to bound the size of a datagram.
 const MAX_PREFIX_PARTS: usize = 8;
 
-/// The hash that identifies a model in datagrams.
+/// The hash that stands for the name of a model or a request in datagrams.
 #[must_use]
 pub fn name_key(name: &str) -> u64 {
     hash(&name)
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -1,4 +1,4 @@
-//! Which entry processes tell each other of an engine, and what they make of it.
+//! Which entry processes receive observations of an engine, and what they make of them.
 
 mod support;
 
@@ -17,10 +17,10 @@
     (0..count).map(|it| (first + it).into()).collect()
 }
 
-/// With 90 entry processes a request must not cause 90 messages: a model has few homes, the same by whomever
-/// they are asked for, and of many models every process is the home of some.
+/// With 90 entry processes, a request must not cause 90 messages: a model has few coordinators, the same
+/// whichever process computes them, and with many models every process coordinates some.
 #[test]
-fn the_homes_of_a_model_are_few_and_the_same_for_all() {
+fn the_coordinators_of_a_model_are_few_and_the_same_for_all() {
     let entries = entries(90);
     let mut shuffled = entries.clone();
     shuffled.reverse();
@@ -35,19 +35,23 @@
     assert_eq!(members.len(), 90);
 }
 
-/// An engine holds a few of many models. What is sent there is told to the homes of these and to nobody else.
+/// An engine holds a few of many models. Observations of it go to the coordinators of these models and to
+/// nobody else.
 #[test]
-fn of_an_engine_the_homes_of_its_models_are_told() {
+fn observations_go_to_the_coordinators_of_an_engines_models() {
     let many = entries(195);
     let engine = support::engine("e1", &["m0", "m1", "m2"]);
     let mut coordinators = coordinators::Coordinators::default();
     coordinators.add_models(&engine);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &many);
-    let told = coordinators.observers(&engine);
-    assert!(told.len() <= 6, "{told:?}");
+    let observers = coordinators.observers(&engine);
+    assert!(observers.len() <= 6, "{observers:?}");
     for model in ["m0", "m1", "m2"] {
         let coordinators = entry_peers::coordinators(entry_peers::name_key(model), &many);
-        assert!(coordinators.iter().all(|it| told.contains(it)), "{model}");
+        assert!(
+            coordinators.iter().all(|it| observers.contains(it)),
+            "{model}"
+        );
     }
     let few = entries(7);
     coordinators.set_entries(net::Ipv4Addr::UNSPECIFIED, &few);
@@ -55,8 +59,9 @@
     assert!(entry_peers::coordinators(entry_peers::name_key("m0"), &few).is_empty());
 }
 
-/// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and 985 entry processes
-/// it took half a second of processor time, several times a second while these were restarted one after the other.
+/// Guards against a cost of engines x entry processes at each change of their list: with 3,858 engines and
+/// 985 entry processes it took half a second of processor time, several times a second while these were
+/// restarted one after the other.
 #[test]
 fn a_change_of_the_list_ranks_all_processes_for_few_models() {
     let all = entries(985);
@@ -88,12 +93,12 @@
             );
         }
     }
-    // Each model has two homes of 985, and a tenth of these went.
+    // Each model has two coordinators of 985, and a tenth of these were removed.
     assert!(ranked <= 120, "{ranked} models were ranked");
 }
 
 #[test]
-fn an_entry_process_that_goes_moves_few_homes() {
+fn a_removed_entry_process_changes_few_coordinators() {
     let before = entries(90);
     let after = entries(89);
     let changed = (0..90_u64).filter(|model| {
@@ -103,22 +108,21 @@
     assert!(changed.count() <= 8);
 }
 
-/// A request that waits 300 ms for an engine that reads little.
-fn waiting_ask(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
+/// A request that may wait 300 ms for an engine with little prefill pending.
+fn waiting_query(wanted: &dialect::ModelRef, tokens: u64) -> EndpointQuery<'_> {
     EndpointQuery {
         patience: time::Millis(300),
         ..support::ask(wanted, tokens)
     }
 }
 
-/// Another entry process has just sent a prompt of 6,000 tokens to an engine, which takes 316 ms to
-/// read it. One of 3,000 on top
-/// would make all streams there pause for half a second, and each of them late. It goes to the other
-/// engine, or waits until the first is read.
+/// Another entry process has just sent a prompt of 6,000 tokens to an engine, which takes 316 ms to prefill
+/// it. One of 3,000 more would make all streams there pause for half a second and be late. It has to go to
+/// the other engine or wait until the first is prefilled.
 #[test]
-fn a_prompt_does_not_go_on_top_of_what_a_neighbour_sent() {
+fn a_prompt_does_not_go_on_top_of_what_a_peer_sent() {
     let mut chooser = Chooser::new("z1", 7);
-    let neighbour = net::Ipv4Addr::new(10, 0, 1, 2);
+    let peer = net::Ipv4Addr::new(10, 0, 1, 2);
     chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.update_instance(&support::engine("e1", &["m0"]));
     let observation = |micros| entry_peers::EngineObservation {
@@ -134,27 +138,27 @@
         model: "m0".to_owned(),
         adapter: None,
     };
-    assert!(!chooser.apply_observation(T0, neighbour, &observation(316_000)));
+    assert!(!chooser.apply_observation(T0, peer, &observation(316_000)));
     let waits = Choice::Wait(WaitReason::Place);
-    assert_eq!(chooser.choose(T0, &waiting_ask(&m0, 3_000)), waits);
-    // It has waited for as long as makes sense.
+    assert_eq!(chooser.choose(T0, &waiting_query(&m0, 3_000)), waits);
+    // It has waited for as long as it may.
     let last = chooser.choose(T0, &support::ask(&m0, 3_000));
     assert!(matches!(last, Choice::Send(_)), "{last:?}");
     chooser.update_instance(&support::engine("e2", &["m0"]));
-    let Choice::Send(pick) = chooser.choose(T0, &waiting_ask(&m0, 3_000)) else {
-        panic!("e2 reads nothing");
+    let Choice::Send(pick) = chooser.choose(T0, &waiting_query(&m0, 3_000)) else {
+        panic!("e2 has no prefill pending");
     };
     assert_eq!(pick.instance.name, "e2");
     assert!(
-        chooser.apply_observation(T0, neighbour, &observation(0)),
+        chooser.apply_observation(T0, peer, &observation(0)),
         "there is room again"
     );
 }
 
-/// A datagram is lost, and the last word of a neighbour that was killed was that an engine has much to
-/// read. The engine must not stand idle for that.
+/// A datagram is lost, and the last observation of a killed peer was that an engine has much prefill
+/// pending. The engine must not idle because of that.
 #[test]
-fn an_old_word_of_a_neighbour_is_forgotten() {
+fn an_old_observation_expires() {
     let mut chooser = Chooser::new("z1", 7);
     chooser.set_entries(net::Ipv4Addr::new(10, 0, 1, 1), &entries(7));
     chooser.update_instance(&support::engine("e1", &["m0"]));
@@ -173,15 +177,15 @@
         adapter: None,
     };
     let later = T0 + time::Millis(2_000);
-    let choice = chooser.choose(later, &waiting_ask(&m0, 100));
+    let choice = chooser.choose(later, &waiting_query(&m0, 100));
     assert!(matches!(choice, Choice::Send(_)), "{choice:?}");
 }
 
-/// One entry process has a long shared beginning read by an engine. A caller with the same beginning comes
-/// to another one. It must go where the beginning is kept, or it is read once more for each of the processes. What
-/// is the request's own, or was read for another model, is of no use to others.
+/// An engine has prefilled a long shared prefix for one entry process. A caller with the same prefix sends
+/// its request to another one. That has to go where the prefix is cached, or it is prefilled once for each
+/// process. What belongs to a single request, or was prefilled for another model, is of no use to others.
 #[test]
-fn a_prompt_goes_where_another_entry_process_had_its_beginning_read() {
+fn a_prompt_goes_where_another_process_had_its_prefix_cached() {
     let part = |id, tokens| dialect::PromptPart { id, tokens };
     let parts = [part(7, 6_000), part(8, 500)];
     let (m0, m1) = (wanted("m0"), wanted("m1"));
@@ -202,11 +206,11 @@
     };
     chooser.apply_observation(T0, net::Ipv4Addr::new(10, 0, 1, 2), &observation);
     let tokens = |chooser: &mut Chooser, wanted: &dialect::ModelRef| {
-        let ask = EndpointQuery {
+        let query = EndpointQuery {
             parts: &parts,
             ..support::ask(wanted, 6_500)
         };
-        match chooser.choose(T0, &ask) {
+        match chooser.choose(T0, &query) {
             Choice::Send(pick) => (pick.instance.name, pick.uncached_tokens),
             other => panic!("not sent: {other:?}"),
         }
--- a/crates/sageshed-fleet/tests/fingerprint.rs
+++ b/crates/sageshed-fleet/tests/fingerprint.rs
@@ -1,8 +1,8 @@
-//! Which requests are taken for the same.
+//! Which requests have the same fingerprint.
 
 use sageshed_fleet::fingerprint;
 
-/// A request and whether it asks the same as `POST a.example/x/1?q` with the body `prompt`.
+/// A request, and whether its content is the same as `POST a.example/x/1?q` with the body `prompt`.
 struct Case {
     name: &'static str,
     method: &'static str,
@@ -16,7 +16,7 @@
 #[test]
 fn requests_are_the_same_by_what_they_ask() {
     let same = Case {
-        name: "sent again",
+        name: "retried",
         method: "POST",
         host: "a.example",
         path: "/x/1",
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are passed on no more.
+//! Which requests are held.
 
 use sageshed_fleet::quarantine::{
     CRASH_LIMIT, Change, Crash, Cursor, Fingerprint, MAX_REQUESTS, PeerSync, Quarantine, RETENTION,
@@ -34,7 +34,7 @@
     quarantine.held_for(NOW, content(number)).is_some()
 }
 
-/// One step of a story about request 1, and whether it is held after it.
+/// One step of a sequence of events for request 1, and whether it is held after it.
 struct Step {
     name: &'static str,
     now: Instant,
@@ -43,10 +43,10 @@
     is_held: bool,
 }
 
-/// A request ends one endpoint after the other. It is held with the third, and one end that several processes
-/// tell of, or one that is told twice, counts once.
+/// A request crashes one endpoint after the other. It is held after the third; a crash that several
+/// processes report, or one that is reported twice, counts once.
 #[test]
-fn a_request_is_held_with_the_third_end() {
+fn a_request_is_held_after_the_third_crash() {
     let step = |name, endpoint, change, is_held| Step {
         name,
         now: NOW,
@@ -55,11 +55,11 @@
         is_held,
     };
     let steps = [
-        step("the first end", 1, Change::Noted, false),
-        step("told once more", 1, Change::None, false),
-        step("the second end", 2, Change::Noted, false),
-        step("the third end", 3, Change::Held, true),
-        step("a fourth, that was under way", 4, Change::Noted, true),
+        step("first crash", 1, Change::Noted, false),
+        step("reported again", 1, Change::None, false),
+        step("second crash", 2, Change::Noted, false),
+        step("third crash", 3, Change::Held, true),
+        step("a fourth crash that was under way", 4, Change::Noted, true),
     ];
     let mut quarantine = Quarantine::new(1);
     for it in &steps {
@@ -67,17 +67,18 @@
         assert_eq!(change, it.change, "{}", it.name);
         assert_eq!(holds(&quarantine, 1), it.is_held, "{}", it.name);
     }
-    assert!(!holds(&quarantine, 2), "another request goes on");
+    assert!(!holds(&quarantine, 2), "another request is passed on");
 }
 
-/// A request of many callers runs at three endpoints that end one after the other, and is answered in between:
-/// it was not the cause. Held, a page that all callers ask for would be refused for an hour.
+/// A request of many callers runs on three endpoints that crash one after the other, and completes in
+/// between: it was not the cause. If it were held, a page that all callers request would be refused for an
+/// hour.
 #[test]
 fn a_request_that_is_answered_in_between_is_not_held() {
     let mut quarantine = Quarantine::new(1);
     let mut now = NOW;
     for endpoint in 0..10 {
-        // So far apart that no answer is remembered.
+        // So far apart that no completed request is remembered.
         now = now + Millis(100_000);
         quarantine.merge(now, &crash(1, endpoint));
         quarantine.merge(now, &crash(2, endpoint));
@@ -87,21 +88,21 @@
     }
     assert!(quarantine.held_for(now, content(1)).is_none());
     let other = quarantine.held_for(now, content(2));
-    assert!(other.is_some(), "the one that is never answered is held");
+    assert!(other.is_some(), "a request that never completes is held");
     assert!(
         !quarantine.record_success(now, content(3)),
         "nothing to clear"
     );
 }
 
-/// A rack is lost, and with it three of the eighty endpoints at which what all callers ask was running. Each entry
-/// process answers it many times a second at the others. Held on the word of three of them, it would be refused to
-/// all callers for an hour.
+/// A rack is lost, and with it three of the eighty endpoints that a request of all callers was running on.
+/// Each entry process completes it many times a second on the others. If it were held by the reports of
+/// three of them, it would be refused for all callers for an hour.
 #[test]
 fn what_is_answered_all_the_time_is_not_held_when_a_rack_is_lost() {
     let crashes = [crash(1, 1), crash(1, 2), crash(1, 3)];
     let control = seen(1, &crashes);
-    assert!(holds(&control, 1), "the ends alone would hold it");
+    assert!(holds(&control, 1), "it is held by the crashes alone");
     for (answered_before, is_held) in [(1_000, false), (29_000, false), (61_000, true)] {
         let mut entry = Quarantine::new(2);
         let then = Instant(NOW.0 + 100_000 - answered_before);
@@ -111,20 +112,21 @@
             entry.merge(now, &it);
         }
         let holds = entry.held_for(now, content(1)).is_some();
-        assert_eq!(holds, is_held, "answered {answered_before} ms before");
-        // Control is told, and everybody by it.
-        let mut told = control.clone();
+        assert_eq!(holds, is_held, "completed {answered_before} ms before");
+        // Control learns of it, and everybody from control.
+        let mut informed = control.clone();
         for it in entry.since(now, Cursor::default(), SyncScope::All) {
-            told.merge(now, &it);
+            informed.merge(now, &it);
         }
-        assert_eq!(told.held_for(now, content(1)).is_some(), is_held);
+        assert_eq!(informed.held_for(now, content(1)).is_some(), is_held);
     }
 }
 
-/// Three entry processes see one end each and tell a control process each. No order in which these tell each
-/// other, nor telling twice, may lose one: the request would go on.
+/// Three entry processes see one crash each and report it to a control process each. Whatever the order in
+/// which these exchange their evidence, and even if they do so twice, none of it may be lost, or the
+/// request would be passed on.
 #[test]
-fn processes_that_tell_each_other_come_to_the_same() {
+fn exchanged_evidence_converges() {
     let own = [crash(1, 1), crash(1, 2), crash(1, 3)];
     for first in 0..3 {
         for second in 0..3 {
@@ -143,34 +145,34 @@
                 (2, 1),
             ];
             for (to, from) in order.into_iter().filter(|(to, from)| to != from) {
-                let told = control[from].since(NOW, known[to][from], SyncScope::All);
+                let to_send = control[from].since(NOW, known[to][from], SyncScope::All);
                 known[to][from] = control[from].cursor();
-                for it in told {
+                for it in to_send {
                     control[to].merge(NOW, &it);
                 }
             }
             for it in &control {
                 assert!(holds(it, 1), "{first} {second}: {it:?}");
                 let quiet = it.since(NOW, it.cursor(), SyncScope::All);
-                assert!(quiet.is_empty(), "nothing is left to tell: {quiet:?}");
+                assert!(quiet.is_empty(), "nothing is left to send: {quiet:?}");
             }
         }
     }
 }
 
-/// An entry process is told of held requests only, of all that led to it, and of its end.
+/// An entry process is told only of held requests, with all the evidence for them, and of their release.
 #[test]
 fn an_entry_process_is_told_what_is_held() {
     let mut control = seen(7, &[crash(1, 1), crash(1, 2), crash(2, 1)]);
     let mut entry = Quarantine::new(9);
     let mut known = Cursor::default();
     let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
-        let told = control.since(NOW, *known, SyncScope::Held);
+        let to_send = control.since(NOW, *known, SyncScope::Held);
         *known = control.cursor();
-        for it in &told {
+        for it in &to_send {
             entry.merge(NOW, it);
         }
-        told.len()
+        to_send.len()
     };
     assert!(!control.has_news(known, SyncScope::Held));
     assert_eq!(tell(&control, &mut entry, &mut known), 0);
@@ -182,47 +184,59 @@
     assert_eq!(
         tell(&control, &mut entry, &mut known),
         0,
-        "not held, not told"
+        "not held, not sent"
     );
     control.record_success(NOW, content(1));
     assert_eq!(tell(&control, &mut entry, &mut known), 3);
     assert!(!holds(&entry, 1));
-    // One that was just started knows nothing.
+    // A process that was just started knows nothing.
     let mut started = Quarantine::new(11);
     control.merge(NOW, &crash(2, 3));
     assert_eq!(tell(&control, &mut started, &mut Cursor::default()), 6);
     assert!(holds(&started, 2) && !holds(&started, 1));
 }
 
-/// A control process starts anew and remembers nothing. Two ends that an entry process has told the start before
-/// would be lost, and the request held only after three more.
+/// A control process restarts with an empty state. Two crashes that an entry process has reported to its
+/// previous start would be lost, and the request held only after three more.
 #[test]
-fn a_control_process_that_starts_anew_is_told_all_again() {
+fn a_restarted_control_process_is_sent_everything_again() {
     let mut entry = seen(9, &[crash(1, 1)]);
     let mut link = PeerSync::default();
     let exchange = |entry: &Quarantine, control: &mut Quarantine, link: &mut PeerSync| {
-        let told = entry.cursor();
+        let sent = entry.cursor();
         let crashes = entry.since(NOW, link.sent, SyncScope::All);
         control.merge_all(NOW, &crashes);
-        link.record_exchange(told, control.cursor());
+        link.record_exchange(sent, control.cursor());
         crashes.len()
     };
     let mut control = Quarantine::new(1);
     exchange(&entry, &mut control, &mut link);
-    // It was not known before, and is told all once more.
+    // The control process was not known before, and is sent everything once more.
     assert_eq!(exchange(&entry, &mut control, &mut link), 1);
-    assert_eq!(exchange(&entry, &mut control, &mut link), 0, "all is told");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        0,
+        "everything was sent"
+    );
     entry.merge(NOW, &crash(1, 2));
-    assert_eq!(exchange(&entry, &mut control, &mut link), 1, "what is new");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        1,
+        "the new crash"
+    );
     let mut control = Quarantine::new(2);
     exchange(&entry, &mut control, &mut link);
-    assert_eq!(exchange(&entry, &mut control, &mut link), 2, "all again");
+    assert_eq!(
+        exchange(&entry, &mut control, &mut link),
+        2,
+        "everything again"
+    );
     assert_eq!(control.crash_count(NOW, content(1)), 2);
 }
 
-/// A clearing that comes before the crash that it is about must not be undone by it.
+/// A clearing that arrives before the crash that it concerns must not be undone by it.
 #[test]
-fn a_crash_that_is_told_late_stays_cleared() {
+fn a_crash_that_arrives_late_stays_cleared() {
     let mut quarantine = Quarantine::new(1);
     for endpoint in 1..=3 {
         let cleared = Crash {
@@ -235,7 +249,7 @@
     assert!(!holds(&quarantine, 1));
 }
 
-/// What a process of a minute ago is told of an hour ago is not kept for an hour more.
+/// A crash of an hour ago that another process reports now must not be kept for another hour.
 #[test]
 fn crashes_are_forgotten_by_their_age() {
     let mut quarantine = Quarantine::new(1);
@@ -248,10 +262,10 @@
     }
     assert_eq!(quarantine.held_for(NOW, content(1)), Some(Millis(1_000)));
     assert_eq!(quarantine.held_for(NOW + Millis(1_000), content(1)), None);
-    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
     assert!(
-        told.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
-        "{told:?}"
+        to_send.iter().all(|it| it.age.0 >= RETENTION.0 - 3_000),
+        "{to_send:?}"
     );
     let too_old = Crash {
         age: RETENTION,
@@ -260,7 +274,7 @@
     assert_eq!(quarantine.merge(NOW, &too_old), Change::None);
 }
 
-/// A flood of requests runs at endpoints that end. What is held stays, and memory stays bounded.
+/// Many requests run on endpoints that crash. Held requests stay, and memory stays bounded.
 #[test]
 fn a_flood_of_suspects_pushes_out_none_that_is_held() {
     let mut quarantine = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3)]);
@@ -268,17 +282,21 @@
         quarantine.merge(NOW + Millis(number), &crash(number, 4));
     }
     assert!(holds(&quarantine, 1));
-    let told = quarantine.since(NOW, Cursor::default(), SyncScope::All);
-    assert!(told.len() <= MAX_REQUESTS + CRASH_LIMIT, "{}", told.len());
+    let to_send = quarantine.since(NOW, Cursor::default(), SyncScope::All);
+    assert!(
+        to_send.len() <= MAX_REQUESTS + CRASH_LIMIT,
+        "{}",
+        to_send.len()
+    );
     for endpoint in 10..100 {
         quarantine.merge(NOW, &crash(1, endpoint));
     }
     assert!(quarantine.crash_count(NOW, content(1)) < 10);
 }
 
-/// What the control group has kept is held after all processes were started anew.
+/// Requests that the control group has persisted are held again after all processes were restarted.
 #[test]
-fn what_was_kept_is_held_again() {
+fn persisted_requests_are_held_again() {
     let before = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3), crash(2, 1)]);
     let kept = before.held(NOW);
     assert_eq!(kept.len(), 1);
@@ -286,7 +304,7 @@
     after.restore(Instant(10), &kept);
     assert!(holds(&after, 1) && !holds(&after, 2));
     assert_eq!(after.held(NOW), kept);
-    let mark = after.cursor();
+    let cursor = after.cursor();
     after.restore(NOW, &kept);
-    assert_eq!(after.cursor(), mark, "it is nothing new");
+    assert_eq!(after.cursor(), cursor, "nothing has changed");
 }
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -49,10 +49,10 @@
 /// The state of all engines and of the catalog.
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    models: arena::Names<ModelKey>,
-    endpoints: arena::Names<EndpointKey>,
-    pools: arena::Names<PoolKey>,
-    zones: arena::Names<ZoneKey>,
+    models: arena::Interner<ModelKey>,
+    endpoints: arena::Interner<EndpointKey>,
+    pools: arena::Interner<PoolKey>,
+    zones: arena::Interner<ZoneKey>,
     offers: Vec<Offer>,
     engines: Vec<Engine>,
     stale_after: time::Millis,
@@ -63,8 +63,8 @@
     /// are used only for memory.
     #[must_use]
     pub fn new(offered: &[catalog::Model], stale_after: time::Millis) -> Self {
-        let mut models = arena::Names::default();
-        let mut pools = arena::Names::default();
+        let mut models = arena::Interner::default();
+        let mut pools = arena::Interner::default();
         for model in offered {
             let _: ModelKey = models.intern(&model.name);
         }
@@ -78,9 +78,9 @@
             .collect();
         Self {
             models,
-            endpoints: arena::Names::default(),
+            endpoints: arena::Interner::default(),
             pools,
-            zones: arena::Names::default(),
+            zones: arena::Interner::default(),
             offers,
             engines: Vec::new(),
             stale_after,
@@ -227,9 +227,9 @@
     }
 
     /// Replaces the names of a task by keys.
-    pub fn task(&mut self, task: &endpoints::Task) -> Task {
+    pub fn task(&mut self, task: &endpoints::OrderTask) -> Task {
         match task {
-            endpoints::Task::Load {
+            endpoints::OrderTask::Load {
                 model,
                 version,
                 memory_mib,
@@ -239,11 +239,11 @@
                 version: *version,
                 memory_mib: *memory_mib,
             },
-            endpoints::Task::Unload { model, version } => Task::Unload {
+            endpoints::OrderTask::Unload { model, version } => Task::Unload {
                 model: self.models.intern(model),
                 version: *version,
             },
-            endpoints::Task::ChangeRole { .. } => Task::ChangeRole,
+            endpoints::OrderTask::ChangeRole { .. } => Task::ChangeRole,
         }
     }
 
@@ -252,26 +252,26 @@
         &mut self,
         key: EndpointKey,
         task: Task,
-    ) -> Option<(String, endpoints::Incarnation, endpoints::Task)> {
+    ) -> Option<(String, endpoints::Incarnation, endpoints::OrderTask)> {
         let named = self.named(task)?;
         let engine = &mut self.engines[key.index()];
         engine.proposed.push(task);
         Some((engine.name.clone(), engine.incarnation, named))
     }
 
-    fn named(&self, task: Task) -> Option<endpoints::Task> {
+    fn named(&self, task: Task) -> Option<endpoints::OrderTask> {
         match task {
             Task::Load {
                 model,
                 version,
                 memory_mib,
-            } => Some(endpoints::Task::Load {
+            } => Some(endpoints::OrderTask::Load {
                 model: self.models.name(model).to_owned(),
                 version,
                 memory_mib,
                 base: self.offer(model)?.model.base.clone(),
             }),
-            Task::Unload { model, version } => Some(endpoints::Task::Unload {
+            Task::Unload { model, version } => Some(endpoints::OrderTask::Unload {
                 model: self.models.name(model).to_owned(),
                 version,
             }),
--- a/crates/sageshed-place/src/orders.rs
+++ b/crates/sageshed-place/src/orders.rs
@@ -7,19 +7,19 @@
 pub enum Task {
     /// Load a version of a model.
     Load {
-    /// The model or adapter.
-    model: ModelKey,
-    /// The version of the weights.
-    version: u32,
+        /// The model or adapter.
+        model: ModelKey,
+        /// The version of the weights.
+        version: u32,
         /// The memory that it will use, in MiB.
         memory_mib: u64,
     },
     /// Unload a version of a model.
     Unload {
-    /// The model or adapter.
-    model: ModelKey,
-    /// The version of the weights.
-    version: u32,
+        /// The model or adapter.
+        model: ModelKey,
+        /// The version of the weights.
+        version: u32,
     },
     /// Change the engine's pool.
     ChangeRole,
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -24,7 +24,7 @@
 pub struct Vm {
     pub id: log::NodeId,
     pub node: Option<node::Node>,
-    pub disk: log::Restored,
+    pub disk: log::PersistedState,
     pub applied: (log::Index, u64),
 }
 
@@ -69,7 +69,7 @@
             reads: collections::BTreeMap::new(),
         };
         for vm in 1..=voters {
-            let disk = log::Restored {
+            let disk = log::PersistedState {
                 membership: sim.first.clone(),
                 ..Default::default()
             };
@@ -96,7 +96,7 @@
         cfg.heartbeat_interval = time::Millis(40);
         cfg.drift_margin = time::Millis(0);
         cfg.max_batch_bytes = 200;
-        cfg.checks_restart = true;
+        cfg.restart_check_enabled = true;
         cfg.guards = self.guards;
         let state = |s: &log::Snapshot| {
             (
@@ -113,7 +113,7 @@
 
     /// A VM that is no member, with an empty disk.
     pub fn join(&mut self, vm: u32) {
-        let disk = log::Restored::default();
+        let disk = log::PersistedState::default();
         self.vms.insert(
             vm,
             Vm {
@@ -147,7 +147,7 @@
     pub fn lose_disk(&mut self, vm: u32) {
         let host = self.vms.get_mut(&vm).unwrap();
         host.id.generation += 1;
-        host.disk = log::Restored::default();
+        host.disk = log::PersistedState::default();
         if !self.guards.generation {
             host.disk.membership = self.first.clone();
         }
@@ -172,8 +172,8 @@
 
     /// Hands one event to a VM; it crashes after `crash_after` actions, if given.
     pub fn step_until(&mut self, vm: u32, event: event::Event, crash_after: Option<u64>) -> Broken {
-        if let event::Event::ReadIndex { ticket } = event {
-            self.reads.insert(ticket, self.last_committed());
+        if let event::Event::ReadIndex { correlation_id } = event {
+            self.reads.insert(correlation_id, self.last_committed());
         }
         let Some(node) = self.vms.get_mut(&vm).and_then(|host| host.node.as_mut()) else {
             return Ok(());
@@ -218,14 +218,20 @@
         self.step(
             vm,
             event::Event::Propose {
-                ticket: 0,
+                correlation_id: 0,
                 payload: payload.to_vec(),
             },
         )
     }
 
     pub fn change(&mut self, vm: u32, change: event::Change) -> Broken {
-        self.step(vm, event::Event::ChangeMembership { ticket: 0, change })
+        self.step(
+            vm,
+            event::Event::ChangeMembership {
+                correlation_id: 0,
+                change,
+            },
+        )
     }
 
     /// Delivers all that is due, and what comes of it.
@@ -281,8 +287,11 @@
                 self.vms.get_mut(&vm).unwrap().applied = (snapshot.index, state);
             }
             event::Action::BecameLeader { term } => self.check_leader(vm, term)?,
-            event::Action::ReadReady { ticket, index } => {
-                let least = self.reads[&ticket];
+            event::Action::ReadReady {
+                correlation_id,
+                index,
+            } => {
+                let least = self.reads[&correlation_id];
                 check(index >= least, || format!("stale read: {index} of {least}"))?;
                 self.answers.push(action);
             }
@@ -387,7 +396,7 @@
     if holds { Ok(()) } else { Err(broken()) }
 }
 
-fn persist(disk: &mut log::Restored, write: log::Write) {
+fn persist(disk: &mut log::PersistedState, write: log::LogWrite) {
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
     if let Some(from) = write.truncate_from {
         disk.entries.retain(|entry| entry.index < from);
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Runs the tables of `edits/` and `claims/`.
+//! Runs the test cases in the tables of `edits/` and `claims/`.
 
 use std::{error, fs, path};
 
@@ -18,7 +18,7 @@
     case: Vec<C>,
 }
 
-/// An edit with the ids it gives or the problem it has.
+/// An edit, with the resulting order of ids or a part of the error message.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EditCase {
@@ -27,7 +27,7 @@
     says: Option<String>,
 }
 
-/// What happens to a claim, and what a second arrival hears then.
+/// The events of a claim, and the reply to a second arrival after them.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClaimCase {
@@ -139,7 +139,8 @@
             }
         }
     }
-    // A VM that no step speaks of: a holder that has settled asks no more.
+    // The second arrival is at a VM that no step names, since a holder does not claim again after it has
+    // settled.
     describe(table.claim(claim("vm3")))
 }
 
@@ -161,9 +162,9 @@
 
 fn settle(table: &mut claim_table::ClaimTable, by: &claims::Holder, end: End) {
     let end = match end {
-        End::Unknown => claims::End::Unknown,
-        End::NotRun => claims::End::NotRun,
-        End::Ran(body) => claims::End::Ran {
+        End::Unknown => claims::ExecutionOutcome::Unknown,
+        End::NotRun => claims::ExecutionOutcome::NotRun,
+        End::Ran(body) => claims::ExecutionOutcome::Ran {
             answer: Some(claims::RecordedAnswer {
                 status: 200,
                 content_type: "text/plain".to_owned(),
@@ -178,11 +179,11 @@
     });
 }
 
-fn describe(claimed: claim_table::Claimed) -> String {
+fn describe(claimed: claim_table::ClaimAttempt) -> String {
     use claims::ClaimOutcome;
     let outcome = match claimed {
-        claim_table::Claimed::Answer(outcome) => outcome,
-        claim_table::Claimed::TooLate => return "too late".to_owned(),
+        claim_table::ClaimAttempt::Answer(outcome) => outcome,
+        claim_table::ClaimAttempt::TooLate => return "too late".to_owned(),
     };
     match outcome {
         ClaimOutcome::Granted => "granted".to_owned(),
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -400,7 +400,7 @@
     }
 
     /// Applies the quarantined requests that the replicated log has stored.
-    pub fn restore_held(&self, now: time::Instant, held: &[quarantine::Held]) {
+    pub fn restore_held(&self, now: time::Instant, held: &[quarantine::QuarantinedRequest]) {
         let is_news = self.change(|inner| {
             let before = inner.quarantine.cursor();
             inner.quarantine.restore(now, held);
--- a/src/sageshed/entry/request.rs
+++ b/src/sageshed/entry/request.rs
@@ -10,7 +10,7 @@
 use sageshed_decide::event;
 use sageshed_engines::classify;
 use sageshed_types::{
-    account, arena, claims, endpoints, fault, refusal, time as types_time, verdict,
+    arena, attempt_error, claims, endpoints, refusal, request_trace, time as types_time, verdict,
 };
 
 use super::{completion, service, shared};
@@ -85,7 +85,7 @@
     pub(super) facts: event::RequestInfo,
     pub(super) meta: Meta,
     rx: mpsc::Receiver<event::Action>,
-    pub(super) account: account::Account,
+    pub(super) account: request_trace::RequestTrace,
     pub(super) claim: Option<claims::Claim>,
     pub(super) answer: Option<claims::RecordedAnswer>,
     pub(super) ended: bool,
@@ -110,7 +110,7 @@
         meta: Meta,
     ) -> Self {
         let request_id = shared.request_id(facts.id);
-        let account = account::Account {
+        let account = request_trace::RequestTrace {
             request_id: request_id.clone(),
             arrived_unix_ms: clock::unix_ms(),
             caller: Some(caller),
@@ -123,7 +123,7 @@
             queued: types_time::Millis(0),
             candidates: Vec::new(),
             tries: Vec::new(),
-            end: account::End::Open,
+            end: request_trace::RequestOutcome::Open,
             took: types_time::Millis(0),
         };
         Self {
@@ -263,7 +263,7 @@
     }
 
     fn note_failure(&mut self, order: &Order, e: &classify::CallError) {
-        if let fault::Fault::Status(status) = e.fault {
+        if let attempt_error::AttemptError::Status(status) = e.fault {
             self.note_rest(status, e.retry_after);
         }
         self.note_try(order, e.verdict, &e.to_string());
@@ -280,7 +280,7 @@
 
     /// Adds a try to the account.
     pub fn note_try(&mut self, order: &Order, verdict: verdict::Verdict, outcome: &str) {
-        self.account.tries.push(account::Try {
+        self.account.tries.push(request_trace::Attempt {
             endpoint: order.endpoint.clone(),
             started: order.begun,
             verdict,
@@ -333,7 +333,7 @@
 
 /// The refusal of a request that an endpoint failed, where the decider was not asked again.
 #[must_use]
-pub fn endpoint_failed(fault: fault::Fault, detail: &str) -> refusal::Refusal {
+pub fn endpoint_failed(fault: attempt_error::AttemptError, detail: &str) -> refusal::Refusal {
     let detail = format!("the endpoint failed ({fault}) after its answer had begun: {detail}");
     refusal::Refusal::new(
         verdict::Reason::EndpointFailed,
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -81,6 +81,6 @@
             expected.0, left.0
         );
         let refusal = self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail);
-        Some(refusal.retry_after(expected.max(DEFAULT_RETRY_AFTER)))
+        Some(refusal.with_retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 }
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -118,6 +118,6 @@
     let status = verdict::Reason::CallerLimit.status();
     refusal::Refusal {
         status,
-        ..refusal.retry_after(after)
+        ..refusal.with_retry_after(after)
     }
 }
