--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -157,7 +157,7 @@
                 });
             }
             endpoints::OrderTask::Unload { model, .. } => {
-                report.resident.retain(|r| r.model != model)
+                report.resident.retain(|r| r.model != model);
             }
             endpoints::OrderTask::ChangeRole { .. } => {}
         }
