--- a/crates/sageshed-decide/src/rules/findings.rs
+++ b/crates/sageshed-decide/src/rules/findings.rs
@@ -231,12 +231,16 @@
 
 impl Scope {
     fn new(when: &rules::When, names: &names::Names) -> Self {
-        let model = |key| super::target_holds(when, event::Target::Model(key), names);
-        let service = |key| super::target_holds(when, event::Target::Service(key), names);
+        let model = |key| super::target_matches(when, event::Target::Model(key), names);
+        let service = |key| super::target_matches(when, event::Target::Service(key), names);
         let zones = &when.availability_zone;
         Self {
-            callers: members(&names.callers, |_, name| super::any(&when.caller, name)),
-            classes: members(&names.classes, |_, name| super::any(&when.class, name)),
+            callers: members(&names.callers, |_, name| {
+                super::list_matches(&when.caller, name)
+            }),
+            classes: members(&names.classes, |_, name| {
+                super::list_matches(&when.class, name)
+            }),
             models: members(&names.models, |key, _| model(key)),
             services: members(&names.services, |key, _| service(key)),
             zones: (!zones.is_empty()).then(|| zones.iter().cloned().collect()),
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -165,8 +165,8 @@
                     self.spread();
                 }
             }
-            policy::PlannerKind::OnDemandLru => self.on_demand(),
-            policy::PlannerKind::StaticEven => self.even(),
+            policy::PlannerKind::OnDemandLru => self.load_requested(),
+            policy::PlannerKind::StaticEven => self.distribute_evenly(),
         }
         (self.proposals, self.problems)
     }
--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -12,8 +12,8 @@
 impl Planner<'_> {
     /// Loads models that are requested and evicts the least recently requested ones, even if this
     /// removes the last route of a model.
-    pub(super) fn on_demand(&mut self) {
-        let asked = |p: &Self, m: &ModelKey| {
+    pub(super) fn load_requested(&mut self) {
+        let requested = |p: &Self, m: &ModelKey| {
             let estimate = p.inputs.demand.of(*m);
             estimate.waiting > 0
                 || estimate
@@ -22,7 +22,7 @@
         };
         let wanted: Vec<ModelKey> = (0..self.routes.len())
             .map(ModelKey::from_index)
-            .filter(|m| self.replicas(*m) == 0 && asked(self, m))
+            .filter(|m| self.replicas(*m) == 0 && requested(self, m))
             .collect();
         for model in wanted {
             self.load_on_demand(model);
@@ -47,7 +47,7 @@
             .filter(|key| self.can_host(*key, model) && self.has_base(*key, model));
         let oldest = suitable
             .filter_map(|key| self.least_recent(key, model).map(|found| (found, key)))
-            .min_by_key(|((asked, ..), key)| (*asked, *key));
+            .min_by_key(|((requested, ..), key)| (*requested, *key));
         let Some(((_, evicted, version), key)) = oldest else {
             return Attempt::Impossible;
         };
@@ -66,8 +66,8 @@
                 && !self.inputs.ledger.has_adapter_of(engine, held.model)
         });
         held.map(|held| {
-            let asked = self.inputs.demand.of(held.model).last_request;
-            (asked.map_or(0, |t| t.0 + 1), held.model, held.version)
+            let requested = self.inputs.demand.of(held.model).last_request;
+            (requested.map_or(0, |t| t.0 + 1), held.model, held.version)
         })
         .min()
     }
@@ -81,7 +81,7 @@
     }
 
     /// Gives each model a route, then fills the memory with replicas evenly, regardless of demand.
-    pub(super) fn even(&mut self) {
+    pub(super) fn distribute_evenly(&mut self) {
         self.ensure_routes();
         let mut models: Vec<ModelKey> = self.inputs.ranking.to_vec();
         models.sort_by_key(|m| self.replicas(*m));
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -34,9 +34,9 @@
 }
 
 impl Planner<'_> {
-    /// Loads a model whose only route is in the way of `model` on another engine, so that later plans
-    /// can evict the replica here. If the other engine has no room either, spare replicas are evicted
-    /// there first. Longer chains of moves are not considered.
+    /// Starts to move a model whose only route occupies memory that `model` needs: loads it on another
+    /// engine, so that later plans can evict it here. If the other engine has no room, spare replicas
+    /// are evicted there first. Longer chains of moves are not considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
@@ -52,7 +52,7 @@
 
     fn move_blocking_model(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         let mut best: Option<(u64, MoveStep)> = None;
-        for key in self.nearly_suitable(model) {
+        for key in self.move_candidates(model) {
             for (moved, memory_mib) in self.movable(key, model, need_mib) {
                 if !self.loading_on[moved.index()].is_empty() || self.await_room(moved, memory_mib)
                 {
@@ -80,7 +80,7 @@
 
     /// The engines that could hold `model` if there were enough memory, those with the most memory to be
     /// gained first.
-    fn nearly_suitable(&self, model: ModelKey) -> Vec<EndpointKey> {
+    fn move_candidates(&self, model: ModelKey) -> Vec<EndpointKey> {
         let keep = self.offer(model).base;
         let mut suitable: Vec<(u64, EndpointKey)> = self
             .keys()
@@ -144,8 +144,8 @@
     /// enough memory, only their adapters are in the way.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
-        let had_mib = self.room(key) + self.redundant_mib(key, keep);
-        let missing_mib = need_mib.saturating_sub(had_mib);
+        let obtainable_mib = self.room(key) + self.redundant_mib(key, keep);
+        let missing_mib = need_mib.saturating_sub(obtainable_mib);
         let engine = self.engine(key);
         let alone = engine.held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
@@ -168,8 +168,8 @@
     /// The memory that a replica and its adapters use on `key`, in MiB.
     fn local_family_mib(&self, key: EndpointKey, replica: &engine::HeldModel) -> u64 {
         let held = self.engine(key).held.iter();
-        let on_top = held.filter(|other| self.is_adapter_of(other.model, replica.model));
-        replica.memory_mib + on_top.map(|other| other.memory_mib).sum::<u64>()
+        let adapters = held.filter(|other| self.is_adapter_of(other.model, replica.model));
+        replica.memory_mib + adapters.map(|other| other.memory_mib).sum::<u64>()
     }
 
     fn is_adapter_of_redundant(&self, key: EndpointKey, adapter: ModelKey) -> bool {
