--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -28,8 +28,12 @@
         parts: &[dialect::PromptPart],
     ) -> u64 {
         let scope = CacheScope::of(wanted);
-        let kept = |part: &&dialect::PromptPart| self.parts.contains_key(&(scope, part.id));
-        parts.iter().take_while(kept).map(|part| part.tokens).sum()
+        let is_cached = |part: &&dialect::PromptPart| self.parts.contains_key(&(scope, part.id));
+        parts
+            .iter()
+            .take_while(is_cached)
+            .map(|part| part.tokens)
+            .sum()
     }
 
     /// Records that the engine prefilled a prompt of these parts.
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -148,7 +148,7 @@
         let entries = [net::Ipv4Addr::LOCALHOST];
         let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
         coordinator.set_entries(Instant(0), &entries);
-        let draw = allowance::AcquireRequest {
+        let request = allowance::AcquireRequest {
             id: 1,
             of: key(),
             amount: 1.0,
@@ -159,7 +159,7 @@
                 age: Millis(0),
             }),
         };
-        coordinator.acquire(Instant(1_000), entries[0], &draw);
+        coordinator.acquire(Instant(1_000), entries[0], &request);
         assert_eq!(coordinator.limit(key()), None, "{bad}");
         assert_eq!(coordinator.buckets().count(), 0, "{bad}");
     }
@@ -171,7 +171,7 @@
     let entries = [net::Ipv4Addr::LOCALHOST];
     let mut coordinator = allowance::AllowanceTable::new(entries[0], 1);
     coordinator.set_entries(Instant(0), &entries);
-    let draw = allowance::AcquireRequest {
+    let request = allowance::AcquireRequest {
         id: 1,
         of: key(),
         amount: 1.0,
@@ -182,7 +182,7 @@
             age: Millis(0),
         }),
     };
-    coordinator.acquire(Instant(1_000), entries[0], &draw);
+    coordinator.acquire(Instant(1_000), entries[0], &request);
     assert!(coordinator.has_any());
     coordinator.tick(Instant(60_000));
     assert!(!coordinator.has_any());
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -165,11 +165,11 @@
     for (later, is_void) in [(1_000, false), (5_000, true)] {
         let mut world = World::full();
         let now = at(1_100 + later);
-        let answer = world.acquire(now, request(1, 40.0));
+        let reply = world.acquire(now, request(1, 40.0));
         assert_eq!(
-            answer == AcquireReply::Granted,
+            reply == AcquireReply::Granted,
             !is_void,
-            "after {later} ms: {answer:?}"
+            "after {later} ms: {reply:?}"
         );
     }
 }
@@ -184,8 +184,8 @@
     assert!(world.units() < -100.0);
     for round in 12..24 {
         world.collect_all(at(100 * round));
-        let answer = world.acquire(at(100 * round + 5), request(round, 1.0));
-        assert_ne!(answer, AcquireReply::Granted, "round {round}");
+        let reply = world.acquire(at(100 * round + 5), request(round, 1.0));
+        assert_ne!(reply, AcquireReply::Granted, "round {round}");
     }
 }
 
@@ -221,16 +221,16 @@
     let now = at(1_130);
     let mut id = 0;
     let mut last = time::Millis(0);
-    let mut told = 0;
-    while told < 100 {
+    let mut refused = 0;
+    while refused < 100 {
         id += 1;
         match world.acquire(now, request(id, 5.0)) {
             AcquireReply::Over(span) => {
                 assert!(span >= last, "{span:?} behind {last:?}");
                 last = span;
-                told += 1;
+                refused += 1;
             }
-            AcquireReply::Granted => assert_eq!(told, 0),
+            AcquireReply::Granted => assert_eq!(refused, 0),
             AcquireReply::Soon(_) => {
                 // The producers have no units either.
                 world.coordinator.acquire(now, ip(99), &request(id, 0.0));
@@ -479,11 +479,11 @@
         let mut world = World::full();
         let now = at(1_101);
         let before = world.units();
-        let answer = world.acquire(now, request(1, amount));
+        let reply = world.acquire(now, request(1, amount));
         assert_eq!(
-            matches!(answer, AcquireReply::Over(_)),
+            matches!(reply, AcquireReply::Over(_)),
             is_over,
-            "{amount}: {answer:?}"
+            "{amount}: {reply:?}"
         );
         assert_eq!(world.units() < before - 50.0, !is_over, "{amount}");
     }
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -144,11 +144,11 @@
     ] {
         let mut coordinator = coordinator(&["e1", "e2"]);
         let wanted = m0();
-        let sent_observation = entry_peers::EngineObservation {
+        let observed = entry_peers::EngineObservation {
             fault: Some(fault),
             ..observation("e1", 0)
         };
-        coordinator.apply_observation(T0, entries()[3], &sent_observation);
+        coordinator.apply_observation(T0, entries()[3], &observed);
         for number in 0..20 {
             let decision =
                 coordinator.route_for(at(10 + number), entries()[7], number, &query(&wanted, 100));
@@ -203,10 +203,10 @@
     for request in 100..150 {
         let decision =
             coordinator.route_for(at(1_900), entries()[10], request, &query(&wanted, 3_000));
-        let RoutingDecision::Wait { expected: told } = decision else {
+        let RoutingDecision::Wait { expected: latest } = decision else {
             panic!("{decision:?}");
         };
-        expected = told;
+        expected = latest;
     }
     // One is routed each 200 ms, and 50 wait.
     let expected = expected.expect("ten requests were routed");
@@ -287,14 +287,14 @@
         estimated: 200,
     };
     for number in 0..60_u64 {
-        let sent_observation = entry_peers::EngineObservation {
+        let observed = entry_peers::EngineObservation {
             ttft: Some(sample),
             ..observation("e1", 0)
         };
         coordinator.apply_observation(
             at(number * 20),
             entries()[usize::try_from(number).expect("small")],
-            &sent_observation,
+            &observed,
         );
     }
     let mut counts = [0, 0];
@@ -332,11 +332,11 @@
             }
         }
         sent.push(waiting);
-        let sent_observation = entry_peers::EngineObservation {
+        let observed = entry_peers::EngineObservation {
             pauses: Some(pauses),
             ..observation("e1", 0)
         };
-        coordinator.apply_observation(at(round * 1_000 + 500), from, &sent_observation);
+        coordinator.apply_observation(at(round * 1_000 + 500), from, &observed);
     }
     assert!(sent[0] <= 4 && sent[7] >= 2 * sent[0], "{sent:?}");
 }
--- a/crates/sageshed-fleet/tests/entry_peers.rs
+++ b/crates/sageshed-fleet/tests/entry_peers.rs
@@ -192,13 +192,13 @@
     let mut chooser = Chooser::new("z1", 7);
     chooser.update_instance(&support::engine("e1", &["m0", "m1"]));
     chooser.update_instance(&support::engine("e2", &["m0", "m1"]));
-    let kept = entry_peers::PromptPrefix::of(&m0, &parts);
-    assert_eq!(kept.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
+    let prefix = entry_peers::PromptPrefix::of(&m0, &parts);
+    assert_eq!(prefix.as_ref().map(|it| it.parts.clone()), Some(vec![7]));
     assert_eq!(entry_peers::PromptPrefix::of(&m0, &parts[1..]), None);
     let observation = entry_peers::EngineObservation {
         engine: entry_peers::instance_key(&"e2".into()),
         pending_prefill_us: 0,
-        cached_prefix: kept,
+        cached_prefix: prefix,
         ttft: None,
         running: None,
         pauses: None,
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -184,18 +184,18 @@
     let cursor = |change| Cursor { start: 9, change };
     let local = |links: &mut Links, ms, change| {
         let peers = [(targets[1], cursor(change)), (targets[2], cursor(change))];
-        let told = SyncReply {
+        let response = SyncReply {
             peers: &peers,
             ..reply(false, false)
         };
-        links.record_reply(at(ms), 0, &told);
+        links.record_reply(at(ms), 0, &response);
     };
     let other = |links: &mut Links, ms, change| {
-        let told = SyncReply {
+        let response = SyncReply {
             news: Some(cursor(change)),
             ..reply(true, false)
         };
-        links.record_reply(at(ms), 1, &told);
+        links.record_reply(at(ms), 1, &response);
     };
     local(&mut links, 10, 100);
     for step in 0..100 {
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -187,7 +187,7 @@
     let mut control = seen(7, &[crash(1, 1), crash(1, 2), crash(2, 1)]);
     let mut entry = Quarantine::new(9);
     let mut known = Cursor::default();
-    let tell = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
+    let send = |control: &Quarantine, entry: &mut Quarantine, known: &mut Cursor| {
         let to_send = control.since(NOW, *known, SyncScope::Quarantined);
         *known = control.cursor();
         for it in &to_send {
@@ -196,24 +196,24 @@
         to_send.len()
     };
     assert!(!control.has_news(known, SyncScope::Quarantined));
-    assert_eq!(tell(&control, &mut entry, &mut known), 0);
+    assert_eq!(send(&control, &mut entry, &mut known), 0);
     control.merge(NOW, &crash(1, 3));
     assert!(control.has_news(known, SyncScope::Quarantined));
-    assert_eq!(tell(&control, &mut entry, &mut known), 3);
+    assert_eq!(send(&control, &mut entry, &mut known), 3);
     assert!(is_quarantined_in(&entry, 1));
     control.merge(NOW, &crash(2, 2));
     assert_eq!(
-        tell(&control, &mut entry, &mut known),
+        send(&control, &mut entry, &mut known),
         0,
         "not quarantined, not sent"
     );
     control.record_success(NOW, content(1));
-    assert_eq!(tell(&control, &mut entry, &mut known), 3);
+    assert_eq!(send(&control, &mut entry, &mut known), 3);
     assert!(!is_quarantined_in(&entry, 1));
     // A process that was just started knows nothing.
     let mut started = Quarantine::new(11);
     control.merge(NOW, &crash(2, 3));
-    assert_eq!(tell(&control, &mut started, &mut Cursor::default()), 6);
+    assert_eq!(send(&control, &mut started, &mut Cursor::default()), 6);
     assert!(is_quarantined_in(&started, 2) && !is_quarantined_in(&started, 1));
 }
 
@@ -325,13 +325,13 @@
 #[test]
 fn persisted_requests_are_quarantined_again() {
     let before = seen(1, &[crash(1, 1), crash(1, 2), crash(1, 3), crash(2, 1)]);
-    let kept = before.quarantined(NOW);
-    assert_eq!(kept.len(), 1);
+    let persisted = before.quarantined(NOW);
+    assert_eq!(persisted.len(), 1);
     let mut after = Quarantine::new(2);
-    after.restore(Instant(10), &kept);
+    after.restore(Instant(10), &persisted);
     assert!(is_quarantined_in(&after, 1) && !is_quarantined_in(&after, 2));
-    assert_eq!(after.quarantined(NOW), kept);
+    assert_eq!(after.quarantined(NOW), persisted);
     let cursor = after.cursor();
-    after.restore(NOW, &kept);
+    after.restore(NOW, &persisted);
     assert_eq!(after.cursor(), cursor, "nothing has changed");
 }
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -95,7 +95,7 @@
     }
 
     /// A random number below `limit`, by a linear congruential generator.
-    fn draw(&mut self, limit: u64) -> u64 {
+    fn random(&mut self, limit: u64) -> u64 {
         self.rng_state = self
             .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -105,8 +105,8 @@
 
     /// The index of one of `count` processes.
     fn pick(&mut self, count: usize) -> usize {
-        let drawn = self.draw(count as u64);
-        usize::try_from(drawn).expect("below the count")
+        let index = self.random(count as u64);
+        usize::try_from(index).expect("below the count")
     }
 
     fn start(&mut self) -> Process {
@@ -145,7 +145,7 @@
         let now = self.instant();
         for at in 0..self.entries.len() {
             for number in 0..3 {
-                let is_lost = self.draw(100) < self.lost;
+                let is_lost = self.random(100) < self.lost;
                 let (process, watches) = &mut self.entries[at];
                 let watch = &mut watches[number];
                 let control = &mut self.control[watch.to].quarantine;
@@ -174,7 +174,7 @@
         let now = self.instant();
         for to in 0..5 {
             for from in (0..5).filter(|from| *from != to) {
-                if self.draw(100) < self.lost {
+                if self.random(100) < self.lost {
                     continue;
                 }
                 let source = &self.control[from].quarantine;
@@ -217,7 +217,7 @@
     /// A process is killed and restarted. A control process restores what the log holds.
     fn restart_one(&mut self) {
         let now = self.instant();
-        if self.draw(10) == 0 {
+        if self.random(10) == 0 {
             let at = self.pick(5);
             let mut process = self.start();
             process.quarantine.restore(now, &self.log);
@@ -304,14 +304,14 @@
                 world.call_control();
                 world.sync_control();
                 world.persist();
-                let draw = world.draw(60_000 / STEP);
-                if draw < case.restarts {
+                let random = world.random(60_000 / STEP);
+                if random < case.restarts {
                     world.restart_one();
                 }
                 if case.all && world.now == 30_000 {
                     world.restart_all();
                 }
-                if world.draw(case.gap / STEP) == 0 {
+                if world.random(case.gap / STEP) == 0 {
                     let entry = world.pick(case.entries);
                     world.attempt_at(entry);
                 }
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -216,7 +216,7 @@
         fresh.set_entries(now, &everybody);
         match fresh.acquisition(now, of).begin() {
             Next::Ask(coordinator, _) => entry(coordinator),
-            other => panic!("a home: {other:?}"),
+            other => panic!("not a coordinator: {other:?}"),
         }
     }
 
@@ -258,8 +258,8 @@
                 self.requests[*request].entry
             }
         };
-        if let Some(kept) = self.suspended.get_mut(&of) {
-            return kept.push(event);
+        if let Some(pending) = self.suspended.get_mut(&of) {
+            return pending.push(event);
         }
         match event {
             Event::Arrive { entry, of, amount } => self.arrive(entry, of, amount),
@@ -275,7 +275,7 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let bytes = match &message {
-            Message::Acquire(draw) if draw.reported.is_some() => 140,
+            Message::Acquire(message) if message.reported.is_some() => 140,
             Message::Acquire(_) => 110,
             Message::Acquired(..) => 70,
             Message::Collect(pull) => 50 + 9 * pull.of.len() + 36 * pull.reported.len(),
@@ -355,35 +355,35 @@
         asked.round += 1;
         let (from, round) = (asked.entry, asked.round);
         let reported = self.reported.get(&(from, asked.of));
-        let draw = AcquireRequest {
+        let message = AcquireRequest {
             id: asked.id,
             of: asked.of,
             amount: asked.amount,
             returned: 0.0,
             rank: 0,
-            reported: reported.map(|(limit, heard)| ReportedLimit {
+            reported: reported.map(|(limit, reported_at)| ReportedLimit {
                 limit: *limit,
-                age: Millis(self.now - heard),
+                age: Millis(self.now - reported_at),
             }),
         };
         if coordinator == from {
-            let answer = self.answer(from, from, &draw);
-            let next = self.requests[request].acquisition.replied(answer);
+            let reply = self.reply(from, from, &message);
+            let next = self.requests[request].acquisition.replied(reply);
             return self.advance(request, next);
         }
-        self.waiting.insert((from, draw.id), request);
-        self.send(from, coordinator, Message::Acquire(draw));
+        self.waiting.insert((from, message.id), request);
+        self.send(from, coordinator, Message::Acquire(message));
         self.push(REPLY_TIMEOUT, Event::Late { request, round });
     }
 
-    fn answer(
+    fn reply(
         &mut self,
         at: usize,
         from: usize,
-        draw: &AcquireRequest,
+        message: &AcquireRequest,
     ) -> sageshed_fleet::allowance::AcquireReply {
         let now = Instant(self.now);
-        let reply = self.tables[at].acquire(now, ip(from), draw);
+        let reply = self.tables[at].acquire(now, ip(from), message);
         self.send_collections(at, reply.collection.into_iter().collect());
         reply.reply
     }
@@ -404,15 +404,15 @@
     fn deliver(&mut self, to: usize, from: usize, message: Message) {
         let now = Instant(self.now);
         match message {
-            Message::Acquire(draw) => {
-                let answer = self.answer(to, from, &draw);
-                self.send(to, from, Message::Acquired(draw.id, answer));
+            Message::Acquire(message) => {
+                let reply = self.reply(to, from, &message);
+                self.send(to, from, Message::Acquired(message.id, reply));
             }
-            Message::Acquired(id, answer) => {
+            Message::Acquired(id, reply) => {
                 let Some(request) = self.waiting.remove(&(to, id)) else {
                     return;
                 };
-                let next = self.requests[request].acquisition.replied(answer);
+                let next = self.requests[request].acquisition.replied(reply);
                 self.advance(request, next);
             }
             Message::Collect(pull) => {
