--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -202,7 +202,7 @@
     }
 
     /// Applies another directory's refresh of an instance.
-    pub fn confirm(&mut self, now: time::Instant, refresh: LivenessRefresh) {
+    pub fn apply_refresh(&mut self, now: time::Instant, refresh: LivenessRefresh) {
         let Some(id) = self.index.by_short_key(refresh.key).cloned() else {
             return;
         };
@@ -239,7 +239,7 @@
     /// The refresh of an instance for a peer at `cursor`; none where the peer needs its record, or the instance
     /// isn't ready.
     #[must_use]
-    pub fn alive(
+    pub fn liveness_refresh(
         &self,
         now: time::Instant,
         id: &InstanceId,
--- a/crates/sageshed-fleet/tests/directory.rs
+++ b/crates/sageshed-fleet/tests/directory.rs
@@ -385,8 +385,8 @@
             .changes_after(self.cursor, ChangeFilter::All, usize::MAX);
         let mut sent = (0, 0);
         for change in &batch.changes {
-            if let Some(alive) = self.sender.alive(now, &change.id, self.cursor) {
-                self.receiver.confirm(now, alive);
+            if let Some(refresh) = self.sender.liveness_refresh(now, &change.id, self.cursor) {
+                self.receiver.apply_refresh(now, refresh);
                 sent.1 += 1;
             } else if let Some(record) = self.sender.record(now, &change.id) {
                 self.receiver.merge(now, record);
@@ -449,17 +449,22 @@
     engine.sequence = 7;
     sender.announce(now, engine.clone());
     let cursor = sender.cursor();
-    let late = sender.alive(now, &engine.id, cursor).expect("it is alive");
+    let late = sender
+        .liveness_refresh(now, &engine.id, cursor)
+        .expect("it is alive");
     engine.sequence = 9;
     receiver.announce(now, engine.clone());
-    receiver.confirm(now, late);
+    receiver.apply_refresh(now, late);
     assert_eq!(receiver.instance(&engine.id).map(|it| it.sequence), Some(9));
     receiver.deregister(now, &engine.id);
-    receiver.confirm(now, late);
+    receiver.apply_refresh(now, late);
     assert_eq!(receiver.present(now).count(), 0);
     // A leaving instance is always sent as a full record.
     sender.mark_leaving(now, &engine.id);
-    assert_eq!(sender.alive(now, &engine.id, sender.cursor()), None);
+    assert_eq!(
+        sender.liveness_refresh(now, &engine.id, sender.cursor()),
+        None
+    );
 }
 
 /// The short keys must be the same in all versions, which may run side by side.
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -187,7 +187,7 @@
         }
         self.change_directory(|it| {
             for one in alive {
-                it.confirm(now, *one);
+                it.apply_refresh(now, *one);
             }
         });
     }
@@ -471,7 +471,7 @@
         let mut bytes = 0;
         let mut last = None;
         for change in portion.changes {
-            let alive = self.directory.alive(now, &change.id, req.mark);
+            let alive = self.directory.liveness_refresh(now, &change.id, req.mark);
             if let Some(alive) = alive.filter(|_| req.takes_alive) {
                 last = Some(change.number);
                 update.alive.push(alive);
