--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -94,7 +94,7 @@
     /// Send an order; the response goes to [`Planner::handle_order_response`].
     Order(dialect::Order),
     /// Request an engine's report; it goes to [`Planner::handle_report`].
-    AskReport {
+    RequestReport {
         /// The engine's instance.
         instance: directory::InstanceId,
         /// Its address.
@@ -130,7 +130,7 @@
     /// Number of engines that all its requests keep busy.
     pub work: f64,
     /// Number of pending requests for adapters.
-    pub wants: usize,
+    pub adapter_requests: usize,
 }
 
 /// Load of one model for the leader's log.
@@ -346,7 +346,7 @@
             busiest: state.busiest(SUMMARY_MODELS),
             store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
             work: work.sum(),
-            wants: self.adapter_requests.len(),
+            adapter_requests: self.adapter_requests.len(),
         }
     }
 
@@ -424,7 +424,7 @@
             if let Some(engine) = self.engines.get_mut(&instance.id) {
                 engine.report_requested(now);
             }
-            actions.push(Action::AskReport {
+            actions.push(Action::RequestReport {
                 instance: instance.id.clone(),
                 address: instance.address,
             });
--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -95,7 +95,7 @@
     fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::AskReport { instance, .. } => {
+                Action::RequestReport { instance, .. } => {
                     let report = self.engines.get(&instance.name).map(Engine::report);
                     self.planner.handle_report(self.now, &instance, report);
                 }
@@ -734,7 +734,7 @@
     for _ in 0..600 {
         now = now + STEP;
         for action in planner.tick(now, &config, &[&engine]) {
-            if let Action::AskReport { instance, .. } = action {
+            if let Action::RequestReport { instance, .. } = action {
                 requests += 1;
                 planner.handle_report(now, &instance, None);
             }
@@ -748,7 +748,7 @@
 
 fn report_requests(actions: &[Action]) -> Vec<String> {
     let requests = actions.iter().filter_map(|it| match it {
-        Action::AskReport { instance, .. } => Some(instance.name.clone()),
+        Action::RequestReport { instance, .. } => Some(instance.name.clone()),
         _ => None,
     });
     requests.collect()
--- a/crates/sageshed-fleet/tests/restarts.rs
+++ b/crates/sageshed-fleet/tests/restarts.rs
@@ -372,7 +372,7 @@
             for action in self.planner.tick(self.now, &support::config(), &[engine]) {
                 match action {
                     Action::Order(order) => orders.push((self.now, order)),
-                    Action::AskReport { instance, .. } => {
+                    Action::RequestReport { instance, .. } => {
                         let report = dialect::Report {
                             born: instance.born,
                             accepted,
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -157,7 +157,7 @@
                     free_for_orders = it.free_for_orders, short:? = it.short_of_replicas,
                     busiest:% = describe_busiest(&it.busiest),
                     store_is_free = it.store_is_free, work:% = format_args!("{:.1}", it.work),
-                    wants = it.wants; "control: placement");
+                    wants = it.adapter_requests; "control: placement");
             }
         }
         self.carry_out(actions);
@@ -205,7 +205,7 @@
                         ::log::error!("control: no thread sends orders");
                     }
                 }
-                planner::Action::AskReport { instance, address } => {
+                planner::Action::RequestReport { instance, address } => {
                     if self
                         .queries
                         .send(ReportQuery { instance, address })
