--- a/crates/sageshed-fleet/src/config_history.rs
+++ b/crates/sageshed-fleet/src/config_history.rs
@@ -67,7 +67,7 @@
     }
 
     /// The reply to a process that fetches a configuration.
-    pub fn answer(&mut self, now: time::Instant, req: &messages::ConfigReq) -> FetchReply {
+    pub fn reply(&mut self, now: time::Instant, req: &messages::ConfigReq) -> FetchReply {
         let under_way = req
             .transfer
             .and_then(|id| self.payloads.chunk(now, id, req.offset, req.most));
--- a/crates/sageshed-fleet/tests/config_history.rs
+++ b/crates/sageshed-fleet/tests/config_history.rs
@@ -45,11 +45,11 @@
 
 /// The reply to `req`, with its payload compressed where needed.
 fn reply(history: &mut ConfigHistory, req: &ConfigReq) -> Option<Chunk> {
-    if let FetchReply::Compress(job) = history.answer(NOW, req) {
+    if let FetchReply::Compress(job) = history.reply(NOW, req) {
         let bytes = job.run().expect("it can be compressed");
         history.keep_payload(NOW, &job, bytes);
     }
-    match history.answer(NOW, req) {
+    match history.reply(NOW, req) {
         FetchReply::Chunk(chunk) => Some(chunk),
         FetchReply::Nothing => None,
         FetchReply::Compress(_) => panic!("it was compressed"),
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -148,7 +148,7 @@
 }
 
 fn lookup_chunk(shared: &shared::Shared, req: &messages::ConfigReq) -> config_history::FetchReply {
-    locks::lock(&shared.config_history).answer(shared.clock.now(), req)
+    locks::lock(&shared.config_history).reply(shared.clock.now(), req)
 }
 
 /// Compresses the payload unless another thread has done so meanwhile, and returns the requested chunk.
