--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -121,7 +121,7 @@
             estimate: router::estimate(router.pick(&requirements, *key)),
             room: router.has_room(now, *key, requirements.urgent),
             chosen: chosen == Some(*key),
-            standing: router.standing(now, &requirements, *key),
+            eligibility: router.eligibility(now, &requirements, *key),
         });
         request.candidates = considered.collect();
     }
@@ -210,22 +210,22 @@
         self.router.fleet.advance(now, &self.policy);
         let router = &self.router;
         self.cold.retain(|lane, _| router.is_cold(now, *lane));
-        self.give_up_overdue(now, out);
+        self.end_expired_requests(now, out);
         self.send_waiting(now, None, out);
         self.shed_waiting(now, out);
     }
 
-    fn give_up_overdue(&mut self, now: time::Instant, out: &mut Actions) {
+    fn end_expired_requests(&mut self, now: time::Instant, out: &mut Actions) {
         while let Some((at, req)) = self.expiries.first().copied() {
             if at > now {
                 return;
             }
             self.expiries.pop_first();
-            self.give_up(now, req, out);
+            self.end_expired_request(now, req, out);
         }
     }
 
-    fn give_up(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
+    fn end_expired_request(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let Some(request) = self.requests.get_mut(&req) else {
             return;
         };
@@ -259,7 +259,7 @@
         }
         let lanes = self.queues.lanes().map(|(lane, _)| lane);
         for lane in lanes.collect::<Vec<_>>() {
-            for (req, cause) in self.late_in(now, lane) {
+            for (req, cause) in self.late_requests(now, lane) {
                 self.refuse_late(now, req, cause, out);
             }
         }
@@ -267,7 +267,11 @@
 
     /// The queued requests of a lane that can no longer meet their deadline. The wait of each request
     /// is computed without the ones found before it.
-    fn late_in(&self, now: time::Instant, lane: queue::Lane) -> Vec<(event::ReqId, RefusalCause)> {
+    fn late_requests(
+        &self,
+        now: time::Instant,
+        lane: queue::Lane,
+    ) -> Vec<(event::ReqId, RefusalCause)> {
         let mut found = Vec::new();
         let cold = self.router.is_cold(now, lane);
         let mut first_wait = None;
