--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -179,7 +179,7 @@
     /// Grants a claim, or returns why it is not granted.
     pub fn claim(&mut self, claim: claims::Claim) -> ClaimAttempt {
         match self.claims.get(&claim.key) {
-            Some(held) => ClaimAttempt::Answer(answer_again(held, &claim)),
+            Some(entry) => ClaimAttempt::Answer(reply_for_existing(entry, &claim)),
             None if self.is_too_late(&claim.holder) => ClaimAttempt::TooLate,
             None if self.claims.len() >= self.limits.claims => {
                 ClaimAttempt::Answer(claims::ClaimOutcome::Full)
@@ -192,23 +192,23 @@
     pub fn settle(&mut self, settle: claims::Settle) -> command::SettleOutcome {
         let claims::Settle { key, holder, end } = settle;
         if matches!(end, claims::ExecutionOutcome::NotRun) {
-            return self.give_back(&key, holder);
+            return self.release(&key, holder);
         }
-        let Some(held) = self.claims.get(&key) else {
+        let Some(entry) = self.claims.get(&key) else {
             return command::SettleOutcome::Ignored;
         };
-        if held.holder != holder {
+        if entry.holder != holder {
             return command::SettleOutcome::Ignored;
         }
-        match (&held.state, end) {
+        match (&entry.state, end) {
             (ClaimState::Running, claims::ExecutionOutcome::Ran { answer }) => {
-                self.ran(key, answer);
+                self.record_ran(key, answer);
             }
             // The process was wrongly declared gone and now reports the outcome. The expiry stays.
             (ClaimState::Unknown, claims::ExecutionOutcome::Ran { answer }) => {
-                self.keep_answer(&key, answer);
+                self.store_answer(&key, answer);
             }
-            (ClaimState::Running, claims::ExecutionOutcome::Unknown) => self.unknown(key),
+            (ClaimState::Running, claims::ExecutionOutcome::Unknown) => self.mark_unknown(key),
             (ClaimState::Ran { .. }, claims::ExecutionOutcome::Ran { .. })
             | (ClaimState::Unknown, claims::ExecutionOutcome::Unknown) => {}
             _ => return command::SettleOutcome::Ignored,
@@ -221,15 +221,15 @@
     pub fn holder_gone(&mut self, vm: &str, incarnation_below: endpoints::Incarnation) -> usize {
         let alive_from = self.alive_from.entry(vm.to_owned()).or_default();
         *alive_from = incarnation_below.max(*alive_from);
-        let running = self.claims.iter().filter(|(_, held)| {
-            held.state == ClaimState::Running
-                && held.holder.vm == vm
-                && held.holder.incarnation < incarnation_below
+        let running = self.claims.iter().filter(|(_, entry)| {
+            entry.state == ClaimState::Running
+                && entry.holder.vm == vm
+                && entry.holder.incarnation < incarnation_below
         });
         let keys: Vec<_> = running.map(|(key, _)| key.clone()).collect();
         let count = keys.len();
         for key in keys {
-            self.unknown(key);
+            self.mark_unknown(key);
         }
         count
     }
@@ -238,7 +238,7 @@
     /// over. Returns the number of these claims.
     pub fn clock(&mut self, unix_ms: u64) -> usize {
         self.unix_ms = unix_ms.max(self.unix_ms);
-        self.stamp();
+        self.set_expiries();
         let mut expired = 0;
         while self
             .expiries
@@ -246,7 +246,7 @@
             .is_some_and(|(at, _)| *at <= self.unix_ms)
         {
             if let Some((_, key)) = self.expiries.pop_first() {
-                self.forget(&key);
+                self.remove(&key);
                 expired += 1;
             }
         }
@@ -262,28 +262,28 @@
     }
 
     fn grant(&mut self, claim: claims::Claim) -> claims::ClaimOutcome {
-        let held = ClaimEntry {
+        let entry = ClaimEntry {
             holder: claim.holder,
             digest: claim.digest,
             state: ClaimState::Running,
             retention: claim.retention,
         };
-        self.claims.insert(claim.key, held);
+        self.claims.insert(claim.key, entry);
         claims::ClaimOutcome::Granted
     }
 
     /// Releases the claim if it is running with this holder, and records the holder so that a late claim
     /// is not granted.
-    fn give_back(
+    fn release(
         &mut self,
         key: &claims::ClaimKey,
         holder: claims::Holder,
     ) -> command::SettleOutcome {
         match self.claims.get(key) {
-            Some(held) if held.holder == holder && held.state != ClaimState::Running => {
+            Some(entry) if entry.holder == holder && entry.state != ClaimState::Running => {
                 return command::SettleOutcome::Ignored;
             }
-            Some(held) if held.holder == holder => {
+            Some(entry) if entry.holder == holder => {
                 self.claims.remove(key);
             }
             _ => {}
@@ -299,45 +299,45 @@
         command::SettleOutcome::Settled
     }
 
-    fn ran(&mut self, key: claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
-        self.keep_answer(&key, answer);
+    fn record_ran(&mut self, key: claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
+        self.store_answer(&key, answer);
         self.unstamped.push(key);
     }
 
-    fn unknown(&mut self, key: claims::ClaimKey) {
-        if let Some(held) = self.claims.get_mut(&key) {
-            held.state = ClaimState::Unknown;
+    fn mark_unknown(&mut self, key: claims::ClaimKey) {
+        if let Some(entry) = self.claims.get_mut(&key) {
+            entry.state = ClaimState::Unknown;
             self.unstamped.push(key);
         }
     }
 
-    fn keep_answer(&mut self, key: &claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
+    fn store_answer(&mut self, key: &claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
         let room = self.limits.all_answer_bytes - self.answer_bytes;
         let limit = room.min(self.limits.answer_bytes);
         let answer = answer.filter(|answer| answer.body.len() <= limit);
-        if let Some(held) = self.claims.get_mut(key) {
+        if let Some(entry) = self.claims.get_mut(key) {
             self.answer_bytes += answer.as_ref().map_or(0, |answer| answer.body.len());
-            held.state = ClaimState::Ran { answer };
+            entry.state = ClaimState::Ran { answer };
         }
     }
 
     /// Sets the expiries of the claims that were settled since the last clock command.
-    fn stamp(&mut self) {
+    fn set_expiries(&mut self) {
         for key in std::mem::take(&mut self.unstamped) {
-            if let Some(held) = self.claims.get(&key) {
-                let at = self.unix_ms.saturating_add(held.retention.0);
+            if let Some(entry) = self.claims.get(&key) {
+                let at = self.unix_ms.saturating_add(entry.retention.0);
                 self.expiries.insert((at, key));
             }
         }
     }
 
-    fn forget(&mut self, key: &claims::ClaimKey) {
-        let Some(held) = self.claims.remove(key) else {
+    fn remove(&mut self, key: &claims::ClaimKey) {
+        let Some(entry) = self.claims.remove(key) else {
             return;
         };
         if let ClaimState::Ran {
             answer: Some(answer),
-        } = held.state
+        } = entry.state
         {
             self.answer_bytes -= answer.body.len();
         }
@@ -345,14 +345,14 @@
 }
 
 /// The reply to a claim on a key that is already claimed.
-fn answer_again(held: &ClaimEntry, claim: &claims::Claim) -> claims::ClaimOutcome {
-    if held.digest != claim.digest {
+fn reply_for_existing(entry: &ClaimEntry, claim: &claims::Claim) -> claims::ClaimOutcome {
+    if entry.digest != claim.digest {
         return claims::ClaimOutcome::OtherContent;
     }
-    match &held.state {
-        ClaimState::Running if held.holder == claim.holder => claims::ClaimOutcome::Granted,
+    match &entry.state {
+        ClaimState::Running if entry.holder == claim.holder => claims::ClaimOutcome::Granted,
         ClaimState::Running => claims::ClaimOutcome::Running {
-            holder: held.holder.clone(),
+            holder: entry.holder.clone(),
         },
         ClaimState::Ran { answer } => claims::ClaimOutcome::Ran {
             answer: answer.clone(),
