--- a/crates/sageshed-state/src/change_ids.rs
+++ b/crates/sageshed-state/src/change_ids.rs
@@ -32,7 +32,7 @@
 
 /// The result of looking up a change id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen<V> {
+pub enum ChangeIdLookup<V> {
     /// The id is not recorded.
     New,
     /// The id is recorded with the same content and this result.
@@ -62,16 +62,16 @@
 
     /// Looks up `id` and compares its content.
     #[must_use]
-    pub fn seen(&self, id: &str, content: ContentDigest) -> Seen<V> {
+    pub fn lookup(&self, id: &str, content: ContentDigest) -> ChangeIdLookup<V> {
         match self.by_id.get(id) {
-            None => Seen::New,
-            Some((first, value)) if *first == content => Seen::Same(*value),
-            Some((_, value)) => Seen::Other(*value),
+            None => ChangeIdLookup::New,
+            Some((first, value)) if *first == content => ChangeIdLookup::Same(*value),
+            Some((_, value)) => ChangeIdLookup::Other(*value),
         }
     }
 
     /// Records `id`, which must be new, and removes the oldest ids above the bound.
-    pub fn remember(&mut self, id: &str, content: ContentDigest, value: V) {
+    pub fn insert(&mut self, id: &str, content: ContentDigest, value: V) {
         self.by_id.insert(id.to_owned(), (content, value));
         self.oldest_first.push_back(id.to_owned());
         while self.oldest_first.len() > self.bound {
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -215,10 +215,10 @@
     /// ended, and would drain the VM again unnoticed.
     fn drain(&mut self, vm: String, on: bool, change_id: &str) -> command::DrainOutcome {
         let content = change_ids::ContentDigest::of(&(&vm, on));
-        match self.drain_ids.seen(change_id, content) {
-            change_ids::Seen::Same(_) => return command::DrainOutcome::Recorded,
-            change_ids::Seen::Other(_) => return command::DrainOutcome::ChangeIdReused,
-            change_ids::Seen::New => self.drain_ids.remember(change_id, content, on),
+        match self.drain_ids.lookup(change_id, content) {
+            change_ids::ChangeIdLookup::Same(_) => return command::DrainOutcome::Recorded,
+            change_ids::ChangeIdLookup::Other(_) => return command::DrainOutcome::ChangeIdReused,
+            change_ids::ChangeIdLookup::New => self.drain_ids.insert(change_id, content, on),
         }
         if on {
             self.draining.insert(vm);
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -56,10 +56,14 @@
     /// Applies a change, or returns why it is refused.
     pub fn change(&mut self, change: rules::Change) -> rules::ChangeOutcome {
         let content = change_ids::ContentDigest::of(&change);
-        match self.change_ids.seen(&change.change_id, content) {
-            change_ids::Seen::Same(revision) => rules::ChangeOutcome::Accepted { revision },
-            change_ids::Seen::Other(revision) => rules::ChangeOutcome::ChangeIdReused { revision },
-            change_ids::Seen::New => self.change_anew(change, content),
+        match self.change_ids.lookup(&change.change_id, content) {
+            change_ids::ChangeIdLookup::Same(revision) => {
+                rules::ChangeOutcome::Accepted { revision }
+            }
+            change_ids::ChangeIdLookup::Other(revision) => {
+                rules::ChangeOutcome::ChangeIdReused { revision }
+            }
+            change_ids::ChangeIdLookup::New => self.change_anew(change, content),
         }
     }
 
@@ -95,8 +99,7 @@
         }
         self.current.revision.0 += 1;
         let revision = self.current.revision;
-        self.change_ids
-            .remember(&change.change_id, content, revision);
+        self.change_ids.insert(&change.change_id, content, revision);
         self.history
             .push_back(rules::AcceptedChange { revision, change });
         if self.history.len() > self.history_bound {
