--- a/crates/sageshed-state/src/codec.rs
+++ b/crates/sageshed-state/src/codec.rs
@@ -12,7 +12,7 @@
 /// The format version that this build writes, as the first four bytes in little-endian order.
 pub const FORMAT: u32 = 1;
 
-const HEAD_LEN: usize = size_of::<u32>();
+const FORMAT_LEN: usize = size_of::<u32>();
 
 /// An error of encoding or decoding.
 #[derive(Debug, Display, Error)]
@@ -77,7 +77,7 @@
 
 fn read<T: de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     let (head, body) = bytes
-        .split_first_chunk::<HEAD_LEN>()
+        .split_first_chunk::<FORMAT_LEN>()
         .ok_or(Error::Short { len: bytes.len() })?;
     let found = u32::from_le_bytes(*head);
     if found != FORMAT {
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -130,13 +130,13 @@
             return command::Outcome::AlreadyApplied;
         }
         self.applied = index;
-        self.apply_anew(command)
+        self.apply_command(command)
     }
 
-    fn apply_anew(&mut self, command: command::Command) -> command::Outcome {
+    fn apply_command(&mut self, command: command::Command) -> command::Outcome {
         use command::{Command, Outcome};
         match command {
-            Command::Change(change) => Outcome::Change(self.rules.change(change)),
+            Command::Change(change) => Outcome::Change(self.rules.apply_change(change)),
             Command::Claim(claim) => match self.claims.claim(claim) {
                 claim_table::ClaimAttempt::Answer(answer) => Outcome::Claim(answer),
                 claim_table::ClaimAttempt::TooLate => Outcome::ClaimTooLate,
--- a/crates/sageshed-state/src/edit.rs
+++ b/crates/sageshed-state/src/edit.rs
@@ -109,7 +109,7 @@
 pub fn apply(rules: &mut Vec<rules::Rule>, edit: &rules::Edit) -> Result<(), EditError> {
     match edit {
         rules::Edit::Add { rule, position } => add(rules, rule, position),
-        rules::Edit::Move { id, position } => relocate(rules, id, position),
+        rules::Edit::Move { id, position } => move_rule(rules, id, position),
         rules::Edit::Withdraw { id } => withdraw(rules, id),
         rules::Edit::ReplaceAll { rules: new } => replace_all(rules, new),
     }
@@ -136,32 +136,32 @@
         });
     }
     check_count(rules.len() + 1)?;
-    let at = locate(rules, position)?;
+    let at = insertion_index(rules, position)?;
     rules.insert(at, rule.clone());
     Ok(())
 }
 
-fn relocate(
+fn move_rule(
     rules: &mut Vec<rules::Rule>,
     id: &str,
     position: &rules::Position,
 ) -> Result<(), EditError> {
-    let from = find(rules, id).ok_or_else(|| unknown(id))?;
+    let from = find(rules, id).ok_or_else(|| unknown_id(id))?;
     if let rules::Position::Before(other) | rules::Position::After(other) = position {
         if other == id {
             return Err(EditError::RelativeToItself { id: id.to_owned() });
         }
         // Checked before the rule is removed, so that a refused move changes nothing.
-        find(rules, other).ok_or_else(|| unknown(other))?;
+        find(rules, other).ok_or_else(|| unknown_id(other))?;
     }
     let rule = rules.remove(from);
-    let to = locate(rules, position)?;
+    let to = insertion_index(rules, position)?;
     rules.insert(to, rule);
     Ok(())
 }
 
 fn withdraw(rules: &mut Vec<rules::Rule>, id: &str) -> Result<(), EditError> {
-    let at = find(rules, id).ok_or_else(|| unknown(id))?;
+    let at = find(rules, id).ok_or_else(|| unknown_id(id))?;
     rules.remove(at);
     Ok(())
 }
@@ -185,17 +185,17 @@
     rules.iter().position(|rule| rule.id == id)
 }
 
-fn unknown(id: &str) -> EditError {
+fn unknown_id(id: &str) -> EditError {
     EditError::UnknownId { id: id.to_owned() }
 }
 
 /// The index at which a rule is inserted for `position`.
-fn locate(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, EditError> {
+fn insertion_index(rules: &[rules::Rule], position: &rules::Position) -> Result<usize, EditError> {
     match position {
         rules::Position::First => Ok(0),
         rules::Position::Last => Ok(rules.len()),
-        rules::Position::Before(id) => find(rules, id).ok_or_else(|| unknown(id)),
-        rules::Position::After(id) => find(rules, id).map(|i| i + 1).ok_or_else(|| unknown(id)),
+        rules::Position::Before(id) => find(rules, id).ok_or_else(|| unknown_id(id)),
+        rules::Position::After(id) => find(rules, id).map(|i| i + 1).ok_or_else(|| unknown_id(id)),
     }
 }
 
--- a/crates/sageshed-state/src/order_table.rs
+++ b/crates/sageshed-state/src/order_table.rs
@@ -83,16 +83,16 @@
         endpoint: &str,
         incarnation: endpoints::Incarnation,
     ) -> Vec<endpoints::Order> {
-        self.close(|order| order.endpoint == endpoint && order.incarnation < incarnation)
+        self.close_where(|order| order.endpoint == endpoint && order.incarnation < incarnation)
     }
 
     /// Closes all orders to `endpoint`.
     pub fn endpoint_gone(&mut self, endpoint: &str) -> Vec<endpoints::Order> {
-        self.close(|order| order.endpoint == endpoint)
+        self.close_where(|order| order.endpoint == endpoint)
     }
 
     fn issue_one(&mut self, proposed: command::ProposedOrder) -> endpoints::Order {
-        if let Some(open) = self.equal_to(&proposed) {
+        if let Some(open) = self.find_equal(&proposed) {
             return open.clone();
         }
         self.last_order.0 += 1;
@@ -107,7 +107,7 @@
         order
     }
 
-    fn equal_to(&self, proposed: &command::ProposedOrder) -> Option<&endpoints::Order> {
+    fn find_equal(&self, proposed: &command::ProposedOrder) -> Option<&endpoints::Order> {
         self.open.values().find(|open| {
             open.endpoint == proposed.endpoint
                 && open.incarnation == proposed.incarnation
@@ -120,8 +120,11 @@
         self.last_fence
     }
 
-    fn close(&mut self, void: impl Fn(&endpoints::Order) -> bool) -> Vec<endpoints::Order> {
-        let ids = self.open.values().filter(|order| void(order));
+    fn close_where(
+        &mut self,
+        is_void: impl Fn(&endpoints::Order) -> bool,
+    ) -> Vec<endpoints::Order> {
+        let ids = self.open.values().filter(|order| is_void(order));
         let ids: Vec<_> = ids.map(|order| order.order).collect();
         self.settle(&ids)
     }
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -18,7 +18,7 @@
 use crate::{change_ids, edit};
 
 /// The maximum number of changes in a delta. An entry process that is further behind gets a snapshot.
-pub const MAX_DELTA: usize = 256;
+pub const MAX_DELTA_CHANGES: usize = 256;
 
 /// The rules in force and their history.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
     }
 
     /// Applies a change, or returns why it is refused.
-    pub fn change(&mut self, change: rules::Change) -> rules::ChangeOutcome {
+    pub fn apply_change(&mut self, change: rules::Change) -> rules::ChangeOutcome {
         let content = change_ids::ContentDigest::of(&change);
         match self.change_ids.lookup(&change.change_id, content) {
             change_ids::ChangeIdLookup::Same(revision) => {
@@ -63,7 +63,7 @@
             change_ids::ChangeIdLookup::Other(revision) => {
                 rules::ChangeOutcome::ChangeIdReused { revision }
             }
-            change_ids::ChangeIdLookup::New => self.change_anew(change, content),
+            change_ids::ChangeIdLookup::New => self.apply_new_change(change, content),
         }
     }
 
@@ -75,13 +75,13 @@
     pub fn updates_since(&self, revision: rules::Revision) -> messages::ConfigUpdate {
         let behind = self.current.revision.0.saturating_sub(revision.0);
         let behind = usize::try_from(behind).unwrap_or(usize::MAX);
-        if behind > MAX_DELTA.min(self.history.len()) {
+        if behind > MAX_DELTA_CHANGES.min(self.history.len()) {
             return messages::ConfigUpdate::Snapshot(self.current.clone());
         }
-        messages::ConfigUpdate::Delta(self.after(revision))
+        messages::ConfigUpdate::Delta(self.changes_after(revision))
     }
 
-    fn change_anew(
+    fn apply_new_change(
         &mut self,
         change: rules::Change,
         content: change_ids::ContentDigest,
@@ -89,10 +89,10 @@
         if change.base_revision != self.current.revision {
             return rules::ChangeOutcome::Conflict {
                 revision: self.current.revision,
-                between: self.after(change.base_revision),
+                between: self.changes_after(change.base_revision),
             };
         }
-        if let Err(problem) = self.try_edit(&change) {
+        if let Err(problem) = self.apply_edit(&change) {
             return rules::ChangeOutcome::Invalid {
                 problem: problem.to_string(),
             };
@@ -108,12 +108,12 @@
         rules::ChangeOutcome::Accepted { revision }
     }
 
-    fn try_edit(&mut self, change: &rules::Change) -> Result<(), edit::EditError> {
+    fn apply_edit(&mut self, change: &rules::Change) -> Result<(), edit::EditError> {
         edit::check_id(&change.change_id)?;
         edit::apply(&mut self.current.rules, &change.edit)
     }
 
-    fn after(&self, revision: rules::Revision) -> Vec<rules::AcceptedChange> {
+    fn changes_after(&self, revision: rules::Revision) -> Vec<rules::AcceptedChange> {
         self.history
             .iter()
             .filter(|accepted| accepted.revision > revision)
--- a/crates/sageshed-state/src/update.rs
+++ b/crates/sageshed-state/src/update.rs
@@ -37,12 +37,12 @@
 /// Applies `update` to the copy `set`.
 pub fn apply_update(set: &mut rules::RuleSet, update: messages::ConfigUpdate) -> UpdateOutcome {
     match update {
-        messages::ConfigUpdate::Snapshot(whole) => replace(set, whole),
-        messages::ConfigUpdate::Delta(changes) => advance(set, &changes),
+        messages::ConfigUpdate::Snapshot(whole) => apply_snapshot(set, whole),
+        messages::ConfigUpdate::Delta(changes) => apply_delta(set, &changes),
     }
 }
 
-fn replace(set: &mut rules::RuleSet, whole: rules::RuleSet) -> UpdateOutcome {
+fn apply_snapshot(set: &mut rules::RuleSet, whole: rules::RuleSet) -> UpdateOutcome {
     if whole.revision <= set.revision {
         return UpdateOutcome::UpToDate;
     }
@@ -51,7 +51,7 @@
 }
 
 /// Applies the changes to a clone, so that a failure halfway leaves the copy unchanged.
-fn advance(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> UpdateOutcome {
+fn apply_delta(set: &mut rules::RuleSet, changes: &[rules::AcceptedChange]) -> UpdateOutcome {
     let newer = changes
         .iter()
         .filter(|accepted| accepted.revision > set.revision);
@@ -70,5 +70,5 @@
         }
         next.revision = came;
     }
-    replace(set, next)
+    apply_snapshot(set, next)
 }
--- a/crates/sageshed-state/tests/rules.rs
+++ b/crates/sageshed-state/tests/rules.rs
@@ -43,7 +43,7 @@
     let mut log = rule_log::RuleLog::new(KEPT_CHANGES, KEPT_IDS);
     for (base, id) in ["a", "b", "c"].into_iter().enumerate() {
         let change = change(&format!("add-{id}"), base as u64, add(rule(id)));
-        assert_eq!(log.change(change), accepted(base as u64 + 1));
+        assert_eq!(log.apply_change(change), accepted(base as u64 + 1));
     }
     log
 }
@@ -55,7 +55,7 @@
 fn a_copy_older_than_the_history_gets_a_snapshot() {
     let mut log = rule_log::RuleLog::new(2, KEPT_IDS);
     for (base, id) in ["a", "b", "c"].into_iter().enumerate() {
-        log.change(change(id, base as u64, add(rule(id))));
+        log.apply_change(change(id, base as u64, add(rule(id))));
     }
     let delta = log.updates_since(rules::Revision(1));
     assert!(matches!(delta, messages::ConfigUpdate::Delta(changes) if changes.len() == 2));
@@ -73,7 +73,7 @@
             rules::Edit::Withdraw { id: "a".to_owned() }
         };
         assert_eq!(
-            log.change(change(&format!("change-{base}"), base, edit)),
+            log.apply_change(change(&format!("change-{base}"), base, edit)),
             accepted(base + 1)
         );
     }
@@ -91,8 +91,8 @@
 fn the_second_of_two_concurrent_changes_gets_the_changes_in_between() {
     let mut log = abc();
     let first = change("first", 3, add(rule("d")));
-    assert_eq!(log.change(first.clone()), accepted(4));
-    let second = log.change(change("second", 3, add(rule("e"))));
+    assert_eq!(log.apply_change(first.clone()), accepted(4));
+    let second = log.apply_change(change("second", 3, add(rule("e"))));
     let between = vec![rules::AcceptedChange {
         revision: rules::Revision(4),
         change: first,
@@ -113,9 +113,12 @@
 fn a_retried_change_gets_the_first_outcome() {
     let mut log = abc();
     let first = change("first", 3, add(rule("d")));
-    assert_eq!(log.change(first.clone()), accepted(4));
-    assert_eq!(log.change(change("next", 4, add(rule("e")))), accepted(5));
-    assert_eq!(log.change(first), accepted(4));
+    assert_eq!(log.apply_change(first.clone()), accepted(4));
+    assert_eq!(
+        log.apply_change(change("next", 4, add(rule("e")))),
+        accepted(5)
+    );
+    assert_eq!(log.apply_change(first), accepted(4));
     assert_eq!(ids(log.current()), "a b c d e");
 
     let by_another = rules::Change {
@@ -133,7 +136,7 @@
         let reused = rules::ChangeOutcome::ChangeIdReused {
             revision: rules::Revision(4),
         };
-        assert_eq!(log.change(other), reused, "{label}");
+        assert_eq!(log.apply_change(other), reused, "{label}");
     }
     assert_eq!(log.current().revision, rules::Revision(5));
 }
@@ -144,14 +147,14 @@
 fn a_retry_with_an_evicted_change_id_is_a_conflict() {
     let mut log = long(KEPT_IDS as u64 + 1);
     let state = log.clone();
-    let again = log.change(change("change-0", 0, add(rule("a"))));
+    let again = log.apply_change(change("change-0", 0, add(rule("a"))));
     assert!(
         matches!(again, rules::ChangeOutcome::Conflict { .. }),
         "{again:?}"
     );
     assert_eq!(log, state);
     let remembered = change("change-1", 1, rules::Edit::Withdraw { id: "a".to_owned() });
-    assert_eq!(log.change(remembered), accepted(2));
+    assert_eq!(log.apply_change(remembered), accepted(2));
 }
 
 #[test]
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -68,7 +68,7 @@
 fn check_edit(case: EditCase) {
     let label = format!("{:?}", case.edit);
     let mut log = abc();
-    let outcome = log.change(change("id", 3, case.edit));
+    let outcome = log.apply_change(change("id", 3, case.edit));
     let ids: Vec<_> = log.current().rules.iter().map(|r| r.id.as_str()).collect();
     match outcome {
         rules::ChangeOutcome::Accepted { revision } => {
@@ -99,7 +99,7 @@
             rule: Box::new(rule),
             position: rules::Position::Last,
         };
-        log.change(change(id, base, edit));
+        log.apply_change(change(id, base, edit));
     }
     log
 }
