--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -236,7 +236,7 @@
 
     /// Advances the clock to `unix_ms`, unless that is earlier, and removes the claims whose retention is
     /// over. Returns the number of these claims.
-    pub fn clock(&mut self, unix_ms: u64) -> usize {
+    pub fn advance_clock(&mut self, unix_ms: u64) -> usize {
         self.unix_ms = unix_ms.max(self.unix_ms);
         self.set_expiries();
         let mut expired = 0;
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -149,7 +149,7 @@
                 let unknown = self.claims.holder_gone(&vm, incarnation_below);
                 Outcome::HolderGone { unknown }
             }
-            Command::Clock { unix_ms } => self.clock(unix_ms),
+            Command::Clock { unix_ms } => self.advance_clock(unix_ms),
             Command::LeaderStarted { term } => {
                 let fence = self.orders.leader_started(term);
                 Outcome::LeaderStarted { fence }
@@ -192,8 +192,8 @@
         }
     }
 
-    fn clock(&mut self, unix_ms: u64) -> command::Outcome {
-        let expired = self.claims.clock(unix_ms);
+    fn advance_clock(&mut self, unix_ms: u64) -> command::Outcome {
+        let expired = self.claims.advance_clock(unix_ms);
         command::Outcome::Clock {
             unix_ms: self.claims.unix_ms(),
             expired,
--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -181,8 +181,8 @@
     assert_eq!(ask(&mut table, "a", second()), running(first()));
     settle(&mut table, "a", first(), ran(b"x"));
     assert_eq!(ask(&mut table, "d", second()), full);
-    table.clock(10);
-    table.clock(10 + RETENTION);
+    table.advance_clock(10);
+    table.advance_clock(10 + RETENTION);
     assert_eq!(ask(&mut table, "d", second()), granted());
 }
 
@@ -195,8 +195,8 @@
     }
     assert_eq!(ask(&mut table, "a", second()), kept(Some(answer(b"1234"))));
     assert_eq!(ask(&mut table, "b", second()), kept(None));
-    table.clock(1);
-    assert_eq!(table.clock(1 + RETENTION), 2);
+    table.advance_clock(1);
+    assert_eq!(table.advance_clock(1 + RETENTION), 2);
     ask(&mut table, "c", first());
     settle(&mut table, "c", first(), ran(b"5678"));
     assert_eq!(ask(&mut table, "c", second()), kept(Some(answer(b"5678"))));
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -135,7 +135,7 @@
                 table.holder_gone(&vm, endpoints::Incarnation(below));
             }
             Step::Clock(unix_ms) => {
-                table.clock(unix_ms);
+                table.advance_clock(unix_ms);
             }
         }
     }
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -293,8 +293,8 @@
         self.clocks -= 1;
         // The first reading stamps what was settled, the second is past its retention.
         let now = self.table.unix_ms() + 1;
-        self.table.clock(now);
-        let forgotten = self.table.clock(now + RETENTION.0 + 1);
+        self.table.advance_clock(now);
+        let forgotten = self.table.advance_clock(now + RETENTION.0 + 1);
         if forgotten > 0 {
             self.runs = 0;
         }
