--- a/crates/sageshed-quorum/src/config.rs
+++ b/crates/sageshed-quorum/src/config.rs
@@ -1,48 +1,50 @@
-//! Settings of a node, and the guards that only a model checker turns off.
+//! Settings of a node, and the safety guards that only a model checker or a test turns off.
 
 use sageshed_types::time;
 
 use crate::log;
 
-/// Settings of one node. All nodes of a group use the same times.
+/// Settings of one node. All nodes of a group must use the same times.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// This node.
+    /// The id of this node.
     pub id: log::NodeId,
-    /// The least time without a leader's message after which an election starts, in milliseconds.
-    /// Each wait is drawn from this up to twice this. A leader that has heard no majority for this
-    /// long steps down, and a node that has heard its leader within it grants no vote.
+    /// The minimum election timeout in milliseconds: an election starts when no message of a leader has
+    /// arrived for a random time from this up to twice this value. A leader without contact to a majority
+    /// for this long steps down, and a node that has heard from its leader within this time grants no
+    /// vote.
     pub election_timeout: time::Millis,
     /// The time between a leader's heartbeats, in milliseconds.
     pub heartbeat_interval: time::Millis,
-    /// How far two clocks may drift apart within one election timeout, in milliseconds. Taken off
-    /// the end of a leader's lease.
+    /// The maximum drift between two clocks within one election timeout, in milliseconds. A leader's
+    /// lease is shortened by it.
     pub drift_margin: time::Millis,
-    /// The most bytes of commands in one message, unless a single entry is larger.
+    /// The maximum size of the commands in one message, in bytes, unless a single entry is larger.
     pub max_batch_bytes: usize,
-    /// The most append messages under way to one peer.
+    /// The maximum number of unacknowledged append messages to one peer.
     pub max_in_flight: u32,
-    /// The most entries that a leader holds uncommitted; further proposals are refused.
+    /// The maximum number of uncommitted entries of a leader. Further proposals are refused.
     pub max_uncommitted: u64,
-    /// How many entries a learner may lack and still be promoted.
+    /// The maximum number of entries that a learner may lack when it is promoted.
     pub max_promotion_lag: u64,
-    /// Heartbeats without an answer to an append after which it is sent again.
+    /// The number of heartbeats without an acknowledgement after which an append is sent again.
     pub append_retry_heartbeats: u32,
-    /// Bytes under way to a peer for which one more heartbeat is waited, of an append or a snapshot.
+    /// The number of unacknowledged bytes of an append or a snapshot for which the retry is delayed by one
+    /// more heartbeat.
     pub bytes_per_heartbeat: usize,
-    /// Heartbeats without an answer to a snapshot after which it is sent again. Larger, since the
-    /// receiver writes and syncs the whole of it before it answers.
+    /// The number of heartbeats without an acknowledgement after which a snapshot is sent again. Larger
+    /// than for appends, since the receiver writes and syncs the whole snapshot before it replies.
     pub snapshot_retry_heartbeats: u32,
-    /// Whether a node that starts again asks its last leader whether its promise still binds it, in
-    /// place of waiting for an election timeout. Off where a leader grants leases to others, as they
-    /// may outlive its process.
+    /// Whether a node asks its last leader after a restart whether its promise not to vote still holds,
+    /// instead of waiting for an election timeout. Must be off where a leader grants leases to others,
+    /// since these may outlive its process.
     pub restart_check_enabled: bool,
-    /// See [`Guards`]. Products leave the default.
+    /// The safety guards. In production all are on.
     pub guards: Guards,
 }
 
 impl Config {
-    /// The settings for VMs a millisecond or two apart that sync a write within 100 ms.
+    /// Settings for VMs with a latency of 1 to 2 ms between them that sync a write within 100 ms.
     #[must_use]
     pub fn new(id: log::NodeId) -> Self {
         Self {
@@ -62,48 +64,48 @@
         }
     }
 
-    /// How long after a majority has asked the former leader it stands for election: its answers have
-    /// arrived by then. Also the time between two such questions. A quarter of the time between
-    /// heartbeats, which is several times the way between VMs.
+    /// How long the former leader waits before it campaigns after a majority has sent it leader checks, so
+    /// that its replies arrive first. Also the time between two leader checks. A quarter of the heartbeat
+    /// interval, which is several times the latency between VMs.
     pub(crate) fn start_delay(&self) -> time::Millis {
         time::Millis((self.heartbeat_interval.0 / 4).max(1))
     }
 }
 
-/// What keeps the log safe, each of which can be taken away to see that it is needed.
+/// The mechanisms that keep the log safe. Each can be turned off to show that it is needed.
 ///
-/// All are on by default. Only the model checker and tests turn one off; the product never sets
-/// this.
+/// All are on by default. Only the model checker and tests turn one off.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is one independent switch of a checker"
 )]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Guards {
-    /// A node is named by VM and disk generation. Off: a node without a place in the membership
-    /// takes that of the same VM, so an emptied disk goes on voting under its old name.
+    /// A node is identified by its VM and disk generation. If off, a node that is not in the membership
+    /// takes the id of the member on the same VM, so that an emptied disk continues to vote under its old
+    /// id.
     pub generation: bool,
-    /// An election begins with a round that asks whether it could be won.
+    /// An election begins with a pre-vote, which asks whether the election could be won.
     pub pre_vote: bool,
-    /// A leader that has not heard a majority for an election timeout steps down.
+    /// A leader without contact to a majority for an election timeout steps down.
     pub check_quorum: bool,
-    /// A node that has heard its leader within the election timeout grants no vote.
+    /// A node that has heard from its leader within the election timeout grants no vote.
     pub stickiness: bool,
-    /// Votes go only to candidates whose log holds all that the voter's does.
+    /// Votes are granted only to candidates whose log is at least as up to date as the voter's.
     pub up_to_date: bool,
     /// Acknowledgements are counted only for entries of the leader's own term.
     pub own_term_commit: bool,
-    /// A membership change waits until the one before is committed.
+    /// A membership change is refused until the previous one is committed.
     pub single_change: bool,
-    /// A membership change waits until the leader has committed an entry of its own term.
+    /// A membership change is refused until the leader has committed an entry of its own term.
     pub own_term_change: bool,
     /// Only a learner that has caught up is promoted.
     pub caught_up: bool,
-    /// A read waits until a majority has answered a heartbeat sent after it arrived.
+    /// A read waits until a majority has answered a heartbeat sent after the read arrived.
     pub read_round: bool,
-    /// What is to be on disk is synced before any message that depends on it.
+    /// Writes are synced before any message that depends on them is sent.
     pub sync: bool,
-    /// A node that starts again is released from its promise only by the leader that it gave it to.
+    /// After a restart, only the leader to which a node promised not to vote can release it from that.
     pub restart_check: bool,
 }
 
--- a/crates/sageshed-quorum/src/event.rs
+++ b/crates/sageshed-quorum/src/event.rs
@@ -1,138 +1,142 @@
-//! What happens to a node, and what it wants done.
+//! Input of a node, and the actions that it requests from its driver.
 
 use crate::{log, message};
 
-/// Something that happened to a node.
+/// An input of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time went on. Raises the timer events below when they are due. Deliver it at
+    /// Time has advanced. Triggers the timer events below when they are due. To be delivered at
     /// [`Node::next_deadline`](crate::node::Node::next_deadline) at the latest.
     Tick,
-    /// The election timer ran out. Drivers leave this to [`Event::Tick`]; a checker raises it.
-    /// Raised before its time it breaks the promise on which leases rest, and nothing else.
+    /// The election timer has expired. Drivers leave this to [`Event::Tick`], a model checker raises it
+    /// directly. If it is raised early, it breaks the promise on which leases rest, and nothing else.
     ElectionTimeout,
-    /// A heartbeat is due. Drivers leave this to [`Event::Tick`]; a checker raises it.
+    /// A heartbeat is due. Drivers leave this to [`Event::Tick`], a model checker raises it directly.
     HeartbeatDue,
-    /// No majority was heard for an election timeout. Raised by the node itself before any event
-    /// that comes too late, so that a process that was frozen does nothing as leader afterwards.
-    /// A checker raises it at will: a leader may step down at any time.
+    /// The leader had no contact with a majority for an election timeout. The node raises it by itself
+    /// before it handles any later event, so that a process that was suspended does nothing as leader
+    /// afterwards. A model checker may raise it at any time, since a leader may step down at any time.
     QuorumLost,
-    /// A message came in.
+    /// A message was received.
     Message {
-        /// Who sent it: VM and generation as the sender gave them.
+        /// The VM and generation given by the sender.
         from: log::NodeId,
         /// The message.
         message: message::Message,
     },
-    /// Append a command. Answered by [`Action::Proposed`] or [`Action::Rejected`].
+    /// Appends a command. The result is [`Action::Proposed`] or [`Action::Rejected`].
     Propose {
-        /// Named in the answer.
+        /// Returned in the result.
         correlation_id: u64,
         /// The command.
         payload: Vec<u8>,
     },
-    /// Change the membership. Answered as [`Event::Propose`] is.
+    /// Changes the membership. The result is [`Action::Proposed`] or [`Action::Rejected`].
     ChangeMembership {
-        /// Named in the answer.
+        /// Returned in the result.
         correlation_id: u64,
         /// The change.
         change: Change,
     },
-    /// Ask for an index such that a state machine which has applied it shows all that was
-    /// committed before this event. Answered by [`Action::ReadReady`] or [`Action::Rejected`].
+    /// Requests an index for a linearizable read: a state machine that has applied this index reflects
+    /// everything that was committed before this event. The result is [`Action::ReadReady`] or
+    /// [`Action::Rejected`].
     ReadIndex {
-        /// Named in the answer.
+        /// Returned in the result.
         correlation_id: u64,
     },
-    /// The driver has made and synced a snapshot of what was applied. Its head comes from
-    /// [`Node::build_snapshot`](crate::node::Node::build_snapshot). A driver that hands it over only
-    /// once some more entries are applied spares peers that are slightly behind the snapshot. If a
-    /// received snapshot came in the meantime ([`Action::Restore`]), the later one stays on disk:
-    /// the log starts where it ends.
+    /// The driver has written and synced a snapshot of the state machine, built by
+    /// [`Node::build_snapshot`](crate::node::Node::build_snapshot). If the driver raises this event only
+    /// after some more entries are applied, peers that are slightly behind the snapshot can still be
+    /// served from the log. If a snapshot was received in the meantime ([`Action::Restore`]), the later
+    /// one stays on disk, and the log starts after it.
     Compact {
         /// The snapshot.
         snapshot: log::Snapshot,
     },
 }
 
-/// A change of membership, one node at a time.
+/// A change of the membership by one node.
 ///
-/// There is no change that puts one voter in another's place. It would not be safe: with {V1, V2,
-/// V3} and {V1', V2, V3}, the majorities {V1, V2} and {V1', V3} share nobody, so each could elect
-/// a leader or commit an entry without the other as long as V1 may still answer, if only by a
-/// delayed message. A lost disk is repaired by [`Change::AddLearner`] for the new generation, and
-/// once that has caught up by [`Change::Remove`] of the old and [`Change::Promote`] of the new, in
-/// either order. Removing first leaves two voters, both needed, as both were before the change.
-/// Promoting first makes it four voters of which the three live ones are needed, one more than
-/// before: choose it only if the old one may still be alive.
+/// There is no change that replaces a voter in one step, since that would not be safe: of {V1, V2, V3}
+/// and {V1', V2, V3}, the majorities {V1, V2} and {V1', V3} are disjoint. Each could elect a leader or
+/// commit an entry without the other as long as V1 may still respond, if only by a delayed message.
+///
+/// A lost disk is repaired by [`Change::AddLearner`] for the new generation, and after that has caught
+/// up by [`Change::Remove`] of the old and [`Change::Promote`] of the new one, in either order. Of three
+/// voters, removing first leaves two, which are both needed, as they were before the change. Promoting
+/// first results in four voters, of which the three live ones are needed, one more than before. This
+/// order is only useful if the old one may still be alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Change {
-    /// Send the log to a node that doesn't count yet.
+    /// Adds a node that receives the log and does not vote.
     AddLearner(log::NodeId),
-    /// Make a learner that has caught up a voter.
+    /// Makes a learner that has caught up a voter.
     Promote(log::NodeId),
-    /// Take out a voter or learner.
+    /// Removes a voter or learner.
     Remove(log::NodeId),
 }
 
-/// What the driver has to do, strictly in the order given.
+/// An action that the driver has to carry out. Actions must be carried out in the order given.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Write and sync. Nothing later in the list may be done before that has succeeded: messages
-    /// promise what is written, and a crash must not take it back. If it fails, stop the process.
+    /// Write and sync. No later action may begin before this has succeeded, since messages acknowledge
+    /// what is written and a crash must not undo it. If it fails, the process must stop.
     Persist(log::LogWrite),
-    /// Send a message. It may be lost, late, doubled or out of order.
+    /// Send a message. Messages may be lost, delayed, duplicated or reordered.
     Send {
-        /// To whom.
+        /// The receiver.
         to: log::NodeId,
         /// The message.
         message: message::Message,
     },
-    /// These entries are committed: apply them, in order. Never empty.
+    /// Apply these committed entries, in order. Never empty.
     ///
-    /// This decides the fate of a proposal. If an entry with the proposal's index and term comes by
-    /// here it is committed; if an entry with its index and another term does, or a snapshot
-    /// restored covers its index, the proposal is lost or its fate can only be read from the state
-    /// machine. Until one of these its fate is open, also after [`Action::SteppedDown`].
+    /// This determines the outcome of a proposal. The proposal is committed if an entry with its index
+    /// and term is applied. If an entry with its index and another term is applied, it is lost. If a
+    /// restored snapshot covers its index, its outcome can only be found in the state machine. Until one
+    /// of these happens its outcome is open, also after [`Action::SteppedDown`].
     Apply(Vec<log::Entry>),
     /// Replace the state machine by this snapshot, which an earlier [`Action::Persist`] wrote.
     Restore(log::Snapshot),
-    /// Entries up to here may go from disk: the snapshot of [`Event::Compact`] stands for them.
+    /// Entries up to this index may be deleted from disk: the snapshot of [`Event::Compact`] replaces
+    /// them.
     Compacted {
-        /// The last of them.
+        /// The index of the last of them.
         index: log::Index,
     },
-    /// A proposal is in the leader's log, not yet committed. See [`Action::Apply`].
+    /// A proposal was appended to the leader's log and is not committed yet. See [`Action::Apply`].
     Proposed {
-        /// Of the proposal.
+        /// The proposal's id.
         correlation_id: u64,
-        /// Where it is in the log.
+        /// The index of the proposal's entry.
         index: log::Index,
         /// The leader's term.
         term: log::Term,
     },
-    /// A proposal, change or read was refused and had no effect.
+    /// A proposal, membership change or read was refused and had no effect.
     Rejected {
-        /// Of the refused event.
+        /// The id of the refused event.
         correlation_id: u64,
-        /// Who leads as far as is known.
+        /// The leader, if known.
         leader: Option<log::NodeId>,
-        /// Why.
+        /// Why it was refused.
         reason: Reason,
     },
     /// A read may be served by a state machine that has applied `index`.
     ReadReady {
-        /// Of the read.
+        /// The read's id.
         correlation_id: u64,
-        /// What must have been applied.
+        /// The index that must have been applied.
         index: log::Index,
     },
-    /// This node leads from now on.
+    /// This node has become the leader.
     BecameLeader {
         /// Its term.
         term: log::Term,
     },
-    /// This node leads no longer. Reads under way have been rejected; proposals are open.
+    /// This node is no longer the leader. Pending reads have been rejected, the outcome of proposals is
+    /// open.
     SteppedDown {
         /// The term in which it led.
         term: log::Term,
@@ -142,22 +146,22 @@
 /// Why an event was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
-    /// This node does not lead, or no longer.
+    /// This node is not, or no longer, the leader.
     NotLeader,
-    /// The leader has committed nothing in its own term yet. Try again.
+    /// The leader has not committed an entry of its own term yet. Retry.
     NotReady,
-    /// Too much is uncommitted. Try again later.
+    /// Too many entries are uncommitted. Retry later.
     Overloaded,
-    /// The membership change before is not committed yet. Try again.
+    /// The previous membership change is not committed yet. Retry.
     ChangePending,
-    /// The node is a member already.
+    /// The node is already a member.
     AlreadyMember,
-    /// The node is no member.
+    /// The node is not a member.
     NotMember,
-    /// Only a learner is promoted.
+    /// The node to promote is not a learner.
     NotLearner,
-    /// The learner lacks too many entries. Try again later.
+    /// The learner lacks too many entries. Retry later.
     NotCaughtUp,
-    /// The last voter can't be removed.
+    /// The last voter cannot be removed.
     LastVoter,
 }
--- a/crates/sageshed-quorum/src/lib.rs
+++ b/crates/sageshed-quorum/src/lib.rs
@@ -1,10 +1,19 @@
-//! Pure replicated log: election, replication, membership change and snapshots.
+//! A replicated log based on Raft: election, replication, membership changes and snapshots.
 //!
-//! [`node::Node`] is one member: a state machine that takes [`event::Event`]s and gives
-//! [`event::Action`]s, without clock, threads or I/O. [`log`] has what is kept on disk,
-//! [`message`] what members tell each other, [`config`] the settings and [`status`] what operators
-//! see, [`repair`] how a group grows and replaces members. The algorithm is described at [`node`], the
-//! duties of a driver at [`event::Action`].
+//! [`node::Node`] is one member of the group: a state machine that consumes [`event::Event`]s and
+//! returns [`event::Action`]s, without a clock, threads or I/O. The driver that runs it must carry out
+//! the actions as described at [`event::Action`]. The algorithm is described at [`node`].
+//!
+//! | module | contents |
+//! |---|---|
+//! | [`node`] | a member of the group |
+//! | [`event`] | input of a node, and the actions that it requests |
+//! | [`message`] | messages between nodes |
+//! | [`log`] | persistent data: terms, entries, memberships and snapshots |
+//! | [`config`] | settings of a node |
+//! | [`repair`] | when a group adds, promotes and removes members by itself |
+//! | [`state`] | the state that a model checker compares |
+//! | [`status`] | the status shown to operators |
 
 pub mod config;
 pub mod event;
--- a/crates/sageshed-quorum/src/log.rs
+++ b/crates/sageshed-quorum/src/log.rs
@@ -1,21 +1,21 @@
-//! What a voter keeps on disk: terms, entries, memberships, snapshots and the writes that change
+//! Persistent data of a node: terms, entries, memberships and snapshots, and the writes that change
 //! them.
 
 use std::{collections, fmt};
 
 use serde::{Deserialize, Serialize};
 
-/// A voter or learner: a VM together with the generation of its disk.
+/// Identifies a node by its VM and the generation of the VM's disk.
 ///
-/// A VM whose data folder is empty or damaged has forgotten its votes and entries. It comes back
-/// under a generation that this VM has never used before, and so as another node, which no
-/// membership contains yet. Without that it could vote again in a term in which it has voted, or
-/// elect a leader that lacks what it had acknowledged.
+/// A VM whose data folder is empty or damaged has lost its votes and entries. It starts with a
+/// generation that this VM has never used before, and thereby as a new node that is not in any
+/// membership yet. Otherwise it could vote twice in one term, or elect a leader that lacks entries
+/// which it had acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
     /// The VM's number from the settings.
     pub vm: u32,
-    /// The generation of its disk, never used twice on one VM.
+    /// The generation of the disk. Never reused on the same VM.
     pub generation: u64,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The number of an election. At most one leader exists in each; zero comes before the first.
+/// The number of an election. There is at most one leader in each term. Zero is before the first.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -46,7 +46,7 @@
     }
 }
 
-/// The position of an entry in the log. The first entry has index one; zero is before it.
+/// The index of an entry in the log. The first entry has index one, zero is before it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -73,9 +73,10 @@
     }
 }
 
-/// The term and index of an entry, which together name its content and that of all before it.
+/// The term and index of an entry, which together identify its content and that of all entries before
+/// it.
 ///
-/// Ordered by term first: the order in which logs are compared in an election.
+/// Ordered by term first, which is the order in which logs are compared in an election.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -86,26 +87,26 @@
     pub index: Index,
 }
 
-/// What must be on disk before any message of a term goes out.
+/// The term and vote, which must be on disk before any message of the term is sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term this node has seen.
+    /// The latest term that this node has seen.
     pub term: Term,
-    /// The candidate that got this node's vote in that term.
+    /// The candidate that this node voted for in that term, or the term's leader.
     pub voted_for: Option<NodeId>,
 }
 
-/// The nodes that hold the log.
+/// The nodes that replicate the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
     /// Nodes that vote and whose acknowledgements count.
     pub voters: collections::BTreeSet<NodeId>,
-    /// Nodes that receive the log without counting for anything.
+    /// Nodes that receive the log but neither vote nor count for a majority.
     pub learners: collections::BTreeSet<NodeId>,
 }
 
 impl Membership {
-    /// A membership of voters alone.
+    /// A membership without learners.
     #[must_use]
     pub fn of_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Self {
@@ -120,13 +121,13 @@
         self.voters.contains(&id) || self.learners.contains(&id)
     }
 
-    /// How many voters make a majority.
+    /// The number of voters in a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the voters for which `agrees` holds are a majority. Never so without voters.
+    /// Whether the voters for which `agrees` returns true are a majority. False if there are no voters.
     #[must_use]
     pub fn has_majority(&self, agrees: impl Fn(NodeId) -> bool) -> bool {
         let count = self.voters.iter().filter(|id| agrees(**id)).count();
@@ -139,10 +140,10 @@
     }
 }
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryData {
-    /// Nothing: the first entry of a leader, which lets it commit what earlier leaders left.
+    /// Nothing. The first entry of a leader, which allows it to commit the entries of earlier leaders.
     Noop,
     /// A command for the state machine.
     Command(#[serde(with = "crate::bytes")] Vec<u8>),
@@ -153,16 +154,16 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place in the log.
+    /// The index in the log.
     pub index: Index,
-    /// The term whose leader appended it.
+    /// The term whose leader appended the entry.
     pub term: Term,
-    /// What it carries.
+    /// The content.
     pub data: EntryData,
 }
 
 impl Entry {
-    /// Its term and index.
+    /// The term and index of the entry.
     #[must_use]
     pub fn position(&self) -> Position {
         Position {
@@ -172,16 +173,16 @@
     }
 }
 
-/// The state machine after the entry at `index`, in place of the log up to there.
+/// The state machine after the entry at `index`, which replaces the log up to that entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that the snapshot covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: Index,
     /// The term of that entry.
     pub term: Term,
     /// The membership in force at that entry.
     pub membership: Membership,
-    /// The state machine, in its own encoding.
+    /// The encoded state machine.
     #[serde(with = "crate::bytes")]
     pub data: Vec<u8>,
 }
@@ -197,26 +198,27 @@
     }
 }
 
-/// A change to what is on disk, carried out and synced as a whole before what depends on it.
+/// A write to the persistent state. It is carried out and synced completely before any action that
+/// depends on it.
 ///
-/// The parts take effect in the order of the fields. A crash in between may leave any prefix of
-/// that order: nothing was promised yet to anybody.
+/// The parts take effect in the order of the fields. A crash may leave any prefix of that order, which
+/// is safe since nothing was acknowledged yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LogWrite {
     /// The new term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// Entries at and after this index go. There may be none. Before the snapshot, since entries
-    /// that contradict a snapshot must never be found behind it after a crash.
+    /// Deletes the entries at and after this index, if there are any. Comes before the snapshot, since
+    /// entries that contradict a snapshot must not be found after it when the process crashes in between.
     pub truncate_from: Option<Index>,
-    /// A snapshot received from a leader: it replaces the one on disk, and entries up to and
-    /// including its index go. Later ones stay.
+    /// A snapshot received from a leader. It replaces the one on disk, and entries up to and including its
+    /// index are deleted. Later entries stay.
     pub snapshot: Option<Snapshot>,
     /// Entries to append after that, without gaps.
     pub entries: Vec<Entry>,
 }
 
 impl LogWrite {
-    /// Whether there is nothing to write.
+    /// Whether the write changes nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         let Self {
@@ -229,7 +231,7 @@
     }
 }
 
-/// What a node finds on its disk when it starts.
+/// The persistent state of a node, as read from disk when it starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistedState {
     /// The term and vote.
@@ -238,7 +240,7 @@
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
-    /// The membership in force before the first entry: that of the first start, the same on each
-    /// first voter. Empty for a node that waits to be added. Unused where there is a snapshot.
+    /// The membership before the first entry: that with which the group was formed, the same on each of
+    /// its first voters. Empty for a node that waits to be added. Unused if there is a snapshot.
     pub membership: Membership,
 }
--- a/crates/sageshed-quorum/src/message.rs
+++ b/crates/sageshed-quorum/src/message.rs
@@ -7,104 +7,106 @@
 
 /// A message to one node.
 ///
-/// The sender is not part of it: the driver knows from whom it came, by VM and generation.
+/// The sender is not part of the message: the driver supplies it, as VM and generation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// For whom it is. Another generation of the same VM drops it: a heartbeat, say, tells the old
-    /// generation to commit what that one holds, which the new one may hold otherwise.
+    /// The receiver. Another generation of the same VM drops the message. For example, a heartbeat tells
+    /// the old generation up to which index to commit, and the new generation may hold other entries
+    /// there.
     pub to: log::NodeId,
     /// The sender's term.
     pub term: log::Term,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// Would you vote for me in the term after mine?
+    /// Asks whether the receiver would vote for the sender in the next term.
     PreVote(Candidacy),
-    /// The answer to [`Body::PreVote`].
+    /// The reply to [`Body::PreVote`].
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
-        /// The membership that the sender knows to be committed is later than the candidate's and
-        /// lacks the candidate, which should stop asking.
+        /// Whether the candidate has been removed: the newest membership that the sender knows to be
+        /// committed is later than the candidate's and does not contain it. It should stop asking.
         removed: bool,
     },
-    /// Vote for me in this term.
+    /// Requests the receiver's vote in the sender's term.
     Vote(Candidacy),
-    /// The answer to [`Body::Vote`].
+    /// The reply to [`Body::Vote`].
     VoteReply {
         /// Whether the sender has voted for the candidate in this term.
         granted: bool,
     },
     /// Entries to append.
     Append {
-        /// The entry just before them.
+        /// The position of the entry before the first of `entries`.
         prev: log::Position,
         /// The entries, without gaps.
         entries: Vec<log::Entry>,
         /// The last entry that the leader knows to be committed.
         commit: log::Index,
     },
-    /// The log up to here is on the sender's disk as it is on the leader's.
+    /// The sender's log on disk agrees with the leader's up to an entry.
     Accepted {
         /// The last entry known to agree.
         matched: log::Index,
     },
-    /// The entry before those of an append is not in the sender's log.
+    /// The sender's log does not contain the entry before those of an append.
     Rejected {
         /// The index of that entry.
         prev: log::Index,
         /// The last entry that may agree.
         hint: log::Index,
     },
-    /// The leader is there. Keeps elections away and confirms the leader to itself.
+    /// Prevents elections, and confirms to the leader that it still leads.
     Heartbeat {
-        /// Which round of heartbeats this is.
+        /// The round of heartbeats.
         round: Round,
         /// The last committed entry that the receiver is known to hold.
         commit: log::Index,
     },
-    /// The answer to [`Body::Heartbeat`].
+    /// The reply to [`Body::Heartbeat`].
     HeartbeatReply {
-        /// The round of that heartbeat.
+        /// The round of the heartbeat.
         round: Round,
     },
-    /// A snapshot, for a receiver that lacks entries which the leader no longer holds.
-    /// Answered by [`Body::Accepted`].
+    /// A snapshot, for a receiver that lacks entries which the leader no longer holds. The reply is
+    /// [`Body::Accepted`].
     Snapshot(log::Snapshot),
-    /// The receiver's term is over: the sender knows a later one.
+    /// The receiver's term is outdated: the sender knows a later one.
     Stale,
-    /// The sender has started again and may have promised the receiver not to vote: do you lead?
+    /// Asks the receiver whether it still leads. Sent after a restart, when the sender may have promised
+    /// the receiver not to vote.
     LeaderCheck {
-        /// Drawn at the sender's start; comes back in the answer.
+        /// A random number chosen at the sender's start and returned in the reply.
         number: u64,
     },
-    /// The answer to [`Body::LeaderCheck`].
+    /// The reply to [`Body::LeaderCheck`].
     LeaderCheckReply {
-        /// That of the question.
+        /// The number from the request.
         number: u64,
-        /// Whether the sender leads, under the name by which it was asked.
+        /// Whether the sender leads under the node id to which the request was addressed.
         leads: bool,
     },
 }
 
-/// What a candidate shows of its log.
+/// The state of a candidate's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Candidacy {
-    /// Its last entry.
+    /// The position of its last entry.
     pub last: log::Position,
     /// The index of the latest membership in its log.
     pub membership: log::Index,
 }
 
-/// One round of heartbeats, as echoed by those who hear it.
+/// A round of heartbeats. Receivers return it in their replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Round {
-    /// Counts up within a term.
+    /// Increases within a term.
     pub number: u64,
-    /// When the leader began it, on the leader's clock.
+    /// When the leader began the round, on the leader's clock.
     pub started: time::Instant,
 }
--- a/crates/sageshed-quorum/src/state.rs
+++ b/crates/sageshed-quorum/src/state.rs
@@ -1,28 +1,30 @@
-//! The state of a node without its clock.
+//! The state of a node, without settings and timers.
 
 use std::{collections, sync::Arc};
 
 use crate::{entries, log, restart};
 
-/// All of a node but its settings, timers and generator.
+/// The state of a node except its settings, timers and random number generator.
 ///
-/// Two nodes with equal states answer equal timer events, messages and requests alike as long as no
-/// time passes. A model checker that always gives the same instant and raises the timer events
-/// itself can therefore tell states apart by this.
+/// As long as no time passes, two nodes with equal states respond equally to equal timer events,
+/// messages and requests. So a model checker that always passes the same instant and raises the timer
+/// events itself can compare nodes by this state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     pub(crate) hard: log::HardState,
     pub(crate) log: entries::Entries,
-    /// The latest snapshot, for peers that lack what it covers. It ends at the log's base.
+    /// The latest snapshot, for peers that lack entries which it covers. Its last entry is the log's base.
     pub(crate) snapshot: Option<Arc<log::Snapshot>>,
     pub(crate) commit: log::Index,
     pub(crate) role: Role,
     pub(crate) leader: Option<log::NodeId>,
-    /// A leader may count on this node not to vote until an election timeout after it was heard.
+    /// Whether a leader may rely on this node not to vote until an election timeout after the last message
+    /// of the leader.
     pub(crate) heard_leader: bool,
-    /// What matters still of the term in which it was stopped.
+    /// What the node has still to do about its term before the restart.
     pub(crate) start: restart::Start,
-    /// Others have said that this node was removed. It asks for no votes until a leader turns up.
+    /// Whether another node has reported that this node was removed. It does not campaign until it hears
+    /// from a leader.
     pub(crate) removed: bool,
 }
 
@@ -38,35 +40,35 @@
     Leader(Leader),
 }
 
-/// What only a leader knows.
+/// The state of a leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Leader {
-    /// Every other member.
+    /// The replication progress of all other members.
     pub(crate) peers: collections::BTreeMap<log::NodeId, Peer>,
-    /// The latest round of heartbeats.
+    /// The number of the latest round of heartbeats.
     pub(crate) round: u64,
-    /// The entry with which the term began.
+    /// The index of the first entry of the leader's term.
     pub(crate) term_start: log::Index,
-    /// Reads that wait for a round, oldest first.
+    /// Reads that wait for a round of heartbeats, oldest first.
     pub(crate) reads: collections::VecDeque<Read>,
 }
 
-/// How far a leader has got with one peer.
+/// The replication progress of one peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     /// The last entry known to be on its disk.
     pub(crate) matched: log::Index,
-    /// The next entry to send; those between are under way.
+    /// The next entry to send. The entries between `matched` and this one are in flight.
     pub(crate) next: log::Index,
-    /// Where the logs part is not known, so one message at a time.
+    /// Whether it is unknown up to where the logs agree. Only one message at a time is sent then.
     pub(crate) probing: bool,
-    /// A snapshot is under way; rejections are answers to what went before it.
+    /// Whether a snapshot is in flight. Rejections are replies to earlier messages then.
     pub(crate) snapshot: bool,
-    /// Appends under way, at most: a doubled answer counts twice.
+    /// The number of appends in flight, as counted by the replies. A duplicated reply counts twice.
     pub(crate) in_flight: u32,
-    /// Heartbeats since the last progress while something is under way.
+    /// The number of heartbeats since the last progress while something is in flight.
     pub(crate) unanswered: u32,
-    /// The latest round of heartbeats it has answered.
+    /// The latest round of heartbeats that the peer has answered.
     pub(crate) round: u64,
 }
 
@@ -83,16 +85,15 @@
         }
     }
 
-    /// Whether something was sent that it has not acknowledged.
+    /// Whether the peer has not acknowledged everything that was sent to it.
     ///
-    /// The count of appends under way doesn't tell: if an append is lost and an earlier answer
-    /// comes twice, the count is zero, and the peer would lack that append for as long as nothing
-    /// new is proposed.
+    /// `in_flight` does not tell that: if an append is lost and an earlier reply is duplicated, the count
+    /// is zero, and the peer would lack the append until something new is proposed.
     pub(crate) fn awaits_answer(&self) -> bool {
         self.next > self.matched.next()
     }
 
-    /// Forgets what is under way and goes on at `next`.
+    /// Discards what is in flight and continues at `next`.
     pub(crate) fn restart_at(&mut self, next: log::Index) {
         self.next = next;
         self.probing = true;
@@ -106,6 +107,7 @@
 pub(crate) struct Read {
     pub(crate) correlation_id: u64,
     pub(crate) index: log::Index,
-    /// The round that has to be answered; none before the step in which it came is over.
+    /// The round of heartbeats that has to be answered. None until the end of the step in which the read
+    /// arrived.
     pub(crate) round: Option<u64>,
 }
--- a/crates/sageshed-quorum/src/status.rs
+++ b/crates/sageshed-quorum/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node.
+//! The status of a node, as shown to operators.
 
 use std::collections;
 
@@ -7,53 +7,53 @@
 
 use crate::{log, node, state};
 
-/// What a node is doing in its term.
+/// The role of a node in its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// A voter that follows a leader or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// A voter that asks whether it would win an election.
     PreCandidate,
-    /// It asks for votes.
+    /// A voter that requests votes.
     Candidate,
-    /// It leads.
+    /// The leader.
     Leader,
-    /// It receives the log and doesn't vote.
+    /// A member that receives the log and does not vote.
     Learner,
-    /// It is no member: not added yet, or removed.
+    /// Not a member: not added yet, or removed.
     Outside,
 }
 
-/// One node's view of the group.
+/// A node's status and its view of the group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The node.
+    /// The node's id.
     pub id: log::NodeId,
-    /// What it is doing.
+    /// Its role.
     pub role: Role,
     /// Its term.
     pub term: log::Term,
-    /// Who leads, as far as it knows.
+    /// The leader, if known.
     pub leader: Option<log::NodeId>,
-    /// The last entry it knows to be committed, and has given out to be applied.
+    /// The last entry that it knows to be committed and has passed on to be applied.
     pub commit: log::Index,
-    /// Its last entry.
+    /// The last entry of its log.
     pub last: log::Index,
     /// The last entry that its snapshot covers, or zero.
     pub snapshot: log::Index,
-    /// The membership in force.
+    /// The latest membership in its log.
     pub membership: log::Membership,
     /// For a leader: the last entry known to be on each other member's disk.
     pub matched: collections::BTreeMap<log::NodeId, log::Index>,
-    /// For a leader: when it began the latest round of heartbeats that each other member answered.
+    /// For a leader: when the latest round of heartbeats answered by each other member began.
     pub answered: collections::BTreeMap<log::NodeId, time::Instant>,
     /// For a leader: see [`node::Node::has_quorum_until`].
     pub quorum_until: Option<time::Instant>,
 }
 
 impl Status {
-    /// Of a node before its log is running.
+    /// The status of a node whose log is not running yet.
     #[must_use]
     pub fn outside(id: log::NodeId) -> Self {
         Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Whether it leads at `now`, and has heard a majority lately enough to know that no other does.
+    /// Whether it leads at `now`, and its contact to a majority is recent enough to exclude another leader.
     #[must_use]
     pub fn leads_at(&self, now: time::Instant) -> bool {
         self.role == Role::Leader && self.quorum_until.is_some_and(|until| now < until)
@@ -79,7 +79,7 @@
 }
 
 impl node::Node {
-    /// What operators see of this node.
+    /// The status of this node.
     #[must_use]
     pub fn status(&self) -> Status {
         let state = &self.state;
