--- a/crates/sageshed-quorum/src/bytes.rs
+++ b/crates/sageshed-quorum/src/bytes.rs
@@ -1,7 +1,7 @@
-//! Serializes `Vec<u8>` as one byte string rather than as a sequence of numbers.
+//! Serializes `Vec<u8>` as a byte string instead of a sequence of numbers.
 //!
-//! A binary codec writes a sequence of `u8` element by element, which costs up to two bytes for
-//! each one and a call for each. Commands and snapshots are the bulk of what is sent and stored.
+//! A binary codec writes a sequence of `u8` element by element, which takes up to two bytes and a
+//! function call for each element. Commands and snapshots are most of the data that is sent and stored.
 
 use std::fmt;
 
--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the leader's knowledge that it still is one.
+//! Elections: pre-vote, vote, and the time until which a leader knows that there is no other leader.
 
 use std::collections;
 
@@ -7,12 +7,12 @@
 use crate::{event, log, message, node, output, restart, state};
 
 impl node::Node {
-    /// The instant until which no other leader can have been elected, on this node's clock.
+    /// The instant until which no other leader can be elected, on this node's clock.
     ///
-    /// None unless this node leads and has committed an entry of its own term, without which it
-    /// doesn't know all that earlier leaders have committed. Compare with the clock at the moment
-    /// of the decision, not with that of the last event. Until then what is applied here may be
-    /// read, or a lease granted that ends by then, without asking anybody.
+    /// None unless this node leads and has committed an entry of its own term, since before that it does
+    /// not know all entries that earlier leaders have committed. Compare it with the clock at the time of
+    /// the decision, not at the time of the last event. Until this instant the leader may serve reads from
+    /// the applied state and grant leases that end by then, without contacting other nodes.
     #[must_use]
     pub fn has_quorum_until(&self) -> Option<time::Instant> {
         let state::Role::Leader(leader) = &self.state.role else {
@@ -25,7 +25,7 @@
         Some(time::Instant(end.0.saturating_sub(self.cfg.drift_margin.0)))
     }
 
-    /// When the latest round began that a majority of voters has answered.
+    /// When the latest round of heartbeats that a majority of voters has answered began.
     fn quorum_heard(&self) -> Option<time::Instant> {
         let membership = self.state.log.membership();
         let answered = |id: &log::NodeId| {
@@ -40,7 +40,7 @@
         instants.get(membership.majority() - 1).copied().flatten()
     }
 
-    /// When this node, as leader, has to step down for want of answers.
+    /// When this node, as leader, has to step down unless a majority answers a newer round of heartbeats.
     pub(crate) fn quorum_deadline(&self) -> time::Instant {
         let since = self
             .quorum_heard()
@@ -102,7 +102,7 @@
         }
     }
 
-    /// `term` is the candidate's present one; it asks about the next.
+    /// Handles a pre-vote request. `term` is the candidate's current term, and it asks about the next one.
     pub(crate) fn on_pre_vote(
         &mut self,
         from: log::NodeId,
@@ -126,8 +126,8 @@
         candidacy: message::Candidacy,
         out: &mut output::Output,
     ) {
-        // Not even the term is taken over: it would make the leader step down, which every message
-        // of a removed node, or of one that was cut off, could then do.
+        // The candidate's term is not adopted either: that would make the leader step down whenever a
+        // removed or partitioned node requests votes.
         if self.must_not_vote() {
             return;
         }
@@ -152,14 +152,16 @@
         self.send(from, message::Body::VoteReply { granted }, out);
     }
 
-    /// A leader counts on this node: it leads itself, or has heard one within the timeout.
+    /// Whether a leader relies on this node not to vote: this node leads, or has heard from a leader within
+    /// the election timeout.
     fn must_not_vote(&self) -> bool {
         let heard = self.state.heard_leader
             && self.timers.now.since(self.timers.heard) < self.cfg.election_timeout;
         self.cfg.guards.stickiness && (heard || self.is_leader())
     }
 
-    /// Whether the candidate's log holds all that this one does, and this node is a voter in it.
+    /// Whether the candidate's log is at least as up to date as this node's, and this node is a voter by
+    /// the candidate's log.
     fn may_vote_for(&self, candidacy: message::Candidacy) -> bool {
         let log = &self.state.log;
         let voter = log.membership().voters.contains(&self.cfg.id)
@@ -206,9 +208,10 @@
         }
     }
 
-    /// Another candidate has got votes of this term. Where just a majority of the group is up, both
-    /// then lack one, and callers would wait for a whole election timeout. The next try begins with a
-    /// pre-vote, so a candidate that can't win disturbs nobody.
+    /// Schedules another campaign after a refused vote, which means that other candidates got votes in this
+    /// term. If only a bare majority of the group is up, no candidate can win the term, and callers would
+    /// wait for a whole election timeout. The next campaign begins with a pre-vote, so that a candidate
+    /// that cannot win does not disturb the group.
     fn stand_again_soon(&mut self) {
         let extra = time::Millis(self.draw(self.cfg.heartbeat_interval.0.max(1)));
         self.stand_at(self.timers.now + self.cfg.start_delay() + extra);
--- a/crates/sageshed-quorum/src/entries.rs
+++ b/crates/sageshed-quorum/src/entries.rs
@@ -1,19 +1,19 @@
-//! The log in memory: what is left after the latest snapshot.
+//! The log in memory: the entries after the latest snapshot.
 
 use crate::log;
 
-/// Entries after `base`, and the memberships among them.
+/// The entries after `base`, and the memberships that they contain.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Entries {
     /// The last entry that the snapshot covers.
     base: log::Position,
     after_base: Vec<log::Entry>,
-    /// That in force at `base`, then each one in `entries`, with their indexes. Never empty.
+    /// The membership in force at `base`, then those in `after_base`, with their indexes. Never empty.
     memberships: Vec<(log::Index, log::Membership)>,
 }
 
 impl Entries {
-    /// Panics where an entry is missing: a log with a hole is a lost disk and not to be used.
+    /// Panics if an entry is missing: a log with a gap must be treated as a lost disk.
     pub(crate) fn new(restored: log::PersistedState) -> (Self, Option<log::Snapshot>) {
         let log::PersistedState {
             snapshot,
@@ -35,7 +35,7 @@
             memberships: vec![first],
         };
         for entry in entries {
-            // Left over where a crash came between a snapshot and the removal of what it covers.
+            // A crash between writing a snapshot and deleting the entries that it covers leaves them behind.
             if entry.index > base.index {
                 log.push(entry);
             }
@@ -71,13 +71,13 @@
         self.latest().0
     }
 
-    /// The membership in force at `index` and where it came in.
+    /// The membership in force at `index`, with the index of its entry.
     pub(crate) fn membership_at(&self, index: log::Index) -> &(log::Index, log::Membership) {
         let covered = self.memberships.partition_point(|(at, _)| *at <= index);
         &self.memberships[covered.saturating_sub(1)]
     }
 
-    /// The entries from `from` on; none if it is behind the last or before the first.
+    /// The entries at and after `from`. Empty if `from` is after the last entry or before the first one.
     pub(crate) fn from(&self, from: log::Index) -> &[log::Entry] {
         let offset = self.offset(from);
         offset
@@ -85,7 +85,7 @@
             .unwrap_or_default()
     }
 
-    /// The first index whose entry has the term of the one at `index`, which must exist.
+    /// The index of the first entry with the same term as the entry at `index`, which must exist.
     pub(crate) fn first_of_term_at(&self, index: log::Index) -> log::Index {
         let term = self.term_at(index);
         let mut first = index;
@@ -103,7 +103,7 @@
         self.after_base.push(entry);
     }
 
-    /// Drops the entries at and after `from`.
+    /// Removes the entries at and after `from`.
     pub(crate) fn truncate(&mut self, from: log::Index) {
         let Some(offset) = self.offset(from) else {
             return;
@@ -113,7 +113,7 @@
             .retain(|(at, _)| *at < from || *at <= self.base.index);
     }
 
-    /// Drops the entries that `snapshot` covers, and all later ones if the log contradicts it.
+    /// Removes the entries that `snapshot` covers, and also all later ones if the log contradicts it.
     pub(crate) fn cover(&mut self, snapshot: &log::Snapshot) {
         let agrees = self.term_at(snapshot.index) == Some(snapshot.term);
         let later = if agrees {
--- a/crates/sageshed-quorum/src/heartbeat.rs
+++ b/crates/sageshed-quorum/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: rounds that confirm the leader, and reads that wait for one.
+//! Heartbeats: rounds that confirm the leader, and the reads that wait for them.
 
 use crate::{event, log, message, node, output, replication, state};
 
@@ -16,7 +16,8 @@
                 let bytes = replication::bytes_under_way(log, peer);
                 (self.cfg.append_retry_heartbeats, bytes)
             };
-            // Sent again before it can have arrived, a large entry would hold up itself.
+            // A large entry must not be sent again before it can have arrived, since the retries would
+            // delay it further.
             let more = bytes / self.cfg.bytes_per_heartbeat.max(1);
             let patience = patience.saturating_add(u32::try_from(more).unwrap_or(u32::MAX));
             peer.unanswered += u32::from(peer.awaits_answer());
@@ -69,10 +70,11 @@
         self.answer_reads(out);
     }
 
-    /// Takes a read that came after all that is committed now.
+    /// Queues a read at the current commit index.
     ///
-    /// The commit index is only known to be up to date once an entry of this leader's own term is
-    /// committed, and the leader only to be the latest once a majority answers a later heartbeat.
+    /// The commit index is known to be up to date only after an entry of this leader's own term is
+    /// committed. The leader is known to be the latest one only after a majority has answered a heartbeat
+    /// that was sent after the read arrived.
     pub(crate) fn read_index(&mut self, correlation_id: u64, out: &mut output::Output) {
         let index = self.state.commit;
         let state::Role::Leader(leader) = &mut self.state.role else {
@@ -94,7 +96,7 @@
         });
     }
 
-    /// Begins one round for all reads of this step.
+    /// Begins one round of heartbeats for all reads of this step.
     pub(crate) fn confirm_reads(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &mut self.state.role else {
             return;
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -1,36 +1,44 @@
-//! The node: takes events, gives actions.
+//! The node: a member of the replicated log.
 //!
-//! [`Node`] is a Raft-shaped replicated log (Ongaro and Ousterhout, 2014) as a pure state machine.
-//! It has no clock, no threads and no I/O; the driver hands in events with the instant at which they
-//! are handled, and carries out the actions in order.
+//! [`Node`] implements a variant of Raft (Ongaro and Ousterhout, 2014) as a pure state machine. It has
+//! no clock, no threads and no I/O. The driver passes in events, each with the current instant, and
+//! carries out the returned actions in order.
 //!
 //! # Elections
 //!
-//! A voter that hears no leader for its randomized timeout first asks whether it would be elected
-//! (pre-vote), which changes nothing at those asked. Only with a majority it raises its term and
-//! asks for votes. A node that has heard its leader within the election timeout grants neither.
-//! After a restart it can't know when that was, and waits for one timeout as if it had just been,
-//! or until that leader tells it that it leads no longer (`restart`).
-//! So a node that was cut off, or removed and not told, disturbs nobody.
+//! A voter whose randomized election timer expires first asks whether it would be elected (pre-vote),
+//! which does not change the state of other nodes. Only if a majority agrees, it increases its term and
+//! requests votes. A node that has heard from its leader within the election timeout grants neither
+//! pre-votes nor votes. So a node that was partitioned, or removed without learning of it, does not
+//! disturb the group.
+//!
+//! After a restart a node does not know when it last heard from its leader. It behaves for one timeout
+//! as if it had just heard from it, or until the leader replies that it no longer leads (see the module
+//! `restart`).
 //!
 //! # Leases
 //!
-//! Each heartbeat carries the instant at which its round began, on the leader's clock, and the
-//! answer brings it back. A voter that answers has heard the leader no earlier than then and will
-//! grant no vote for an election timeout after that. So until the instant of the round that a
-//! majority has answered, plus the election timeout, less what clocks may drift, no other leader
-//! can be elected: [`Node::has_quorum_until`]. At the end of it the leader steps down, before it
-//! handles whatever event came too late.
+//! Each heartbeat carries the instant at which its round began, on the leader's clock, and the reply
+//! returns it. A voter that replies has heard from the leader at that instant or later, and grants no
+//! vote for an election timeout after that. So no other leader can be elected until the start of the
+//! latest round that a majority has answered, plus the election timeout, minus the maximum clock drift:
+//! [`Node::has_quorum_until`]. When this time has passed without a newer round, the leader steps down
+//! before it handles any later event.
 //!
 //! # Membership
 //!
-//! One change at a time, in force from the moment it is appended; any two majorities then share a
-//! voter. See [`event::Change`]. A voter is a VM with a disk generation ([`log::NodeId`]): messages
-//! name it in full, and those to or from another generation of the same VM count for nothing. A
-//! node that doesn't find itself among the voters grants no vote, unless the candidate's log holds
-//! a later membership: the candidate asks only the voters of that one. Without this exception a
-//! learner whose promotion is committed but has not reached it could be the vote that is missing.
-//! A leader that removes itself leads until that is committed, not counting itself.
+//! The membership changes by one node at a time, and a change takes effect as soon as it is appended.
+//! Any two majorities of successive memberships then share a voter. See [`event::Change`].
+//!
+//! A voter is identified by its VM and disk generation ([`log::NodeId`]). Messages contain both, and
+//! those to or from another generation of the same VM are ignored.
+//!
+//! A node that is not a voter in its own log grants no vote, unless the candidate's log contains a later
+//! membership, since the candidate asks only the voters of that membership. Without this exception an
+//! election could fail for lack of the vote of a learner whose promotion is committed but has not
+//! reached it yet.
+//!
+//! A leader that removes itself leads until its removal is committed, and does not count itself.
 
 use std::{collections, mem, sync::Arc};
 
@@ -38,7 +46,7 @@
 
 use crate::{config, entries, event, log, message, output, restart, rng, state};
 
-/// One member of the group, or a node that waits to become one.
+/// A member of the group, or a node that waits to be added.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Node {
     pub(crate) cfg: config::Config,
@@ -47,33 +55,34 @@
     rng: rng::SplitMix64,
 }
 
-/// The instants a node remembers, all on its own clock.
+/// The timers of a node, on its own clock.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Timers {
     pub(crate) now: time::Instant,
-    /// When an election starts; unknown before the first event.
+    /// When the election timer expires. None before the first event.
     pub(crate) election_due: Option<time::Instant>,
-    /// When the last leader is asked whether it still leads.
+    /// When the next leader check is sent to the last leader.
     pub(crate) check_due: Option<time::Instant>,
-    /// When a leader was last heard.
+    /// When the last message of a leader arrived.
     pub(crate) heard: time::Instant,
     pub(crate) heartbeat_due: time::Instant,
     /// When this node became leader.
     pub(crate) led_since: time::Instant,
-    /// When the latest round that each peer has answered began.
+    /// When the latest round of heartbeats answered by each peer began.
     pub(crate) answered: collections::BTreeMap<log::NodeId, time::Instant>,
 }
 
 impl Node {
-    /// A node with what it found on its disk. Its timeouts are drawn by `seed` and by its id.
+    /// A node with its persistent state. Its timeouts are chosen by a generator seeded with `seed` and its
+    /// id.
     ///
-    /// The state machine starts from the snapshot in `restored`; entries after it come as
+    /// The state machine starts from the snapshot in `restored`. The entries after it are returned as
     /// [`event::Action::Apply`] once they are known to be committed.
     ///
     /// # Panics
     ///
-    /// If the restored entries have a hole. Such a log must be treated as a lost disk: what is
-    /// missing may have been acknowledged.
+    /// Panics if the restored entries have a gap. Such a log must be treated as a lost disk, since the
+    /// missing entries may have been acknowledged.
     #[must_use]
     pub fn new(mut cfg: config::Config, restored: log::PersistedState, seed: u64) -> Self {
         let hard = restored.hard_state;
@@ -101,17 +110,17 @@
         }
     }
 
-    /// A number below `bound`, which must not be zero.
+    /// A random number below `bound`, which must not be zero.
     pub(crate) fn draw(&mut self, bound: u64) -> u64 {
         self.rng.below(bound)
     }
 
-    /// Handles one event at `now`, which must not go back.
+    /// Handles one event at the instant `now`, which must not be earlier than in previous calls.
     pub fn step(&mut self, now: time::Instant, event: event::Event) -> Vec<event::Action> {
         self.step_all(now, [event])
     }
 
-    /// Handles events that came in together, with one write for all of them (group commit).
+    /// Handles a batch of events with one write for all of them (group commit).
     pub fn step_all(
         &mut self,
         now: time::Instant,
@@ -127,19 +136,19 @@
         out.finish(self.cfg.guards.sync)
     }
 
-    /// What a model checker compares.
+    /// The state by which a model checker compares nodes.
     #[must_use]
     pub fn state(&self) -> &state::State {
         &self.state
     }
 
-    /// The name under which this node takes part.
+    /// The id of this node.
     #[must_use]
     pub fn id(&self) -> log::NodeId {
         self.cfg.id
     }
 
-    /// When [`event::Event::Tick`] is due. None before the first event: deliver a tick at once.
+    /// When [`event::Event::Tick`] is due. None before the first event, when a tick is due at once.
     #[must_use]
     pub fn next_deadline(&self) -> Option<time::Instant> {
         match &self.state.role {
@@ -151,8 +160,8 @@
         }
     }
 
-    /// The snapshot of the state machine after the committed entry at `index`, with `data` as its
-    /// encoding. None if that entry isn't committed or is already covered by a snapshot.
+    /// Builds a snapshot of the state machine after the committed entry at `index`, with `data` as its
+    /// encoding. None if that entry is not committed or is already covered by a snapshot.
     #[must_use]
     pub fn build_snapshot(&self, index: log::Index, data: Vec<u8>) -> Option<log::Snapshot> {
         let state = &self.state;
@@ -169,10 +178,10 @@
         })
     }
 
-    /// Takes note of the time, and steps down if it has run out.
+    /// Advances the node's clock, and steps down if the leader has lost contact to a majority.
     ///
-    /// A process that was frozen, or a leader whose answers don't come back, must find that out
-    /// before it does anything else as leader.
+    /// A leader whose process was suspended, or whose heartbeats are not answered, must step down before
+    /// it does anything else as leader.
     fn observe(&mut self, now: time::Instant, out: &mut output::Output) {
         self.timers.now = self.timers.now.max(now);
         if self.timers.election_due.is_none() {
@@ -228,8 +237,8 @@
             }
             return;
         }
-        // A VM that lost its disk is reached under its old name too. What is said to that name
-        // rests on what the lost disk held, and an answer to it would vouch for it.
+        // A VM that lost its disk still receives messages to its old id. These refer to the content of
+        // the lost disk, and a reply would acknowledge that content.
         if to != self.cfg.id {
             return;
         }
@@ -292,7 +301,7 @@
         body: &message::Body,
         out: &mut output::Output,
     ) {
-        // Nobody outside the membership counts, nor makes anybody step down.
+        // Nodes outside the membership do not count, and cannot make a leader step down.
         if !self.state.log.membership().contains(from) {
             return;
         }
@@ -326,7 +335,7 @@
         out.push(event::Action::Send { to, message });
     }
 
-    /// Notes that a leader was heard, which keeps this node from voting and from campaigning.
+    /// Records a message of a leader, which keeps this node from voting and from campaigning.
     fn hear_leader(&mut self) {
         self.state.heard_leader = true;
         self.state.start = restart::Start::Over;
@@ -341,10 +350,11 @@
         self.timers.election_due = Some(self.timers.now + least + extra);
     }
 
-    /// Follows `leader`, or nobody known, in `term`, which is not before the present one.
+    /// Becomes a follower of `leader`, or of an unknown leader, in `term`, which is not before the current
+    /// term.
     ///
-    /// Who leads the term is recorded as if it had got this node's vote, which it needs no more. After a
-    /// restart this names the one leader that may count on this node.
+    /// The leader of the term is recorded in the place of this node's vote, which is not needed any more.
+    /// After a restart it identifies the only leader that may rely on this node's promise not to vote.
     pub(crate) fn follow(
         &mut self,
         term: log::Term,
@@ -365,7 +375,7 @@
         }
     }
 
-    /// Ends leadership, if this node leads.
+    /// Steps down if this node leads.
     pub(crate) fn step_down(&mut self, out: &mut output::Output) {
         let role = mem::replace(&mut self.state.role, state::Role::Follower);
         let state::Role::Leader(leader) = role else {
--- a/crates/sageshed-quorum/src/output.rs
+++ b/crates/sageshed-quorum/src/output.rs
@@ -1,4 +1,4 @@
-//! Gathers what one step wants done.
+//! Collects the actions of one step.
 
 use std::mem;
 
@@ -6,8 +6,8 @@
 
 /// The write and the actions of one step.
 ///
-/// All that a step changes on disk goes into one write, which comes before every other action. That
-/// is always safe, and makes one sync serve all events that came in together.
+/// All changes of a step to the disk are combined in one write, which precedes all other actions. This
+/// is always safe, and all events handled in one step share one sync.
 #[derive(Debug, Default)]
 pub(crate) struct Output {
     write: log::LogWrite,
@@ -36,7 +36,7 @@
         self.write.truncate_from = Some(earlier);
     }
 
-    /// A received snapshot. `contradicts` if the log at its index is another one.
+    /// Adds a received snapshot. `contradicts` is set if the log has another entry at its index.
     pub(crate) fn snapshot(&mut self, snapshot: log::Snapshot, contradicts: bool) {
         if contradicts {
             self.truncate(snapshot.index.next());
--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -1,24 +1,26 @@
-//! How a group grows and is repaired without an operator, and when it is large enough.
+//! Automatic growth and repair of a group, and the number of voters needed to acknowledge commands.
 //!
-//! # The failures
+//! # Repair
 //!
-//! A VM that lost its disk comes back as another member, a VM that is lost for good never does, and a
-//! new one knows only a seed. Each says over and over that it wants to join. The leader gives it a
-//! vote in steps of one change each: learner, the one it replaces out, voter.
+//! A VM that lost its disk joins as a new node, a VM that is lost permanently is replaced by a new one,
+//! and a new VM knows only the address of a seed. Each of them repeatedly asks the leader to join. The
+//! leader makes it a voter by separate membership changes: it adds the node as a learner, removes the
+//! member that the node replaces, and promotes the node.
 //!
-//! * The one that is replaced goes before the new one votes. The other way round there would be
-//!   four voters of whom one is known to be lost, and the next lost disk would leave two of four,
-//!   which elect nobody.
-//! * It goes only once the learner has caught up. Until then a vote less would gain nothing.
+//! * The replaced member is removed before the new one is promoted. In the other order there would be
+//!   four voters of which one is lost, and the loss of another disk would leave two of four, which is no
+//!   majority.
+//! * It is removed only after the learner has caught up. Removing it earlier would cost a vote without
+//!   any benefit.
 //!
-//! # Large enough
+//! # Group size
 //!
-//! `tolerates` disks may be lost the moment after a command was acknowledged. More than that many
-//! must hold it, and those that are left must be a majority. A group that still grows has neither
-//! for sure: of four voters that bear the loss of two, three have the command, and the two that are
-//! left elect nobody. So the first command waits for all the voters that are wanted. Later a voter
-//! may be missing while its successor is on the way; that one is a loss already, and there are fewer
-//! left to come.
+//! A command that was acknowledged must survive the loss of `max_disk_losses` disks immediately after.
+//! So more voters than that must hold the command, and the remaining voters must be a majority. A group
+//! that is still growing guarantees neither: with four voters and two losses, three voters hold the
+//! command, and the two remaining ones cannot elect a leader. So the first command waits until the group
+//! has all its voters. Later a voter may be missing while its replacement joins. That voter counts as one
+//! of the losses, so that fewer further losses have to be tolerated.
 
 use std::collections;
 
@@ -26,36 +28,36 @@
 
 use crate::{event, log, status};
 
-/// How a leader repairs its group.
+/// The policy by which a leader repairs its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// How many voters the group grows to.
+    /// The number of voters to which the group grows.
     pub target_voters: usize,
-    /// Losses of voters with their disks that the group bears at once.
+    /// The number of simultaneous losses of voters with their disks that the group tolerates.
     pub max_disk_losses: usize,
-    /// Entries that a learner may lack when its repair goes on.
+    /// The maximum number of entries that a learner may lack when it takes the place of a voter.
     pub max_lag: u64,
-    /// A voter that answers nothing for this long is taken for lost once another is there to take its
-    /// place.
+    /// How long a voter may send no reply until it is considered lost, in milliseconds. It is removed only
+    /// if a learner is ready to replace it.
     pub silence_timeout: time::Millis,
 }
 
-/// What a leader knows.
+/// A leader's view of its group.
 #[derive(Debug, Clone, Copy)]
 pub struct GroupView<'a> {
-    /// Now.
+    /// The current time.
     pub now: time::Instant,
-    /// When it began to lead.
+    /// When the node became leader.
     pub led_since: time::Instant,
-    /// Of itself and its group.
+    /// The status of the leader and its group.
     pub status: &'a status::Status,
-    /// Members to be, by their own word.
+    /// The nodes that have asked to join.
     pub joiners: &'a collections::BTreeSet<log::NodeId>,
 }
 
 impl Policy {
-    /// The policy of a group that bears the loss of `tolerates` disks and has as few voters as that
-    /// takes.
+    /// The policy of a group that tolerates the loss of `max_disk_losses` disks with the smallest possible
+    /// number of voters.
     #[must_use]
     pub const fn tolerating(
         max_disk_losses: usize,
@@ -70,22 +72,22 @@
         }
     }
 
-    /// Whether a command may be acknowledged by a group of `voters`. `was_complete` says whether the
-    /// group has had all its voters at some time.
+    /// Whether a group of `voters` may acknowledge a command. `was_complete` is set if the group has once
+    /// had all its voters.
     #[must_use]
     pub fn may_acknowledge(&self, voters: &log::Membership, was_complete: bool) -> bool {
         let grown = was_complete || voters.voters.len() >= voters_tolerating(self.max_disk_losses);
         grown && voters.majority() > self.max_disk_losses
     }
 
-    /// The next change of membership, if one is due.
+    /// The next membership change, if one is due.
     #[must_use]
     pub fn next_change(&self, view: GroupView<'_>) -> Option<event::Change> {
         let mut joiners = view.joiners.iter();
         joiners.find_map(|joiner| self.step_for(view, *joiner))
     }
 
-    /// What `joiner` needs next.
+    /// The next change on the way of `joiner` to a voter.
     fn step_for(&self, view: GroupView<'_>, joiner: log::NodeId) -> Option<event::Change> {
         let members = &view.status.membership;
         if members.voters.contains(&joiner) || is_outdated(members, joiner) {
@@ -111,7 +113,7 @@
         Some(event::Change::Remove(silent))
     }
 
-    /// One of `members` that has answered nothing for [`Self::silence_timeout`].
+    /// The first of `members` that has sent no reply for [`Self::silence_timeout`].
     #[must_use]
     pub fn find_silent(
         &self,
@@ -126,12 +128,13 @@
     }
 }
 
-/// The fewest voters of which a majority is left once `losses` are gone.
+/// The smallest number of voters of which a majority remains after `losses` losses.
 const fn voters_tolerating(losses: usize) -> usize {
     2 * losses + 1
 }
 
-/// Whether a later generation of the disk of `joiner` is a member already: its word came late.
+/// Whether a later disk generation of the same VM is already a member, so that the request of `joiner` to
+/// join is outdated.
 fn is_outdated(members: &log::Membership, joiner: log::NodeId) -> bool {
     let mut same_vm = members.members().filter(|id| id.vm == joiner.vm);
     same_vm.any(|id| id > joiner)
--- a/crates/sageshed-quorum/src/replication.rs
+++ b/crates/sageshed-quorum/src/replication.rs
@@ -1,11 +1,11 @@
-//! Replication: appends, commits, snapshots.
+//! Replication: appends, commits and snapshots.
 
 use std::sync::Arc;
 
 use crate::{entries, event, log, message, node, output, state};
 
 impl node::Node {
-    /// Appends an entry of the leader's own.
+    /// Appends an entry as leader.
     pub(crate) fn append(&mut self, data: log::EntryData, out: &mut output::Output) -> log::Index {
         let index = self.state.log.last().index.next();
         let entry = log::Entry {
@@ -19,7 +19,7 @@
         index
     }
 
-    /// Brings the leader's peers in line with the membership in force.
+    /// Updates the leader's peers to the membership in force.
     fn sync_peers(&mut self) {
         let state::Role::Leader(leader) = &mut self.state.role else {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends to every peer what it lacks, as far as its window allows.
+    /// Sends each peer the entries that it lacks, up to the limit of messages in flight.
     pub(crate) fn replicate(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &mut self.state.role else {
             return;
@@ -117,9 +117,9 @@
         self.send(from, message::Body::Accepted { matched }, out);
     }
 
-    /// Takes one entry of the leader's, unless it is there already.
+    /// Adds an entry of the leader to the log, unless the log already contains it.
     ///
-    /// An entry that is there stays, and so does what follows it: the message may be an old one,
+    /// An entry that is already there stays, and so do the entries after it: the message may be delayed,
     /// and later entries may have been acknowledged since.
     fn accept(&mut self, entry: log::Entry, out: &mut output::Output) {
         let log = &mut self.state.log;
@@ -134,8 +134,8 @@
         log.push(entry);
     }
 
-    /// The last entry that may agree with a leader whose entry at `prev` isn't here: the end of the
-    /// log, or what comes before the whole term that disagrees.
+    /// The last entry that may agree with the log of a leader whose entry at `prev` is missing here: the end
+    /// of this log, or the entry before the first one of the conflicting term.
     fn agreement_hint(&self, prev: log::Index) -> log::Index {
         let log = &self.state.log;
         if prev > log.last().index {
@@ -187,11 +187,11 @@
         }
     }
 
-    /// Commits what a majority of voters holds.
+    /// Commits the entries that a majority of voters holds.
     ///
-    /// Only an entry of the leader's own term is committed by counting; those before it go with it.
-    /// An older entry on a majority may still be overwritten by a leader elected with a later term
-    /// in its log (the case of figure 8 in the Raft paper).
+    /// Only entries of the leader's own term are committed by counting acknowledgements, and earlier
+    /// entries are committed with them. An earlier entry held by a majority may still be overwritten by a
+    /// leader with a later term in its log (figure 8 of the Raft paper).
     pub(crate) fn count_matches(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &self.state.role else {
             return;
@@ -220,7 +220,7 @@
         self.leave_if_removed(out);
     }
 
-    /// Ends the leadership of a node whose own removal is committed.
+    /// Steps down if this node's own removal is committed.
     fn leave_if_removed(&mut self, out: &mut output::Output) {
         let log = &self.state.log;
         let committed = log.membership_index() <= self.state.commit;
@@ -229,10 +229,11 @@
         }
     }
 
-    /// Applies what is newly committed, as far as this log has it.
+    /// Applies newly committed entries, up to the end of this log.
     ///
-    /// It has all of it, since nobody is told of more than it has acknowledged. Only where a checker
-    /// takes a guard away, or a disk has lost what it had synced, is it cut short here.
+    /// The log contains all of them, since a node is only told of committed entries that it has
+    /// acknowledged. The bound matters only if a model checker turns a guard off, or if a disk has lost
+    /// synced data.
     pub(crate) fn advance_commit(&mut self, to: log::Index, out: &mut output::Output) {
         let to = to.min(self.state.log.last().index);
         if to <= self.state.commit {
@@ -281,7 +282,7 @@
     }
 }
 
-/// The first entries, up to `max_bytes` of commands but at least one.
+/// The first entries, up to about `max_bytes` in total but at least one.
 fn batch(entries: &[log::Entry], max_bytes: usize) -> Vec<log::Entry> {
     let mut bytes = 0;
     let fits = |entry: &&log::Entry| {
@@ -292,7 +293,7 @@
     entries.iter().take_while(fits).cloned().collect()
 }
 
-/// About how many bytes of entries were sent to a peer and are not acknowledged.
+/// The approximate size of the entries that were sent to a peer and are not acknowledged, in bytes.
 pub(crate) fn bytes_under_way(log: &entries::Entries, peer: &state::Peer) -> usize {
     let first = peer.matched.next();
     let sent = log.from(first).iter();
@@ -300,9 +301,9 @@
     sent.map(size).sum()
 }
 
-/// About how many bytes an entry takes in a message.
+/// The approximate size of an entry in a message, in bytes.
 fn size(entry: &log::Entry) -> usize {
-    /// Index, term and framing, and what other entries than commands hold.
+    /// The size of index, term and framing, and of entries without a command.
     const ENTRY_OVERHEAD: usize = 32;
     match &entry.data {
         log::EntryData::Command(payload) => ENTRY_OVERHEAD + payload.len(),
--- a/crates/sageshed-quorum/src/requests.rs
+++ b/crates/sageshed-quorum/src/requests.rs
@@ -61,14 +61,14 @@
         self.count_matches(out);
     }
 
-    /// The membership after `change`, or why it can't be made now.
+    /// The membership after `change`, or why it cannot be made now.
     fn membership_after(&self, change: event::Change) -> Result<log::Membership, event::Reason> {
         let state::Role::Leader(leader) = &self.state.role else {
             return Err(event::Reason::NotLeader);
         };
-        // Two leaders that each append a change to the membership they know, neither committed, may
-        // end up with majorities that share nobody. A committed entry of this term excludes that
-        // another leader's change is still about to commit.
+        // If two leaders each append an uncommitted change to the membership that they know, the
+        // resulting majorities may be disjoint. Once an entry of this term is committed, an earlier
+        // leader's change can no longer be committed.
         if self.cfg.guards.own_term_change && self.state.commit < leader.term_start {
             return Err(event::Reason::NotReady);
         }
@@ -102,8 +102,8 @@
         Ok(membership)
     }
 
-    /// A voter that lacks most of the log would make the group wait for it with every commit that
-    /// needs it, just when another voter is missing.
+    /// Checks that the node to promote is a learner that has caught up. Otherwise, whenever another voter
+    /// is missing, each commit would have to wait until the new voter has received most of the log.
     fn check_promotion(
         &self,
         leader: &state::Leader,
@@ -124,7 +124,7 @@
             .map(|peer| peer.matched)
             .unwrap_or_default();
         let lag = self.state.log.last().index.0 - matched.0;
-        // A learner that has answered nothing is not caught up, however short the log is.
+        // A learner that has not acknowledged anything has not caught up, however short the log is.
         let caught_up = matched.0 > 0 && lag <= self.cfg.max_promotion_lag;
         if self.cfg.guards.caught_up && !caught_up {
             return Err(event::Reason::NotCaughtUp);
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -1,23 +1,29 @@
-//! A voter that starts again: whether its last leader may still count on it.
+//! Leader checks after a restart: whether a voter's promise not to vote still holds.
 //!
 //! A voter that answered a heartbeat has promised to grant no vote for an election timeout, and the
-//! leader's lease rests on that. After a restart the voter can't know how long ago it answered, so it
-//! keeps the promise for a whole timeout. When all processes of a group stop together that is time
-//! without a leader for nothing: the leader to whom the promises were made has stopped as well.
+//! leader's lease rests on that promise. After a restart the voter does not know how long ago it
+//! answered, so it must keep the promise for a whole timeout. When all processes of a group stop
+//! together, this delays the election needlessly, since the leader has stopped as well.
 //!
-//! So the voter asks, and the group leads after 39 ms in place of 720 (five processes up within 2 ms of
-//! each other, a heartbeat of 100 ms and a timeout of 700, simulated VMs). Its disk names the one leader that may count on it, the leader of its term:
-//! [`Node::follow`](crate::node::Node) records it before anything is answered, and a leader of an
-//! earlier term had lost its lease when that one was elected. If this leader says that it does not
-//! lead, or its VM runs another disk generation, the promise binds nobody any more. A question
-//! carries a number drawn at the start, so an answer to an earlier start of the voter, which may be
-//! older than the promise, does not count. A leader that can't be reached may live behind a cut, and
-//! the voter waits as before.
+//! So the voter sends the leader a leader check. This reduces the time until the group has a leader from
+//! 720 ms to 39 ms (five processes on simulated VMs, started within 2 ms, with a heartbeat of 100 ms and
+//! an election timeout of 700 ms).
 //!
-//! The former leader hears these questions. Once a majority has asked it stands for election after
-//! `Config::start_delay`, by which time its answers have arrived; the others leave it that start.
+//! * The voter's disk identifies the only leader that may rely on the promise, which is the leader of its
+//!   term: [`Node::follow`](crate::node::Node) records it before the voter answers anything, and the
+//!   leader of an earlier term had lost its lease when this one was elected.
+//! * If this leader replies that it does not lead, or its VM runs another disk generation, the promise is
+//!   void.
+//! * A check carries a random number chosen at the start. So a reply to a check of an earlier start, which
+//!   may be older than the promise, is ignored.
+//! * A leader that does not reply may still run behind a network partition. The voter then waits for the
+//!   election timeout.
 //!
-//! This holds only while nothing that a leader has granted outlives its process, see
+//! Once a majority has sent leader checks to the former leader, it campaigns after
+//! `Config::start_delay`, when its replies have arrived. The other voters wait longer, so that it can
+//! win.
+//!
+//! This is safe only if nothing that a leader has granted outlives its process. See
 //! [`restart_check_enabled`](crate::config::Config::restart_check_enabled).
 
 use std::collections;
@@ -26,21 +32,21 @@
 
 use crate::{log, message, node, output};
 
-/// What a node knows of the term in which it was stopped.
+/// What a node has still to do about its term before the restart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum Start {
-    /// Nothing that matters now.
+    /// Nothing.
     Over,
-    /// It led that term, or stood for election in it. Those that have asked since.
+    /// It led that term or was a candidate in it. `asked_by` has sent leader checks since the restart.
     Led {
         asked_by: collections::BTreeSet<log::NodeId>,
     },
-    /// It may have promised `leader` not to vote. Its questions carry `number`.
+    /// It may have promised `leader` not to vote. Its leader checks carry `number`.
     Promised { leader: log::NodeId, number: u64 },
 }
 
 impl node::Node {
-    /// Finds out from what the disk holds whether a leader may count on this node.
+    /// Determines from the persistent state whether a leader may rely on this node's promise not to vote.
     pub(crate) fn recall_start(&mut self) {
         if !self.cfg.restart_check_enabled {
             return;
@@ -49,7 +55,7 @@
             return;
         };
         if leader == self.cfg.id {
-            // Whatever it promised was to itself.
+            // There is no promise to another node.
             self.state.heard_leader = false;
             let asked_by = collections::BTreeSet::from([leader]);
             self.state.start = Start::Led { asked_by };
@@ -62,13 +68,13 @@
         }
     }
 
-    /// When the last leader is asked next; none where there is nothing to ask.
+    /// When the next leader check is due. None if no check is needed.
     pub(crate) fn check_due(&self) -> Option<time::Instant> {
         let asks = matches!(self.state.start, Start::Promised { .. });
         self.timers.check_due.filter(|_| asks)
     }
 
-    /// Asks the last leader, if that is due.
+    /// Sends a leader check to the last leader, if one is due.
     pub(crate) fn check_leader(&mut self, out: &mut output::Output) {
         let now = self.timers.now;
         let Start::Promised { leader, number } = self.state.start else {
@@ -80,8 +86,8 @@
         }
     }
 
-    /// Answers a voter that started again. The question may be meant for an earlier disk generation
-    /// of this VM, whose process is gone.
+    /// Replies to a leader check. It may be addressed to an earlier disk generation of this VM, whose
+    /// process has ended.
     pub(crate) fn on_leader_check(
         &mut self,
         from: log::NodeId,
@@ -114,7 +120,8 @@
         }
     }
 
-    /// Nobody counts on this node any more. The former leader is given a start before it stands.
+    /// Ends the promise not to vote, and schedules a campaign late enough for the former leader to
+    /// campaign first.
     fn release(&mut self) {
         self.state.start = Start::Over;
         self.state.heard_leader = false;
@@ -123,7 +130,7 @@
         self.stand_at(self.timers.now + time::Millis(interval / 2) + extra);
     }
 
-    /// Stands for election at `due` if no leader turns up before.
+    /// Campaigns at `due`, or earlier if the election timer expires before, unless a leader is heard from.
     pub(crate) fn stand_at(&mut self, due: time::Instant) {
         let before = self.timers.election_due.unwrap_or(due);
         self.timers.election_due = Some(before.min(due));
--- a/crates/sageshed-quorum/src/rng.rs
+++ b/crates/sageshed-quorum/src/rng.rs
@@ -1,8 +1,8 @@
-//! The generator from which election timeouts are drawn.
+//! The random number generator for election timeouts.
 
 use crate::log;
 
-/// A splitmix64 generator (Steele, Lea and Flood, 2014): one word of state, the same sequence for
+/// A SplitMix64 generator (Steele, Lea and Flood, 2014): one word of state, and the same sequence for
 /// the same seed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SplitMix64(u64);
@@ -14,9 +14,9 @@
 
     /// The generator of one node.
     ///
-    /// Drivers seed with the time of their start. Processes that were all killed at once start in the
-    /// same millisecond, and with the same seed they would stand for election at the same moments
-    /// again and again, each with its own vote. So the node goes into the seed too.
+    /// Drivers use their start time as the seed. Processes that were killed together may start in the same
+    /// millisecond. With the same sequence they would campaign at the same instants and split the vote
+    /// repeatedly, so the node's id is mixed into the seed.
     pub(crate) fn of_node(id: log::NodeId, seed: u64) -> Self {
         let mut mixed = Self::new(u64::from(id.vm));
         let vm = mixed.below(u64::MAX);
@@ -24,7 +24,7 @@
         Self::new(seed ^ mixed.below(u64::MAX))
     }
 
-    /// A number below `bound`, which must not be zero.
+    /// A random number below `bound`, which must not be zero.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut word = self.0;
