--- a/crates/sageshed-quorum/src/entries.rs
+++ b/crates/sageshed-quorum/src/entries.rs
@@ -96,7 +96,7 @@
     }
 
     pub(crate) fn push(&mut self, entry: log::Entry) {
-        assert_eq!(entry.index, self.last().index.next(), "the log has a hole");
+        assert_eq!(entry.index, self.last().index.next(), "the log has a gap");
         if let log::EntryData::Membership(membership) = &entry.data {
             self.memberships.push((entry.index, membership.clone()));
         }
--- a/crates/sageshed-quorum/tests/testsuite/scenarios.rs
+++ b/crates/sageshed-quorum/tests/testsuite/scenarios.rs
@@ -330,8 +330,8 @@
 
 /// A log with an entry missing in the middle is a lost disk.
 #[test]
-#[should_panic(expected = "the log has a hole")]
-fn log_with_a_hole_is_refused() {
+#[should_panic(expected = "the log has a gap")]
+fn log_with_a_gap_is_refused() {
     let entry = |index| log::Entry {
         index: log::Index(index),
         term: log::Term(1),
