--- a/crates/sageshed-quorum/src/config.rs
+++ b/crates/sageshed-quorum/src/config.rs
@@ -67,7 +67,7 @@
     /// How long the former leader waits before it campaigns after a majority has sent it leader checks, so
     /// that its replies arrive first. Also the time between two leader checks. A quarter of the heartbeat
     /// interval, which is several times the latency between VMs.
-    pub(crate) fn start_delay(&self) -> time::Millis {
+    pub(crate) fn campaign_delay(&self) -> time::Millis {
         time::Millis((self.heartbeat_interval.0 / 4).max(1))
     }
 }
--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -214,7 +214,7 @@
     /// that cannot win does not disturb the group.
     fn stand_again_soon(&mut self) {
         let extra = time::Millis(self.draw(self.cfg.heartbeat_interval.0.max(1)));
-        self.stand_at(self.timers.now + self.cfg.start_delay() + extra);
+        self.stand_at(self.timers.now + self.cfg.campaign_delay() + extra);
     }
 
     fn count_pre_votes(&mut self, out: &mut output::Output) {
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -20,7 +20,7 @@
 //!   election timeout.
 //!
 //! Once a majority has sent leader checks to the former leader, it campaigns after
-//! `Config::start_delay`, when its replies have arrived. The other voters wait longer, so that it can
+//! `Config::campaign_delay`, when its replies have arrived. The other voters wait longer, so that it can
 //! win.
 //!
 //! This is safe only if nothing that a leader has granted outlives its process. See
@@ -81,7 +81,7 @@
             return;
         };
         if self.timers.check_due.is_some_and(|due| now >= due) {
-            self.timers.check_due = Some(now + self.cfg.start_delay());
+            self.timers.check_due = Some(now + self.cfg.campaign_delay());
             self.send(leader, message::Body::LeaderCheck { number }, out);
         }
     }
@@ -102,7 +102,7 @@
             asked_by.insert(from);
             if membership.has_majority(|id| asked_by.contains(&id)) {
                 self.state.start = Start::Over;
-                self.stand_at(self.timers.now + self.cfg.start_delay());
+                self.stand_at(self.timers.now + self.cfg.campaign_delay());
             }
         }
     }
