--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -21,12 +21,12 @@
         if self.state.commit < leader.term_start {
             return None;
         }
-        let end = self.quorum_heard()? + self.cfg.election_timeout;
+        let end = self.quorum_contact()? + self.cfg.election_timeout;
         Some(time::Instant(end.0.saturating_sub(self.cfg.drift_margin.0)))
     }
 
     /// When the latest round of heartbeats that a majority of voters has answered began.
-    fn quorum_heard(&self) -> Option<time::Instant> {
+    fn quorum_contact(&self) -> Option<time::Instant> {
         let membership = self.state.log.membership();
         let answered = |id: &log::NodeId| {
             if *id == self.cfg.id {
@@ -43,7 +43,7 @@
     /// When this node, as leader, has to step down unless a majority answers a newer round of heartbeats.
     pub(crate) fn quorum_deadline(&self) -> time::Instant {
         let since = self
-            .quorum_heard()
+            .quorum_contact()
             .unwrap_or_default()
             .max(self.timers.led_since);
         since + self.cfg.election_timeout
@@ -63,20 +63,20 @@
             return;
         }
         if self.cfg.guards.pre_vote {
-            self.ask_pre_votes(out);
+            self.request_pre_votes(out);
         } else {
-            self.ask_votes(out);
+            self.request_votes(out);
         }
     }
 
-    fn ask_pre_votes(&mut self, out: &mut output::Output) {
+    fn request_pre_votes(&mut self, out: &mut output::Output) {
         let granted = collections::BTreeSet::from([self.cfg.id]);
         self.state.role = state::Role::PreCandidate { granted };
-        self.ask(message::Body::PreVote, out);
+        self.broadcast_candidacy(message::Body::PreVote, out);
         self.count_pre_votes(out);
     }
 
-    fn ask_votes(&mut self, out: &mut output::Output) {
+    fn request_votes(&mut self, out: &mut output::Output) {
         let term = self.state.hard.term.next();
         self.state.hard = log::HardState {
             term,
@@ -85,11 +85,15 @@
         out.hard_state(self.state.hard);
         let granted = collections::BTreeSet::from([self.cfg.id]);
         self.state.role = state::Role::Candidate { granted };
-        self.ask(message::Body::Vote, out);
+        self.broadcast_candidacy(message::Body::Vote, out);
         self.count_votes(out);
     }
 
-    fn ask(&self, body: fn(message::Candidacy) -> message::Body, out: &mut output::Output) {
+    fn broadcast_candidacy(
+        &self,
+        body: fn(message::Candidacy) -> message::Body,
+        out: &mut output::Output,
+    ) {
         let log = &self.state.log;
         let candidacy = message::Candidacy {
             last: log.last(),
@@ -114,7 +118,7 @@
         let removed = *index > candidacy.membership && !committed.contains(from);
         let granted = !removed
             && term >= self.state.hard.term
-            && !self.must_not_vote()
+            && !self.is_bound_not_to_vote()
             && self.may_vote_for(candidacy);
         self.send(from, message::Body::PreVoteReply { granted, removed }, out);
     }
@@ -128,7 +132,7 @@
     ) {
         // The candidate's term is not adopted either: that would make the leader step down whenever a
         // removed or partitioned node requests votes.
-        if self.must_not_vote() {
+        if self.is_bound_not_to_vote() {
             return;
         }
         if term > self.state.hard.term {
@@ -154,7 +158,7 @@
 
     /// Whether a leader relies on this node not to vote: this node leads, or has heard from a leader within
     /// the election timeout.
-    fn must_not_vote(&self) -> bool {
+    fn is_bound_not_to_vote(&self) -> bool {
         let heard = self.state.heard_leader
             && self.timers.now.since(self.timers.heard) < self.cfg.election_timeout;
         self.cfg.guards.stickiness && (heard || self.is_leader())
@@ -204,7 +208,7 @@
             granted.insert(from);
             self.count_votes(out);
         } else {
-            self.stand_again_soon();
+            self.retry_campaign_soon();
         }
     }
 
@@ -212,9 +216,9 @@
     /// term. If only a bare majority of the group is up, no candidate can win the term, and callers would
     /// wait for a whole election timeout. The next campaign begins with a pre-vote, so that a candidate
     /// that cannot win does not disturb the group.
-    fn stand_again_soon(&mut self) {
+    fn retry_campaign_soon(&mut self) {
         let extra = time::Millis(self.draw(self.cfg.heartbeat_interval.0.max(1)));
-        self.stand_at(self.timers.now + self.cfg.campaign_delay() + extra);
+        self.campaign_by(self.timers.now + self.cfg.campaign_delay() + extra);
     }
 
     fn count_pre_votes(&mut self, out: &mut output::Output) {
@@ -222,7 +226,7 @@
             return;
         };
         if self.is_majority(granted) {
-            self.ask_votes(out);
+            self.request_votes(out);
         }
     }
 
@@ -231,7 +235,7 @@
             return;
         };
         if self.is_majority(granted) {
-            self.lead(out);
+            self.become_leader(out);
         }
     }
 
@@ -240,7 +244,7 @@
         membership.has_majority(|id| granted.contains(&id))
     }
 
-    fn lead(&mut self, out: &mut output::Output) {
+    fn become_leader(&mut self, out: &mut output::Output) {
         let next = self.state.log.last().index.next();
         self.state.role = state::Role::Leader(state::Leader {
             peers: collections::BTreeMap::new(),
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -276,7 +276,7 @@
             return;
         }
         self.follow(term, Some(from), out);
-        self.hear_leader();
+        self.record_leader_contact();
         match body {
             message::Body::Append {
                 prev,
@@ -336,7 +336,7 @@
     }
 
     /// Records a message of a leader, which keeps this node from voting and from campaigning.
-    fn hear_leader(&mut self) {
+    fn record_leader_contact(&mut self) {
         self.state.heard_leader = true;
         self.state.start = restart::Start::Over;
         self.state.removed = false;
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -102,7 +102,7 @@
             asked_by.insert(from);
             if membership.has_majority(|id| asked_by.contains(&id)) {
                 self.state.start = Start::Over;
-                self.stand_at(self.timers.now + self.cfg.campaign_delay());
+                self.campaign_by(self.timers.now + self.cfg.campaign_delay());
             }
         }
     }
@@ -127,11 +127,11 @@
         self.state.heard_leader = false;
         let interval = self.cfg.heartbeat_interval.0.max(2);
         let extra = time::Millis(self.draw(interval));
-        self.stand_at(self.timers.now + time::Millis(interval / 2) + extra);
+        self.campaign_by(self.timers.now + time::Millis(interval / 2) + extra);
     }
 
     /// Campaigns at `due`, or earlier if the election timer expires before, unless a leader is heard from.
-    pub(crate) fn stand_at(&mut self, due: time::Instant) {
+    pub(crate) fn campaign_by(&mut self, due: time::Instant) {
         let before = self.timers.election_due.unwrap_or(due);
         self.timers.election_due = Some(before.min(due));
     }
