--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -55,7 +55,7 @@
         }
         self.state.leader = None;
         self.state.heard_leader = false;
-        self.state.start = restart::Start::Over;
+        self.state.restart = restart::RestartState::Done;
         self.state.role = state::Role::Follower;
         self.restart_election_timer();
         let voter = self.state.log.membership().voters.contains(&self.cfg.id);
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -98,7 +98,7 @@
             role: state::Role::Follower,
             leader: None,
             heard_leader: hard.term > log::Term::default(),
-            start: restart::Start::Over,
+            restart: restart::RestartState::Done,
             removed: false,
             hard,
         };
@@ -188,7 +188,7 @@
             self.timers.heard = self.timers.now;
             self.timers.check_due = Some(self.timers.now + time::Millis(1));
             self.restart_election_timer();
-            self.recall_start();
+            self.init_restart_check();
         }
         if self.is_leader() && self.timers.now >= self.quorum_deadline() {
             self.lose_quorum(out);
@@ -223,7 +223,7 @@
             }
             return;
         }
-        self.check_leader(out);
+        self.send_leader_check_if_due(out);
         if self.timers.election_due.is_some_and(|due| now >= due) {
             self.election_timeout(out);
         }
@@ -338,7 +338,7 @@
     /// Records a message of a leader, which keeps this node from voting and from campaigning.
     fn record_leader_contact(&mut self) {
         self.state.heard_leader = true;
-        self.state.start = restart::Start::Over;
+        self.state.restart = restart::RestartState::Done;
         self.state.removed = false;
         self.timers.heard = self.timers.now;
         self.restart_election_timer();
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -34,20 +34,20 @@
 
 /// What a node has still to do about its term before the restart.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) enum Start {
+pub(crate) enum RestartState {
     /// Nothing.
-    Over,
-    /// It led that term or was a candidate in it. `asked_by` has sent leader checks since the restart.
-    Led {
-        asked_by: collections::BTreeSet<log::NodeId>,
+    Done,
+    /// It led that term or was a candidate in it. `checked_by` has sent leader checks since the restart.
+    WasLeader {
+        checked_by: collections::BTreeSet<log::NodeId>,
     },
     /// It may have promised `leader` not to vote. Its leader checks carry `number`.
-    Promised { leader: log::NodeId, number: u64 },
+    BoundTo { leader: log::NodeId, number: u64 },
 }
 
 impl node::Node {
     /// Determines from the persistent state whether a leader may rely on this node's promise not to vote.
-    pub(crate) fn recall_start(&mut self) {
+    pub(crate) fn init_restart_check(&mut self) {
         if !self.cfg.restart_check_enabled {
             return;
         }
@@ -57,27 +57,27 @@
         if leader == self.cfg.id {
             // There is no promise to another node.
             self.state.heard_leader = false;
-            let asked_by = collections::BTreeSet::from([leader]);
-            self.state.start = Start::Led { asked_by };
+            let checked_by = collections::BTreeSet::from([leader]);
+            self.state.restart = RestartState::WasLeader { checked_by };
             return;
         }
         let number = self.draw(u64::MAX);
-        self.state.start = Start::Promised { leader, number };
+        self.state.restart = RestartState::BoundTo { leader, number };
         if !self.cfg.guards.restart_check {
-            self.release();
+            self.release_promise();
         }
     }
 
     /// When the next leader check is due. None if no check is needed.
     pub(crate) fn check_due(&self) -> Option<time::Instant> {
-        let asks = matches!(self.state.start, Start::Promised { .. });
+        let asks = matches!(self.state.restart, RestartState::BoundTo { .. });
         self.timers.check_due.filter(|_| asks)
     }
 
     /// Sends a leader check to the last leader, if one is due.
-    pub(crate) fn check_leader(&mut self, out: &mut output::Output) {
+    pub(crate) fn send_leader_check_if_due(&mut self, out: &mut output::Output) {
         let now = self.timers.now;
-        let Start::Promised { leader, number } = self.state.start else {
+        let RestartState::BoundTo { leader, number } = self.state.restart else {
             return;
         };
         if self.timers.check_due.is_some_and(|due| now >= due) {
@@ -98,32 +98,32 @@
         let leads = to == self.cfg.id && self.is_leader();
         self.send(from, message::Body::LeaderCheckReply { number, leads }, out);
         let membership = self.state.log.membership();
-        if let Start::Led { asked_by } = &mut self.state.start {
-            asked_by.insert(from);
-            if membership.has_majority(|id| asked_by.contains(&id)) {
-                self.state.start = Start::Over;
+        if let RestartState::WasLeader { checked_by } = &mut self.state.restart {
+            checked_by.insert(from);
+            if membership.has_majority(|id| checked_by.contains(&id)) {
+                self.state.restart = RestartState::Done;
                 self.campaign_by(self.timers.now + self.cfg.campaign_delay());
             }
         }
     }
 
     pub(crate) fn on_leader_check_reply(&mut self, from: log::NodeId, number: u64, leads: bool) {
-        let Start::Promised {
+        let RestartState::BoundTo {
             leader,
             number: own,
-        } = self.state.start
+        } = self.state.restart
         else {
             return;
         };
         if from.vm == leader.vm && number == own && !leads {
-            self.release();
+            self.release_promise();
         }
     }
 
     /// Ends the promise not to vote, and schedules a campaign late enough for the former leader to
     /// campaign first.
-    fn release(&mut self) {
-        self.state.start = Start::Over;
+    fn release_promise(&mut self) {
+        self.state.restart = RestartState::Done;
         self.state.heard_leader = false;
         let interval = self.cfg.heartbeat_interval.0.max(2);
         let extra = time::Millis(self.draw(interval));
--- a/crates/sageshed-quorum/src/state.rs
+++ b/crates/sageshed-quorum/src/state.rs
@@ -22,7 +22,7 @@
     /// of the leader.
     pub(crate) heard_leader: bool,
     /// What the node has still to do about its term before the restart.
-    pub(crate) start: restart::Start,
+    pub(crate) restart: restart::RestartState,
     /// Whether another node has reported that this node was removed. It does not campaign until it hears
     /// from a leader.
     pub(crate) removed: bool,
