--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -160,7 +160,7 @@
     /// the election timeout.
     fn is_bound_not_to_vote(&self) -> bool {
         let heard = self.state.heard_leader
-            && self.timers.now.since(self.timers.heard) < self.cfg.election_timeout;
+            && self.timers.now.since(self.timers.leader_heard_at) < self.cfg.election_timeout;
         self.cfg.guards.stickiness && (heard || self.is_leader())
     }
 
@@ -260,6 +260,6 @@
         });
         self.append(log::EntryData::Noop, out);
         self.heartbeat_due(out);
-        self.count_matches(out);
+        self.commit_by_majority(out);
     }
 }
--- a/crates/sageshed-quorum/src/entries.rs
+++ b/crates/sageshed-quorum/src/entries.rs
@@ -114,7 +114,7 @@
     }
 
     /// Removes the entries that `snapshot` covers, and also all later ones if the log contradicts it.
-    pub(crate) fn cover(&mut self, snapshot: &log::Snapshot) {
+    pub(crate) fn compact_to(&mut self, snapshot: &log::Snapshot) {
         let agrees = self.term_at(snapshot.index) == Some(snapshot.term);
         let later = if agrees {
             self.from(snapshot.index.next()).to_vec()
--- a/crates/sageshed-quorum/src/heartbeat.rs
+++ b/crates/sageshed-quorum/src/heartbeat.rs
@@ -8,20 +8,21 @@
             return;
         };
         let log = &self.state.log;
-        let of_snapshot = self.state.snapshot.as_ref().map_or(0, |it| it.data.len());
+        let snapshot_bytes = self.state.snapshot.as_ref().map_or(0, |it| it.data.len());
         for peer in leader.peers.values_mut() {
-            let (patience, bytes) = if peer.snapshot {
-                (self.cfg.snapshot_retry_heartbeats, of_snapshot)
+            let (retry_after_heartbeats, bytes) = if peer.snapshot {
+                (self.cfg.snapshot_retry_heartbeats, snapshot_bytes)
             } else {
-                let bytes = replication::bytes_under_way(log, peer);
+                let bytes = replication::unacknowledged_bytes(log, peer);
                 (self.cfg.append_retry_heartbeats, bytes)
             };
             // A large entry must not be sent again before it can have arrived, since the retries would
             // delay it further.
             let more = bytes / self.cfg.bytes_per_heartbeat.max(1);
-            let patience = patience.saturating_add(u32::try_from(more).unwrap_or(u32::MAX));
-            peer.unanswered += u32::from(peer.awaits_answer());
-            if peer.unanswered > patience {
+            let retry_after_heartbeats =
+                retry_after_heartbeats.saturating_add(u32::try_from(more).unwrap_or(u32::MAX));
+            peer.unanswered += u32::from(peer.has_unacknowledged());
+            if peer.unanswered > retry_after_heartbeats {
                 peer.restart_at(peer.matched.next());
             }
         }
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -64,7 +64,7 @@
     /// When the next leader check is sent to the last leader.
     pub(crate) check_due: Option<time::Instant>,
     /// When the last message of a leader arrived.
-    pub(crate) heard: time::Instant,
+    pub(crate) leader_heard_at: time::Instant,
     pub(crate) heartbeat_due: time::Instant,
     /// When this node became leader.
     pub(crate) led_since: time::Instant,
@@ -88,8 +88,8 @@
         let hard = restored.hard_state;
         let (log, snapshot) = entries::Entries::new(restored);
         if !cfg.guards.generation && !log.membership().contains(cfg.id) {
-            let namesake = log.membership().members().find(|id| id.vm == cfg.id.vm);
-            cfg.id = namesake.unwrap_or(cfg.id);
+            let same_vm = log.membership().members().find(|id| id.vm == cfg.id.vm);
+            cfg.id = same_vm.unwrap_or(cfg.id);
         }
         let state = state::State {
             commit: log.base().index,
@@ -127,7 +127,7 @@
         events: impl IntoIterator<Item = event::Event>,
     ) -> Vec<event::Action> {
         let mut out = output::Output::default();
-        self.observe(now, &mut out);
+        self.advance_clock(now, &mut out);
         for event in events {
             self.handle(event, &mut out);
         }
@@ -182,10 +182,10 @@
     ///
     /// A leader whose process was suspended, or whose heartbeats are not answered, must step down before
     /// it does anything else as leader.
-    fn observe(&mut self, now: time::Instant, out: &mut output::Output) {
+    fn advance_clock(&mut self, now: time::Instant, out: &mut output::Output) {
         self.timers.now = self.timers.now.max(now);
         if self.timers.election_due.is_none() {
-            self.timers.heard = self.timers.now;
+            self.timers.leader_heard_at = self.timers.now;
             self.timers.check_due = Some(self.timers.now + time::Millis(1));
             self.restart_election_timer();
             self.init_restart_check();
@@ -340,7 +340,7 @@
         self.state.heard_leader = true;
         self.state.restart = restart::RestartState::Done;
         self.state.removed = false;
-        self.timers.heard = self.timers.now;
+        self.timers.leader_heard_at = self.timers.now;
         self.restart_election_timer();
     }
 
--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -84,13 +84,13 @@
     #[must_use]
     pub fn next_change(&self, view: GroupView<'_>) -> Option<event::Change> {
         let mut joiners = view.joiners.iter();
-        joiners.find_map(|joiner| self.step_for(view, *joiner))
+        joiners.find_map(|joiner| self.next_change_for(view, *joiner))
     }
 
     /// The next change on the way of `joiner` to a voter.
-    fn step_for(&self, view: GroupView<'_>, joiner: log::NodeId) -> Option<event::Change> {
+    fn next_change_for(&self, view: GroupView<'_>, joiner: log::NodeId) -> Option<event::Change> {
         let members = &view.status.membership;
-        if members.voters.contains(&joiner) || is_outdated(members, joiner) {
+        if members.voters.contains(&joiner) || has_newer_generation(members, joiner) {
             return None;
         }
         if !members.learners.contains(&joiner) {
@@ -135,7 +135,7 @@
 
 /// Whether a later disk generation of the same VM is already a member, so that the request of `joiner` to
 /// join is outdated.
-fn is_outdated(members: &log::Membership, joiner: log::NodeId) -> bool {
+fn has_newer_generation(members: &log::Membership, joiner: log::NodeId) -> bool {
     let mut same_vm = members.members().filter(|id| id.vm == joiner.vm);
     same_vm.any(|id| id > joiner)
 }
--- a/crates/sageshed-quorum/src/replication.rs
+++ b/crates/sageshed-quorum/src/replication.rs
@@ -92,13 +92,13 @@
         commit: log::Index,
         out: &mut output::Output,
     ) {
-        let runs_on = |(entry, index): (&log::Entry, u64)| entry.index.0 == index;
-        if !entries.iter().zip(prev.index.0 + 1..).all(runs_on) {
+        let is_contiguous = |(entry, index): (&log::Entry, u64)| entry.index.0 == index;
+        if !entries.iter().zip(prev.index.0 + 1..).all(is_contiguous) {
             return;
         }
         let base = self.state.log.base().index;
         if prev.index >= base && self.state.log.term_at(prev.index) != Some(prev.term) {
-            let hint = self.agreement_hint(prev.index);
+            let hint = self.last_possible_match(prev.index);
             self.send(
                 from,
                 message::Body::Rejected {
@@ -111,7 +111,7 @@
         }
         let matched = log::Index(prev.index.0 + entries.len() as u64).max(base);
         for entry in entries {
-            self.accept(entry, out);
+            self.append_received(entry, out);
         }
         self.advance_commit(commit.min(matched), out);
         self.send(from, message::Body::Accepted { matched }, out);
@@ -121,7 +121,7 @@
     ///
     /// An entry that is already there stays, and so do the entries after it: the message may be delayed,
     /// and later entries may have been acknowledged since.
-    fn accept(&mut self, entry: log::Entry, out: &mut output::Output) {
+    fn append_received(&mut self, entry: log::Entry, out: &mut output::Output) {
         let log = &mut self.state.log;
         if entry.index <= log.base().index || log.term_at(entry.index) == Some(entry.term) {
             return;
@@ -136,7 +136,7 @@
 
     /// The last entry that may agree with the log of a leader whose entry at `prev` is missing here: the end
     /// of this log, or the entry before the first one of the conflicting term.
-    fn agreement_hint(&self, prev: log::Index) -> log::Index {
+    fn last_possible_match(&self, prev: log::Index) -> log::Index {
         let log = &self.state.log;
         if prev > log.last().index {
             return log.last().index;
@@ -170,7 +170,7 @@
         peer.in_flight = peer.in_flight.saturating_sub(1);
         peer.probing = false;
         peer.snapshot = false;
-        self.count_matches(out);
+        self.commit_by_majority(out);
     }
 
     pub(crate) fn on_rejected(&mut self, from: log::NodeId, prev: log::Index, hint: log::Index) {
@@ -192,7 +192,7 @@
     /// Only entries of the leader's own term are committed by counting acknowledgements, and earlier
     /// entries are committed with them. An earlier entry held by a majority may still be overwritten by a
     /// leader with a later term in its log (figure 8 of the Raft paper).
-    pub(crate) fn count_matches(&mut self, out: &mut output::Output) {
+    pub(crate) fn commit_by_majority(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &self.state.role else {
             return;
         };
@@ -217,11 +217,11 @@
         if own || !self.cfg.guards.own_term_commit {
             self.advance_commit(held, out);
         }
-        self.leave_if_removed(out);
+        self.step_down_if_removed(out);
     }
 
     /// Steps down if this node's own removal is committed.
-    fn leave_if_removed(&mut self, out: &mut output::Output) {
+    fn step_down_if_removed(&mut self, out: &mut output::Output) {
         let log = &self.state.log;
         let committed = log.membership_index() <= self.state.commit;
         if committed && !log.membership().voters.contains(&self.cfg.id) {
@@ -264,7 +264,7 @@
     fn restore(&mut self, snapshot: log::Snapshot, out: &mut output::Output) {
         let agrees = self.state.log.term_at(snapshot.index) == Some(snapshot.term);
         out.snapshot(snapshot.clone(), !agrees);
-        self.state.log.cover(&snapshot);
+        self.state.log.compact_to(&snapshot);
         self.state.commit = snapshot.index;
         self.state.snapshot = Some(Arc::new(snapshot.clone()));
         out.push(event::Action::Restore(snapshot));
@@ -276,7 +276,7 @@
         if covered || index > self.state.commit {
             return;
         }
-        self.state.log.cover(&snapshot);
+        self.state.log.compact_to(&snapshot);
         self.state.snapshot = Some(Arc::new(snapshot));
         out.push(event::Action::Compacted { index });
     }
@@ -294,7 +294,7 @@
 }
 
 /// The approximate size of the entries that were sent to a peer and are not acknowledged, in bytes.
-pub(crate) fn bytes_under_way(log: &entries::Entries, peer: &state::Peer) -> usize {
+pub(crate) fn unacknowledged_bytes(log: &entries::Entries, peer: &state::Peer) -> usize {
     let first = peer.matched.next();
     let sent = log.from(first).iter();
     let sent = sent.take_while(|entry| entry.index < peer.next);
--- a/crates/sageshed-quorum/src/requests.rs
+++ b/crates/sageshed-quorum/src/requests.rs
@@ -58,7 +58,7 @@
             index,
             term: self.state.hard.term,
         });
-        self.count_matches(out);
+        self.commit_by_majority(out);
     }
 
     /// The membership after `change`, or why it cannot be made now.
--- a/crates/sageshed-quorum/src/state.rs
+++ b/crates/sageshed-quorum/src/state.rs
@@ -89,7 +89,7 @@
     ///
     /// `in_flight` does not tell that: if an append is lost and an earlier reply is duplicated, the count
     /// is zero, and the peer would lack the append until something new is proposed.
-    pub(crate) fn awaits_answer(&self) -> bool {
+    pub(crate) fn has_unacknowledged(&self) -> bool {
         self.next > self.matched.next()
     }
 
