--- a/crates/sageshed-quorum/tests/testsuite/guards.rs
+++ b/crates/sageshed-quorum/tests/testsuite/guards.rs
@@ -1,34 +1,34 @@
-//! Each guard: a story that ends well with it and badly without.
+//! For each guard, a scenario that violates a property only if the guard is off.
 
 use sageshed_quorum::{config, event, log, status};
 
 use crate::{
     random,
-    sim::{Broken, Sim, id},
+    sim::{CheckResult, Sim, id},
 };
 
 struct Case {
     voters: u32,
-    story: fn(&mut Sim) -> Broken,
-    /// Guards that are off in both runs, since they would help out.
-    spare: fn(&mut config::Guards),
-    /// The guard that makes the difference.
-    remove: fn(&mut config::Guards),
-    /// Part of what goes wrong without it.
+    scenario: fn(&mut Sim) -> CheckResult,
+    /// Turns off guards in both runs that would also prevent the violation.
+    also_disable: fn(&mut config::Guards),
+    /// Turns off the guard under test.
+    disable: fn(&mut config::Guards),
+    /// A part of the error without the guard.
     broken: &'static str,
 }
 
 fn case(
     voters: u32,
-    story: fn(&mut Sim) -> Broken,
-    remove: fn(&mut config::Guards),
+    scenario: fn(&mut Sim) -> CheckResult,
+    disable: fn(&mut config::Guards),
     broken: &'static str,
 ) -> Case {
     Case {
         voters,
-        story,
-        spare: |_| {},
-        remove,
+        scenario,
+        also_disable: |_| {},
+        disable,
         broken,
     }
 }
@@ -39,7 +39,7 @@
     let cases = [
         case(3, lost_disk, |g| g.generation = false, lost),
         case(3, stale_candidate, |g| g.up_to_date = false, lost),
-        case(3, unsynced_answer, |g| g.sync = false, lost),
+        case(3, unsynced_acknowledgement, |g| g.sync = false, lost),
         case(5, older_entry_counted, |g| g.own_term_commit = false, lost),
         case(3, two_changes_at_once, |g| g.single_change = false, lost),
         case(4, change_of_new_leader, |g| g.own_term_change = false, lost),
@@ -49,22 +49,27 @@
             |g| g.caught_up = false,
             "not committed",
         ),
-        case(3, cut_off_leader, |g| g.check_quorum = false, "still leads"),
+        case(
+            3,
+            partitioned_leader,
+            |g| g.check_quorum = false,
+            "still leads",
+        ),
         case(3, follower_returns, |g| g.pre_vote = false, "deposed"),
         case(
             3,
-            deaf_follower,
+            follower_without_heartbeats,
             |g| g.stickiness = false,
             "within the lease",
         ),
         case(
             3,
-            voter_restarts_behind_a_cut,
+            voter_restarts_in_a_partition,
             |g| g.restart_check = false,
             "within the lease",
         ),
         Case {
-            spare: |g| g.check_quorum = false,
+            also_disable: |g| g.check_quorum = false,
             ..case(
                 3,
                 read_at_old_leader,
@@ -75,11 +80,11 @@
     ];
     for (nth, case) in cases.iter().enumerate() {
         let mut guards = config::Guards::default();
-        (case.spare)(&mut guards);
-        let healthy = (case.story)(&mut Sim::new(1, case.voters, guards));
+        (case.also_disable)(&mut guards);
+        let healthy = (case.scenario)(&mut Sim::new(1, case.voters, guards));
         assert_eq!(healthy, Ok(()), "case {nth} with its guard");
-        (case.remove)(&mut guards);
-        let broken = (case.story)(&mut Sim::new(1, case.voters, guards)).unwrap_err();
+        (case.disable)(&mut guards);
+        let broken = (case.scenario)(&mut Sim::new(1, case.voters, guards)).unwrap_err();
         assert!(
             broken.contains(case.broken),
             "case {nth} without its guard: {broken}"
@@ -87,7 +92,7 @@
     }
 }
 
-/// Random runs find by themselves what goes wrong without some of the guards.
+/// Checks that random runs find the violations without some of the guards.
 #[test]
 fn random_runs_find_missing_guards() {
     let all = config::Guards::default();
@@ -108,14 +113,14 @@
     }
 }
 
-/// Two leaders order at the same time. V1 leads and is cut off with its lease still running. V2 and V3,
-/// which have just answered it, start again and can't ask it. Their votes at once would make one of
-/// them leader.
-fn voter_restarts_behind_a_cut(sim: &mut Sim) -> Broken {
+/// Two nodes lead at the same time. V1 leads and is partitioned while its lease is valid. V2 and V3, which
+/// have just answered it, restart and cannot reach it. If they voted at once, one of them would become
+/// leader.
+fn voter_restarts_in_a_partition(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
     sim.propose(1, b"rule")?;
     sim.run(100)?;
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     for vm in [2, 3] {
         sim.crash(vm);
         sim.start(vm);
@@ -123,35 +128,35 @@
     sim.run(150)
 }
 
-/// A rule that was accepted is gone after two VMs were repaired. V1 and V2 hold it, V3 was away; V2
-/// comes back with an empty disk and V1 is down. If V2 votes under its old name it makes V3 leader.
-fn lost_disk(sim: &mut Sim) -> Broken {
+/// A committed rule is lost. V1 and V2 hold it, and V3 was partitioned. V2 restarts with an empty disk and
+/// V1 is down. If V2 voted under its old id, V3 would become leader.
+fn lost_disk(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.propose(1, b"rule")?;
     sim.deliver()?;
     sim.crash(1);
     sim.lose_disk(2);
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.elect(3)
 }
 
-/// A rule that was accepted is gone: V3, which was away when V1 and V2 took it, is elected.
-fn stale_candidate(sim: &mut Sim) -> Broken {
+/// A committed rule is lost: V3, which was partitioned when V1 and V2 committed it, is elected.
+fn stale_candidate(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.propose(1, b"rule")?;
     sim.deliver()?;
     sim.crash(1);
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.elect(3)
 }
 
-/// A rule that was accepted is gone: V2 acknowledged it and lost power before it was on disk.
-fn unsynced_answer(sim: &mut Sim) -> Broken {
+/// A committed rule is lost: V2 acknowledged it and lost power before it was on disk.
+fn unsynced_acknowledgement(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
     sim.run(100)?;
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.propose(1, b"rule")?;
     let to_second = sim
         .wire
@@ -162,17 +167,17 @@
     sim.step_until(2, event::Event::Message { from, message }, Some(1))?;
     sim.deliver()?;
     sim.crash(1);
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.start(2);
     sim.elect(3)
 }
 
-/// A rule that was accepted is gone. V1 appends it on V1 and V2; V5 leads next and appends its own
-/// entry there; V1 leads again and brings the rule to V3. That is a majority, but V5 can still win
-/// against V3 and V4, and overwrites it (figure 8 of the Raft paper).
-fn older_entry_counted(sim: &mut Sim) -> Broken {
+/// A committed rule is lost. V1 appends it on V1 and V2, then V5 leads and appends its own entry, then V1
+/// leads again and replicates the rule to V3. A majority holds the rule, but V5 can still be elected with
+/// the votes of V3 and V4, and overwrites it (figure 8 of the Raft paper).
+fn older_entry_counted(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.extend([1, 2]);
+    sim.partitioned.extend([1, 2]);
     sim.propose(1, &[7; 300])?;
     sim.deliver()?;
     sim.crash(1);
@@ -182,7 +187,7 @@
     sim.wire.clear();
     sim.crash(5);
     sim.start(1);
-    sim.cut = [4, 5].into();
+    sim.partitioned = [4, 5].into();
     sim.now += 1000;
     sim.step(1, event::Event::ElectionTimeout)?;
     sim.deliver()?;
@@ -194,36 +199,36 @@
     };
     sim.deliver_until(third_has_it)?;
     if !third_has_it(sim) {
-        return Err("the story goes otherwise".to_owned());
+        return Err("the scenario took another course".to_owned());
     }
     sim.wire.clear();
     sim.crash(1);
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.start(5);
     sim.elect(5)?;
     sim.elect(5)
 }
 
-/// Two leaders accept different rules. V1 is cut off and is told to remove V2, then V3: each change
-/// shrinks the majority that the next one needs, until V1 is one by itself.
-fn two_changes_at_once(sim: &mut Sim) -> Broken {
+/// Two leaders commit different rules. V1 is partitioned and asked to remove V2, then V3. Each change
+/// reduces the majority that the next one needs, until V1 alone is a majority.
+fn two_changes_at_once(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     sim.change(1, event::Change::Remove(id(2, 1)))?;
     sim.change(1, event::Change::Remove(id(3, 1)))?;
     sim.deliver()?;
     sim.elect(2)
 }
 
-/// A removal that was confirmed is undone. V1 has promoted V5 on its own log only; V2 leads next
-/// and removes V1, which V2 and V3 confirm before V4 hears of the new term. V1, V4 and V5 are a
+/// A committed removal is undone. V1 has appended the promotion of V5 to its own log only. V2 leads next
+/// and removes V1, which V2 and V3 acknowledge before V4 learns of the new term. V1, V4 and V5 are a
 /// majority of the membership that V1 knows, and elect it.
-fn change_of_new_leader(sim: &mut Sim) -> Broken {
+fn change_of_new_leader(sim: &mut Sim) -> CheckResult {
     sim.join(5);
     sim.elect(1)?;
     sim.change(1, event::Change::AddLearner(id(5, 1)))?;
     sim.run(100)?;
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     sim.change(1, event::Change::Promote(id(5, 1)))?;
     sim.deliver()?;
     sim.crash(1);
@@ -231,7 +236,7 @@
     sim.step(2, event::Event::ElectionTimeout)?;
     sim.deliver_until(|sim| sim.leader() == Some(2))?;
     sim.wire.clear();
-    sim.cut = [4, 5].into();
+    sim.partitioned = [4, 5].into();
     sim.change(2, event::Change::Remove(id(1, 1)))?;
     for _ in 0..4 {
         sim.step(2, event::Event::HeartbeatDue)?;
@@ -239,15 +244,15 @@
     }
     sim.crash(2);
     sim.crash(3);
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.start(1);
     sim.elect(1)?;
     sim.elect(1)
 }
 
-/// No change is accepted any more. V3 is down, and its successor is made a voter before it has
-/// ever answered: two live voters of four are no majority.
-fn dead_learner_promoted(sim: &mut Sim) -> Broken {
+/// Nothing can be committed any more. V3 is down, and its replacement becomes a voter before it has ever
+/// replied. The two live voters of four are not a majority.
+fn dead_learner_promoted(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
     sim.crash(3);
     sim.change(1, event::Change::AddLearner(id(4, 1)))?;
@@ -263,11 +268,11 @@
     }
 }
 
-/// An operator's changes hang for as long as a partition lasts: the leader is cut off and nothing
-/// tells it so.
-fn cut_off_leader(sim: &mut Sim) -> Broken {
+/// An operator's changes hang for as long as a partition lasts, since the partitioned leader does not
+/// notice that it is partitioned.
+fn partitioned_leader(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     sim.run(250)?;
     let role = sim.status(1).unwrap().role;
     if role == status::Role::Leader {
@@ -277,13 +282,13 @@
     }
 }
 
-/// Every return of a VM from a partition stops the group for an election: in the meantime it has
-/// raised its term, and the leader steps down when it hears of that.
-fn follower_returns(sim: &mut Sim) -> Broken {
+/// Each return of a VM from a partition causes an election: the VM has increased its term, and the leader
+/// steps down when it learns of that term.
+fn follower_returns(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.run(2000)?;
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.run(1000)?;
     let status = sim.status(1).unwrap();
     if status.term == log::Term(1) {
@@ -293,9 +298,9 @@
     }
 }
 
-/// A read at the leader misses what another leader has accepted: V3 hears no heartbeat and is heard
-/// by V2 alone, which votes for it right after it has confirmed V1's lease.
-fn deaf_follower(sim: &mut Sim) -> Broken {
+/// A read at the leader misses an entry that another leader has committed. V3 receives no heartbeats and
+/// reaches only V2, which votes for it just after it has confirmed V1's lease.
+fn follower_without_heartbeats(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
     sim.run(500)?;
     sim.step(3, event::Event::ElectionTimeout)?;
@@ -305,13 +310,13 @@
     sim.deliver()
 }
 
-/// A visitor centre reads what was replaced a second ago: V1 was cut off, V2 leads and has accepted
-/// a change, and V1 answers a read as the leader that it takes itself for. Both cases do without
-/// the quorum check, which would have made V1 step down.
-fn read_at_old_leader(sim: &mut Sim) -> Broken {
+/// A read returns an outdated value: V1 is partitioned, V2 leads and has committed a change, and V1
+/// answers a read since it still considers itself leader. The quorum check, which would make V1 step
+/// down, is off in both runs.
+fn read_at_old_leader(sim: &mut Sim) -> CheckResult {
     sim.elect(1)?;
     sim.run(100)?;
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     sim.elect(2)?;
     sim.propose(2, b"rule")?;
     sim.deliver()?;
--- a/crates/sageshed-quorum/tests/testsuite/main.rs
+++ b/crates/sageshed-quorum/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated log: scenarios, guards taken away one by one, and random runs.
+//! Tests of the replicated log: scenarios, guards turned off one by one, and random runs.
 
 mod guards;
 mod messages;
--- a/crates/sageshed-quorum/tests/testsuite/messages.rs
+++ b/crates/sageshed-quorum/tests/testsuite/messages.rs
@@ -1,4 +1,4 @@
-//! Single messages and steps that must have no effect, or only a certain one.
+//! Effects of single messages and steps.
 
 use sageshed_quorum::{config, event, log, message, node};
 use sageshed_types::time;
@@ -15,7 +15,7 @@
         .unwrap();
 }
 
-/// Two leaders in one term: V2 votes for V1, loses power, and votes for V3 after it has restarted.
+/// Guards against two leaders in one term: V2 votes for V1, loses power, and votes for V3 after a restart.
 #[test]
 fn vote_survives_a_restart() {
     let mut sim = Sim::new(7, 3, config::Guards::default());
@@ -35,16 +35,16 @@
     }
 }
 
-/// The group stops for an election because a VM that was removed long ago answers with a late term.
+/// Guards against an election caused by a VM that was removed and replies with a later term.
 #[test]
-fn nobody_outside_the_membership_deposes_a_leader() {
+fn a_node_outside_the_membership_does_not_make_the_leader_step_down() {
     let mut sim = Sim::new(7, 3, config::Guards::default());
     sim.elect(1).unwrap();
     receive(&mut sim, 1, id(3, 7), 99, message::Body::Stale);
     assert_eq!(sim.leader(), Some(1));
 }
 
-/// A lease of a leader that doesn't know yet what was committed before it: a read would miss that.
+/// Guards against stale reads at a new leader, which does not know yet what was committed before it.
 #[test]
 fn new_leader_has_no_lease_before_it_commits() {
     let mut sim = Sim::new(7, 3, config::Guards::default());
@@ -63,12 +63,12 @@
     );
 }
 
-/// A leader that can't commit must not pile up requests until its VM runs out of memory.
+/// Guards against a leader that cannot commit and accepts proposals until its VM runs out of memory.
 #[test]
-fn backlog_is_bounded() {
+fn uncommitted_entries_are_bounded() {
     let mut sim = Sim::new(7, 3, config::Guards::default());
     sim.elect(1).unwrap();
-    sim.cut.insert(1);
+    sim.partitioned.insert(1);
     for _ in 0..10_001 {
         sim.propose(1, b"").unwrap();
     }
@@ -87,8 +87,8 @@
     );
 }
 
-/// A follower's log after a restart has an entry that its leader replaced: both came in one step,
-/// and the write of that step must hold the second only.
+/// Guards against an entry in a follower's log that its leader has replaced. Both entries arrive in one
+/// step, and the write of that step must contain only the second.
 #[test]
 fn replaced_entry_is_not_written_in_the_same_step() {
     let membership = log::Membership::of_voters([id(1, 1), id(2, 1), id(3, 1)]);
@@ -129,15 +129,15 @@
     assert_eq!(write.truncate_from, Some(log::Index(1)));
 }
 
-/// Guards against a large entry that is sent again and again before it can have arrived, and holds up itself.
+/// Guards against sending a large entry again before it can have arrived, which delays it further.
 #[test]
-fn a_large_entry_is_not_sent_again_while_it_is_under_way() {
+fn a_large_entry_is_not_sent_again_while_it_is_in_flight() {
     let mut sim = Sim::new(7, 3, config::Guards::default());
     sim.elect(1).unwrap();
     sim.run(500).unwrap();
     sim.propose(1, &vec![0; 2 * 1024 * 1024]).unwrap();
     let mut appends = 0;
-    // Two seconds in which heartbeats pass and the entry is on its way.
+    // For two seconds heartbeats are delivered and the entry is not.
     for _ in 0..200 {
         sim.now += 10;
         for vm in [1, 2, 3] {
--- a/crates/sageshed-quorum/tests/testsuite/random.rs
+++ b/crates/sageshed-quorum/tests/testsuite/random.rs
@@ -1,22 +1,22 @@
-//! A random run: faults, requests and the repair of lost disks, one after the other.
+//! Random runs with faults, requests and repairs of lost disks.
 
 use sageshed_quorum::{config, event, log, status};
 
-use crate::sim::{Broken, Sim, id};
+use crate::sim::{CheckResult, Sim, id};
 
 const SEEDS: u64 = 300;
-/// Of about 35 ms each.
+/// The number of steps in a run, each of about 35 ms.
 pub const STEPS: u64 = 400;
 
-/// The repair of one lost disk under way, as an operator would do it.
+/// The repair of a lost disk in progress, as an operator would do it.
 struct Repair {
     vm: u32,
-    /// Whether the new generation votes before the old one is removed.
+    /// Whether the new generation is promoted before the old one is removed.
     promote_first: bool,
 }
 
-/// Runs `steps` random steps, then heals everything and expects the group to agree again.
-pub fn run(seed: u64, steps: u64, guards: config::Guards) -> Broken {
+/// Runs `steps` random steps, then ends all faults and expects the group to recover.
+pub fn run(seed: u64, steps: u64, guards: config::Guards) -> CheckResult {
     let voters = if seed.is_multiple_of(3) { 5 } else { 3 };
     let mut sim = Sim::new(seed, voters, guards);
     sim.fault_every = 25;
@@ -29,7 +29,7 @@
     settle(&mut sim, &mut repair)
 }
 
-fn step(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> Broken {
+fn step(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> CheckResult {
     let vm = sim.any_vm();
     let known = sim.leader().filter(|_| sim.rng.below(2) == 0);
     let asked = known.unwrap_or(vm);
@@ -54,11 +54,11 @@
             Ok(())
         }
         26 => {
-            sim.cut.insert(vm);
+            sim.partitioned.insert(vm);
             Ok(())
         }
         27..29 => {
-            sim.cut.clear();
+            sim.partitioned.clear();
             Ok(())
         }
         29 if repair.is_none() => {
@@ -69,12 +69,12 @@
             });
             Ok(())
         }
-        30..38 => go_on(sim, correlation_id, repair),
+        30..38 => continue_repair(sim, correlation_id, repair),
         _ => Ok(()),
     }
 }
 
-pub fn compact(sim: &mut Sim, vm: u32) -> Broken {
+pub fn compact(sim: &mut Sim, vm: u32) -> CheckResult {
     let host = sim.vms.get_mut(&vm).unwrap();
     let (index, state) = host.applied;
     let Some(node) = &host.node else {
@@ -87,8 +87,8 @@
     sim.step(vm, event::Event::Compact { snapshot })
 }
 
-/// The next change of a repair, asked of whoever thinks it leads.
-fn go_on(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> Broken {
+/// Sends the next change of a repair to the node that considers itself leader.
+fn continue_repair(sim: &mut Sim, correlation_id: u64, repair: &mut Option<Repair>) -> CheckResult {
     let Some(Repair { vm, promote_first }) = *repair else {
         return Ok(());
     };
@@ -132,14 +132,14 @@
     )
 }
 
-/// A good network and all VMs up: the repair ends, and all members apply the same log.
-fn settle(sim: &mut Sim, repair: &mut Option<Repair>) -> Broken {
+/// Without faults and with all VMs up, the repair must end and all members must apply the same log.
+fn settle(sim: &mut Sim, repair: &mut Option<Repair>) -> CheckResult {
     sim.fault_every = 0;
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.start_all();
     for correlation_id in 0..40 {
         sim.run(200)?;
-        go_on(sim, 1_000_000 + correlation_id, repair)?;
+        continue_repair(sim, 1_000_000 + correlation_id, repair)?;
     }
     if repair.is_some() {
         return Err("the repair does not end".to_owned());
@@ -167,12 +167,11 @@
     }
 }
 
-/// Users would see an accepted change vanish, or two entries in force with different rules. Nodes
-/// crash at any point of a step, messages are lost, doubled, late and out of order, nodes are cut
-/// off, and again and again a disk is lost, the next one just after the last is repaired. The
-/// harness stops at the first of: two leaders in a term, a leader without a committed entry, a
-/// committed entry that changes, state machines that differ, a stale read, a leader elected within
-/// another's lease, a group that does not recover.
+/// Guards against committed changes that are lost and rules that differ between processes. Nodes crash at
+/// any point of a step, messages are lost, duplicated, delayed and reordered, nodes are partitioned, and
+/// disks are lost, the next one just after the last is repaired. The run fails on two leaders in a term, a
+/// leader that lacks a committed entry, a committed entry that changes, state machines that differ, a
+/// stale read, a leader elected within another's lease, and a group that does not recover.
 #[test]
 fn nothing_committed_is_lost() {
     for seed in 0..SEEDS {
--- a/crates/sageshed-quorum/tests/testsuite/repair.rs
+++ b/crates/sageshed-quorum/tests/testsuite/repair.rs
@@ -1,4 +1,4 @@
-//! What a leader does about its membership, in tables.
+//! Tables of the membership changes that a leader makes by its repair policy.
 
 use std::collections;
 
@@ -20,9 +20,9 @@
     voters: &'static [(u32, u64)],
     learners: &'static [(u32, u64)],
     joiners: &'static [(u32, u64)],
-    /// Entries that the learners lack.
+    /// The number of entries that the learners lack.
     lacks: u64,
-    /// VMs that answered nothing.
+    /// VMs that have sent no reply.
     silent: &'static [u32],
     expected: Option<Change>,
 }
@@ -33,7 +33,7 @@
         .collect()
 }
 
-/// VM 1 leads since long.
+/// The status of VM 1, which has led for a long time.
 fn status_of(case: &Case) -> status::Status {
     let members = log::Membership {
         voters: ids(case.voters),
@@ -57,7 +57,7 @@
 #[test]
 fn the_next_change() {
     let three: &[(u32, u64)] = &[(1, 1), (2, 1), (3, 1)];
-    let calm = Case {
+    let idle = Case {
         name: "nothing to do",
         voters: three,
         learners: &[],
@@ -71,60 +71,60 @@
             name: "a new VM is added as a learner",
             joiners: &[(4, 1)],
             expected: Some(Change::AddLearner(id(4, 1))),
-            ..calm
+            ..idle
         },
         Case {
-            name: "a learner that lacks much waits",
+            name: "a learner that lacks many entries waits",
             voters: &[(1, 1), (2, 1)],
             learners: &[(3, 1)],
             joiners: &[(3, 1)],
             lacks: 51,
-            ..calm
+            ..idle
         },
         Case {
-            name: "a learner that caught up gets a vote while votes are wanted",
+            name: "a learner that caught up is promoted while the group lacks voters",
             voters: &[(1, 1), (2, 1)],
             learners: &[(3, 1)],
             joiners: &[(3, 1)],
             lacks: 50,
             expected: Some(Change::Promote(id(3, 1))),
-            ..calm
+            ..idle
         },
         Case {
-            name: "the generation that lost its disk goes before the new one votes",
+            name: "the generation that lost its disk is removed before the new one is promoted",
             learners: &[(3, 2)],
             joiners: &[(3, 2)],
             silent: &[3],
             expected: Some(Change::Remove(id(3, 1))),
-            ..calm
+            ..idle
         },
         Case {
-            name: "the word of a generation that is replaced already comes late",
+            name: "a request to join of a replaced generation is ignored",
             voters: &[(1, 1), (2, 1), (3, 2)],
             joiners: &[(3, 1)],
-            ..calm
+            ..idle
         },
         Case {
-            name: "a silent voter stays while nobody takes its place",
+            name: "a silent voter stays while there is no replacement",
             silent: &[2],
-            ..calm
+            ..idle
         },
         Case {
-            name: "a silent voter gives way to a learner that caught up",
+            name: "a silent voter is removed when a learner has caught up",
             learners: &[(4, 1)],
             joiners: &[(4, 1)],
             silent: &[2],
             expected: Some(Change::Remove(id(2, 1))),
-            ..calm
+            ..idle
         },
         Case {
             name: "a spare VM stays a learner while all voters answer",
             learners: &[(4, 1)],
             joiners: &[(4, 1)],
-            ..calm
+            ..idle
         },
     ];
-    for case in cases.iter().chain([&calm]) {
+    for case in cases.iter().chain([&idle]) {
         let status = status_of(case);
         let view = GroupView {
             now: NOW,
@@ -136,10 +136,10 @@
     }
 }
 
-/// Of `voters` voters, whether a command may be acknowledged while the group still grows, and once it
-/// was complete.
+/// Checks for each number of voters whether a command may be acknowledged while the group is growing, and
+/// after it was complete.
 #[test]
-fn when_a_group_is_large_enough() {
+fn a_group_acknowledges_commands_only_with_enough_voters() {
     struct Size {
         tolerates: usize,
         voters: u32,
@@ -178,10 +178,10 @@
     }
 }
 
-/// A group whose VMs are listed grows without end and bears no lost disk. It is never complete by its
-/// number, and must acknowledge all the same.
+/// Guards against a group that never acknowledges commands. If the settings list the VMs, the group has no
+/// target size and tolerates no lost disk. It is never complete, and must acknowledge commands anyway.
 #[test]
-fn a_group_without_a_size_acknowledges_alone() {
+fn a_group_without_a_target_size_acknowledges_with_one_voter() {
     let policy = Policy {
         target_voters: usize::MAX,
         ..Policy::tolerating(0, 0, time::Millis(0))
--- a/crates/sageshed-quorum/tests/testsuite/restart.rs
+++ b/crates/sageshed-quorum/tests/testsuite/restart.rs
@@ -1,8 +1,8 @@
-//! How soon a group that was stopped has a leader again.
+//! The time until a group that was stopped has a leader again.
 
 use sageshed_quorum::config;
 
-use crate::sim::{Broken, Sim};
+use crate::sim::{CheckResult, Sim};
 
 /// The election timeout of the nodes in [`Sim`], in milliseconds.
 const ELECTION_TIMEOUT: u64 = 200;
@@ -10,11 +10,11 @@
 /// How a group of five is stopped and started again.
 struct Case {
     name: &'static str,
-    /// VMs of which the disk is lost; V1 led.
+    /// VMs that lose their disk. V1 is the former leader.
     wiped: &'static [u32],
     /// The pause before each VM starts, V1 first, in milliseconds.
     pauses: [u64; 5],
-    /// How long after the last start there is a leader at the latest, in milliseconds.
+    /// The maximum time from the last start until there is a leader, in milliseconds.
     leads_within: u64,
 }
 
@@ -51,7 +51,7 @@
     },
 ];
 
-fn play(case: &Case, seed: u64) -> Broken {
+fn run_case(case: &Case, seed: u64) -> CheckResult {
     let mut sim = Sim::new(seed, 5, config::Guards::default());
     sim.elect(1)?;
     sim.propose(1, b"rule")?;
@@ -77,15 +77,15 @@
         .ok_or(format!("{}: no leader", case.name))
 }
 
-/// Callers are refused for three quarters of a second after all processes were killed: each voter comes
-/// back within milliseconds and waits out the leader that it may have answered last, which was killed
-/// as well. It asks instead.
+/// Guards against refusing callers for three quarters of a second after all processes were killed: each
+/// voter restarts within milliseconds, and without the leader check would wait for the timeout of a leader
+/// that was killed as well.
 #[test]
-fn a_group_that_was_stopped_as_a_whole_has_a_leader_at_once() {
+fn a_group_that_was_stopped_completely_has_a_leader_soon() {
     for case in CASES {
         for seed in 0..20 {
             assert!(case.leads_within < ELECTION_TIMEOUT);
-            assert_eq!(play(case, seed), Ok(()), "{}, seed {seed}", case.name);
+            assert_eq!(run_case(case, seed), Ok(()), "{}, seed {seed}", case.name);
         }
     }
 }
--- a/crates/sageshed-quorum/tests/testsuite/same_start.rs
+++ b/crates/sageshed-quorum/tests/testsuite/same_start.rs
@@ -1,11 +1,11 @@
-//! Nodes that start in the same moment.
+//! Nodes that start at the same time.
 
 use sageshed_quorum::{config, event, log, node};
 use sageshed_types::time;
 
-/// Every control process is killed at once and started again in the same millisecond. If all draw
-/// the same election timeouts, all stand for election at the same moments, each votes for itself, and
-/// callers wait for a leader through round after round.
+/// Guards against repeated split votes after all control processes were killed and restarted in the same
+/// millisecond: with the same election timeouts, all would campaign at the same time and each would vote
+/// for itself.
 #[test]
 fn nodes_started_in_the_same_millisecond_draw_different_timeouts() {
     const SEED: u64 = 1_779_247_672_092;
--- a/crates/sageshed-quorum/tests/testsuite/scenarios.rs
+++ b/crates/sageshed-quorum/tests/testsuite/scenarios.rs
@@ -1,4 +1,4 @@
-//! Stories that users or operators would notice, each on the healthy code.
+//! Scenarios with effects that callers or operators would notice, with all guards on.
 
 use sageshed_quorum::{config, event, log, message, node, status};
 use sageshed_types::time;
@@ -22,9 +22,9 @@
     }
 }
 
-/// An accepted rule must outlive a second lost VM right after the first is repaired. V3 loses its
-/// disk and is repaired in either order of changes, then V2 loses its own. With the last promotion
-/// not yet heard of by V3's new generation, that one's vote is what the group needs.
+/// Guards against losing a committed rule when a second disk is lost right after the first is repaired. V3
+/// loses its disk and is repaired in either order of changes, then V2 loses its disk. If V3's new
+/// generation has not yet received its own promotion, the group needs its vote nevertheless.
 #[test]
 fn second_disk_is_lost_after_the_first_is_repaired() {
     let (old, new) = (id(3, 1), id(3, 2));
@@ -43,12 +43,12 @@
             sim.change(1, changes[0]).unwrap();
             sim.run(200).unwrap();
             if !last_change_heard {
-                sim.cut.insert(3);
+                sim.partitioned.insert(3);
             }
             sim.change(1, changes[1]).unwrap();
             sim.deliver().unwrap();
             sim.lose_disk(2);
-            sim.cut.clear();
+            sim.partitioned.clear();
             let kept = sim.last_committed();
             sim.run(3000).unwrap();
             let leader = sim.leader().expect("two of three voters are there");
@@ -65,27 +65,29 @@
     }
 }
 
-/// A promotion that only the leader and one other voter hold, and the leader dies. The other one
-/// needs the vote of the node promoted, which doesn't know yet that it has one.
+/// Guards against a failed election after a promotion that only the leader and one other voter hold. The
+/// leader crashes, and the other voter needs the vote of the promoted node, which has not yet received its
+/// promotion.
 #[test]
 fn promoted_node_votes_before_it_knows() {
     let mut sim = group(2);
     sim.join(3);
     sim.change(1, event::Change::AddLearner(id(3, 1))).unwrap();
     sim.run(200).unwrap();
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.change(1, event::Change::Promote(id(3, 1))).unwrap();
     sim.deliver().unwrap();
     sim.crash(1);
-    sim.cut.clear();
+    sim.partitioned.clear();
     assert_eq!(sim.status(3).unwrap().role, status::Role::Learner);
     sim.run(2000).unwrap();
     assert_eq!(sim.leader(), Some(2));
 }
 
-/// A process restarts after hundreds of changes have passed it by, and those are compacted away.
+/// Checks that a process which restarts after hundreds of changes, which are compacted by then, gets a
+/// snapshot.
 #[test]
-fn lagging_peer_is_caught_up_by_a_snapshot() {
+fn lagging_peer_catches_up_by_a_snapshot() {
     let mut sim = group(3);
     sim.crash(3);
     for change in 0..300u64 {
@@ -103,13 +105,13 @@
     assert_eq!(sim.vms[&3].applied, sim.vms[&1].applied);
 }
 
-/// An accepted rule never reaches one VM while nothing else is proposed: the append with it was
-/// lost, and an earlier answer came twice, so nothing seemed to be under way.
+/// Guards against a committed rule that does not reach one VM until something else is proposed: the append
+/// was lost and an earlier reply was duplicated, so that nothing seemed to be in flight.
 #[test]
-fn lost_append_is_sent_again_after_a_doubled_answer() {
+fn lost_append_is_sent_again_after_a_duplicated_reply() {
     let mut sim = group(3);
     let matched = sim.status(1).unwrap().matched[&id(3, 1)];
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.propose(1, b"rule").unwrap();
     sim.deliver().unwrap();
     let body = message::Body::Accepted { matched };
@@ -126,20 +128,20 @@
         },
     )
     .unwrap();
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.run(500).unwrap();
     assert_eq!(sim.vms[&3].applied.0, sim.last_committed());
 }
 
-/// After a removal the VM removed, which was away when it happened, keeps asking for votes. The
-/// group must not notice, and the VM stops by itself.
+/// Guards against disturbances by a removed VM that was partitioned during its removal and requests votes:
+/// the leader must stay, and the VM must stop campaigning.
 #[test]
-fn removed_node_goes_quiet() {
+fn removed_node_stops_campaigning() {
     let mut sim = group(3);
-    sim.cut.insert(3);
+    sim.partitioned.insert(3);
     sim.change(1, event::Change::Remove(id(3, 1))).unwrap();
     sim.run(1000).unwrap();
-    sim.cut.clear();
+    sim.partitioned.clear();
     sim.run(1000).unwrap();
     let status = sim.status(1).unwrap();
     assert_eq!(
@@ -151,7 +153,7 @@
     assert_eq!(sim.wire, [], "it asks nobody any more");
 }
 
-/// An operator takes out the VM that happens to lead.
+/// Checks that an operator can remove the VM that is the leader.
 #[test]
 fn leader_removes_itself() {
     let mut sim = group(3);
@@ -166,8 +168,8 @@
     assert_eq!(sim.status(1).unwrap().role, status::Role::Outside);
 }
 
-/// A read at the leader misses what another leader has accepted: V2 confirmed V1's lease, was
-/// restarted at once, and no longer knows that when V3 asks for its vote.
+/// Guards against a read that misses an entry committed by another leader: V2 confirmed V1's lease and
+/// was restarted at once, so that it no longer knows of the lease when V3 requests its vote.
 #[test]
 fn restarted_voter_waits_before_it_votes() {
     let mut sim = group(3);
@@ -180,8 +182,9 @@
     assert_eq!(sim.status(3).unwrap().role, status::Role::PreCandidate);
 }
 
-/// V3 lost its disk and refills it. A heartbeat meant for its old generation arrives late and says
-/// how far that one may apply; the new one may hold other entries there.
+/// Guards against applying uncommitted entries. V3 has lost its disk and receives the log again. A delayed
+/// message to its old generation tells up to which index that one may apply, and the new generation may
+/// hold other entries there.
 #[test]
 fn messages_for_another_generation_are_dropped() {
     let mut sim = group(3);
@@ -208,16 +211,17 @@
     assert_eq!(sim.wire, []);
 }
 
-/// A leader that was frozen takes a request when it wakes up, long after another was elected.
+/// Guards against a suspended leader that accepts a request when it resumes, long after another leader was
+/// elected.
 #[test]
-fn frozen_leader_steps_down_before_it_does_anything() {
+fn suspended_leader_steps_down_before_it_does_anything() {
     let mut sim = group(3);
     sim.now += 1000;
     sim.propose(1, b"late").unwrap();
     assert_eq!(rejected(&mut sim), Some(event::Reason::NotLeader));
 }
 
-/// Changes of membership that are refused, and why.
+/// Checks the reasons for which membership changes are refused.
 #[test]
 fn refused_changes() {
     struct Case {
@@ -244,7 +248,8 @@
     assert_eq!(rejected(&mut alone), Some(event::Reason::LastVoter));
 }
 
-/// Requests that come in together share one write, and a large backlog goes out in bounded parts.
+/// Checks that proposals handled in one step share one write, and that a large backlog is sent in bounded
+/// messages.
 #[test]
 fn requests_are_grouped_and_batches_bounded() {
     let mut cfg = config::Config::new(id(1, 1));
@@ -295,9 +300,9 @@
     assert_eq!(entries.len(), 3, "the first entry and two commands");
 }
 
-/// Byte strings go through a binary codec as such, and everything comes back as it was.
+/// Checks that commands and snapshots are encoded as byte strings and that messages are decoded unchanged.
 #[test]
-fn messages_survive_the_codec() {
+fn messages_are_unchanged_by_encoding_and_decoding() {
     let membership = log::Membership::of_voters([id(1, 1)]);
     let (index, term) = (log::Index(3), log::Term(2));
     let data = log::EntryData::Command(vec![200; 1000]);
@@ -328,7 +333,7 @@
     }
 }
 
-/// A log with an entry missing in the middle is a lost disk.
+/// Checks that a log with a missing entry is rejected, since it must be treated as a lost disk.
 #[test]
 #[should_panic(expected = "the log has a gap")]
 fn log_with_a_gap_is_refused() {
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -1,13 +1,14 @@
-//! A group of nodes on a network and disks that misbehave on request, all from one seed.
+//! A deterministic simulation of a group of nodes, with faults of network and disks, from one seed.
 
 use std::collections;
 
 use sageshed_quorum::{config, event, log, message, node, status};
 use sageshed_types::time;
 
-pub type Broken = Result<(), String>;
+/// An error describes the property that was violated.
+pub type CheckResult = Result<(), String>;
 
-/// Splitmix64.
+/// A SplitMix64 generator.
 pub struct Rng(pub u64);
 
 impl Rng {
@@ -19,8 +20,8 @@
     }
 }
 
-/// A VM: its disk, the process on it if it runs, and the state machine, which is a chain of sums
-/// over the entries applied.
+/// A VM: its disk, its process if it runs, and its state machine, whose state is a hash over the applied
+/// entries.
 pub struct Vm {
     pub id: log::NodeId,
     pub node: Option<node::Node>,
@@ -28,7 +29,7 @@
     pub applied: (log::Index, u64),
 }
 
-/// What some node has applied: the entry, the state after it and the node's term then.
+/// A committed entry as first applied by some node: the entry, the state after it, and the node's term.
 pub type Committed = (log::Entry, u64, log::Term);
 
 pub struct Sim {
@@ -36,8 +37,8 @@
     pub rng: Rng,
     pub guards: config::Guards,
     pub vms: collections::BTreeMap<u32, Vm>,
-    pub cut: collections::BTreeSet<u32>,
-    /// One message in this many is lost, one is doubled, one is very late; zero for a good network.
+    pub partitioned: collections::BTreeSet<u32>,
+    /// Of so many messages, on average one each is lost, duplicated and very late. Zero for no faults.
     pub fault_every: u64,
     pub committed: collections::BTreeMap<log::Index, Committed>,
     pub answers: Vec<event::Action>,
@@ -61,7 +62,7 @@
             fault_every: 0,
             first,
             vms: collections::BTreeMap::new(),
-            cut: collections::BTreeSet::new(),
+            partitioned: collections::BTreeSet::new(),
             committed: collections::BTreeMap::new(),
             answers: Vec::new(),
             wire: Vec::new(),
@@ -111,7 +112,7 @@
         vm.node = Some(node);
     }
 
-    /// A VM that is no member, with an empty disk.
+    /// Adds a VM with an empty disk that is not a member.
     pub fn join(&mut self, vm: u32) {
         let disk = log::PersistedState::default();
         self.vms.insert(
@@ -143,7 +144,7 @@
         self.vms.get_mut(&vm).unwrap().node = None;
     }
 
-    /// The VM comes back with an empty disk, and so under a new generation.
+    /// Restarts the VM with an empty disk, and so with a new generation.
     pub fn lose_disk(&mut self, vm: u32) {
         let host = self.vms.get_mut(&vm).unwrap();
         host.id.generation += 1;
@@ -158,7 +159,7 @@
         self.vms[&vm].node.as_ref().map(node::Node::status)
     }
 
-    /// The leader of the latest term among those that think they lead.
+    /// The node with the latest term among those that consider themselves leader.
     pub fn leader(&self) -> Option<u32> {
         let nodes = self
             .vms
@@ -170,8 +171,13 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Hands one event to a VM; it crashes after `crash_after` actions, if given.
-    pub fn step_until(&mut self, vm: u32, event: event::Event, crash_after: Option<u64>) -> Broken {
+    /// Passes one event to a VM, which crashes after `crash_after` actions, if given.
+    pub fn step_until(
+        &mut self,
+        vm: u32,
+        event: event::Event,
+        crash_after: Option<u64>,
+    ) -> CheckResult {
         if let event::Event::ReadIndex { correlation_id } = event {
             self.reads.insert(correlation_id, self.last_committed());
         }
@@ -191,12 +197,12 @@
         Ok(())
     }
 
-    pub fn step(&mut self, vm: u32, event: event::Event) -> Broken {
+    pub fn step(&mut self, vm: u32, event: event::Event) -> CheckResult {
         self.step_until(vm, event, None)
     }
 
-    /// Lets time pass in steps of 10 ms.
-    pub fn run(&mut self, millis: u64) -> Broken {
+    /// Advances the time in steps of 10 ms.
+    pub fn run(&mut self, millis: u64) -> CheckResult {
         for _ in 0..millis / 10 {
             self.now += 10;
             for vm in self.vms.keys().copied().collect::<Vec<_>>() {
@@ -207,14 +213,14 @@
         Ok(())
     }
 
-    /// Lets a VM stand for election after everybody's timeouts, and delivers what comes of it.
-    pub fn elect(&mut self, vm: u32) -> Broken {
+    /// Lets a VM campaign after the election timeouts of all nodes, and delivers all messages.
+    pub fn elect(&mut self, vm: u32) -> CheckResult {
         self.now += 1000;
         self.step(vm, event::Event::ElectionTimeout)?;
         self.deliver()
     }
 
-    pub fn propose(&mut self, vm: u32, payload: &[u8]) -> Broken {
+    pub fn propose(&mut self, vm: u32, payload: &[u8]) -> CheckResult {
         self.step(
             vm,
             event::Event::Propose {
@@ -224,7 +230,7 @@
         )
     }
 
-    pub fn change(&mut self, vm: u32, change: event::Change) -> Broken {
+    pub fn change(&mut self, vm: u32, change: event::Change) -> CheckResult {
         self.step(
             vm,
             event::Event::ChangeMembership {
@@ -234,19 +240,20 @@
         )
     }
 
-    /// Delivers all that is due, and what comes of it.
-    pub fn deliver(&mut self) -> Broken {
+    /// Delivers all messages that are due, and those sent in response.
+    pub fn deliver(&mut self) -> CheckResult {
         self.deliver_until(|_| false)
     }
 
-    /// Stops earlier once `done` holds.
-    pub fn deliver_until(&mut self, done: impl Fn(&Self) -> bool) -> Broken {
+    /// Like [`Self::deliver`], but stops as soon as `done` holds.
+    pub fn deliver_until(&mut self, done: impl Fn(&Self) -> bool) -> CheckResult {
         while !done(self)
             && let Some(at) = self.wire.iter().position(|(due, ..)| *due <= self.now)
         {
             let (_, from, message) = self.wire.remove(at);
-            let cut = self.cut.contains(&from.vm) != self.cut.contains(&message.to.vm);
-            if !cut {
+            let is_partitioned =
+                self.partitioned.contains(&from.vm) != self.partitioned.contains(&message.to.vm);
+            if !is_partitioned {
                 let crashes = self.fault_every > 0 && self.rng.below(300) == 0;
                 let crash_after = crashes.then(|| self.rng.below(4));
                 let vm = message.to.vm;
@@ -264,7 +271,7 @@
             .unwrap_or_default()
     }
 
-    fn act(&mut self, vm: u32, action: event::Action) -> Broken {
+    fn act(&mut self, vm: u32, action: event::Action) -> CheckResult {
         match action {
             event::Action::Persist(write) => {
                 persist(&mut self.vms.get_mut(&vm).unwrap().disk, write);
@@ -334,7 +341,7 @@
         self.wire.push((self.now + delay + late, from, message));
     }
 
-    fn apply(&mut self, vm: u32, entry: &log::Entry) -> Broken {
+    fn apply(&mut self, vm: u32, entry: &log::Entry) -> CheckResult {
         let host = self.vms.get_mut(&vm).unwrap();
         let term = host.node.as_ref().unwrap().status().term;
         check(entry.index == host.applied.0.next(), || {
@@ -358,8 +365,9 @@
         })
     }
 
-    /// One leader a term; it holds all that was committed before; nobody else's lease runs.
-    fn check_leader(&mut self, vm: u32, term: log::Term) -> Broken {
+    /// Checks a new leader: it is the only one in its term, it holds all entries that were committed before,
+    /// and no other node has a valid lease.
+    fn check_leader(&mut self, vm: u32, term: log::Term) -> CheckResult {
         let host = &self.vms[&vm];
         let id = host.node.as_ref().unwrap().id();
         let first = *self.leaders.entry(term).or_insert(id);
@@ -392,7 +400,7 @@
     }
 }
 
-fn check(holds: bool, broken: impl Fn() -> String) -> Broken {
+fn check(holds: bool, broken: impl Fn() -> String) -> CheckResult {
     if holds { Ok(()) } else { Err(broken()) }
 }
 
