--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -16,7 +16,7 @@
 const MIN_LEARNABLE_ESTIMATE_MS: f64 = 30.0;
 
 /// How long one process's observation that an engine is unreachable waits for confirmation by a second one.
-const UNREACHABLE_REPORT_TTL: time::Millis = time::Millis(1_000);
+const UNREACHABLE_OBSERVATION_TTL: time::Millis = time::Millis(1_000);
 
 impl Chooser {
     /// Applies another process's observation of an engine. Returns whether the engine has less pending
@@ -34,16 +34,16 @@
             return false;
         };
         if let Some(prefix) = &observation.cached_prefix {
-            endpoint.prefix_cache.insert_reported(prefix);
+            endpoint.prefix_cache.insert_observed(prefix);
         }
         if observation.ttft.is_some() {
             endpoint.last_activity = now;
-            endpoint.ejection = time::Millis(0);
+            endpoint.ejection_time = time::Millis(0);
         }
         if let Some(running) = observation.running {
             endpoint.reported_running = Some((running, now));
         }
-        let has_less = endpoint.set_reported_prefill(now, from, observation.pending_prefill_us);
+        let has_less = endpoint.set_peer_prefill(now, from, observation.pending_prefill_us);
         if let Some(fault) = observation.fault {
             endpoint.apply_fault(now, from, fault);
         }
@@ -137,7 +137,7 @@
                     .record_waiting(now, &wanted.model, request);
                 return entry_peers::RoutingDecision::Wait { expected };
             }
-            EngineSelection::Wait(_) | EngineSelection::Fetch(_) => {
+            EngineSelection::Wait(_) | EngineSelection::LoadAdapter(_) => {
                 return entry_peers::RoutingDecision::Unknown;
             }
         };
@@ -175,8 +175,8 @@
 
     /// Looks up an endpoint by its [`entry_peers::instance_key`].
     #[must_use]
-    pub fn by_instance_key(&self, name: u64) -> Option<arena::EndpointKey> {
-        self.by_key.get(&name).copied()
+    pub fn by_instance_key(&self, key: u64) -> Option<arena::EndpointKey> {
+        self.by_key.get(&key).copied()
     }
 
     /// The [`entry_peers::instance_key`] of an endpoint.
@@ -213,13 +213,14 @@
                 }
             }
             entry_peers::EngineFault::Fails | entry_peers::EngineFault::Silent => {
-                self.record_failure(now)
+                self.record_failure(now);
             }
             entry_peers::EngineFault::Unreachable => {
                 self.record_failure(now);
                 let before = self.unreachable_from.replace((from, now));
-                let is_second = before
-                    .is_some_and(|(it, at)| it != from && now.since(at) < UNREACHABLE_REPORT_TTL);
+                let is_second = before.is_some_and(|(it, at)| {
+                    it != from && now.since(at) < UNREACHABLE_OBSERVATION_TTL
+                });
                 if is_second {
                     self.eject(now);
                 }
--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -55,6 +55,7 @@
         actions
     }
 
+    /// Gives the next order for one request, if it needs one and an engine can take it.
     fn serve_adapter_request(
         &mut self,
         now: time::Instant,
@@ -67,7 +68,7 @@
             .filter(|it| it.resident(&req.model).is_some())
             .copied()
             .collect();
-        let is_there = |it: &&directory::Instance| {
+        let is_present = |it: &&directory::Instance| {
             let has_or_loads =
                 |engine: &engine::Engine| engine.holds_or_loads_adapter(&req.model, &req.adapter);
             it.holds(&req.model, Some(&req.adapter))
@@ -77,23 +78,23 @@
             let engine = req.engine.as_ref();
             engine.is_none_or(|id| *id == it.id)
         };
-        if holders.iter().filter(|it| is_meant(it)).any(is_there) {
+        if holders.iter().filter(|it| is_meant(it)).any(is_present) {
             return Progress::Done;
         }
-        let is_elsewhere = holders.iter().any(is_there);
-        let room = |it: &&directory::Instance| {
+        let is_elsewhere = holders.iter().any(is_present);
+        let free_slots = |it: &&directory::Instance| {
             let engine = self.engines.get(&it.id)?;
             let used = engine.max_adapters(it);
             let free = (pool.offer.adapter_slots as usize).checked_sub(used + 1)?;
             (engine.accepts_adapter_orders(now)).then_some((free, it.id.clone()))
         };
         let meant = holders.iter().filter(|it| is_meant(it));
-        let mut roomiest = meant.filter_map(room).max();
-        if roomiest.is_none() && !is_elsewhere {
-            roomiest = holders.iter().filter_map(room).max();
+        let mut best = meant.filter_map(free_slots).max();
+        if best.is_none() && !is_elsewhere {
+            best = holders.iter().filter_map(free_slots).max();
         }
         let task = dialect::Task::LoadAdapter(req.model.clone(), req.adapter.clone());
-        if let Some((_, id)) = roomiest {
+        if let Some((_, id)) = best {
             return self
                 .order(now, pool, &id, task)
                 .map_or(Progress::Later, Progress::By);
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoint of the next attempt, and waits until one can take the request.
 //!
 //! A request waits only while what it waits for (a free slot, a model, an adapter or an endpoint) can
-//! become available before its deadline; otherwise it is refused at once.
+//! become available before its deadline.
 
 use std::{net, sync::atomic, time as std_time};
 
@@ -84,13 +84,13 @@
                 parts: &self.metadata.parts,
                 prompt_tokens: self.metadata.prompt_tokens,
                 tried: &self.tried_endpoints,
-                left,
+                time_left: left,
                 patience: time::Millis::from(
                     self.idle_engine_wait().saturating_sub(arrived.elapsed()),
                 ),
-                on_time: self.on_time(),
+                time_until_late: self.on_time(),
                 may_be_late: left > MIN_TIME_LEFT_IF_LATE,
-                may_fetch: adapter_requests < MAX_ADAPTER_REQUESTS,
+                may_load_adapter: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
             let queued_here = self.queued_request(now);
             let decision = self.query_coordinator(&ask, &mut queried_at);
@@ -107,7 +107,7 @@
                 };
                 (choice, core.changes())
             });
-            let missing = match choice {
+            let wait_reason = match choice {
                 chooser::Choice::Send(pick) => match self.permission_to_send(&pick) {
                     Permission::Granted => return NextStep::Send(pick),
                     Permission::Refused(refusal) => return NextStep::Refuse(refusal),
@@ -126,7 +126,7 @@
                         self.final_refusal(verdict::Reason::DeadlineUnmeetable, detail),
                     );
                 }
-                chooser::Choice::Fetch { instance } => {
+                chooser::Choice::LoadAdapter { instance } => {
                     adapter_requests += 1;
                     self.request_adapter(now, adapter_engine.get_or_insert(instance).clone());
                     let _changes = self
@@ -134,34 +134,34 @@
                         .wait(seen, ADAPTER_REQUEST_WAIT.min(left.into()));
                     continue;
                 }
-                chooser::Choice::Wait(missing) => missing,
+                chooser::Choice::Wait(wait_reason) => wait_reason,
             };
-            self.waited_for = Some(missing);
+            self.waited_for = Some(wait_reason);
             let waited = arrived.elapsed();
-            if missing.is_of_model() && !reported_waiting {
+            if wait_reason.is_of_model() && !reported_waiting {
                 reported_waiting = true;
                 self.report_waiting();
             }
             if self.shared.settings.routing.turn_away {
-                let queued = queued_here.filter(|_| missing == chooser::WaitReason::Place);
+                let queued = queued_here.filter(|_| wait_reason == chooser::WaitReason::Place);
                 let refusal = self
-                    .refuse_closed_endpoints(missing, left)
+                    .refuse_closed_endpoints(wait_reason, left)
                     .or_else(|| self.refuse_by_coordinator(decision, left))
                     .or_else(|| self.refuse_by_local_queue(now, queued?, left, ticket));
                 if let Some(refusal) = refusal {
                     return NextStep::Refuse(refusal);
                 }
             }
-            let load = self.load_time(missing);
-            if waited >= self.wait_limit(missing, load) || left <= load {
-                return NextStep::Refuse(self.not_served(missing, load));
+            let load = self.load_time(wait_reason);
+            if waited >= self.wait_limit(wait_reason, load) || left <= load {
+                return NextStep::Refuse(self.not_served(wait_reason, load));
             }
             let limit = CALLER_CHECK_INTERVAL.min(left.into());
             let waiting = &self.shared.waiting;
             waiting.fetch_add(1, atomic::Ordering::Relaxed);
             let _changes = self.shared.wait(seen, limit);
             waiting.fetch_sub(1, atomic::Ordering::Relaxed);
-            if missing == chooser::WaitReason::Adapter {
+            if wait_reason == chooser::WaitReason::Adapter {
                 // The leader may have failed before it acted on the request for the adapter.
                 adapter_requests = 0;
             }
@@ -216,21 +216,21 @@
     /// elsewhere before that.
     fn refuse_closed_endpoints(
         &self,
-        missing: chooser::WaitReason,
+        wait_reason: chooser::WaitReason,
         left: time::Millis,
     ) -> Option<refusal::Refusal> {
-        let chooser::WaitReason::Allowance(opens) = missing else {
+        let chooser::WaitReason::Allowance(opens) = wait_reason else {
             return None;
         };
         let load = self
             .model
             .is_some()
             .then(|| self.load_time(chooser::WaitReason::Model));
-        let reading = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
-        if opens + reading < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
+        let prefill = self.wanted.map_or(time::Millis(0), |_| PREFILL_RESERVE);
+        if opens + prefill < left || load.is_some_and(|it| it + LOAD_MARGIN < left) {
             return None;
         }
-        Some(self.not_served(missing, opens))
+        Some(self.not_served(wait_reason, opens))
     }
 
     /// Takes a retry from the budget, unless the request holds one. Returns whether it holds one now.
@@ -261,11 +261,11 @@
     fn refuse_by_local_queue(
         &self,
         now: time::Instant,
-        waiter: backlog::QueuedRequest,
+        queued: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<refusal::Refusal> {
-        let expected = self.unmeetable_wait(now, waiter, left, ticket)?;
+        let expected = self.unmeetable_wait(now, queued, left, ticket)?;
         let detail = format!(
             "those before it take {} ms, and {} ms are left",
             expected.0, left.0
@@ -279,13 +279,13 @@
     fn unmeetable_wait(
         &self,
         now: time::Instant,
-        waiter: backlog::QueuedRequest,
+        queued: backlog::QueuedRequest,
         left: time::Millis,
         ticket: &mut Option<u64>,
     ) -> Option<time::Millis> {
         let model = self.model_name();
         let expected = self.shared.with_core(|core| {
-            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, waiter));
+            let ticket = ticket.get_or_insert_with(|| core.backlog.push(now, model, queued));
             core.backlog.expected_wait(now, model, *ticket)
         })?;
         (expected + PREFILL_RESERVE > left).then_some(expected)
@@ -303,9 +303,13 @@
     }
 
     /// How long the request may wait for what is missing.
-    fn wait_limit(&self, missing: chooser::WaitReason, load: time::Millis) -> std_time::Duration {
+    fn wait_limit(
+        &self,
+        wait_reason: chooser::WaitReason,
+        load: time::Millis,
+    ) -> std_time::Duration {
         let latency_target = self.route.latency_target.0;
-        match missing {
+        match wait_reason {
             chooser::WaitReason::Model => (load + LOAD_MARGIN).into(),
             chooser::WaitReason::Adapter | chooser::WaitReason::Allowance(_) => {
                 self.route.timeout.into()
@@ -319,8 +323,8 @@
     }
 
     /// The load time of the missing model; zero if no model is missing.
-    fn load_time(&self, missing: chooser::WaitReason) -> time::Millis {
-        match (missing, self.model) {
+    fn load_time(&self, wait_reason: chooser::WaitReason) -> time::Millis {
+        match (wait_reason, self.model) {
             (chooser::WaitReason::Model, Some(model)) => self
                 .shared
                 .with_core(|core| core.chooser.load_time(self.service, model)),
--- a/tests/fleet/configuration.rs
+++ b/tests/fleet/configuration.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     fleet::Fleet,
-    standin::{caller::Ask, operator},
+    standin::{caller::Request, operator},
 };
 
 fn route(name: &str) -> String {
@@ -16,7 +16,7 @@
 }
 
 fn status(fleet: &Fleet, entry: usize, path: &str) -> u16 {
-    let answer = fleet.ask(entry, &Ask::new("GET", path, "look"));
+    let answer = fleet.ask(entry, &Request::new("GET", path, "look"));
     answer.map_or(0, |it| it.status())
 }
 
@@ -105,7 +105,7 @@
 
 /// Guards against requests that are interrupted or refused by frequent changes of other routes.
 #[test]
-fn a_storm_of_changes_cuts_no_request() {
+fn frequent_changes_interrupt_no_request() {
     let (fleet, _engines) = Fleet::ready();
     let fleet = Arc::new(fleet);
     let done = Arc::new(atomic::AtomicBool::new(false));
