--- a/crates/sageshed-quorum/src/rng.rs
+++ b/crates/sageshed-quorum/src/rng.rs
@@ -2,7 +2,7 @@
 
 use crate::log;
 
-/// A SplitMix64 generator (Steele, Lea and Flood, 2014): one word of state, and the same sequence for
+/// A `SplitMix64` generator (Steele, Lea and Flood, 2014): one word of state, and the same sequence for
 /// the same seed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SplitMix64(u64);
--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -8,7 +8,7 @@
 /// An error describes the property that was violated.
 pub type CheckResult = Result<(), String>;
 
-/// A SplitMix64 generator.
+/// A `SplitMix64` generator.
 pub struct Rng(pub u64);
 
 impl Rng {
