--- a/crates/sageshed-quorum/src/replication.rs
+++ b/crates/sageshed-quorum/src/replication.rs
@@ -1,11 +1,11 @@
-//! Replication: appends, commits, snapshots.
+//! Replication: appends, commits and snapshots.
 
 use std::sync::Arc;
 
 use crate::{entries, event, log, message, node, output, state};
 
 impl node::Node {
-    /// Appends an entry of the leader's own.
+    /// Appends an entry as leader.
     pub(crate) fn append(&mut self, data: log::EntryData, out: &mut output::Output) -> log::Index {
         let index = self.state.log.last().index.next();
         let entry = log::Entry {
@@ -19,7 +19,7 @@
         index
     }
 
-    /// Brings the leader's peers in line with the membership in force.
+    /// Updates the leader's peers to the membership in force.
     fn sync_peers(&mut self) {
         let state::Role::Leader(leader) = &mut self.state.role else {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends to every peer what it lacks, as far as its window allows.
+    /// Sends each peer the entries that it lacks, up to the limit of messages in flight.
     pub(crate) fn replicate(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &mut self.state.role else {
             return;
@@ -92,13 +92,13 @@
         commit: log::Index,
         out: &mut output::Output,
     ) {
-        let runs_on = |(entry, index): (&log::Entry, u64)| entry.index.0 == index;
-        if !entries.iter().zip(prev.index.0 + 1..).all(runs_on) {
+        let is_contiguous = |(entry, index): (&log::Entry, u64)| entry.index.0 == index;
+        if !entries.iter().zip(prev.index.0 + 1..).all(is_contiguous) {
             return;
         }
         let base = self.state.log.base().index;
         if prev.index >= base && self.state.log.term_at(prev.index) != Some(prev.term) {
-            let hint = self.agreement_hint(prev.index);
+            let hint = self.last_possible_match(prev.index);
             self.send(
                 from,
                 message::Body::Rejected {
@@ -111,17 +111,17 @@
         }
         let matched = log::Index(prev.index.0 + entries.len() as u64).max(base);
         for entry in entries {
-            self.accept(entry, out);
+            self.append_received(entry, out);
         }
         self.advance_commit(commit.min(matched), out);
         self.send(from, message::Body::Accepted { matched }, out);
     }
 
-    /// Takes one entry of the leader's, unless it is there already.
+    /// Adds an entry of the leader to the log, unless the log already contains it.
     ///
-    /// An entry that is there stays, and so does what follows it: the message may be an old one,
+    /// An entry that is already there stays, and so do the entries after it: the message may be delayed,
     /// and later entries may have been acknowledged since.
-    fn accept(&mut self, entry: log::Entry, out: &mut output::Output) {
+    fn append_received(&mut self, entry: log::Entry, out: &mut output::Output) {
         let log = &mut self.state.log;
         if entry.index <= log.base().index || log.term_at(entry.index) == Some(entry.term) {
             return;
@@ -134,9 +134,9 @@
         log.push(entry);
     }
 
-    /// The last entry that may agree with a leader whose entry at `prev` isn't here: the end of the
-    /// log, or what comes before the whole term that disagrees.
-    fn agreement_hint(&self, prev: log::Index) -> log::Index {
+    /// The last entry that may agree with the log of a leader whose entry at `prev` is missing here: the end
+    /// of this log, or the entry before the first one of the conflicting term.
+    fn last_possible_match(&self, prev: log::Index) -> log::Index {
         let log = &self.state.log;
         if prev > log.last().index {
             return log.last().index;
@@ -170,7 +170,7 @@
         peer.in_flight = peer.in_flight.saturating_sub(1);
         peer.probing = false;
         peer.snapshot = false;
-        self.count_matches(out);
+        self.commit_by_majority(out);
     }
 
     pub(crate) fn on_rejected(&mut self, from: log::NodeId, prev: log::Index, hint: log::Index) {
@@ -187,12 +187,12 @@
         }
     }
 
-    /// Commits what a majority of voters holds.
+    /// Commits the entries that a majority of voters holds.
     ///
-    /// Only an entry of the leader's own term is committed by counting; those before it go with it.
-    /// An older entry on a majority may still be overwritten by a leader elected with a later term
-    /// in its log (the case of figure 8 in the Raft paper).
-    pub(crate) fn count_matches(&mut self, out: &mut output::Output) {
+    /// Only entries of the leader's own term are committed by counting acknowledgements, and earlier
+    /// entries are committed with them. An earlier entry held by a majority may still be overwritten by a
+    /// leader with a later term in its log (figure 8 of the Raft paper).
+    pub(crate) fn commit_by_majority(&mut self, out: &mut output::Output) {
         let state::Role::Leader(leader) = &self.state.role else {
             return;
         };
@@ -217,11 +217,11 @@
         if own || !self.cfg.guards.own_term_commit {
             self.advance_commit(held, out);
         }
-        self.leave_if_removed(out);
+        self.step_down_if_removed(out);
     }
 
-    /// Ends the leadership of a node whose own removal is committed.
-    fn leave_if_removed(&mut self, out: &mut output::Output) {
+    /// Steps down if this node's own removal is committed.
+    fn step_down_if_removed(&mut self, out: &mut output::Output) {
         let log = &self.state.log;
         let committed = log.membership_index() <= self.state.commit;
         if committed && !log.membership().voters.contains(&self.cfg.id) {
@@ -229,10 +229,11 @@
         }
     }
 
-    /// Applies what is newly committed, as far as this log has it.
+    /// Applies newly committed entries, up to the end of this log.
     ///
-    /// It has all of it, since nobody is told of more than it has acknowledged. Only where a checker
-    /// takes a guard away, or a disk has lost what it had synced, is it cut short here.
+    /// The log contains all of them, since a node is only told of committed entries that it has
+    /// acknowledged. The bound matters only if a model checker turns a guard off, or if a disk has lost
+    /// synced data.
     pub(crate) fn advance_commit(&mut self, to: log::Index, out: &mut output::Output) {
         let to = to.min(self.state.log.last().index);
         if to <= self.state.commit {
@@ -263,7 +264,7 @@
     fn restore(&mut self, snapshot: log::Snapshot, out: &mut output::Output) {
         let agrees = self.state.log.term_at(snapshot.index) == Some(snapshot.term);
         out.snapshot(snapshot.clone(), !agrees);
-        self.state.log.cover(&snapshot);
+        self.state.log.compact_to(&snapshot);
         self.state.commit = snapshot.index;
         self.state.snapshot = Some(Arc::new(snapshot.clone()));
         out.push(event::Action::Restore(snapshot));
@@ -275,13 +276,13 @@
         if covered || index > self.state.commit {
             return;
         }
-        self.state.log.cover(&snapshot);
+        self.state.log.compact_to(&snapshot);
         self.state.snapshot = Some(Arc::new(snapshot));
         out.push(event::Action::Compacted { index });
     }
 }
 
-/// The first entries, up to `max_bytes` of commands but at least one.
+/// The first entries, up to about `max_bytes` in total but at least one.
 fn batch(entries: &[log::Entry], max_bytes: usize) -> Vec<log::Entry> {
     let mut bytes = 0;
     let fits = |entry: &&log::Entry| {
@@ -292,17 +293,17 @@
     entries.iter().take_while(fits).cloned().collect()
 }
 
-/// About how many bytes of entries were sent to a peer and are not acknowledged.
-pub(crate) fn bytes_under_way(log: &entries::Entries, peer: &state::Peer) -> usize {
+/// The approximate size of the entries that were sent to a peer and are not acknowledged, in bytes.
+pub(crate) fn unacknowledged_bytes(log: &entries::Entries, peer: &state::Peer) -> usize {
     let first = peer.matched.next();
     let sent = log.from(first).iter();
     let sent = sent.take_while(|entry| entry.index < peer.next);
     sent.map(size).sum()
 }
 
-/// About how many bytes an entry takes in a message.
+/// The approximate size of an entry in a message, in bytes.
 fn size(entry: &log::Entry) -> usize {
-    /// Index, term and framing, and what other entries than commands hold.
+    /// The size of index, term and framing, and of entries without a command.
     const ENTRY_OVERHEAD: usize = 32;
     match &entry.data {
         log::EntryData::Command(payload) => ENTRY_OVERHEAD + payload.len(),
