--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -32,7 +32,7 @@
 use crate::{bits, event, health, learned, names, random, settings};
 
 /// Length of the history of own requests in flight, for each endpoint.
-const HISTORY: usize = 256;
+const HISTORY_LENGTH: usize = 256;
 
 /// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -201,7 +201,7 @@
     /// Sets the number of own requests in flight, and records it in the history.
     pub fn set_own(&mut self, now: time::Instant, own: u32) {
         self.own = own;
-        if self.history.len() == HISTORY {
+        if self.history.len() == HISTORY_LENGTH {
             self.history.pop_front();
         }
         self.history.push_back((now, own));
@@ -213,7 +213,7 @@
         let then = newest_first.find(|(since, _)| *since <= at);
         // If the report predates the history, the oldest entry is the best approximation.
         let oldest = self.history.front();
-        then.or(oldest.filter(|_| self.history.len() == HISTORY))
+        then.or(oldest.filter(|_| self.history.len() == HISTORY_LENGTH))
             .map_or(0, |(_, own)| *own)
     }
 
