--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -14,7 +14,7 @@
 const ENGINES: usize = 9;
 const SLOTS: usize = 8;
 /// Mean service time in milliseconds: half of it is constant, the other half exponential.
-const SERVICE: f64 = 800.0;
+const MEAN_SERVICE_MS: f64 = 800.0;
 const DEADLINE: u64 = 4_000;
 const RUN: u64 = 40_000;
 /// Requests count if their deadline is in this range.
@@ -71,7 +71,7 @@
         outcomes: Vec::new(),
     };
     let mut arrivals = random::Random::new(1);
-    let capacity = (ENGINES * SLOTS) as f64 / SERVICE;
+    let capacity = (ENGINES * SLOTS) as f64 / MEAN_SERVICE_MS;
     let mut next = (REPORT_EVERY + REPORT_LAG) as f64;
     let mut reports = collections::VecDeque::new();
     for now in 0..RUN {
@@ -148,7 +148,8 @@
         while engine.running.len() < SLOTS
             && let Some((_, (entry, req))) = engine.waiting.pop_first()
         {
-            let span = SERVICE / 2.0 + exponential(&mut self.services, SERVICE / 2.0);
+            let span =
+                MEAN_SERVICE_MS / 2.0 + exponential(&mut self.services, MEAN_SERVICE_MS / 2.0);
             let end = self.now + sageshed_types::time::Millis::rounded_up(span).0;
             engine.running.insert((end, entry, req));
         }
