--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -15,7 +15,7 @@
 const SLOTS: usize = 8;
 /// Mean service time in milliseconds: half of it is constant, the other half exponential.
 const MEAN_SERVICE_MS: f64 = 800.0;
-const DEADLINE: u64 = 4_000;
+const DEADLINE_MS: u64 = 4_000;
 const RUN: u64 = 40_000;
 /// Requests count if their deadline is in this range.
 const COUNTED: std::ops::Range<u64> = 14_000..RUN;
@@ -58,7 +58,7 @@
     let mut settings = common::settings();
     settings.entries = u32::try_from(ENTRIES).expect("few");
     settings.classes = [("urgent", 9), ("usual", 3)]
-        .map(|(name, priority)| common::class(name, priority, DEADLINE, 64))
+        .map(|(name, priority)| common::class(name, priority, DEADLINE_MS, 64))
         .to_vec();
     settings.policy = policy.clone();
     let decider = |seed| decider::Decider::new(settings.clone(), seed);
@@ -104,7 +104,7 @@
 impl World {
     fn arrive(&mut self, entry: usize, urgent: bool) {
         let id = event::ReqId(self.outcomes.len() as u64);
-        let (due, on_time) = (self.now + DEADLINE, None);
+        let (due, on_time) = (self.now + DEADLINE_MS, None);
         self.outcomes.push(Outcome {
             due,
             urgent,
