--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -16,9 +16,9 @@
 /// Mean service time in milliseconds: half of it is constant, the other half exponential.
 const MEAN_SERVICE_MS: f64 = 800.0;
 const DEADLINE_MS: u64 = 4_000;
-const RUN: u64 = 40_000;
+const RUN_MS: u64 = 40_000;
 /// Requests count if their deadline is in this range.
-const COUNTED: std::ops::Range<u64> = 14_000..RUN;
+const COUNTED: std::ops::Range<u64> = 14_000..RUN_MS;
 const REPORT_EVERY: u64 = 500;
 const REPORT_LAG: u64 = 300;
 const TICK_EVERY: u64 = 50;
@@ -74,7 +74,7 @@
     let capacity = (ENGINES * SLOTS) as f64 / MEAN_SERVICE_MS;
     let mut next = (REPORT_EVERY + REPORT_LAG) as f64;
     let mut reports = collections::VecDeque::new();
-    for now in 0..RUN {
+    for now in 0..RUN_MS {
         world.now = now;
         (0..ENGINES).for_each(|engine| world.finish_due(engine));
         while next < now as f64 {
