--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -18,7 +18,7 @@
 const DEADLINE_MS: u64 = 4_000;
 const RUN_MS: u64 = 40_000;
 /// Requests count if their deadline is in this range.
-const COUNTED: std::ops::Range<u64> = 14_000..RUN_MS;
+const COUNTED_DEADLINES_MS: std::ops::Range<u64> = 14_000..RUN_MS;
 const REPORT_EVERY: u64 = 500;
 const REPORT_LAG: u64 = 300;
 const TICK_EVERY: u64 = 50;
@@ -93,10 +93,14 @@
             (0..ENTRIES).for_each(|entry| world.step(entry, event::Event::Tick));
         }
     }
-    let counted = world.outcomes.iter().filter(|f| COUNTED.contains(&f.due));
+    let counted = world
+        .outcomes
+        .iter()
+        .filter(|f| COUNTED_DEADLINES_MS.contains(&f.due));
     let (urgent, all) = (counted.clone().filter(|f| f.urgent), counted);
     let on_time = |f: &&Outcome| f.on_time == Some(true);
-    let most = (capacity * (COUNTED.end - COUNTED.start) as f64).min(all.clone().count() as f64);
+    let most = (capacity * (COUNTED_DEADLINES_MS.end - COUNTED_DEADLINES_MS.start) as f64)
+        .min(all.clone().count() as f64);
     let urgent_share = urgent.clone().filter(on_time).count() as f64 / urgent.count() as f64;
     (all.filter(on_time).count() as f64 / most, urgent_share)
 }
