--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -19,7 +19,7 @@
 const RUN_MS: u64 = 40_000;
 /// Requests count if their deadline is in this range.
 const COUNTED_DEADLINES_MS: std::ops::Range<u64> = 14_000..RUN_MS;
-const REPORT_EVERY: u64 = 500;
+const REPORT_INTERVAL_MS: u64 = 500;
 const REPORT_LAG: u64 = 300;
 const TICK_EVERY: u64 = 50;
 /// One request in this many is urgent.
@@ -72,7 +72,7 @@
     };
     let mut arrivals = random::Random::new(1);
     let capacity = (ENGINES * SLOTS) as f64 / MEAN_SERVICE_MS;
-    let mut next = (REPORT_EVERY + REPORT_LAG) as f64;
+    let mut next = (REPORT_INTERVAL_MS + REPORT_LAG) as f64;
     let mut reports = collections::VecDeque::new();
     for now in 0..RUN_MS {
         world.now = now;
@@ -82,7 +82,7 @@
             let entry = arrivals.below(ENTRIES);
             world.arrive(entry, arrivals.below(URGENT_EVERY) == 0);
         }
-        for engine in (0..ENGINES).filter(|engine| now % REPORT_EVERY == *engine as u64) {
+        for engine in (0..ENGINES).filter(|engine| now % REPORT_INTERVAL_MS == *engine as u64) {
             reports.push_back((now + REPORT_LAG, world.report(engine)));
         }
         while let Some((_, report)) = reports.pop_front_if(|(at, _)| *at <= now) {
