--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -20,7 +20,7 @@
 /// Requests count if their deadline is in this range.
 const COUNTED_DEADLINES_MS: std::ops::Range<u64> = 14_000..RUN_MS;
 const REPORT_INTERVAL_MS: u64 = 500;
-const REPORT_LAG: u64 = 300;
+const REPORT_DELAY_MS: u64 = 300;
 const TICK_EVERY: u64 = 50;
 /// One request in this many is urgent.
 const URGENT_EVERY: usize = 20;
@@ -72,7 +72,7 @@
     };
     let mut arrivals = random::Random::new(1);
     let capacity = (ENGINES * SLOTS) as f64 / MEAN_SERVICE_MS;
-    let mut next = (REPORT_INTERVAL_MS + REPORT_LAG) as f64;
+    let mut next = (REPORT_INTERVAL_MS + REPORT_DELAY_MS) as f64;
     let mut reports = collections::VecDeque::new();
     for now in 0..RUN_MS {
         world.now = now;
@@ -83,10 +83,10 @@
             world.arrive(entry, arrivals.below(URGENT_EVERY) == 0);
         }
         for engine in (0..ENGINES).filter(|engine| now % REPORT_INTERVAL_MS == *engine as u64) {
-            reports.push_back((now + REPORT_LAG, world.report(engine)));
+            reports.push_back((now + REPORT_DELAY_MS, world.report(engine)));
         }
         while let Some((_, report)) = reports.pop_front_if(|(at, _)| *at <= now) {
-            let event = event::Event::Report(Box::new(report), time::Millis(REPORT_LAG));
+            let event = event::Event::Report(Box::new(report), time::Millis(REPORT_DELAY_MS));
             (0..ENTRIES).for_each(|entry| world.step(entry, event.clone()));
         }
         if now.is_multiple_of(TICK_EVERY) {
