--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -21,7 +21,7 @@
 const COUNTED_DEADLINES_MS: std::ops::Range<u64> = 14_000..RUN_MS;
 const REPORT_INTERVAL_MS: u64 = 500;
 const REPORT_DELAY_MS: u64 = 300;
-const TICK_EVERY: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 /// One request in this many is urgent.
 const URGENT_EVERY: usize = 20;
 
@@ -89,7 +89,7 @@
             let event = event::Event::Report(Box::new(report), time::Millis(REPORT_DELAY_MS));
             (0..ENTRIES).for_each(|entry| world.step(entry, event.clone()));
         }
-        if now.is_multiple_of(TICK_EVERY) {
+        if now.is_multiple_of(TICK_INTERVAL_MS) {
             (0..ENTRIES).for_each(|entry| world.step(entry, event::Event::Tick));
         }
     }
