--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -41,7 +41,7 @@
 
 struct World {
     now: u64,
-    turn: u64,
+    sequence: u64,
     services: random::Random,
     entries: Vec<decider::Decider>,
     engines: Vec<Engine>,
@@ -64,7 +64,7 @@
     let decider = |seed| decider::Decider::new(settings.clone(), seed);
     let mut world = World {
         now: 0,
-        turn: 0,
+        sequence: 0,
         services: random::Random::new(2),
         entries: (0..ENTRIES as u64).map(decider).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
@@ -129,8 +129,8 @@
                     priority,
                     ..
                 } => {
-                    self.turn += 1;
-                    let place = (cmp::Reverse(priority), self.turn);
+                    self.sequence += 1;
+                    let place = (cmp::Reverse(priority), self.sequence);
                     let waiting = &mut self.engines[endpoint.index()].waiting;
                     waiting.insert(place, (entry, req));
                     self.start(endpoint.index());
