--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -9,7 +9,7 @@
 use planner::{Attempt, Planner};
 
 /// Maximum number of models for which one plan tries to add a replica.
-const ATTEMPTS: usize = 32;
+const MAX_MODELS: usize = 32;
 
 /// Maximum number of engines without room for which evictions are planned for one load, those with
 /// the greatest gain first.
@@ -36,7 +36,7 @@
             .filter(|(unserved, _)| *unserved > NEGLIGIBLE_SLOTS)
             .collect();
         lacking.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        for (_, model) in lacking.into_iter().take(ATTEMPTS) {
+        for (_, model) in lacking.into_iter().take(MAX_MODELS) {
             if !self.inputs.budget.allows() {
                 return;
             }
@@ -169,7 +169,7 @@
         let ranking = self.inputs.ranking;
         let wanting = ranking.iter().filter(|m| self.wants_spread(**m));
         let wanting: Vec<ModelKey> = wanting.copied().collect();
-        for model in wanting.into_iter().take(ATTEMPTS) {
+        for model in wanting.into_iter().take(MAX_MODELS) {
             if !self.inputs.budget.allows() {
                 return;
             }
--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -9,7 +9,7 @@
 use planner::{Attempt, Planner};
 
 /// Maximum number of models without a route that one plan handles. The others wait for later plans.
-const ATTEMPTS: usize = 64;
+const MAX_MODELS: usize = 64;
 
 /// The models of the catalog in the order in which they get their first route: critical ones first
 /// (the base of a critical adapter is critical too), then base models, then those that need most
@@ -54,11 +54,11 @@
             .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
         let lacking: Vec<ModelKey> = lacking.copied().collect();
         let critical = lacking.iter().filter(|m| self.offer(**m).model.critical);
-        let first = critical.count().min(ATTEMPTS);
+        let first = critical.count().min(MAX_MODELS);
         let rest = lacking.len() - first;
-        let turn = if rest > ATTEMPTS { start % rest } else { 0 };
+        let turn = if rest > MAX_MODELS { start % rest } else { 0 };
         let order = (0..first).chain((0..rest).map(|i| first + (i + turn) % rest));
-        for at in order.take(ATTEMPTS) {
+        for at in order.take(MAX_MODELS) {
             let model = lacking[at];
             let attempt = self.give_route_within_limits(model);
             if attempt == Attempt::Impossible {
@@ -72,7 +72,7 @@
     fn first_attempt(&self) -> usize {
         let interval = self.inputs.policy.plan_interval_ms.0.max(1);
         let plans = self.inputs.now.0 / interval;
-        usize::try_from(plans).unwrap_or(0) * ATTEMPTS
+        usize::try_from(plans).unwrap_or(0) * MAX_MODELS
     }
 
     /// Gives `model` a route, but moves replicas for it only as far as the move limits allow.
