--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -211,14 +211,14 @@
 
 /// Seeds of random clusters with little free memory in which, after the loss of a zone, two moves
 /// could undo each other.
-const TIGHT: &[u64] = &[1, 17, 112, 114, 175];
+const TIGHT_SEEDS: &[u64] = &[1, 17, 112, 114, 175];
 
 /// Guards against endless moves that keep the weight store busy without giving any model a route: a
 /// replica is loaded to free one engine and evicted again to free another. Not all models fit into
 /// these clusters.
 #[test]
 fn futile_moves_end() {
-    for seed in TIGHT {
+    for seed in TIGHT_SEEDS {
         let mut random = support::Random(*seed);
         let bases = 10 + random.below(8);
         let base = |i| support::base(&format!("b{i}"), 10_000 + 1_000 * (random.below(20) as u64));
