--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -62,7 +62,7 @@
     pub sequence: u64,
     pub resident: Vec<endpoints::ResidentModel>,
     pub orders: Vec<endpoints::OrderResult>,
-    pub highest: endpoints::Fence,
+    pub highest_fence: endpoints::Fence,
     pub leaving: bool,
     accepted: Vec<(endpoints::OrderId, endpoints::OrderTask)>,
 }
@@ -86,7 +86,7 @@
             sequence: 0,
             resident: Vec::new(),
             orders: Vec::new(),
-            highest: endpoints::Fence(0),
+            highest_fence: endpoints::Fence(0),
             leaving: false,
             accepted: Vec::new(),
         }
@@ -109,7 +109,7 @@
         self.resident.clear();
         self.orders.clear();
         self.accepted.clear();
-        self.highest = endpoints::Fence(0);
+        self.highest_fence = endpoints::Fence(0);
         self.leaving = false;
     }
 
@@ -136,8 +136,8 @@
         if order.incarnation != self.identity.incarnation || checks && known {
             return false;
         }
-        let old = checks && order.fence < self.highest;
-        self.highest = self.highest.max(order.fence);
+        let old = checks && order.fence < self.highest_fence;
+        self.highest_fence = self.highest_fence.max(order.fence);
         let outcome = if old {
             endpoints::OrderOutcome::Refused {
                 problem: "old fencing number".to_owned(),
