--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -174,7 +174,7 @@
             endpoints::OrderTask::ChangeRole { .. } => return,
         };
         if begins {
-            self.begin(&task);
+            self.start_task(&task);
             return;
         }
         let unloads = matches!(task, endpoints::OrderTask::Unload { .. });
@@ -190,7 +190,7 @@
         }
     }
 
-    fn begin(&mut self, task: &endpoints::OrderTask) {
+    fn start_task(&mut self, task: &endpoints::OrderTask) {
         match task {
             endpoints::OrderTask::Load {
                 model,
