--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -163,7 +163,7 @@
         let Some((id, task)) = self.accepted.first().cloned() else {
             return;
         };
-        let (name, wanted, begins) = match &task {
+        let (name, wanted, starts) = match &task {
             endpoints::OrderTask::Load { model, version, .. } => {
                 (model, *version, !self.holds(model, *version))
             }
@@ -173,7 +173,7 @@
             }
             endpoints::OrderTask::ChangeRole { .. } => return,
         };
-        if begins {
+        if starts {
             self.start_task(&task);
             return;
         }
