--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -88,7 +88,7 @@
     overcommits: usize,
     lost_routes: usize,
     unloads: usize,
-    crowded: usize,
+    concurrent_orders: usize,
 }
 
 fn models() -> Vec<catalog::Model> {
@@ -138,7 +138,7 @@
             overcommits: 0,
             lost_routes: 0,
             unloads: 0,
-            crowded: 0,
+            concurrent_orders: 0,
         };
         world.lead(0);
         world
@@ -257,7 +257,7 @@
     fn send(&mut self, control: usize, order: endpoints::Order) {
         let id = order.order;
         self.unloads += usize::from(matches!(order.task, endpoints::OrderTask::Unload { .. }));
-        self.crowded += usize::from(self.is_crowded(&order));
+        self.concurrent_orders += usize::from(self.is_crowded(&order));
         if self.lossy && self.random.percent(10) {
             self.step_at(control, place::Event::OrderNotSent(id));
             return;
@@ -404,7 +404,12 @@
         world.quiet();
         let unreachable = world.routes().iter().filter(|routes| **routes == 0).count();
         assert_eq!(
-            (world.overcommits, taken, unreachable, world.crowded),
+            (
+                world.overcommits,
+                taken,
+                unreachable,
+                world.concurrent_orders
+            ),
             (0, 0, 0, 0),
             "{}, seed {seed}: overcommits, last routes taken, models without a route, orders beside \
              another",
