--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -257,7 +257,7 @@
     fn send(&mut self, control: usize, order: endpoints::Order) {
         let id = order.order;
         self.unloads += usize::from(matches!(order.task, endpoints::OrderTask::Unload { .. }));
-        self.concurrent_orders += usize::from(self.is_crowded(&order));
+        self.concurrent_orders += usize::from(self.is_concurrent(&order));
         if self.lossy && self.random.percent(10) {
             self.step_at(control, place::Event::OrderNotSent(id));
             return;
@@ -270,7 +270,7 @@
 
     /// Whether `order` is sent to an engine that ignores fencing tokens while another order there has
     /// not ended.
-    fn is_crowded(&self, order: &endpoints::Order) -> bool {
+    fn is_concurrent(&self, order: &endpoints::Order) -> bool {
         let mut engines = self.engines.iter();
         let engine = engines.find(|e| e.identity.endpoint == order.endpoint);
         let engine = engine.unwrap();
