--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -78,7 +78,7 @@
     /// Submitted commands of the leader in order. Those of earlier leaders are never committed.
     pending: Vec<Pending>,
     /// Orders in transit, which may still arrive, possibly twice.
-    wire: Vec<endpoints::Order>,
+    in_transit: Vec<endpoints::Order>,
     /// Reports in transit, with the index of the control process that they are sent to.
     reports: Vec<(usize, endpoints::Report)>,
     lossy: bool,
@@ -129,7 +129,7 @@
             table: Table::default(),
             leader: 0,
             pending: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             reports: Vec::new(),
             lossy: true,
             loss: case.loss,
@@ -185,7 +185,7 @@
     }
 
     fn deliver_order(&mut self) {
-        let Some(order) = self.random.take(&mut self.wire) else {
+        let Some(order) = self.random.take(&mut self.in_transit) else {
             return;
         };
         let mut engines = self.engines.iter_mut();
@@ -195,7 +195,7 @@
         // An engine that ignores fencing tokens ignores order ids too. The network does not duplicate
         // orders to it: there, an order arrives twice only if it is sent twice.
         if engine.identity.checks_fence && self.lossy && self.random.percent(15) {
-            self.wire.push(order);
+            self.in_transit.push(order);
         }
     }
 
@@ -263,7 +263,7 @@
             return;
         }
         if !self.lossy || !self.random.percent(self.loss) {
-            self.wire.push(order);
+            self.in_transit.push(order);
         }
         self.step_at(control, place::Event::OrderSent(id));
     }
@@ -369,7 +369,7 @@
     }
 
     fn wire_all(&mut self) {
-        while !self.wire.is_empty() {
+        while !self.in_transit.is_empty() {
             self.deliver_order();
         }
     }
