--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -354,7 +354,7 @@
             if round == QUIET_ROUNDS / 4 {
                 self.restart_blocked();
             }
-            self.wire_all();
+            self.deliver_all_orders();
             for at in 0..self.engines.len() {
                 self.engines[at].advance();
                 let report = self.engines[at].report();
@@ -368,7 +368,7 @@
         }
     }
 
-    fn wire_all(&mut self) {
+    fn deliver_all_orders(&mut self) {
         while !self.in_transit.is_empty() {
             self.deliver_order();
         }
