--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -347,7 +347,7 @@
     }
 
     /// Runs rounds without faults. Engines that are blocked by a lost order are restarted.
-    fn quiet(&mut self) {
+    fn run_without_faults(&mut self) {
         self.lossy = false;
         for round in 0..QUIET_ROUNDS {
             self.now.0 += 500;
@@ -401,7 +401,7 @@
         } else {
             0
         };
-        world.quiet();
+        world.run_without_faults();
         let unreachable = world.routes().iter().filter(|routes| **routes == 0).count();
         assert_eq!(
             (
