--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -59,7 +59,7 @@
 const EVENTS: usize = 20_000;
 
 /// Rounds without faults after which every model must have a route.
-const QUIET_ROUNDS: usize = 600;
+const FAULTLESS_ROUNDS: usize = 600;
 
 /// A command that the leader has submitted to the control group.
 enum Pending {
@@ -349,9 +349,9 @@
     /// Runs rounds without faults. Engines that are blocked by a lost order are restarted.
     fn run_without_faults(&mut self) {
         self.lossy = false;
-        for round in 0..QUIET_ROUNDS {
+        for round in 0..FAULTLESS_ROUNDS {
             self.now.0 += 500;
-            if round == QUIET_ROUNDS / 4 {
+            if round == FAULTLESS_ROUNDS / 4 {
                 self.restart_blocked();
             }
             self.deliver_all_orders();
