--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -140,7 +140,7 @@
             unloads: 0,
             concurrent_orders: 0,
         };
-        world.lead(0);
+        world.change_leader(0);
         world
     }
 
@@ -314,7 +314,7 @@
     fn fail(&mut self) {
         if self.random.percent(25) {
             let next = self.random.below(self.controls.len());
-            self.lead(next);
+            self.change_leader(next);
         }
         if self.random.below(20) < self.restarts {
             let at = self.random.below(self.engines.len());
@@ -324,7 +324,7 @@
 
     /// Changes the leader. A random number of the old leader's commands is committed without it being
     /// notified; the rest is lost.
-    fn lead(&mut self, next: usize) {
+    fn change_leader(&mut self, next: usize) {
         let kept = self.random.below(self.pending.len() + 1);
         for pending in self.pending.drain(..).take(kept) {
             match pending {
