--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -81,7 +81,7 @@
     late: Option<endpoints::Report>,
 }
 
-struct Sim<'a> {
+struct Simulation<'a> {
     user: &'a User,
     models: Vec<catalog::Model>,
     placement: place::Placement,
@@ -95,7 +95,7 @@
     counts: [u64; 3],
 }
 
-impl<'a> Sim<'a> {
+impl<'a> Simulation<'a> {
     fn new(user: &'a User, policy: &place::Policy, seed: u64) -> Self {
         let models = models(user);
         let policy = place::Policy {
@@ -295,7 +295,7 @@
     cases.extend(env::args().skip(1).map(|text| (text.clone(), read(&text))));
     for user in USERS {
         for (name, policy) in &cases {
-            let runs = (1..=SEEDS).map(|seed| Sim::new(user, policy, seed).run());
+            let runs = (1..=SEEDS).map(|seed| Simulation::new(user, policy, seed).run());
             let runs: Vec<_> = runs.collect();
             let mean = runs.iter().map(|r| r.0).sum::<f64>() / runs.len() as f64;
             let moves = runs.iter().map(|r| r.1).sum::<u64>() as f64 / runs.len() as f64;
