--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -27,7 +27,7 @@
 /// What is known about a request once it has been received completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request.
+    /// The id under which later events refer to the request.
     pub id: ReqId,
     /// The caller that sent it.
     pub caller: arena::CallerKey,
@@ -143,7 +143,7 @@
         attempt: u32,
         /// The model or adapter to ask for; `None` for a plain service.
         model: Option<arena::ModelKey>,
-        /// 0 is the least urgent, 9 the most.
+        /// The priority of the request: 0 is the lowest, 9 the highest.
         priority: u8,
         /// Time left to the deadline, in milliseconds.
         deadline_left: time::Millis,
