--- a/crates/sageshed-decide/src/settings.rs
+++ b/crates/sageshed-decide/src/settings.rs
@@ -38,7 +38,7 @@
     LeastReported,
 }
 
-/// The tunable parameters of the decider. Tests and simulations run with the defaults.
+/// The tunable parameters of the decider. Each has a default; an unknown one is an error.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
@@ -71,9 +71,9 @@
     pub return_ramp_ms: time::Millis,
     /// How long nothing is sent to an endpoint that responded with 429 or 503.
     pub busy_pause_ms: time::Millis,
-    /// Age from which the load figures of a report are no longer used.
+    /// Age past which the load figures of a report are no longer used.
     pub report_stale_ms: time::Millis,
-    /// Age of the last report from which an endpoint gets no requests while others can take them.
+    /// Age of the last report past which an endpoint gets no requests while others can take them.
     pub report_silent_ms: time::Millis,
     /// The share by which a predicted wait is increased before it is compared with a deadline. The
     /// wait is the least certain part of an estimate, since other entry processes add to it.
