--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -92,6 +92,7 @@
     bursts: Vec<(usize, u64)>,
     random: Random,
     table: Table,
+    /// Requests, requests completed in time, and moves, all after the warm-up.
     counts: [u64; 3],
 }
 
