--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -119,7 +119,7 @@
     accepts_orders: Vec<bool>,
     /// For each engine, the memory being freed that is already intended for a model, in MiB.
     awaited_mib: Vec<u64>,
-    /// Whether no replicas may be moved for the current model, since too many moves were in vain.
+    /// Whether no replicas may be moved for the current model, since too many moves gave it no route.
     moves_paused: bool,
     /// The number of evictions and moves that this plan has started.
     evictions: usize,
