--- a/crates/sageshed-place/src/policy.rs
+++ b/crates/sageshed-place/src/policy.rs
@@ -38,7 +38,7 @@
     /// al., IEEE Access 2021, OMO). Off by default: simulations (`examples/policies.rs`) show no gain,
     /// since a load can start only after the unload has freed the memory, so they can't overlap.
     pub lazy_start: bool,
-    /// The age from which a report is stale, in milliseconds: no order is issued to its endpoint, and
+    /// The age past which a report is stale, in milliseconds: no order is issued to its endpoint, and
     /// its models don't count as routes.
     pub stale_after_ms: time::Millis,
     /// The time after which an unsettled order is sent again, in milliseconds. Only for endpoints that
