--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the leader's knowledge that it still is one.
+//! Elections: pre-vote, vote, and the time until which a leader knows that there is no other leader.
 
 use std::collections;
 
@@ -7,12 +7,12 @@
 use crate::{event, log, message, node, output, restart, state};
 
 impl node::Node {
-    /// The instant until which no other leader can have been elected, on this node's clock.
+    /// The instant until which no other leader can be elected, on this node's clock.
     ///
-    /// None unless this node leads and has committed an entry of its own term, without which it
-    /// doesn't know all that earlier leaders have committed. Compare with the clock at the moment
-    /// of the decision, not with that of the last event. Until then what is applied here may be
-    /// read, or a lease granted that ends by then, without asking anybody.
+    /// None unless this node leads and has committed an entry of its own term, since before that it does
+    /// not know all entries that earlier leaders have committed. Compare it with the clock at the time of
+    /// the decision, not at the time of the last event. Until this instant the leader may serve reads from
+    /// the applied state and grant leases that end by then, without contacting other nodes.
     #[must_use]
     pub fn has_quorum_until(&self) -> Option<time::Instant> {
         let state::Role::Leader(leader) = &self.state.role else {
@@ -21,12 +21,12 @@
         if self.state.commit < leader.term_start {
             return None;
         }
-        let end = self.quorum_heard()? + self.cfg.election_timeout;
+        let end = self.quorum_contact()? + self.cfg.election_timeout;
         Some(time::Instant(end.0.saturating_sub(self.cfg.drift_margin.0)))
     }
 
-    /// When the latest round began that a majority of voters has answered.
-    fn quorum_heard(&self) -> Option<time::Instant> {
+    /// When the latest round of heartbeats that a majority of voters has answered began.
+    fn quorum_contact(&self) -> Option<time::Instant> {
         let membership = self.state.log.membership();
         let answered = |id: &log::NodeId| {
             if *id == self.cfg.id {
@@ -40,10 +40,10 @@
         instants.get(membership.majority() - 1).copied().flatten()
     }
 
-    /// When this node, as leader, has to step down for want of answers.
+    /// When this node, as leader, has to step down unless a majority answers a newer round of heartbeats.
     pub(crate) fn quorum_deadline(&self) -> time::Instant {
         let since = self
-            .quorum_heard()
+            .quorum_contact()
             .unwrap_or_default()
             .max(self.timers.led_since);
         since + self.cfg.election_timeout
@@ -55,7 +55,7 @@
         }
         self.state.leader = None;
         self.state.heard_leader = false;
-        self.state.start = restart::Start::Over;
+        self.state.restart = restart::RestartState::Done;
         self.state.role = state::Role::Follower;
         self.restart_election_timer();
         let voter = self.state.log.membership().voters.contains(&self.cfg.id);
@@ -63,20 +63,20 @@
             return;
         }
         if self.cfg.guards.pre_vote {
-            self.ask_pre_votes(out);
+            self.request_pre_votes(out);
         } else {
-            self.ask_votes(out);
+            self.request_votes(out);
         }
     }
 
-    fn ask_pre_votes(&mut self, out: &mut output::Output) {
+    fn request_pre_votes(&mut self, out: &mut output::Output) {
         let granted = collections::BTreeSet::from([self.cfg.id]);
         self.state.role = state::Role::PreCandidate { granted };
-        self.ask(message::Body::PreVote, out);
+        self.broadcast_candidacy(message::Body::PreVote, out);
         self.count_pre_votes(out);
     }
 
-    fn ask_votes(&mut self, out: &mut output::Output) {
+    fn request_votes(&mut self, out: &mut output::Output) {
         let term = self.state.hard.term.next();
         self.state.hard = log::HardState {
             term,
@@ -85,11 +85,15 @@
         out.hard_state(self.state.hard);
         let granted = collections::BTreeSet::from([self.cfg.id]);
         self.state.role = state::Role::Candidate { granted };
-        self.ask(message::Body::Vote, out);
+        self.broadcast_candidacy(message::Body::Vote, out);
         self.count_votes(out);
     }
 
-    fn ask(&self, body: fn(message::Candidacy) -> message::Body, out: &mut output::Output) {
+    fn broadcast_candidacy(
+        &self,
+        body: fn(message::Candidacy) -> message::Body,
+        out: &mut output::Output,
+    ) {
         let log = &self.state.log;
         let candidacy = message::Candidacy {
             last: log.last(),
@@ -102,7 +106,7 @@
         }
     }
 
-    /// `term` is the candidate's present one; it asks about the next.
+    /// Handles a pre-vote request. `term` is the candidate's current term, and it asks about the next one.
     pub(crate) fn on_pre_vote(
         &mut self,
         from: log::NodeId,
@@ -114,7 +118,7 @@
         let removed = *index > candidacy.membership && !committed.contains(from);
         let granted = !removed
             && term >= self.state.hard.term
-            && !self.must_not_vote()
+            && !self.is_bound_not_to_vote()
             && self.may_vote_for(candidacy);
         self.send(from, message::Body::PreVoteReply { granted, removed }, out);
     }
@@ -126,9 +130,9 @@
         candidacy: message::Candidacy,
         out: &mut output::Output,
     ) {
-        // Not even the term is taken over: it would make the leader step down, which every message
-        // of a removed node, or of one that was cut off, could then do.
-        if self.must_not_vote() {
+        // The candidate's term is not adopted either: that would make the leader step down whenever a
+        // removed or partitioned node requests votes.
+        if self.is_bound_not_to_vote() {
             return;
         }
         if term > self.state.hard.term {
@@ -152,14 +156,16 @@
         self.send(from, message::Body::VoteReply { granted }, out);
     }
 
-    /// A leader counts on this node: it leads itself, or has heard one within the timeout.
-    fn must_not_vote(&self) -> bool {
+    /// Whether a leader relies on this node not to vote: this node leads, or has heard from a leader within
+    /// the election timeout.
+    fn is_bound_not_to_vote(&self) -> bool {
         let heard = self.state.heard_leader
-            && self.timers.now.since(self.timers.heard) < self.cfg.election_timeout;
+            && self.timers.now.since(self.timers.leader_heard_at) < self.cfg.election_timeout;
         self.cfg.guards.stickiness && (heard || self.is_leader())
     }
 
-    /// Whether the candidate's log holds all that this one does, and this node is a voter in it.
+    /// Whether the candidate's log is at least as up to date as this node's, and this node is a voter by
+    /// the candidate's log.
     fn may_vote_for(&self, candidacy: message::Candidacy) -> bool {
         let log = &self.state.log;
         let voter = log.membership().voters.contains(&self.cfg.id)
@@ -202,16 +208,17 @@
             granted.insert(from);
             self.count_votes(out);
         } else {
-            self.stand_again_soon();
+            self.retry_campaign_soon();
         }
     }
 
-    /// Another candidate has got votes of this term. Where just a majority of the group is up, both
-    /// then lack one, and callers would wait for a whole election timeout. The next try begins with a
-    /// pre-vote, so a candidate that can't win disturbs nobody.
-    fn stand_again_soon(&mut self) {
+    /// Schedules another campaign after a refused vote, which means that other candidates got votes in this
+    /// term. If only a bare majority of the group is up, no candidate can win the term, and callers would
+    /// wait for a whole election timeout. The next campaign begins with a pre-vote, so that a candidate
+    /// that cannot win does not disturb the group.
+    fn retry_campaign_soon(&mut self) {
         let extra = time::Millis(self.draw(self.cfg.heartbeat_interval.0.max(1)));
-        self.stand_at(self.timers.now + self.cfg.start_delay() + extra);
+        self.campaign_by(self.timers.now + self.cfg.campaign_delay() + extra);
     }
 
     fn count_pre_votes(&mut self, out: &mut output::Output) {
@@ -219,7 +226,7 @@
             return;
         };
         if self.is_majority(granted) {
-            self.ask_votes(out);
+            self.request_votes(out);
         }
     }
 
@@ -228,7 +235,7 @@
             return;
         };
         if self.is_majority(granted) {
-            self.lead(out);
+            self.become_leader(out);
         }
     }
 
@@ -237,7 +244,7 @@
         membership.has_majority(|id| granted.contains(&id))
     }
 
-    fn lead(&mut self, out: &mut output::Output) {
+    fn become_leader(&mut self, out: &mut output::Output) {
         let next = self.state.log.last().index.next();
         self.state.role = state::Role::Leader(state::Leader {
             peers: collections::BTreeMap::new(),
@@ -253,6 +260,6 @@
         });
         self.append(log::EntryData::Noop, out);
         self.heartbeat_due(out);
-        self.count_matches(out);
+        self.commit_by_majority(out);
     }
 }
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -130,13 +130,13 @@
             return command::Outcome::AlreadyApplied;
         }
         self.applied = index;
-        self.apply_anew(command)
+        self.apply_command(command)
     }
 
-    fn apply_anew(&mut self, command: command::Command) -> command::Outcome {
+    fn apply_command(&mut self, command: command::Command) -> command::Outcome {
         use command::{Command, Outcome};
         match command {
-            Command::Change(change) => Outcome::Change(self.rules.change(change)),
+            Command::Change(change) => Outcome::Change(self.rules.apply_change(change)),
             Command::Claim(claim) => match self.claims.claim(claim) {
                 claim_table::ClaimAttempt::Answer(answer) => Outcome::Claim(answer),
                 claim_table::ClaimAttempt::TooLate => Outcome::ClaimTooLate,
@@ -149,7 +149,7 @@
                 let unknown = self.claims.holder_gone(&vm, incarnation_below);
                 Outcome::HolderGone { unknown }
             }
-            Command::Clock { unix_ms } => self.clock(unix_ms),
+            Command::Clock { unix_ms } => self.advance_clock(unix_ms),
             Command::LeaderStarted { term } => {
                 let fence = self.orders.leader_started(term);
                 Outcome::LeaderStarted { fence }
@@ -192,8 +192,8 @@
         }
     }
 
-    fn clock(&mut self, unix_ms: u64) -> command::Outcome {
-        let expired = self.claims.clock(unix_ms);
+    fn advance_clock(&mut self, unix_ms: u64) -> command::Outcome {
+        let expired = self.claims.advance_clock(unix_ms);
         command::Outcome::Clock {
             unix_ms: self.claims.unix_ms(),
             expired,
@@ -215,10 +215,10 @@
     /// ended, and would drain the VM again unnoticed.
     fn drain(&mut self, vm: String, on: bool, change_id: &str) -> command::DrainOutcome {
         let content = change_ids::ContentDigest::of(&(&vm, on));
-        match self.drain_ids.seen(change_id, content) {
-            change_ids::Seen::Same(_) => return command::DrainOutcome::Recorded,
-            change_ids::Seen::Other(_) => return command::DrainOutcome::ChangeIdReused,
-            change_ids::Seen::New => self.drain_ids.remember(change_id, content, on),
+        match self.drain_ids.lookup(change_id, content) {
+            change_ids::ChangeIdLookup::Same(_) => return command::DrainOutcome::Recorded,
+            change_ids::ChangeIdLookup::Other(_) => return command::DrainOutcome::ChangeIdReused,
+            change_ids::ChangeIdLookup::New => self.drain_ids.insert(change_id, content, on),
         }
         if on {
             self.draining.insert(vm);
