--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn load_that_is_seen_shortens_the_wait() {
+fn observed_load_shortens_the_wait() {
     let mut harness = common::Harness::new(common::settings());
     let mut report = common::report("e1", 1, 1, &["sort"]);
     report.resident[0].phase = endpoints::Phase::Loading;
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn late_answer_is_waited_for_but_not_without_end() {
+fn late_answer_is_awaited_up_to_the_expiry() {
     for (not_repeatable, waits) in [(false, 12_500), (true, 20_000)] {
         let mut harness = one_engine();
         let (req, _) = harness.arrive(|f| f.not_repeatable = not_repeatable);
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -262,7 +262,7 @@
 /// Guards against an engine that gets its full load right after an ejection: it would time out and be
 /// ejected again, repeatedly.
 #[test]
-fn return_is_slow_and_a_failure_ends_it() {
+fn recovery_is_gradual_and_a_failure_ends_it() {
     let mut harness = with_failures(3, CUT);
     harness.tick_after(2_600);
     assert_eq!(sent_to_bad(&mut harness), 1, "one request to begin with");
@@ -402,7 +402,7 @@
 /// Guards against counting requests that were lost in a restart of an engine against its slots, which
 /// would leave it partly idle, and against subtracting their ends from the count of the new ones.
 #[test]
-fn restart_frees_the_slots_of_the_earlier_start() {
+fn restart_frees_the_slots_of_the_earlier_incarnation() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
     let (lost, _) = harness.arrive(|_| {});
     let mut report = common::report("e1", 1, 1, &["sort"]);
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -157,7 +157,7 @@
 ];
 
 #[test]
-fn actions_are_done() {
+fn actions_are_applied() {
     for case in ACTION_CASES {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         harness.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
@@ -302,7 +302,7 @@
 ];
 
 #[test]
-fn checks_find_what_is_wrong() {
+fn checks_find_problems() {
     let names = names::Names::new(&common::settings());
     for case in CHECKED {
         let found = rules::check(&set(case.rules), &names);
@@ -344,7 +344,7 @@
 ];
 
 #[test]
-fn limits_hold_by_what_they_are_for() {
+fn limits_apply_by_scope() {
     for case in LIMITED {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let text = format!(
