--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -226,7 +226,7 @@
     let mut harness = common::Harness::new(common::settings());
     harness.report(common::report("base", 1, 4, &["sort"]));
     harness.report(common::report("both", 1, 4, &["sort", "sort-leith"]));
-    let target = harness.facts("sort-leith").target;
+    let target = harness.request_info("sort-leith").target;
     let (req, actions) = harness.arrive(|f| f.target = target);
     let endpoint = common::sent_to(&actions, req).expect("sent");
     assert_eq!(harness.decider.endpoint_name(endpoint), "both");
@@ -304,8 +304,8 @@
             event::Event::Report(Box::new(report), time::Millis(0)),
         );
         for id in 0..32 {
-            let facts = common::facts(event::ReqId(id), arena::ModelKey(0));
-            let actions = decider.step(time::Instant(1), event::Event::Arrived(facts));
+            let info = common::request_info(event::ReqId(id), arena::ModelKey(0));
+            let actions = decider.step(time::Instant(1), event::Event::Arrived(info));
             sent += usize::from(common::sent_to(&actions, event::ReqId(id)).is_some());
         }
     }
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -103,7 +103,7 @@
 }
 
 /// A simple request of the first caller for a model.
-pub fn facts(id: event::ReqId, model: arena::ModelKey) -> event::RequestInfo {
+pub fn request_info(id: event::ReqId, model: arena::ModelKey) -> event::RequestInfo {
     event::RequestInfo {
         id,
         caller: arena::CallerKey(0),
@@ -161,13 +161,13 @@
         self.step(event::Event::Report(Box::new(report), time::Millis(0)))
     }
 
-    pub fn facts(&mut self, target: &str) -> event::RequestInfo {
+    pub fn request_info(&mut self, target: &str) -> event::RequestInfo {
         self.next += 1;
         let decider = &self.decider;
         let target = decider.model(target).or_else(|| decider.service(target));
         event::RequestInfo {
             target: target.expect("a target of the settings"),
-            ..facts(event::ReqId(self.next), arena::ModelKey(0))
+            ..request_info(event::ReqId(self.next), arena::ModelKey(0))
         }
     }
 
@@ -176,9 +176,9 @@
         &mut self,
         change: impl Fn(&mut event::RequestInfo),
     ) -> (event::ReqId, Vec<event::Action>) {
-        let mut facts = self.facts("sort");
-        change(&mut facts);
-        (facts.id, self.step(event::Event::Arrived(facts)))
+        let mut info = self.request_info("sort");
+        change(&mut info);
+        (info.id, self.step(event::Event::Arrived(info)))
     }
 
     pub fn done(&mut self, req: event::ReqId) -> Vec<event::Action> {
--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -69,8 +69,8 @@
         let mut harness = common::Harness::new(common::settings());
         let rule = rule(&format!("{ROUTE}[when]\n{}", case.when));
         harness.install(1, vec![rule]);
-        let target = harness.facts(case.target).target;
-        let (req, _) = harness.arrive(|facts| facts.target = target);
+        let target = harness.request_info(case.target).target;
+        let (req, _) = harness.arrive(|info| info.target = target);
         let by = harness
             .decider
             .request_trace(req)
@@ -190,11 +190,11 @@
                 "id = 'r'\nnot_repeatable = false\ndo = { route = {} }",
             )],
         );
-        let target = harness.facts("dispatch").target;
-        let (req, actions) = harness.arrive(|facts| {
-            facts.target = target;
-            facts.not_repeatable = true;
-            facts.not_repeatable_by_default = by_default;
+        let target = harness.request_info("dispatch").target;
+        let (req, actions) = harness.arrive(|info| {
+            info.target = target;
+            info.not_repeatable = true;
+            info.not_repeatable_by_default = by_default;
         });
         assert_eq!(common::summary(&actions, req), expected);
     }
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -114,9 +114,9 @@
             urgent,
             on_time,
         });
-        let mut facts = common::facts(id, arena::ModelKey(0));
-        facts.class = Some(arena::ClassKey(u32::from(!urgent)));
-        self.step(entry, event::Event::Arrived(facts));
+        let mut info = common::request_info(id, arena::ModelKey(0));
+        info.class = Some(arena::ClassKey(u32::from(!urgent)));
+        self.step(entry, event::Event::Arrived(info));
     }
 
     fn step(&mut self, entry: usize, event: event::Event) {
