--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -69,8 +69,8 @@
         let mut harness = common::Harness::new(common::settings());
         let rule = rule(&format!("{ROUTE}[when]\n{}", case.when));
         harness.install(1, vec![rule]);
-        let target = harness.facts(case.target).target;
-        let (req, _) = harness.arrive(|facts| facts.target = target);
+        let target = harness.request_info(case.target).target;
+        let (req, _) = harness.arrive(|info| info.target = target);
         let by = harness
             .decider
             .request_trace(req)
@@ -157,7 +157,7 @@
 ];
 
 #[test]
-fn actions_are_done() {
+fn actions_are_applied() {
     for case in ACTION_CASES {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         harness.install(1, vec![rule(&format!("id = 'r'\n{}", case.rule))]);
@@ -190,11 +190,11 @@
                 "id = 'r'\nnot_repeatable = false\ndo = { route = {} }",
             )],
         );
-        let target = harness.facts("dispatch").target;
-        let (req, actions) = harness.arrive(|facts| {
-            facts.target = target;
-            facts.not_repeatable = true;
-            facts.not_repeatable_by_default = by_default;
+        let target = harness.request_info("dispatch").target;
+        let (req, actions) = harness.arrive(|info| {
+            info.target = target;
+            info.not_repeatable = true;
+            info.not_repeatable_by_default = by_default;
         });
         assert_eq!(common::summary(&actions, req), expected);
     }
@@ -302,7 +302,7 @@
 ];
 
 #[test]
-fn checks_find_what_is_wrong() {
+fn checks_find_problems() {
     let names = names::Names::new(&common::settings());
     for case in CHECKED {
         let found = rules::check(&set(case.rules), &names);
@@ -344,7 +344,7 @@
 ];
 
 #[test]
-fn limits_hold_by_what_they_are_for() {
+fn limits_apply_by_scope() {
     for case in LIMITED {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let text = format!(
--- a/crates/sageshed-decide/tests/simulation.rs
+++ b/crates/sageshed-decide/tests/simulation.rs
@@ -14,14 +14,14 @@
 const ENGINES: usize = 9;
 const SLOTS: usize = 8;
 /// Mean service time in milliseconds: half of it is constant, the other half exponential.
-const SERVICE: f64 = 800.0;
-const DEADLINE: u64 = 4_000;
-const RUN: u64 = 40_000;
+const MEAN_SERVICE_MS: f64 = 800.0;
+const DEADLINE_MS: u64 = 4_000;
+const RUN_MS: u64 = 40_000;
 /// Requests count if their deadline is in this range.
-const COUNTED: std::ops::Range<u64> = 14_000..RUN;
-const REPORT_EVERY: u64 = 500;
-const REPORT_LAG: u64 = 300;
-const TICK_EVERY: u64 = 50;
+const COUNTED_DEADLINES_MS: std::ops::Range<u64> = 14_000..RUN_MS;
+const REPORT_INTERVAL_MS: u64 = 500;
+const REPORT_DELAY_MS: u64 = 300;
+const TICK_INTERVAL_MS: u64 = 50;
 /// One request in this many is urgent.
 const URGENT_EVERY: usize = 20;
 
@@ -41,7 +41,7 @@
 
 struct World {
     now: u64,
-    turn: u64,
+    sequence: u64,
     services: random::Random,
     entries: Vec<decider::Decider>,
     engines: Vec<Engine>,
@@ -58,23 +58,23 @@
     let mut settings = common::settings();
     settings.entries = u32::try_from(ENTRIES).expect("few");
     settings.classes = [("urgent", 9), ("usual", 3)]
-        .map(|(name, priority)| common::class(name, priority, DEADLINE, 64))
+        .map(|(name, priority)| common::class(name, priority, DEADLINE_MS, 64))
         .to_vec();
     settings.policy = policy.clone();
     let decider = |seed| decider::Decider::new(settings.clone(), seed);
     let mut world = World {
         now: 0,
-        turn: 0,
+        sequence: 0,
         services: random::Random::new(2),
         entries: (0..ENTRIES as u64).map(decider).collect(),
         engines: (0..ENGINES).map(|_| Engine::default()).collect(),
         outcomes: Vec::new(),
     };
     let mut arrivals = random::Random::new(1);
-    let capacity = (ENGINES * SLOTS) as f64 / SERVICE;
-    let mut next = (REPORT_EVERY + REPORT_LAG) as f64;
+    let capacity = (ENGINES * SLOTS) as f64 / MEAN_SERVICE_MS;
+    let mut next = (REPORT_INTERVAL_MS + REPORT_DELAY_MS) as f64;
     let mut reports = collections::VecDeque::new();
-    for now in 0..RUN {
+    for now in 0..RUN_MS {
         world.now = now;
         (0..ENGINES).for_each(|engine| world.finish_due(engine));
         while next < now as f64 {
@@ -82,21 +82,25 @@
             let entry = arrivals.below(ENTRIES);
             world.arrive(entry, arrivals.below(URGENT_EVERY) == 0);
         }
-        for engine in (0..ENGINES).filter(|engine| now % REPORT_EVERY == *engine as u64) {
-            reports.push_back((now + REPORT_LAG, world.report(engine)));
+        for engine in (0..ENGINES).filter(|engine| now % REPORT_INTERVAL_MS == *engine as u64) {
+            reports.push_back((now + REPORT_DELAY_MS, world.report(engine)));
         }
         while let Some((_, report)) = reports.pop_front_if(|(at, _)| *at <= now) {
-            let event = event::Event::Report(Box::new(report), time::Millis(REPORT_LAG));
+            let event = event::Event::Report(Box::new(report), time::Millis(REPORT_DELAY_MS));
             (0..ENTRIES).for_each(|entry| world.step(entry, event.clone()));
         }
-        if now.is_multiple_of(TICK_EVERY) {
+        if now.is_multiple_of(TICK_INTERVAL_MS) {
             (0..ENTRIES).for_each(|entry| world.step(entry, event::Event::Tick));
         }
     }
-    let counted = world.outcomes.iter().filter(|f| COUNTED.contains(&f.due));
+    let counted = world
+        .outcomes
+        .iter()
+        .filter(|f| COUNTED_DEADLINES_MS.contains(&f.due));
     let (urgent, all) = (counted.clone().filter(|f| f.urgent), counted);
     let on_time = |f: &&Outcome| f.on_time == Some(true);
-    let most = (capacity * (COUNTED.end - COUNTED.start) as f64).min(all.clone().count() as f64);
+    let most = (capacity * (COUNTED_DEADLINES_MS.end - COUNTED_DEADLINES_MS.start) as f64)
+        .min(all.clone().count() as f64);
     let urgent_share = urgent.clone().filter(on_time).count() as f64 / urgent.count() as f64;
     (all.filter(on_time).count() as f64 / most, urgent_share)
 }
@@ -104,15 +108,15 @@
 impl World {
     fn arrive(&mut self, entry: usize, urgent: bool) {
         let id = event::ReqId(self.outcomes.len() as u64);
-        let (due, on_time) = (self.now + DEADLINE, None);
+        let (due, on_time) = (self.now + DEADLINE_MS, None);
         self.outcomes.push(Outcome {
             due,
             urgent,
             on_time,
         });
-        let mut facts = common::facts(id, arena::ModelKey(0));
-        facts.class = Some(arena::ClassKey(u32::from(!urgent)));
-        self.step(entry, event::Event::Arrived(facts));
+        let mut info = common::request_info(id, arena::ModelKey(0));
+        info.class = Some(arena::ClassKey(u32::from(!urgent)));
+        self.step(entry, event::Event::Arrived(info));
     }
 
     fn step(&mut self, entry: usize, event: event::Event) {
@@ -125,8 +129,8 @@
                     priority,
                     ..
                 } => {
-                    self.turn += 1;
-                    let place = (cmp::Reverse(priority), self.turn);
+                    self.sequence += 1;
+                    let place = (cmp::Reverse(priority), self.sequence);
                     let waiting = &mut self.engines[endpoint.index()].waiting;
                     waiting.insert(place, (entry, req));
                     self.start(endpoint.index());
@@ -148,7 +152,8 @@
         while engine.running.len() < SLOTS
             && let Some((_, (entry, req))) = engine.waiting.pop_first()
         {
-            let span = SERVICE / 2.0 + exponential(&mut self.services, SERVICE / 2.0);
+            let span =
+                MEAN_SERVICE_MS / 2.0 + exponential(&mut self.services, MEAN_SERVICE_MS / 2.0);
             let end = self.now + sageshed_types::time::Millis::rounded_up(span).0;
             engine.running.insert((end, entry, req));
         }
--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -62,7 +62,7 @@
     pub sequence: u64,
     pub resident: Vec<endpoints::ResidentModel>,
     pub orders: Vec<endpoints::OrderResult>,
-    pub highest: endpoints::Fence,
+    pub highest_fence: endpoints::Fence,
     pub leaving: bool,
     accepted: Vec<(endpoints::OrderId, endpoints::OrderTask)>,
 }
@@ -86,7 +86,7 @@
             sequence: 0,
             resident: Vec::new(),
             orders: Vec::new(),
-            highest: endpoints::Fence(0),
+            highest_fence: endpoints::Fence(0),
             leaving: false,
             accepted: Vec::new(),
         }
@@ -109,7 +109,7 @@
         self.resident.clear();
         self.orders.clear();
         self.accepted.clear();
-        self.highest = endpoints::Fence(0);
+        self.highest_fence = endpoints::Fence(0);
         self.leaving = false;
     }
 
@@ -136,8 +136,8 @@
         if order.incarnation != self.identity.incarnation || checks && known {
             return false;
         }
-        let old = checks && order.fence < self.highest;
-        self.highest = self.highest.max(order.fence);
+        let old = checks && order.fence < self.highest_fence;
+        self.highest_fence = self.highest_fence.max(order.fence);
         let outcome = if old {
             endpoints::OrderOutcome::Refused {
                 problem: "old fencing number".to_owned(),
@@ -163,7 +163,7 @@
         let Some((id, task)) = self.accepted.first().cloned() else {
             return;
         };
-        let (name, wanted, begins) = match &task {
+        let (name, wanted, starts) = match &task {
             endpoints::OrderTask::Load { model, version, .. } => {
                 (model, *version, !self.holds(model, *version))
             }
@@ -173,8 +173,8 @@
             }
             endpoints::OrderTask::ChangeRole { .. } => return,
         };
-        if begins {
-            self.begin(&task);
+        if starts {
+            self.start_task(&task);
             return;
         }
         let unloads = matches!(task, endpoints::OrderTask::Unload { .. });
@@ -190,7 +190,7 @@
         }
     }
 
-    fn begin(&mut self, task: &endpoints::OrderTask) {
+    fn start_task(&mut self, task: &endpoints::OrderTask) {
         match task {
             endpoints::OrderTask::Load {
                 model,
