--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -336,16 +336,16 @@
 pub(super) fn report_prefill<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
-    read: chooser::Prefill<'_>,
+    prefill: chooser::Prefill<'_>,
     took: Millis,
     load: Option<dialect::Load>,
 ) {
     report_with(shared, pick, |observation, has_coordinators| {
         let short = |ms: Millis| u32::try_from(ms.0).unwrap_or(u32::MAX);
-        observation.cached_prefix = wire::PromptPrefix::of(read.wanted, read.parts);
+        observation.cached_prefix = wire::PromptPrefix::of(prefill.wanted, prefill.parts);
         observation.running = load.map(|it| it.running);
         observation.ttft = has_coordinators.then(|| wire::TtftSample {
-            model: wire::name_key(&read.wanted.model),
+            model: wire::name_key(&prefill.wanted.model),
             took: short(took),
             estimated: short(pick.estimate),
         });
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -254,17 +254,17 @@
         let now = self.shared.clock.now();
         let took = sent_at.elapsed().into();
         let parts = &self.metadata.parts;
-        let read = self.wanted.map(|wanted| chooser::Prefill { wanted, parts });
+        let prefill = self.wanted.map(|wanted| chooser::Prefill { wanted, parts });
         self.shared.with_core(|core| {
             core.chooser
-                .record_response_start(now, pick, read, took, load);
+                .record_response_start(now, pick, prefill, took, load);
             if let Some(wanted) = self.wanted {
                 let tokens = self.metadata.prompt_tokens;
                 core.backlog.record_prefill(now, &wanted.model, tokens);
             }
         });
-        match read {
-            Some(read) => entry_peers::report_prefill(self.shared, pick, read, took, load),
+        match prefill {
+            Some(prefill) => entry_peers::report_prefill(self.shared, pick, prefill, took, load),
             None => entry_peers::report(self.shared, pick),
         }
         self.shared.wake_waiting();
--- a/src/sageshed/gateway/proxy/attempt_log.rs
+++ b/src/sageshed/gateway/proxy/attempt_log.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(super) struct AttemptLog {
     chosen: Vec<request_trace::Candidate>,
-    tries: Vec<request_trace::Attempt>,
+    attempts: Vec<request_trace::Attempt>,
 }
 
 impl AttemptLog {
@@ -24,7 +24,7 @@
             estimate: pick.estimate,
             passed_over: None,
         });
-        self.tries.push(request_trace::Attempt {
+        self.attempts.push(request_trace::Attempt {
             endpoint: pick.instance.to_string(),
             started,
             verdict: verdict::Verdict::MayHaveRun,
@@ -34,7 +34,7 @@
 
     /// Sets the result of the latest attempt.
     pub(super) fn record_outcome(&mut self, verdict: verdict::Verdict, outcome: &str) {
-        if let Some(last) = self.tries.last_mut() {
+        if let Some(last) = self.attempts.last_mut() {
             last.verdict = verdict;
             outcome.clone_into(&mut last.outcome);
         }
@@ -43,16 +43,16 @@
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Stores the trace of this request, which has ended.
-    pub(super) fn keep_account(&mut self, end: request_trace::RequestOutcome) {
+    pub(super) fn keep_trace(&mut self, end: request_trace::RequestOutcome) {
         let took = time::Millis::from(self.req.received.elapsed());
         let log = std::mem::take(&mut self.attempt_log);
-        let queued = log.tries.first().map_or(took, |it| it.started);
+        let queued = log.attempts.first().map_or(took, |it| it.started);
         let span = self.deadline.saturating_duration_since(self.req.received);
         let not_repeatable = matches!(
             self.route.kind,
             config::RequestKind::NonIdempotent | config::RequestKind::Stream
         );
-        let account = request_trace::RequestTrace {
+        let trace = request_trace::RequestTrace {
             request_id: self.id().to_owned(),
             arrived_unix_ms: clock::unix_ms().saturating_sub(took.0),
             caller: self.workspace.as_ref().map(|it| it.name.clone()),
@@ -67,11 +67,11 @@
             deadline: span.into(),
             queued,
             candidates: log.chosen,
-            tries: log.tries,
+            tries: log.attempts,
             end,
             took,
         };
-        locks::lock(&self.shared.accounts).keep(account);
+        locks::lock(&self.shared.traces).keep(trace);
     }
 }
 
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -78,7 +78,7 @@
             repeat = if self.is_retry_budget_spent { "none left" } else { "" }, left_ms = self.time_left().0;
             "gateway: request refused");
         self.record_end(metrics::End::Refused, refusal.status);
-        self.keep_account(request_trace::RequestOutcome::Refused(refusal.clone()));
+        self.keep_trace(request_trace::RequestOutcome::Refused(refusal.clone()));
         sink.refuse("", refusal)
     }
 
@@ -90,7 +90,7 @@
             arrivals = self.deliveries, left_ms = self.time_left().0,
             took_ms = time::Millis::from(self.req.received.elapsed()).0; "gateway: caller left");
         self.record_end(metrics::End::CallerGone, 0);
-        self.keep_account(request_trace::RequestOutcome::CallerGone);
+        self.keep_trace(request_trace::RequestOutcome::CallerGone);
         let detail = "the caller closed its connection";
         let refusal = self.final_refusal(verdict::Reason::DeadlinePassed, detail.to_owned());
         sink.refuse("", &refusal)
@@ -111,7 +111,7 @@
         let outcome = self.timings.describe();
         self.attempt_log
             .record_outcome(verdict::Verdict::Ran, &outcome);
-        self.keep_account(request_trace::RequestOutcome::Answered { status, bytes });
+        self.keep_trace(request_trace::RequestOutcome::Answered { status, bytes });
         let line = self.shared.sampler.line(self.shared.clock.now());
         if let sampler::Line::WriteAfter(left_out) = line {
             ::log::info!(left_out; "gateway: successes left out of the log in the last second");
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -74,7 +74,7 @@
             let shown = sync::Arc::clone(&shared);
             let text = move || shown.metrics.text(&shown);
             let known = sync::Arc::clone(&shared);
-            let account = move |id: &str| locks::lock(&known.accounts).get(id).cloned();
+            let account = move |id: &str| locks::lock(&known.traces).get(id).cloned();
             start(
                 address,
                 ready_limits(),
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -34,7 +34,7 @@
     /// The metrics of this process.
     pub metrics: metrics::Metrics,
     /// The traces of the latest requests, for operators.
-    pub accounts: sync::Mutex<accounts::Accounts>,
+    pub traces: sync::Mutex<accounts::Accounts>,
     /// Samples the successful requests that are logged.
     pub sampler: sampler::Sampler,
     /// Samples the log of messages of other processes that could not be decoded.
@@ -93,7 +93,7 @@
 
 /// The number of request traces kept. Each takes about one kilobyte; at ten requests per second they cover
 /// the last minute.
-const MAX_ACCOUNTS: usize = 600;
+const MAX_TRACES: usize = 600;
 
 /// The successful requests that are logged per second. On the smallest VMs, logging three times as many would
 /// cost more than serving them.
@@ -158,7 +158,7 @@
             client: sageshed_vms::Client::new(""),
             entry_peers,
             metrics: metrics::Metrics::default(),
-            accounts: sync::Mutex::new(accounts::Accounts::new(MAX_ACCOUNTS)),
+            traces: sync::Mutex::new(accounts::Accounts::new(MAX_TRACES)),
             sampler: sampler::Sampler::new(MAX_SUCCESSES_LOGGED_PER_SECOND),
             misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             endpoint_changes: sampler::Sampler::new(ENDPOINT_CHANGES_LOGGED_PER_SECOND),
