--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -27,9 +27,9 @@
 const FIRST_SERVER_ERROR: u16 = 500;
 
 /// What follows a failed attempt.
-enum Next {
+enum NextStep {
     /// Retry as admission control decided.
-    Again(admit::Admission),
+    Retry(admit::Admission),
     /// Refuse the request for this reason.
     GiveUp(&'static str),
 }
@@ -95,7 +95,7 @@
                 self.end_request(now, req);
             }
             event::AttemptOutcome::Refused { status } => {
-                self.judge_status(now, sent, status);
+                self.record_status(now, sent, status);
                 self.end_request(now, req);
             }
             event::AttemptOutcome::Failed { verdict, fault } => {
@@ -108,7 +108,7 @@
     /// Updates the health of an endpoint by the status of an error response that was passed on. The
     /// duration is not used for estimates: an instance that fails every request immediately would seem
     /// the fastest and attract the traffic of the others.
-    fn judge_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
+    fn record_status(&mut self, now: time::Instant, sent: request::Sent, status: u16) {
         if status == TOO_MANY_REQUESTS || status >= FIRST_SERVER_ERROR {
             self.record_failure(now, sent, event::AttemptError::Status(status));
         } else {
@@ -149,10 +149,10 @@
         request.state = request::State::Deciding;
         request.failed_on.push(sent.endpoint);
         request.verdict = request.verdict.and(safe_verdict(fault, verdict));
-        match self.next(now, req) {
-            Next::Again(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
-            Next::Again(_) => self.enqueue(now, req, out),
-            Next::GiveUp(why) => self.give_up_failed(now, req, sent, fault, why, out),
+        match self.next_step(now, req) {
+            NextStep::Retry(admit::Admission::Send(pick)) => self.send(now, req, pick, out),
+            NextStep::Retry(_) => self.enqueue(now, req, out),
+            NextStep::GiveUp(why) => self.refuse_failed(now, req, sent, fault, why, out),
         }
     }
 
@@ -193,33 +193,33 @@
         }
     }
 
-    fn next(&mut self, now: time::Instant, req: event::ReqId) -> Next {
+    fn next_step(&mut self, now: time::Instant, req: event::ReqId) -> NextStep {
         let Some(request) = self.requests.get(&req) else {
-            return Next::GiveUp("it is gone");
+            return NextStep::GiveUp("it is gone");
         };
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
-            return Next::GiveUp("it may not be repeated");
+            return NextStep::GiveUp("it may not be repeated");
         }
         if request.answer_started && request.info.streaming {
-            return Next::GiveUp("part of the answer had been passed on");
+            return NextStep::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
-            return Next::GiveUp("no more tries are allowed");
+            return NextStep::GiveUp("no more tries are allowed");
         }
         if request.left(now).0 == 0 {
-            return Next::GiveUp("its deadline has passed");
+            return NextStep::GiveUp("its deadline has passed");
         }
         let admission = self.assess(now, req);
         if matches!(admission, admit::Admission::Refuse(_)) {
-            return Next::GiveUp("no other endpoint can answer in time");
+            return NextStep::GiveUp("no other endpoint can answer in time");
         }
         if !self.budget.spend() {
-            return Next::GiveUp("the retry budget is used up");
+            return NextStep::GiveUp("the retry budget is used up");
         }
-        Next::Again(admission)
+        NextStep::Retry(admission)
     }
 
-    fn give_up_failed(
+    fn refuse_failed(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
--- a/crates/sageshed-decide/src/decider/query.rs
+++ b/crates/sageshed-decide/src/decider/query.rs
@@ -91,7 +91,7 @@
         &self,
         considered: &request::ConsideredEndpoint,
     ) -> types_request_trace::Candidate {
-        let why = match considered.standing {
+        let why = match considered.eligibility {
             _ if considered.chosen => None,
             router::Eligibility::OtherPool => Some("the rule names another pool"),
             router::Eligibility::Leaving => Some("it is leaving"),
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -58,7 +58,7 @@
     /// Whether it was chosen.
     pub chosen: bool,
     /// Whether it was eligible for the request.
-    pub standing: router::Eligibility,
+    pub eligibility: router::Eligibility,
 }
 
 /// A request and its processing state.
@@ -129,8 +129,8 @@
 
     /// What it requires of an endpoint.
     #[must_use]
-    pub fn requirements(&self) -> router::Ask<'_> {
-        router::Ask {
+    pub fn requirements(&self) -> router::Requirements<'_> {
+        router::Requirements {
             target: self.lane.target,
             pool: self.lane.pool,
             urgent: self.urgent,
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -187,7 +187,7 @@
         }
         self.change_directory(|it| {
             for one in alive {
-                it.confirm(now, *one);
+                it.apply_refresh(now, *one);
             }
         });
     }
@@ -387,7 +387,7 @@
             return;
         }
         let taken = self.change(|inner| inner.quarantine.merge_all(now, crashes));
-        for content in &taken.held {
+        for content in &taken.quarantined {
             ::log::warn!(content:% = content, ends = quarantine::CRASH_LIMIT;
                 "control: request is quarantined, endpoints crashed while running it");
         }
@@ -471,7 +471,7 @@
         let mut bytes = 0;
         let mut last = None;
         for change in portion.changes {
-            let alive = self.directory.alive(now, &change.id, req.mark);
+            let alive = self.directory.liveness_refresh(now, &change.id, req.mark);
             if let Some(alive) = alive.filter(|_| req.takes_alive) {
                 last = Some(change.number);
                 update.alive.push(alive);
@@ -559,7 +559,7 @@
 fn sync_scope(req: &messages::WatchReq) -> quarantine::SyncScope {
     match req.watcher {
         messages::Watcher::Control => quarantine::SyncScope::All,
-        messages::Watcher::Entry => quarantine::SyncScope::Held,
+        messages::Watcher::Entry => quarantine::SyncScope::Quarantined,
     }
 }
 
