--- a/crates/sageshed-fleet/src/dialect.rs
+++ b/crates/sageshed-fleet/src/dialect.rs
@@ -114,7 +114,7 @@
 /// What a response says about the execution of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionStatus {
-    /// The endpoint has run it and signs the response.
+    /// The endpoint has run it and signed the response.
     Verified,
     /// The response is not signed, or its body is not as the endpoint has made it.
     Unverified,
--- a/crates/sageshed-fleet/src/directory/instance.rs
+++ b/crates/sageshed-fleet/src/directory/instance.rs
@@ -12,8 +12,8 @@
 /// Identifies one instance of an endpoint: one run of its process.
 ///
 /// An endpoint that crashes may be started again under the same name. It then holds nothing, and earlier requests and
-/// orders concern a process that no longer exists, so all state of endpoints is kept by this pair. Ordered by name,
-/// then by start time.
+/// orders concern a process that no longer exists, so all that is known of endpoints is kept by name and start time.
+/// Ordered by name, then by start time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId {
     /// The name of the endpoint, the same for all its instances.
@@ -170,7 +170,8 @@
         self.state == State::Ready
     }
 
-    /// A hash of what matters to others, without the sequence number; zero for an instance that isn't present.
+    /// A hash of its id, address, slots, state, models and cached weights, regardless of the order of the lists; zero
+    /// for an instance that isn't present.
     pub(super) fn digest(&self) -> u64 {
         if !self.is_present() {
             return 0;
--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -34,11 +34,13 @@
 /// Sequence number up to which the first announcement received of an instance shows that it has just started.
 const FIRST_ANNOUNCEMENTS: u64 = 3;
 
-/// How long an instance must be silent before another one, which may have ended before it, takes its place. Its
+/// How long an instance must be silent before another one that announces itself replaces it. The announcement may be a
+/// late one of an instance that ended earlier, and a shorter silence doesn't show that the first one has ended: its
 /// announcements may have gone to other control processes, which pass them on every [`REFRESH_INTERVAL`].
 const RIVAL_SILENCE: time::Millis = time::Millis(5_000);
 
-/// How long an instance may be silent before it counts as gone: several announcements, which may be late by seconds.
+/// How long an instance may be silent before it is marked as [`State::Silent`] and is no longer present: several
+/// announcements, which may be late by seconds.
 pub const SILENCE_TIMEOUT: time::Millis = time::Millis(12_000);
 
 /// Maximum number of instances that are kept: twice the endpoints of the largest intended fleet. Each takes about a
@@ -499,7 +501,7 @@
         records.collect()
     }
 
-    /// The first `most` changes after `cursor`.
+    /// At most `limit` changes after `cursor`, the first ones by number.
     #[must_use]
     pub fn changes_after(&self, cursor: Cursor, filter: ChangeFilter, most: usize) -> ChangeBatch {
         let from = if cursor.start == self.start {
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -50,7 +50,7 @@
 }
 
 impl Source {
-    /// Cost of a load from this source when engines are compared, in busy engines.
+    /// Cost of a load from this source when engines are compared, in busy engines: a load of 10 s counts as one.
     pub(super) fn cost(self, model: &config::Model) -> f64 {
         let span = match self {
             Self::Memory => model.memory_load,
@@ -108,7 +108,7 @@
     /// The models in its latest report.
     reported_models: Vec<String>,
     report_requested_at: Option<time::Instant>,
-    /// Whether a report request is in flight.
+    /// Whether a report request was sent and its outcome is not known yet.
     report_pending: bool,
     /// Consecutive report requests without a report.
     failed_reports: u32,
@@ -240,7 +240,7 @@
         self.report_pending = true;
     }
 
-    /// Whether a report request is in flight.
+    /// Whether a report request is in flight and has not timed out.
     pub(super) fn awaits_report(&self, now: time::Instant) -> bool {
         let recently = self
             .report_requested_at
@@ -388,7 +388,7 @@
         let until = self.pending.iter().filter_map(|it| match it.state {
             OrderState::Sent => Some(now + UNCONFIRMED_TIMEOUT),
             OrderState::Unconfirmed(until) | OrderState::Resendable(until) => Some(until),
-            // It executed this one before it ended.
+            // The ended instance has accepted this one, so no later instance executes it.
             OrderState::Accepted(_) => None,
         });
         until
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -1,5 +1,10 @@
 //! Placement of weights and adapters on engines. Run by the control process that leads.
 //!
+//! # Work
+//!
+//! The work of a model is the engine time that the prefill of its requests takes, per unit of time. It is given in busy
+//! engines: 1.0 keeps one engine busy. Costs that are compared with it have the same unit.
+//!
 //! # Load pattern
 //!
 //! A few models get most of the requests, and many get few. Which ones these are changes within seconds, while
@@ -22,7 +27,7 @@
 //!
 //! Engines that don't check the fencing token would execute the orders of two leaders. A leader that is cut off stops
 //! giving orders when it loses its majority; a new one gives its first order a lease after its election
-//! ([`leadership`]), and counts the store's budget as just spent by its predecessor.
+//! ([`leadership`]), and until then counts the store's budget as spent by its predecessor.
 
 mod adapters;
 mod demand;
@@ -42,7 +47,8 @@
 /// The parameters of a planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// How long after its election a leader waits before its first order.
+    /// How long after its election a leader waits before its first order; see [`leadership`] for the margin that is
+    /// added.
     pub lease: time::Millis,
     /// Window over which loads from the weight store are counted.
     pub store_window: time::Millis,
@@ -432,7 +438,7 @@
         actions
     }
 
-    /// Sends orders again that were not executed.
+    /// Sends the orders again that their engines have not accepted by their latest reports.
     fn resend_orders(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in &pool.instances {
--- a/crates/sageshed-fleet/src/planner/store.rs
+++ b/crates/sageshed-fleet/src/planner/store.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Counts the whole budget as spent until `at`.
+    /// Forgets the loads that were counted, and counts the whole budget as spent until `at`.
     pub(super) fn assume_all_spent(&mut self, at: time::Instant) {
         self.begun.clear();
         self.spent_until = at;
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -224,7 +224,8 @@
         Some((cost, task))
     }
 
-    /// The model on `instance` to evict for `wanted`, with the cost: the work per remaining replica.
+    /// The model on `instance` to evict for `wanted`, with the cost: the work per remaining replica, and
+    /// [`LAST_REPLICA_COST`] if none remains.
     fn victim(
         &self,
         instance: &directory::Instance,
--- a/crates/sageshed-fleet/src/transfer.rs
+++ b/crates/sageshed-fleet/src/transfer.rs
@@ -170,7 +170,7 @@
     Whole(Payload),
 }
 
-/// Why a chunk is rejected, with what was received of its transfer.
+/// Why a chunk is rejected. What was received of its transfer is discarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum ChunkError {
     /// It doesn't follow the bytes received so far, or is empty.
@@ -291,7 +291,8 @@
         Ok(ChunkOutcome::Whole(partial))
     }
 
-    /// Notes that a control process has nothing newer, though it has announced a version: it was restarted.
+    /// Notes that a control process has nothing newer, though it has announced a version: it was restarted. It is not
+    /// asked again until it announces a version.
     pub fn has_nothing_newer(&mut self, ip: net::Ipv4Addr) {
         self.announced.remove(&ip);
     }
