--- a/crates/sageshed-fleet/src/directory/mod.rs
+++ b/crates/sageshed-fleet/src/directory/mod.rs
@@ -191,8 +191,8 @@
         let is_rival = |it: &&Entry| {
             let other = &it.instance;
             let is_silent = now.since(it.heard) >= RIVAL_SILENCE;
-            let is_there = other.address == address && !other.has_ended();
-            is_there && other.id.name != id.name && (is_first || is_silent)
+            let is_at_address = other.address == address && !other.has_ended();
+            is_at_address && other.id.name != id.name && (is_first || is_silent)
         };
         let there = self.index.by_address(address).iter();
         let there = there.filter_map(|it| self.entries.get(it));
@@ -264,7 +264,7 @@
         match entry.instance.state {
             State::Gone => MergeOutcome::Stale,
             State::Replaced => self.merge_replaced(now, record),
-            State::Ready | State::Leaving | State::Silent => self.update(now, record),
+            State::Ready | State::Leaving | State::Silent => self.merge_known(now, record),
         }
     }
 
@@ -274,7 +274,7 @@
             return MergeOutcome::Full;
         }
         match self.compare_first(now, &record) {
-            succession::FirstRecord::Lives => self.insert(now, record),
+            succession::FirstRecord::NoRival => self.insert(now, record),
             succession::FirstRecord::Succeeds(before) => {
                 self.replace(now, &before);
                 self.insert(now, record)
@@ -348,17 +348,17 @@
     }
 
     /// Merges a further record of an instance that has not ended.
-    fn update(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
+    fn merge_known(&mut self, now: time::Instant, mut record: Record) -> MergeOutcome {
         let id = record.instance.id.clone();
         let Some(entry) = self.entries.get_mut(&id) else {
             return MergeOutcome::Stale;
         };
         let known = (entry.instance.sequence, entry.amended);
         if record.instance.state == State::Leaving && record.version() <= known {
-            // A newer announcement that says otherwise doesn't undo it: the instance may have said so in a response,
-            // and will announce it later.
-            let outcome = self.mark_leaving(now, &id);
-            return if outcome {
+            // The instance is leaving even if a newer announcement says otherwise: it may have said so in a response,
+            // and announce it only later.
+            let is_new = self.mark_leaving(now, &id);
+            return if is_new {
                 MergeOutcome::Changed
             } else {
                 MergeOutcome::Stale
@@ -383,7 +383,7 @@
                 MergeOutcome::Stale
             };
         }
-        let is_news = entry.instance.differs(&record.instance) || record.amended > entry.amended;
+        let is_update = entry.instance.differs(&record.instance) || record.amended > entry.amended;
         let is_due = now.since(entry.published) >= REFRESH_INTERVAL;
         entry.amended = entry.amended.max(record.amended);
         self.digest ^= entry.instance.digest() ^ record.instance.digest();
@@ -393,7 +393,7 @@
             self.index.add_address(&id, address);
         }
         entry.instance = sync::Arc::new(record.instance);
-        if is_news {
+        if is_update {
             self.record_update(now, &id);
             return MergeOutcome::Changed;
         }
@@ -503,7 +503,7 @@
 
     /// At most `limit` changes after `cursor`, the first ones by number.
     #[must_use]
-    pub fn changes_after(&self, cursor: Cursor, filter: ChangeFilter, most: usize) -> ChangeBatch {
+    pub fn changes_after(&self, cursor: Cursor, filter: ChangeFilter, limit: usize) -> ChangeBatch {
         let from = if cursor.start == self.start {
             cursor.change
         } else {
@@ -512,10 +512,10 @@
         let mut changes: Vec<_> = self
             .index
             .changes_after(from, filter)
-            .take(most.saturating_add(1))
+            .take(limit.saturating_add(1))
             .collect();
-        let is_last = changes.len() <= most;
-        changes.truncate(most);
+        let is_last = changes.len() <= limit;
+        changes.truncate(limit);
         let last = changes.last().filter(|_| !is_last);
         let cursor = Cursor {
             start: self.start,
--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -39,8 +39,8 @@
 /// What the first record of an instance means for the other instances of its endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum FirstRecord {
-    /// No other instance of the endpoint is running.
-    Lives,
+    /// It concerns no other running instance: there is none, or the record only tells that its own instance has ended.
+    NoRival,
     /// The instance replaces this one.
     Succeeds(InstanceId),
     /// It is a deregistration without a start time, which means this instance.
@@ -67,11 +67,11 @@
     /// Compares the first record of an instance with the other instances of its endpoint.
     pub(super) fn compare_first(&self, now: time::Instant, record: &Record) -> FirstRecord {
         let Some(current) = self.current(&record.instance.id.name) else {
-            return FirstRecord::Lives;
+            return FirstRecord::NoRival;
         };
         if record.instance.has_ended() {
             let meant = self.deregistered_instance(now, record);
-            return meant.map_or(FirstRecord::Lives, FirstRecord::Ends);
+            return meant.map_or(FirstRecord::NoRival, FirstRecord::Ends);
         }
         if is_later(record, current) {
             FirstRecord::Succeeds(current.instance.id.clone())
