--- a/crates/sageshed-fleet/src/transfer.rs
+++ b/crates/sageshed-fleet/src/transfer.rs
@@ -191,7 +191,8 @@
     announced: collections::BTreeMap<net::Ipv4Addr, u64>,
     versions: versions::VersionHistory,
     partial: Option<Payload>,
-    most: usize,
+    /// Maximum size of the next chunk.
+    chunk_bytes: usize,
 }
 
 impl Default for Receiver {
@@ -200,7 +201,7 @@
             announced: collections::BTreeMap::new(),
             versions: versions::VersionHistory::default(),
             partial: None,
-            most: CHUNK_BYTES,
+            chunk_bytes: CHUNK_BYTES,
         }
     }
 }
@@ -251,7 +252,7 @@
             to: *to,
             transfer: partial.map(|it| it.id),
             offset: partial.map_or(0, |it| it.bytes.len() as u64),
-            most: self.most,
+            most: self.chunk_bytes,
         }
     }
 
@@ -260,12 +261,12 @@
     /// A chunk of another transfer than the one in progress replaces it: its sender no longer has the payload that
     /// was being fetched.
     pub fn take(&mut self, chunk: &Chunk, took: time::Millis) -> Result<ChunkOutcome, ChunkError> {
-        self.most = if took > SLOW_CHUNK {
-            (self.most / 2).max(SLOW_LINK_CHUNK_BYTES.min(self.most))
+        self.chunk_bytes = if took > SLOW_CHUNK {
+            (self.chunk_bytes / 2).max(SLOW_LINK_CHUNK_BYTES.min(self.chunk_bytes))
         } else if took.0 < SLOW_CHUNK.0 / 2 {
-            (self.most * 2).min(CHUNK_BYTES)
+            (self.chunk_bytes * 2).min(CHUNK_BYTES)
         } else {
-            self.most
+            self.chunk_bytes
         };
         let mut partial = match self.partial.take() {
             Some(partial) if partial.id == chunk.id => partial,
@@ -301,7 +302,7 @@
     /// it announces a version. The received chunks are kept, and the next ones are smaller.
     pub fn mark_failed(&mut self, ip: net::Ipv4Addr) {
         self.announced.remove(&ip);
-        self.most = (self.most / 2).max(MIN_CHUNK_BYTES);
+        self.chunk_bytes = (self.chunk_bytes / 2).max(MIN_CHUNK_BYTES);
     }
 }
 
