--- a/crates/sageshed-fleet/src/planner/demand.rs
+++ b/crates/sageshed-fleet/src/planner/demand.rs
@@ -35,12 +35,12 @@
 
 /// The recent demand for one model.
 #[derive(Debug, Default)]
-struct Model {
+struct ModelDemand {
     /// Buckets with their numbers, the oldest first.
     buckets: collections::VecDeque<(u64, Count)>,
 }
 
-impl Model {
+impl ModelDemand {
     fn add(&mut self, bucket: u64, more: Count) {
         if self.buckets.back().is_none_or(|(last, _)| *last != bucket) {
             self.buckets.push_back((bucket, Count::default()));
@@ -80,7 +80,7 @@
 /// The recent demand for all models.
 #[derive(Debug, Default)]
 pub(super) struct DemandHistory {
-    models: collections::HashMap<(String, String), Model>,
+    models: collections::HashMap<(String, String), ModelDemand>,
     adapters: collections::HashMap<(String, String, String), time::Instant>,
 }
 
