--- a/crates/sageshed-fleet/tests/planner.rs
+++ b/crates/sageshed-fleet/tests/planner.rs
@@ -539,7 +539,7 @@
 /// of accepted orders, so that only one of them has an effect should the first arrive after all; it is not delayed
 /// until the first can no longer be executed.
 #[test]
-fn an_order_that_was_lost_is_given_again_behind_the_same_number() {
+fn a_lost_order_is_resent_with_the_same_number_of_accepted_orders() {
     let mut simulation = Simulation::new(&[("e1", &["m0", "m1", "m2"]), ("e2", &["m1", "m3"])]);
     simulation.run(4_000);
     simulation.lost = 2;
