--- a/crates/sageshed-fleet/src/planner/adapters.rs
+++ b/crates/sageshed-fleet/src/planner/adapters.rs
@@ -21,7 +21,7 @@
     /// The adapter is loaded or being loaded.
     Done,
     /// This order loads it, or unloads another one for it.
-    By(dialect::Order),
+    Ordered(dialect::Order),
     /// No engine can load it now.
     Later,
 }
@@ -42,7 +42,7 @@
             }
             match self.serve_adapter_request(now, pool, &request.req) {
                 Progress::Done => {}
-                Progress::By(order) => {
+                Progress::Ordered(order) => {
                     let is_eviction = matches!(order.task, dialect::Task::UnloadAdapter(..));
                     actions.push(Action::Order(order));
                     if is_eviction {
@@ -85,7 +85,7 @@
         let free_slots = |it: &&directory::Instance| {
             let engine = self.engines.get(&it.id)?;
             let used = engine.max_adapters(it);
-            let free = (pool.offer.adapter_slots as usize).checked_sub(used + 1)?;
+            let free = (pool.settings.adapter_slots as usize).checked_sub(used + 1)?;
             (engine.accepts_adapter_orders(now)).then_some((free, it.id.clone()))
         };
         let meant = holders.iter().filter(|it| is_meant(it));
@@ -97,7 +97,7 @@
         if let Some((_, id)) = best {
             return self
                 .order(now, pool, &id, task)
-                .map_or(Progress::Later, Progress::By);
+                .map_or(Progress::Later, Progress::Ordered);
         }
         if is_elsewhere {
             // No adapter is evicted for a second replica of another one.
@@ -137,6 +137,6 @@
             return Progress::Later;
         };
         self.order(now, pool, &id, task)
-            .map_or(Progress::Later, Progress::By)
+            .map_or(Progress::Later, Progress::Ordered)
     }
 }
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -431,12 +431,12 @@
         from_store: bool,
         load_time: time::Millis,
     ) -> Option<u64> {
-        let is_accepted = if task.is_weights() {
+        let can_accept = if task.is_weights() {
             self.accepts_weight_orders(now)
         } else {
             self.accepts_adapter_orders(now)
         };
-        let accepted_before = self.accepted.filter(|_| is_accepted)?;
+        let accepted_before = self.accepted.filter(|_| can_accept)?;
         self.pending.push(PendingOrder {
             task: task.clone(),
             state: OrderState::Sent,
@@ -474,11 +474,11 @@
     pub(super) fn max_weights_mb(
         &self,
         instance: &directory::Instance,
-        offer: &config::EnginePool,
+        settings: &config::EnginePool,
     ) -> f64 {
-        let size = |name: &str| offer.models.iter().find(|it| it.name == name);
+        let size = |name: &str| settings.models.iter().find(|it| it.name == name);
         let mb = |name: &str| size(name).map_or(0.0, |it| it.weights_mb);
-        let adapter_mb = offer
+        let adapter_mb = settings
             .models
             .iter()
             .map(|it| it.adapter_mb)
@@ -491,7 +491,7 @@
         let shown = instance.models.iter().map(|it| it.model.as_str());
         let may_hold: collections::BTreeSet<&str> = shown.chain(reported).chain(ordered).collect();
         let held: f64 = may_hold.into_iter().map(mb).sum();
-        let adapters = f64::from(offer.adapter_slots) * adapter_mb;
+        let adapters = f64::from(settings.adapter_slots) * adapter_mb;
         held + adapters
     }
 
@@ -522,9 +522,9 @@
 
     /// Whether it was ordered to unload the model.
     pub(super) fn unloads(&self, model: &str) -> bool {
-        let is_drop =
+        let is_unload =
             |it: &PendingOrder| matches!(&it.task, dialect::Task::Unload(m) if m == model);
-        self.pending.iter().any(is_drop)
+        self.pending.iter().any(is_unload)
     }
 
     /// The model whose weights it was ordered to load, if any.
--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -171,7 +171,8 @@
 /// The ready engines of one service at one moment.
 struct Pool<'a> {
     service: &'a str,
-    offer: &'a config::EnginePool,
+    /// The service's settings for its engines.
+    settings: &'a config::EnginePool,
     instances: Vec<&'a directory::Instance>,
 }
 
@@ -308,10 +309,10 @@
         self.update_engines(now, instances);
         let mut actions = self.correct_records(now, instances);
         for service in &config.services {
-            let Some(offer) = &service.engines else {
+            let Some(settings) = &service.engines else {
                 continue;
             };
-            let pool = ready_pool(service, offer, instances);
+            let pool = ready_pool(service, settings, instances);
             actions.extend(self.request_reports(now, &pool));
             actions.extend(self.resend_orders(now, &pool));
             actions.extend(self.serve_adapter_requests(now, &pool));
@@ -329,8 +330,8 @@
         instances: &[&directory::Instance],
     ) -> Vec<Summary> {
         let pools = config.services.iter().filter_map(|service| {
-            let offer = service.engines.as_ref()?;
-            Some(ready_pool(service, offer, instances))
+            let settings = service.engines.as_ref()?;
+            Some(ready_pool(service, settings, instances))
         });
         pools.map(|pool| self.summary_of(now, &pool)).collect()
     }
@@ -342,7 +343,7 @@
         };
         let state = weights::PoolState::new(self, now, pool);
         let short = state.short_of_replicas();
-        let models = pool.offer.models.iter();
+        let models = pool.settings.models.iter();
         let work = models.map(|it| self.demand.work(now, pool.service, &it.name));
         Summary {
             service: pool.service.to_owned(),
@@ -350,7 +351,7 @@
             free_for_orders: pool.instances.iter().filter(is_free).count(),
             short_of_replicas: short.into_iter().map(|it| it.name.clone()).collect(),
             busiest: state.busiest(SUMMARY_MODELS),
-            store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
+            store_is_free: self.store.allows(now, pool.settings.loads_per_s, 0),
             work: work.sum(),
             adapter_requests: self.adapter_requests.len(),
         }
@@ -488,7 +489,7 @@
         let instance = pool.instances.iter().find(|it| it.id == *id)?;
         let engine = self.engines.get_mut(id)?;
         let load_time = pool
-            .offer
+            .settings
             .models
             .iter()
             .find(|it| it.name == task.model())
@@ -512,13 +513,13 @@
 
 fn ready_pool<'a>(
     service: &'a config::Service,
-    offer: &'a config::EnginePool,
+    settings: &'a config::EnginePool,
     instances: &[&'a directory::Instance],
 ) -> Pool<'a> {
     let is_ready = |it: &&&directory::Instance| it.service == service.name && it.is_ready();
     Pool {
         service: &service.name,
-        offer,
+        settings,
         instances: instances.iter().filter(is_ready).copied().collect(),
     }
 }
--- a/crates/sageshed-fleet/src/planner/reservations.rs
+++ b/crates/sageshed-fleet/src/planner/reservations.rs
@@ -40,7 +40,7 @@
         let state = weights::PoolState::new(self, now, pool);
         let steps = pool.instances.iter().filter_map(|instance| {
             let reserved = self.reservations.get(&instance.id)?;
-            let mut models = pool.offer.models.iter();
+            let mut models = pool.settings.models.iter();
             let model = models.find(|it| it.name == reserved.model)?;
             let (_, task) = state.step_at(instance, model)?;
             Some((instance.id.clone(), task))
--- a/crates/sageshed-fleet/src/planner/store.rs
+++ b/crates/sageshed-fleet/src/planner/store.rs
@@ -39,8 +39,8 @@
             .begun
             .iter()
             .filter(|at| now.since(**at) <= self.window);
-        let most = per_s * self.window.0 as f64 / 1_000.0;
-        (recent.count() + reserved + 1) as f64 <= most.max(1.0)
+        let max_loads = per_s * self.window.0 as f64 / 1_000.0;
+        (recent.count() + reserved + 1) as f64 <= max_loads.max(1.0)
     }
 
     /// Counts a load that begins now.
--- a/crates/sageshed-fleet/src/planner/weights.rs
+++ b/crates/sageshed-fleet/src/planner/weights.rs
@@ -77,7 +77,7 @@
     /// The state of `pool` as the planner knows it now.
     pub(super) fn new(planner: &'a Planner, now: time::Instant, pool: &'a Pool<'p>) -> Self {
         let mut models: collections::HashMap<&'p str, ModelState> = collections::HashMap::new();
-        for model in &pool.offer.models {
+        for model in &pool.settings.models {
             let work = planner.demand.work(now, pool.service, &model.name);
             let state = ModelState {
                 work,
@@ -111,7 +111,8 @@
         }
     }
 
-    fn of(&self, model: &str) -> ModelState {
+    /// The state of a model; zero replicas and no work for one that the configuration doesn't have.
+    fn model_state(&self, model: &str) -> ModelState {
         self.models.get(model).copied().unwrap_or_default()
     }
 
@@ -132,8 +133,8 @@
     /// Models that need another replica, in decreasing order of need.
     pub(super) fn short_of_replicas(&self) -> Vec<&'p config::Model> {
         let mut short: Vec<(f64, &'p config::Model)> = Vec::new();
-        for model in &self.pool.offer.models {
-            let it = self.of(&model.name);
+        for model in &self.pool.settings.models {
+            let it = self.model_state(&model.name);
             let need = if it.replicas + it.loading == 0 {
                 self.need_without_replica(it)
             } else {
@@ -149,7 +150,7 @@
 
     /// Whether `model` could handle its work with one replica less than are loaded, loading or reserved for.
     pub(super) fn has_spare_replica(&self, model: &str) -> bool {
-        let it = self.of(model);
+        let it = self.model_state(model);
         let less = (it.replicas + it.loading).saturating_sub(1);
         less > 0 && it.work_per_replica(less) <= self.planner.policy.drop_replica_below
     }
@@ -186,7 +187,7 @@
     fn store_is_free(&self, instance: &directory::Instance) -> bool {
         let own = usize::from(self.planner.is_reserved_for_store(instance));
         let reserved = self.store_reservations - own;
-        let per_s = self.pool.offer.loads_per_s;
+        let per_s = self.pool.settings.loads_per_s;
         self.store_loads + reserved < self.planner.policy.max_store_loads
             && self.planner.store.allows(self.now, per_s, reserved)
     }
@@ -210,8 +211,8 @@
         if source == engine::Source::Store && !self.store_is_free(instance) {
             return None;
         }
-        let used = engine.max_weights_mb(instance, self.pool.offer);
-        let has_room = self.pool.offer.weights_mb - used >= model.weights_mb;
+        let used = engine.max_weights_mb(instance, self.pool.settings);
+        let has_room = self.pool.settings.weights_mb - used >= model.weights_mb;
         let (task, eviction_cost) = if has_room {
             (dialect::Task::Load(model.name.clone()), 0.0)
         } else {
@@ -219,7 +220,7 @@
             (dialect::Task::Unload(victim), UNLOAD_COST + after)
         };
         // Prefers the engine with more free memory where all else is equal.
-        let fill = FILL_COST * used / self.pool.offer.weights_mb;
+        let fill = FILL_COST * used / self.pool.settings.weights_mb;
         let cost = eviction_cost + source.cost(model) + self.engine_work(instance) + fill;
         Some((cost, task))
     }
@@ -231,18 +232,18 @@
         instance: &directory::Instance,
         wanted: &config::Model,
     ) -> Option<(String, f64)> {
-        let wanted_state = self.of(&wanted.name);
+        let wanted_state = self.model_state(&wanted.name);
         let needed = wanted_state.work_per_replica(wanted_state.replicas + wanted_state.loading);
         let mut best: Option<(String, f64)> = None;
         for resident in &instance.models {
-            let is_offered = self.models.contains_key(resident.model.as_str());
-            let it = self.of(&resident.model);
-            let is_last = it.replicas < 2 && is_offered;
+            let is_configured = self.models.contains_key(resident.model.as_str());
+            let it = self.model_state(&resident.model);
+            let is_last = it.replicas < 2 && is_configured;
             let is_kept = is_last && !Self::may_evict_last_replica(it, wanted_state);
             if is_kept || resident.model == wanted.name {
                 continue;
             }
-            let last = if is_last && is_offered {
+            let last = if is_last && is_configured {
                 LAST_REPLICA_COST
             } else {
                 0.0
@@ -271,7 +272,7 @@
     /// The work on `instance`, if requests are spread evenly over the replicas of each model.
     fn engine_work(&self, instance: &directory::Instance) -> f64 {
         let share = |it: &directory::Resident| {
-            let state = self.of(&it.model);
+            let state = self.model_state(&it.model);
             state.work / state.replicas.max(1) as f64
         };
         instance.models.iter().map(share).sum()
@@ -286,25 +287,26 @@
 ) {
     let engine = planner.engines.get(&instance.id);
     for resident in &instance.models {
-        let is_dropped = engine.is_some_and(|it| it.unloads(&resident.model));
+        let is_unloading = engine.is_some_and(|it| it.unloads(&resident.model));
         if let Some(state) = models.get_mut(resident.model.as_str())
-            && !is_dropped
+            && !is_unloading
         {
             state.replicas += 1;
         }
     }
-    let Some(loads) = engine.and_then(engine::Engine::loading_model) else {
+    let Some(loading) = engine.and_then(engine::Engine::loading_model) else {
         return;
     };
-    if let Some(state) = models.get_mut(loads)
-        && instance.resident(loads).is_none()
+    if let Some(state) = models.get_mut(loading)
+        && instance.resident(loading).is_none()
     {
         state.loading += 1;
     }
 }
 
-/// Raises the provisioned work of the busiest models to a share of the work of the model ranked before each.
-fn anticipate(part: f64, models: &mut collections::HashMap<&str, ModelState>) {
+/// Raises the provisioned work of the models behind the busiest one to `share` of the work of the model ranked before
+/// each, since demand may move to them next.
+fn anticipate(share: f64, models: &mut collections::HashMap<&str, ModelState>) {
     let mut order: Vec<(f64, &str)> = models.iter().map(|(name, it)| (it.work, *name)).collect();
     order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
     for pair in order.windows(2).take(ANTICIPATED_MODELS) {
@@ -313,7 +315,7 @@
         if let Some(state) = models.get_mut(name)
             && is_next
         {
-            state.provisioned_work = work.max(before * part);
+            state.provisioned_work = work.max(before * share);
         }
     }
 }
