--- a/spec/tests/specs/leases.rs
+++ b/spec/tests/specs/leases.rs
@@ -1,4 +1,4 @@
-//! The specification of leases, and what breaks without each guard.
+//! The specification of leases, with all guards and without each of them.
 
 use crate::support::{holds, holds_everywhere, needs_its_guards};
 
@@ -7,10 +7,11 @@
     holds("leases-change");
 }
 
-/// A grant that names only what is committed, or a revision that is not heeded: a caller is served by
-/// withdrawn rules for as long as the entry process is cut off from those that know.
+/// Guards against serving callers by withdrawn rules while the entry process is partitioned from the control
+/// processes that know the change: a grant requires only committed revisions, or the entry process ignores
+/// the required revision.
 #[test]
-fn grants_name_what_is_in_the_log() {
+fn grants_require_the_newest_revision_in_the_log() {
     needs_its_guards("leases-change");
     needs_its_guards("leases-replacement");
 }
@@ -20,10 +21,10 @@
     holds("leases-replacement");
 }
 
-/// Two voters of the first three were left behind, one removed and one unaware of the fourth. They
-/// are a majority of those with which the entry process started.
+/// Guards against a confirmation by outdated voters. Of the first three voters, one was removed and one does
+/// not know of the fourth. They are a majority of the voters with which the entry process started.
 #[test]
-fn voters_that_were_left_behind_confirm_nothing() {
+fn outdated_voters_confirm_nothing() {
     holds_everywhere("leases-removed");
     needs_its_guards("leases-removed");
 }
--- a/spec/tests/specs/log.rs
+++ b/spec/tests/specs/log.rs
@@ -1,4 +1,4 @@
-//! The log's specification, and what breaks without each guard.
+//! The specification of the log, with all guards and without each of them.
 
 use sageshed_quorum::event;
 use sageshed_spec::{explore, log, memberships, run};
@@ -10,14 +10,14 @@
     holds("log-elections");
 }
 
-/// A voter answers and crashes before its write, and votes again: two leaders in one term.
+/// Guards against two leaders in one term: a voter replies, crashes before its write, and votes again.
 #[test]
 fn votes_are_synced_before_they_are_sent() {
     needs_its_guards("log-elections");
 }
 
 #[test]
-fn safety_does_not_rest_on_what_spares_leaders() {
+fn safety_does_not_rest_on_pre_vote_and_stickiness() {
     holds("log-bare-elections");
     holds("log-bare-lagging");
     needs_its_guards("log-bare-elections");
@@ -28,8 +28,8 @@
     holds_everywhere("log-lagging");
 }
 
-/// An emptied disk votes under its old name, or a voter votes for a shorter log: in both cases a
-/// leader is elected that lacks a committed entry.
+/// Guards against a leader that lacks a committed entry: an emptied disk votes under its old id, or a voter
+/// votes for a candidate with a less up-to-date log.
 #[test]
 fn a_lagging_voter_would_be_elected_without_guards() {
     needs_its_guards("log-lagging");
@@ -46,37 +46,38 @@
     holds("log-second-loss");
 }
 
-/// An entry of an old term is committed by counting, and overwritten by a leader with a later term in
-/// its log.
+/// Guards against committing an entry of an old term by counting, which a leader with a later term in its
+/// log then overwrites.
 #[test]
 fn only_entries_of_the_own_term_are_counted() {
     holds_everywhere("log-old-entry");
     needs_its_guards("log-old-entry");
 }
 
-/// A leader removes both others in one go and commits by itself; they elect another.
+/// Guards against a leader that removes both other voters at once and commits alone, while these elect
+/// another leader.
 #[test]
 fn one_change_of_membership_at_a_time() {
     holds_everywhere("log-two-changes");
     needs_its_guards("log-two-changes");
 }
 
-/// Two leaders each change the membership they know; the majorities share nobody.
+/// Guards against disjoint majorities after two leaders have each changed the membership that they know.
 #[test]
 fn a_change_waits_for_an_entry_of_the_own_term() {
     holds_everywhere("log-two-leaders");
     needs_its_guards("log-two-leaders");
 }
 
-/// A voter that was cut off comes back and deposes a leader that everybody else hears.
+/// Guards against a voter that was partitioned and, when it is reachable again, makes the leader step down.
 #[test]
-fn a_voter_that_was_cut_off_disturbs_nobody() {
+fn a_voter_that_was_partitioned_does_not_disturb_the_leader() {
     holds_everywhere("log-cut-off");
     needs_its_guards("log-cut-off");
 }
 
-/// Without pre-vote, stickiness or the check of the quorum leaders are deposed more often, and what
-/// is committed stays. So does it if learners are promoted before they have caught up.
+/// Checks that committed entries are not lost without pre-vote, stickiness or the quorum check, which only
+/// prevent unnecessary elections, or if learners are promoted before they have caught up.
 #[test]
 fn guards_that_safety_does_not_rest_on() {
     let safety =
@@ -93,10 +94,10 @@
     }
 }
 
-/// V1 loses its disk; V1' takes its place in one step. V1 and V2 are a majority of the old voters,
-/// V1' and V3 of the new ones.
+/// Checks why a voter must not be replaced in one step: if V1' replaces V1, then V1 and V2 are a majority of
+/// the old voters, and V1' and V3 of the new ones.
 #[test]
-fn a_swap_in_one_step_leaves_majorities_without_a_common_voter() {
+fn a_replacement_in_one_step_allows_disjoint_majorities() {
     let old = sageshed_quorum::log::Membership::of_voters((1..=3).map(|vm| log::id(vm, 1)));
     let new = memberships::swapped(&old, log::id(1, 1), log::id(1, 2));
     assert!(memberships::disjoint_majorities(&old, &new).is_some());
--- a/spec/tests/specs/main.rs
+++ b/spec/tests/specs/main.rs
@@ -1,4 +1,4 @@
-//! Explores every specification, whole and without each of its guards.
+//! Explores each specification with all guards, and with each of its guards turned off.
 
 mod claims;
 mod leases;
--- a/spec/tests/specs/repair.rs
+++ b/spec/tests/specs/repair.rs
@@ -1,16 +1,17 @@
-//! Groups that grow and repair themselves, and what breaks without each guard.
+//! The specification of automatic growth and repair, with all guards and without each of them.
 
 use crate::support::{holds, holds_everywhere, needs_its_guards};
 
 #[test]
-fn a_group_that_grows_keeps_what_it_acknowledged() {
+fn a_growing_group_keeps_acknowledged_commands() {
     holds("repair-growth");
 }
 
-/// The first configuration is acknowledged by two of three voters, before the third has joined. One
-/// of the two loses its disk: the other elects nobody, and the configuration can't be read again.
+/// Guards against losing an acknowledged configuration in a growing group. Two of three voters acknowledge
+/// the configuration before the third has joined. If one of them loses its disk, the other cannot elect a
+/// leader, and the configuration cannot be read any more.
 #[test]
-fn a_group_that_still_grows_acknowledges_nothing() {
+fn a_growing_group_acknowledges_nothing() {
     needs_its_guards("repair-growth");
 }
 
@@ -19,14 +20,14 @@
     holds_everywhere("repair-wiped");
 }
 
-/// A VM that lost its disk gets its vote back before its old generation is taken out: there are four
-/// voters, one of which is known to be lost. The next lost disk leaves two of four.
+/// Guards against promoting a VM that lost its disk before its old generation is removed. There would be
+/// four voters of which one is lost, and the loss of another disk would leave two of four.
 #[test]
-fn a_replaced_voter_goes_first() {
+fn a_replaced_voter_is_removed_first() {
     needs_its_guards("repair-wiped");
 }
 
 #[test]
-fn an_empty_vm_takes_the_place_of_a_silent_one() {
+fn a_new_vm_replaces_a_silent_one() {
     holds("repair-replaced");
 }
--- a/spec/tests/specs/run.rs
+++ b/spec/tests/specs/run.rs
@@ -1,10 +1,10 @@
-//! The explorer itself, and the command line.
+//! The exploration itself, and the command line.
 
 use std::fmt;
 
 use sageshed_spec::{explore, run};
 
-/// Counts up by one or two to a bound; five is forbidden.
+/// Counts up by one or two to a limit. The invariant is that the count is not five.
 struct Counter {
     last: u32,
 }
@@ -45,7 +45,7 @@
 };
 
 #[test]
-fn the_shortest_way_is_found() {
+fn the_shortest_counterexample_is_found() {
     let report = explore::explore(&Counter { last: 9 }, FAR);
     let found = report.counterexample.expect("five is reached");
     assert_eq!(found.events.len(), 3);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn bounds_are_told() {
+fn reached_limits_are_reported() {
     struct Case {
         last: u32,
         bound: explore::Bound,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn every_guard_that_is_named_exists() {
+fn all_named_guards_exist() {
     let none = explore::Bound {
         depth: 0,
         states: 1,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_command_line_is_read() {
+fn the_command_line_is_parsed() {
     let args = ["claims", "--without", "wait", "--depth", "7"].map(str::to_owned);
     let options = run::Options::read(args.into_iter()).expect("the arguments are right");
     let expected = run::Options {
--- a/spec/tests/specs/support.rs
+++ b/spec/tests/specs/support.rs
@@ -2,14 +2,13 @@
 
 use sageshed_spec::{explore, run};
 
-/// States that a test visits at most where the promise is to hold; runs on the command line go
-/// further.
+/// The maximum number of states where the invariants must hold. Runs on the command line visit more.
 const SOME: usize = 40_000;
 
-/// The same for specifications that have failed there.
+/// The maximum number of states for specifications that once failed beyond [`SOME`] states.
 const FAR: usize = 100_000;
 
-/// The same where all states are to be visited, or until a promise breaks.
+/// The maximum number of states where all must be visited, or where a violation must be found.
 const MANY: usize = 300_000;
 
 fn explored(name: &str, without: Option<&str>, states: usize) -> explore::Report {
@@ -22,25 +21,25 @@
     report.expect("the guard exists")
 }
 
-/// The promise holds in every state within the bound.
+/// Checks that the invariants hold in all states within the limits.
 pub fn holds(name: &str) {
     let report = explored(name, None, SOME);
     assert!(report.holds(), "{name}: {report}");
 }
 
-/// As [`holds`], within a bound that reaches faults which lie deep.
+/// Like [`holds`], with a limit that includes violations after many events.
 pub fn holds_until_far(name: &str) {
     let report = explored(name, None, FAR);
     assert!(report.holds(), "{name}: {report}");
 }
 
-/// As [`holds`], and no state is left out.
+/// Like [`holds`], and checks that all reachable states were visited.
 pub fn holds_everywhere(name: &str) {
     let report = explored(name, None, MANY);
     assert!(report.holds() && report.cut.is_none(), "{name}: {report}");
 }
 
-/// Without any one of the guards that the specification names as needed, its promise breaks.
+/// Checks that an invariant is violated without each of the guards that the specification names as needed.
 pub fn needs_its_guards(name: &str) {
     let entry = run::find(name).expect("the specification exists");
     assert!(!entry.needed.is_empty(), "{name} names no guard");
