--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -1,12 +1,12 @@
-//! Requests that may run at most once, over the real [`claim_table::ClaimTable`].
+//! Specification of requests that may run at most once, with the production [`claim_table::ClaimTable`].
 //!
-//! Two entry processes get the same request under one key, the caller trying again where it likes.
-//! Commands wait at leaders and are committed at any time, in any order, or never; answers get lost
-//! and are asked for again. A process may crash and come back, be taken for dead and go on, or be
-//! frozen for longer than a claim is kept.
+//! A request with one key arrives at two entry processes, since its caller may retry at either. Commands
+//! are committed at any time, in any order, or never. Replies are lost and claims are repeated. A process
+//! may crash and restart, may be declared dead while it still runs, or may be suspended for longer than
+//! claims are kept.
 //!
-//! What must hold: as long as the key is remembered, the request runs once at most; and an arrival
-//! whose caller was told "not run" never runs.
+//! Invariants: the request runs at most once while its key is kept, and an arrival whose caller was told
+//! "not run" never runs.
 
 use std::{collections, fmt};
 
@@ -18,31 +18,31 @@
 /// How long a claim is kept after it is settled.
 const RETENTION: time::Millis = time::Millis(10);
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariants rest on. Each can be turned off.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is one independent switch of a checker"
 )]
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// What ran when its holder went may have run. Out: it is given back.
+    /// A running claim whose holder is gone becomes unknown. If off, it is released.
     pub gone_is_unknown: bool,
-    /// Time ends no running claim. Out: it is given back after a while.
+    /// A running claim has no timeout. If off, it is released after a while.
     pub no_expiry: bool,
-    /// Nothing is sent before the claim is granted.
+    /// A request is not sent before its claim is granted.
     pub wait: bool,
-    /// Who was told "not run" is done. Out: a late grant is sent for.
+    /// After its caller was told "not run", an arrival is not sent. If off, it is sent on a late grant.
     pub told_is_final: bool,
-    /// One sending for all grants of one arrival.
+    /// An arrival is sent once, however many grants it receives.
     pub send_once: bool,
-    /// Nothing is sent for a claim that was asked for longer ago than claims are kept.
+    /// A request is not sent if its claim was requested longer ago than claims are kept.
     pub grant_age: bool,
-    /// An arrival at a process that started anew is another holder.
+    /// Arrivals at different incarnations of a process are different holders.
     pub incarnation: bool,
 }
 
 impl Guards {
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self {
@@ -73,26 +73,26 @@
 /// The specification.
 #[derive(Debug, Clone, Copy)]
 pub struct Claims {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// Arrivals at most, over both processes.
+    /// The maximum number of arrivals at both processes.
     pub arrivals: usize,
 }
 
-/// How far an arrival is.
+/// The state of an arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Waits for the answer to its claim.
+    /// Waits for the reply to its claim.
     Asking,
-    /// May send.
+    /// May be sent.
     Granted,
-    /// Bytes are out.
+    /// Was sent.
     Sent,
-    /// Its caller was told something else than "not run".
+    /// Its caller got another answer than "not run".
     Ended,
     /// Its caller was told "not run".
     ToldNotRun,
-    /// Its process is gone.
+    /// Its process has ended.
     Dead,
 }
 
@@ -100,13 +100,13 @@
 struct Arrival {
     holder: claims::Holder,
     phase: Phase,
-    /// It asked so long ago that its claim may have been settled by others and forgotten.
+    /// Whether it claimed so long ago that its claim may have been settled by others and removed since.
     old: bool,
     ran: bool,
     told_not_run: bool,
 }
 
-/// Commands that wait to be committed.
+/// A command that is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Command {
     Claim(usize),
@@ -121,16 +121,16 @@
     Unknown,
 }
 
-/// Everything in one moment.
+/// The state of the control group and both processes.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
     table: claim_table::ClaimTable,
     waiting: collections::BTreeSet<Command>,
-    /// Answers under way, by arrival.
+    /// Replies in flight, by arrival.
     answers: Vec<(usize, claims::ClaimOutcome)>,
     arrivals: Vec<Arrival>,
     incarnations: [u64; 2],
-    /// Runs since the key was last forgotten.
+    /// The number of runs since the key was last removed.
     runs: u32,
     crashes: u32,
     taken_for_dead: u32,
@@ -138,7 +138,7 @@
     clocks: u32,
 }
 
-/// One thing that happens; arrivals are counted from one.
+/// The description of an event. Arrivals are numbered from one.
 #[derive(Debug, Clone)]
 pub struct Event(String);
 
@@ -169,7 +169,7 @@
     }
 
     fn arrive(&mut self, process: usize, guards: Guards) {
-        // Without the guard a process that starts anew numbers its arrivals from one again.
+        // Without the guard a restarted process numbers its arrivals from one again.
         let number = |it: &Arrival| it.holder.vm == vm(process) && it.phase != Phase::Dead;
         let earlier = self.arrivals.iter().filter(|it| number(it)).count();
         let request = if guards.incarnation {
@@ -288,10 +288,10 @@
         self.waiting.insert(Command::HolderGone { process, below });
     }
 
-    /// Time goes on past the retention of everything that is settled.
+    /// Advances the time past the retention of all settled claims.
     fn clock(&mut self) {
         self.clocks -= 1;
-        // The first reading stamps what was settled, the second is past its retention.
+        // The first command sets the expiries of settled claims, the second is past them.
         let now = self.table.unix_ms() + 1;
         self.table.advance_clock(now);
         let forgotten = self.table.advance_clock(now + RETENTION.0 + 1);
@@ -347,7 +347,7 @@
 
     fn of_process(&self, process: usize, spec: Claims, all: &mut Nexts) {
         let (guards, name) = (spec.guards, vm(process));
-        // The processes are alike, so the first arrival may be at the first.
+        // By symmetry the first arrival can be at the first process.
         let here = !self.arrivals.is_empty() || process == 0;
         if here && self.arrivals.len() < spec.arrivals {
             let number = self.arrivals.len() + 1;
--- a/spec/src/explore.rs
+++ b/spec/src/explore.rs
@@ -1,9 +1,9 @@
-//! Visits all reachable states of a specification, breadth first.
+//! Breadth-first exploration of the reachable states of a specification.
 //!
-//! The search is [`pathfinding::directed::bfs::bfs`]. It keeps every node that it met; what it keeps
-//! here is a fingerprint of 64 bits and the event that led there, while the state itself is dropped
-//! once its successors are known. Two states with one fingerprint would be taken for one and the
-//! second not visited: with a million states the odds of that are about 3 in 100 million.
+//! The search is [`pathfinding::directed::bfs::bfs`], which keeps every node that it has visited. To save
+//! memory a node consists of a fingerprint of 64 bits and the event that led to it, and its state is
+//! dropped once its successors are known. If two states had the same fingerprint, the second one would
+//! not be visited: with a million states the probability of that is about 3 in 100 million.
 
 use std::{
     cell, fmt,
@@ -13,67 +13,67 @@
 
 use pathfinding::directed::bfs;
 
-/// What can happen, and what must hold.
+/// A specification: a transition system with invariants.
 pub trait Spec {
-    /// All that tells two situations apart.
+    /// A state of the system.
     type State: Hash;
-    /// One thing that happens.
+    /// A transition between two states.
     type Event: Clone + fmt::Display;
 
-    /// Where it begins.
+    /// The initial state.
     fn start(&self) -> Self::State;
 
-    /// Everything that may happen next, with what comes of it.
+    /// The events possible in `state`, each with the resulting state.
     fn next(&self, state: &Self::State) -> Vec<(Self::Event, Self::State)>;
 
-    /// Which promise is broken in `state`, if any.
+    /// The invariant that `state` violates, if any.
     fn broken(&self, state: &Self::State) -> Option<String>;
 }
 
-/// How far to go.
+/// The limits of an exploration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bound {
-    /// Events in sequence.
+    /// The maximum number of events in sequence.
     pub depth: usize,
-    /// States visited.
+    /// The maximum number of visited states.
     pub states: usize,
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// States met.
+    /// The number of visited states.
     pub states: usize,
-    /// Every state that this many events lead to was met.
+    /// All states that can be reached by this number of events were visited.
     pub depth: usize,
-    /// Whether a bound kept some states from being visited.
+    /// The limit that kept some states from being visited, if any.
     pub cut: Option<Cut>,
-    /// The shortest way to a broken promise.
+    /// The shortest sequence of events that violates an invariant.
     pub counterexample: Option<Counterexample>,
-    /// How long it took.
+    /// The duration of the exploration.
     pub took: time::Duration,
 }
 
-/// Which bound was reached.
+/// The limit that an exploration has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
-    /// That of the depth.
+    /// The limit of the depth.
     Depth,
-    /// That of the number of states.
+    /// The limit of the number of states.
     States,
 }
 
-/// A broken promise and the way there.
+/// A violated invariant and the events that lead to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// What happened, in order.
+    /// The events, in order.
     pub events: Vec<String>,
-    /// What broke.
+    /// The invariant that is violated.
     pub broken: String,
 }
 
 impl Report {
-    /// Whether no promise was broken in any state that was met.
+    /// Whether all invariants hold in all visited states.
     #[must_use]
     pub fn holds(&self) -> bool {
         self.counterexample.is_none()
@@ -103,9 +103,9 @@
 struct Node<S: Spec> {
     fingerprint: u64,
     depth: usize,
-    /// How it was reached; none for the start.
+    /// The event that led to this state. None for the initial state.
     event: Option<S::Event>,
-    /// Until its successors are known.
+    /// The state, until its successors are known.
     state: cell::RefCell<Option<S::State>>,
     broken: Option<String>,
 }
@@ -138,7 +138,7 @@
     }
 }
 
-/// The search clones a node only to look at the start and to give the way back, which needs no state.
+/// The search clones a node only for the start and for the returned path, which needs no states.
 impl<S: Spec> Clone for Node<S> {
     fn clone(&self) -> Self {
         Self {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Visits the states of `spec` within `bound`.
+/// Visits the reachable states of `spec` within `bound`.
 pub fn explore<S: Spec>(spec: &S, bound: Bound) -> Report {
     let began = time::Instant::now();
     let mut seen = std::collections::HashSet::new();
--- a/spec/src/leases.rs
+++ b/spec/src/leases.rs
@@ -1,12 +1,12 @@
-//! The configuration in force at an entry process, over changes of rules and of membership.
+//! Specification of configuration leases, over changes of the rules and the membership.
 //!
-//! The control group is that of [`crate::log`], with its real nodes and messages; an entry process
-//! asks any of them for a lease at any time, learns what is committed from any of them, and judges
-//! by the real [`freshness::Freshness`]. Time goes on in ticks. A voter's answer is taken at the
-//! tick at which it was asked for; a later one would end the lease no later.
+//! The control group is that of [`crate::log`], with the production nodes and messages. An entry process
+//! requests leases from any control process at any time, learns committed changes from any of them, and
+//! evaluates its leases by the production [`freshness::Freshness`]. Time advances in ticks. A grant
+//! arrives at the tick at which it was requested: a later arrival would not extend the lease.
 //!
-//! What must hold: once a change has been committed for as long as a lease lasts, no entry process
-//! is confirmed with an older revision.
+//! Invariant: once a change has been committed for the duration of a lease, no entry process is confirmed
+//! with an older revision.
 
 use std::fmt;
 
@@ -16,22 +16,22 @@
 
 use crate::{explore, log};
 
-/// How long a lease lasts, in ticks.
+/// The duration of a lease in ticks.
 const LEASE: u64 = 2;
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariant rests on. Each can be turned off.
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// A grant names revisions that are in the log and not known to be committed.
+    /// A grant requires the newest revision in the log, committed or not. If off, the newest committed one.
     pub uncommitted: bool,
-    /// The entry process heeds the revision that a grant names.
+    /// The entry process respects the revision that a grant requires.
     pub required: bool,
-    /// The entry process takes the voters from each grant. Out: those with which it started.
+    /// The entry process uses the voters in each grant. If off, the voters with which it started.
     pub voters: bool,
 }
 
 impl Guards {
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self {
@@ -54,32 +54,32 @@
 /// The specification.
 #[derive(Debug, Clone)]
 pub struct Leases {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// Where the control group begins, and what may happen to it.
+    /// The initial state of the control group, and the events possible in it.
     pub group: log::Scenario,
     /// The voters with which the entry process started.
     pub first_voters: Vec<messages::Voter>,
-    /// Ticks of the clock.
+    /// The number of ticks.
     pub ticks: u64,
 }
 
-/// VM 1 leads three voters; a change of the rules is about to be made.
+/// VM 1 leads three voters, and a change of the rules may be proposed.
 #[must_use]
 pub fn change(guards: Guards) -> Leases {
     let group = log::scenarios::change(config::Guards::default());
     leases(guards, group)
 }
 
-/// VM 4 has been promoted, which VM 2 has not heard, and VM 1 removed, which neither has heard; both
-/// are cut off from the two others, by which a change of the rules is about to be made.
+/// VM 4 has been promoted, which VM 2 does not know, and VM 1 has been removed, which neither of VMs 1
+/// and 2 knows. These are partitioned from the two others, where a change of the rules may be proposed.
 #[must_use]
 pub fn removed(guards: Guards) -> Leases {
     let group = log::scenarios::removed_unaware(config::Guards::default());
     leases(guards, group)
 }
 
-/// VM 4 has caught up and is to take the place of VM 1 while a change of the rules is made.
+/// VM 4 has caught up and is to replace VM 1 while a change of the rules is proposed.
 #[must_use]
 pub fn replacement(guards: Guards) -> Leases {
     let group = log::scenarios::replacement(config::Guards::default());
@@ -95,7 +95,7 @@
     }
 }
 
-/// A grant as the entry process took it in.
+/// A grant as received by the entry process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Grant {
     sent: u64,
@@ -104,29 +104,29 @@
     required: u64,
 }
 
-/// Everything in one moment.
+/// The state of the control group and the entry process.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
     group: log::State,
     now: u64,
     /// The revision in force at the entry process.
     revision: u64,
-    /// By voter, the last one of each.
+    /// The latest grant of each voter.
     grants: Vec<Grant>,
-    /// When each revision was first known as committed, to any voter.
+    /// When each revision was first known to be committed by any voter.
     committed: Vec<u64>,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// In the control group.
+    /// An event in the control group.
     Group(log::Step),
-    /// A control process grants a lease, or says that it grants none.
+    /// A control process grants a lease.
     Grant(String),
-    /// The entry process hears what is committed.
+    /// The entry process learns the newest committed revision from a control process.
     Learn(u32, u64),
-    /// Time goes on.
+    /// The time advances by one tick.
     Tick(u64),
 }
 
@@ -154,7 +154,7 @@
 }
 
 impl State {
-    /// Revisions in the log of `vm`, up to `last`.
+    /// The number of revisions in the log of `vm`, up to `last`.
     fn revisions(&self, vm: u32, last: quorum_log::Index) -> u64 {
         let entries = &self.group.world.vms[vm as usize - 1].disk.entries;
         let changes = entries.iter().filter(|entry| {
@@ -203,7 +203,7 @@
         self.committed.resize(count.max(self.committed.len()), now);
     }
 
-    /// What the entry process makes of its grants.
+    /// Whether the entry process is confirmed by its grants.
     fn standing(&self, spec: &Leases) -> freshness::Standing {
         let mut fresh = freshness::Freshness::new(freshness::Settings {
             entry_vms: 1,
--- a/spec/src/lib.rs
+++ b/spec/src/lib.rs
@@ -1,23 +1,23 @@
-//! Model-checked specifications over the pure crates.
+//! Model-checked specifications of the packages that are pure state machines.
 //!
-//! A specification is a state, the events that may happen in it and what must hold. Its transitions
-//! call the same code as the product: the log's [`sageshed_quorum::node::Node`], the tables of
-//! `sageshed-state`, the ledger of `sageshed-place` and the entry's
-//! [`sageshed::entry::freshness::Freshness`]. [`explore`] visits every state that can be reached,
-//! breadth first, and gives the shortest sequence of events that breaks a promise.
+//! A specification consists of an initial state, the events possible in each state, and invariants. Its
+//! transitions call the production code: the log's [`sageshed_quorum::node::Node`], the tables of
+//! `sageshed-state`, the ledger of `sageshed-place` and the entry process's
+//! [`sageshed::entry::freshness::Freshness`]. [`explore`] visits the reachable states breadth first and
+//! returns the shortest sequence of events that violates an invariant.
 //!
 //! | module | what it checks |
 //! |---|---|
-//! | [`log`] | elections, replication, lost disks and changes of membership |
-//! | [`memberships`] | which changes of membership leave two majorities without a common voter |
-//! | [`repair`] | growth and replacement of voters by the group itself, while disks are lost |
-//! | [`orders`] | orders to engines that ignore fencing numbers, over changes of leader |
-//! | [`suspensions`] | orders of two leaders whose VMs are suspended and go on |
+//! | [`log`] | elections, replication, lost disks and membership changes |
+//! | [`memberships`] | which membership changes allow two disjoint majorities |
+//! | [`repair`] | automatic growth and repair of a group while disks are lost |
+//! | [`orders`] | orders to engines that ignore fencing tokens, over changes of the leader |
+//! | [`suspensions`] | orders of two leaders whose VMs are suspended and resumed |
 //! | [`claims`] | requests that may run at most once |
-//! | [`leases`] | that no entry process serves by an old configuration for longer than a lease |
+//! | [`leases`] | that no entry process uses an old configuration for longer than a lease |
 //!
-//! Each has guards that can be taken out by name, to see that they are needed: the exploration then
-//! ends with a counterexample. [`run`] is the command line.
+//! Each specification has guards that can be turned off by name to show that they are needed: the
+//! exploration then finds a counterexample. [`run`] contains the command line.
 
 pub mod claims;
 pub mod explore;
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -1,10 +1,10 @@
-//! The replicated log: elections, replication, lost disks and changes of membership.
+//! Specification of the replicated log: elections, replication, lost disks and membership changes.
 //!
-//! What must hold: one leader in each term; what was applied once is applied everywhere, in that
-//! order; whoever leads in a later term holds all that was committed before.
+//! Invariants: there is at most one leader in each term, all nodes apply the same entries in the same
+//! order, and the leader of a later term holds all entries committed before.
 //!
-//! Each [`Scenario`] starts somewhere and has a [`Budget`] of things that may happen. Deep faults
-//! need a start that is deep already, or the search would not come to them.
+//! Each [`Scenario`] has an initial state and a [`Budget`] of events. A violation that needs many events
+//! can only be found from an initial state that is close to it.
 
 pub mod scenarios;
 pub mod world;
@@ -15,64 +15,64 @@
 
 use crate::explore;
 
-/// How often each thing may still happen.
+/// How many more events of each kind may happen.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Election timers that run out.
+    /// Election timers that expire.
     pub elections: u32,
-    /// Commands.
+    /// Commands that are proposed.
     pub proposals: u8,
-    /// Processes that end and start again.
+    /// Processes that crash and restart.
     pub crashes: u32,
-    /// Disks lost.
+    /// Disks that are lost.
     pub disks: u32,
-    /// Messages delivered twice.
+    /// Messages that are delivered twice.
     pub copies: u32,
-    /// Rounds of heartbeats besides the first of each leader.
+    /// Rounds of heartbeats besides the first round of each leader.
     pub heartbeats: u32,
-    /// Leaders that step down by themselves.
+    /// Leaders that step down because they lose contact to a majority.
     pub quorums: u32,
-    /// Changes of membership that may be asked for, each once.
+    /// Membership changes that may be requested, each once.
     pub changes: Vec<event::Change>,
 }
 
-/// What must hold.
+/// The invariants of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Promise {
-    /// The promises of the log.
+    /// The invariants of the log.
     Safety,
-    /// No leader steps down. Only for starts from which none has to.
+    /// No leader steps down. Only for scenarios in which no leader has to.
     NoStepDown,
 }
 
-/// A start, and what may happen from there.
+/// An initial state and the events possible from there.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Where it begins.
+    /// The initial state of the VMs and messages.
     pub world: world::World,
-    /// What may happen.
+    /// The numbers of events.
     pub budget: Budget,
-    /// The VMs whose election timer may run out.
+    /// The VMs whose election timer may expire.
     pub restless: Vec<u32>,
     /// The VMs that may crash or lose their disk.
     pub frail: Vec<u32>,
-    /// What must hold.
+    /// The invariants.
     pub promise: Promise,
 }
 
-/// A world with what may still happen.
+/// The state of the VMs and messages, with the remaining budget.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
-    /// The VMs.
+    /// The VMs and messages.
     pub world: world::World,
-    /// What may happen.
+    /// The remaining numbers of events.
     pub budget: Budget,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// An election timer runs out.
+    /// An election timer expires.
     ElectionTimeout(u32),
     /// A leader sends a round of heartbeats.
     Heartbeats(u32),
@@ -80,17 +80,17 @@
     QuorumLost(u32),
     /// A command is proposed to a leader.
     Propose(u32, u8),
-    /// A change of membership is asked of a leader.
+    /// A membership change is requested from a leader.
     Change(u32, event::Change),
-    /// A process ends and starts again.
+    /// A process crashes and restarts.
     Crash(u32),
     /// A disk is lost.
     LoseDisk(u32),
-    /// A message arrives.
+    /// A message is delivered.
     Deliver(sync::Arc<world::Envelope>),
-    /// A message arrives, and a copy of it is still under way.
+    /// A message is delivered, and a copy of it stays in flight.
     Copy(sync::Arc<world::Envelope>),
-    /// A message arrives, and the process ends after it has answered and before it has written.
+    /// A message is delivered, and the process crashes after it has replied and before it has written.
     DeliverAndCrash(sync::Arc<world::Envelope>),
 }
 
@@ -124,7 +124,7 @@
 }
 
 impl State {
-    /// Everything that may happen next. `scenario` names who may do what.
+    /// The possible events with the resulting states. `scenario` names the VMs at which they are possible.
     #[must_use]
     pub fn next(&self, scenario: &Scenario) -> Vec<(Step, Self)> {
         let mut all = Vec::new();
@@ -265,7 +265,7 @@
     some
 }
 
-/// The node of `vm` with this generation of its disk.
+/// The id of the node on `vm` with this disk generation.
 #[must_use]
 pub const fn id(vm: u32, generation: u64) -> log::NodeId {
     log::NodeId { vm, generation }
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -1,13 +1,13 @@
-//! Starts of the log's specification.
+//! Scenarios of the log's specification.
 //!
-//! Those that are deep are led there by a script, which delivers messages among some VMs until none
-//! is left and loses the others.
+//! Initial states that take many events are produced by a script, which delivers messages among some VMs
+//! until none is left and drops the others.
 
 use sageshed_quorum::{config, event, log};
 
 use super::{Budget, Promise, Scenario, id, world};
 
-/// The log's guards without the one called `guard`; none if there is no such guard.
+/// The log's guards with `guard` turned off. None if there is no such guard.
 #[must_use]
 pub fn without(guard: Option<&str>) -> Option<config::Guards> {
     let mut guards = config::Guards::default();
@@ -41,8 +41,9 @@
     scenario(formed(3, 3, guards, false).world, budget)
 }
 
-/// The same without what only spares leaders (pre-vote, stickiness), on which safety must not rest.
-/// Elections are shorter then, and one more fits in.
+/// Like [`elections`], without pre-vote and stickiness. These only protect leaders from unnecessary
+/// elections, and safety must not rest on them. Elections take fewer events then, so that the exploration
+/// covers one more.
 #[must_use]
 pub fn bare_elections(guards: config::Guards) -> Scenario {
     let budget = Budget {
@@ -55,7 +56,7 @@
     scenario(formed(3, 3, bare(guards), false).world, budget)
 }
 
-/// VM 1 leads; a command is committed by VMs 1 and 2, and VM 3 lacks it.
+/// VM 1 leads, and VMs 1 and 2 have committed a command that VM 3 lacks.
 #[must_use]
 pub fn lagging(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, guards, false);
@@ -70,7 +71,7 @@
     scenario(script.world, budget)
 }
 
-/// As [`lagging`], without what only spares leaders, and with one command more.
+/// Like [`lagging`], without pre-vote and stickiness and with one more command.
 #[must_use]
 pub fn bare_lagging(guards: config::Guards) -> Scenario {
     let mut scenario = lagging(bare(guards));
@@ -79,8 +80,8 @@
     scenario
 }
 
-/// VM 3 has lost its disk and is back as a learner that has caught up; its old generation is still
-/// a voter. It is to be repaired while VM 2 loses its disk as well.
+/// VM 3 has lost its disk and joined as a learner that has caught up, and its old generation is still a
+/// voter. It is repaired while VM 2 loses its disk as well.
 #[must_use]
 pub fn repair(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, bare(guards), false);
@@ -106,8 +107,7 @@
     }
 }
 
-/// VM 3 has just been repaired when VM 2 loses its disk: it is to be repaired in its turn, while
-/// elections go on.
+/// VM 3 has just been repaired when VM 2 loses its disk, and VM 2 is repaired during elections.
 #[must_use]
 pub fn second_loss(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, bare(guards), false);
@@ -117,7 +117,7 @@
     let joiner = script.world.vms[2].node.id();
     script.change(1, event::Change::AddLearner(joiner), &[1, 2, 3]);
     script.change(1, event::Change::Remove(id(3, 1)), &[1, 2, 3]);
-    // The promotion is committed by VMs 1 and 3; VM 2, which is about to be lost, lacks it.
+    // VMs 1 and 3 commit the promotion, and VM 2, which loses its disk next, lacks it.
     script.change(1, event::Change::Promote(joiner), &[1, 3]);
     script.world.lose_disk(2);
     let budget = Budget {
@@ -134,8 +134,8 @@
     scenario(script.world, budget)
 }
 
-/// The case of figure 8 in the Raft paper: an entry of an old term comes to be on a majority, and
-/// another VM has a later one.
+/// The case of figure 8 in the Raft paper: a majority gets to hold an entry of an old term, and another VM
+/// has an entry of a later term.
 #[must_use]
 pub fn old_entry(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, bare(guards), true);
@@ -160,7 +160,7 @@
     }
 }
 
-/// VM 1 leads three voters and is asked to remove the two others.
+/// VM 1 leads three voters and is requested to remove the two others.
 #[must_use]
 pub fn two_changes(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, bare(guards), false);
@@ -177,9 +177,9 @@
     scenario(script.world, budget)
 }
 
-/// Four voters and a learner. VM 1 has appended the learner's promotion and was cut off; VM 2 has
-/// been elected by VMs 3 and 4 and is asked to remove VM 1, while VMs 1, 4 and 5 are cut off from
-/// VMs 2 and 3 (Ongaro's note of 2015 on changes of one server).
+/// Four voters and a learner. VM 1 has appended the learner's promotion and was partitioned. VM 2 has been
+/// elected by VMs 3 and 4 and is requested to remove VM 1, while VMs 1, 4 and 5 are partitioned from VMs 2
+/// and 3 (Ongaro's note of 2015 on single-server changes).
 #[must_use]
 pub fn two_leaders(guards: config::Guards) -> Scenario {
     let mut script = formed(5, 4, bare(guards), false);
@@ -207,7 +207,7 @@
     }
 }
 
-/// VM 1 leads, VM 3 was cut off and comes back. Nothing fails any more.
+/// VM 1 leads, VM 3 was partitioned and is reachable again, and there are no further faults.
 #[must_use]
 pub fn cut_off(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, guards, false);
@@ -227,7 +227,7 @@
     }
 }
 
-/// VM 1 leads and is about to be handed a command; an election may come in between.
+/// VM 1 leads, a command may be proposed, and an election may happen before.
 #[must_use]
 pub fn change(guards: config::Guards) -> Scenario {
     let mut script = formed(3, 3, bare(guards), false);
@@ -244,8 +244,8 @@
     }
 }
 
-/// VM 3 leads. VM 4 was promoted and VM 2 has not heard of it; VM 1 was removed and neither it nor
-/// VM 2 has heard of that, both being cut off from VMs 3 and 4.
+/// VM 3 leads. VM 4 was promoted, which VM 2 does not know. VM 1 was removed, which neither VM 1 nor VM 2
+/// knows. Both are partitioned from VMs 3 and 4.
 #[must_use]
 pub fn removed_unaware(guards: config::Guards) -> Scenario {
     let mut script = with_learner(guards);
@@ -259,8 +259,8 @@
     scenario(script.world, budget)
 }
 
-/// VM 3 leads; VM 4, a learner that has caught up, is to be promoted and VM 1 removed, while a
-/// command is proposed.
+/// VM 3 leads. VM 4, a learner that has caught up, may be promoted and VM 1 removed, while a command is
+/// proposed.
 #[must_use]
 pub fn replacement(guards: config::Guards) -> Scenario {
     let script = with_learner(guards);
@@ -275,7 +275,7 @@
     scenario(script.world, budget)
 }
 
-/// `vms` VMs of which the first `voters` form a group that VM 1 leads. Nothing is under way.
+/// `vms` VMs of which the first `voters` form a group led by VM 1. There are no messages in flight.
 #[must_use]
 pub fn leading(vms: u32, voters: u32) -> world::World {
     let mut script = formed(vms, voters, bare(config::Guards::default()), false);
@@ -323,13 +323,13 @@
     }
 }
 
-/// Leads a world to a start.
+/// Produces an initial state.
 struct Script {
     world: world::World,
 }
 
 impl Script {
-    /// Has `vm` elected, with messages delivered among these VMs only.
+    /// Lets `vm` campaign, with messages delivered among these VMs only.
     fn elect(&mut self, vm: u32, among: &[u32]) {
         self.world.step(vm, event::Event::ElectionTimeout);
         self.settle(among);
@@ -354,8 +354,7 @@
         self.settle(among);
     }
 
-    /// What a leader sent first was lost, so it sends it again after some rounds of heartbeats; here
-    /// these rounds have been.
+    /// Runs the rounds of heartbeats after which leaders send their first messages, which were lost, again.
     fn wake_leaders(&mut self) {
         let vms = 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX);
         let leaders: Vec<_> = vms.filter(|vm| self.world.leads(*vm)).collect();
@@ -366,12 +365,12 @@
         }
     }
 
-    /// Delivers messages among these VMs until there is none, then loses the others.
+    /// Delivers messages among these VMs until there are none, then drops the others.
     fn settle(&mut self, among: &[u32]) {
         self.deliver(among, |_| true);
     }
 
-    /// Delivers what belongs to an election, and loses what a new leader sends.
+    /// Delivers the messages of an election, and drops those of the new leader.
     fn deliver_votes(&mut self, among: &[u32]) {
         self.deliver(among, |body| {
             use sageshed_quorum::message::Body;
--- a/spec/src/log/world.rs
+++ b/spec/src/log/world.rs
@@ -1,11 +1,11 @@
 //! VMs with nodes of the log, their disks and the messages between them.
 //!
-//! The clock stands still: timers are raised by the checker, as [`event::Event::ElectionTimeout`]
-//! and its kin allow. A message under way may be delivered at any time, in any order, or never; it
-//! is delivered once, unless there is a copy to spend. Left out, which only makes fewer things
-//! happen: answers to heartbeats (they serve reads and the clock), heartbeats that commit nothing,
-//! messages of a term that the receiver has left behind (unless they come from one who still leads
-//! in it), and messages that would change nothing. Snapshots are not made.
+//! The clock stands still: the checker raises the timer events, such as
+//! [`event::Event::ElectionTimeout`], directly. A message in flight may be delivered at any time, in any
+//! order, or never. It is delivered once, unless the budget allows a copy. Some messages are left out,
+//! which only reduces the number of possible events: replies to heartbeats (which matter only for reads
+//! and the clock), heartbeats that commit nothing, messages of a term earlier than the receiver's (unless
+//! their sender still leads in that term), and messages without an effect. There are no snapshots.
 
 use std::{
     collections, fmt,
@@ -16,13 +16,13 @@
 use sageshed_quorum::{config, event, log, message, node, status};
 use sageshed_types::time;
 
-/// The clock of every node, always.
+/// The constant clock of all nodes.
 const NOW: time::Instant = time::Instant(0);
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: log::NodeId,
     /// The message.
     pub message: message::Message,
@@ -49,7 +49,7 @@
     }
 }
 
-/// An entry in a few characters.
+/// Formats an entry in a few characters.
 pub struct Shown<'e>(pub &'e log::Entry);
 
 impl fmt::Debug for Shown<'_> {
@@ -76,22 +76,23 @@
 /// A VM.
 #[derive(Debug, Clone)]
 pub struct Vm {
-    /// Its process.
+    /// The node that runs on it.
     pub node: sync::Arc<node::Node>,
-    /// What is synced. Between two steps it holds all that the node does but its commit index.
+    /// The synced content of its disk. Between two steps it holds the node's whole state except the commit
+    /// index.
     pub disk: sync::Arc<log::PersistedState>,
 }
 
-/// What was once promised, and whether it was kept.
+/// The facts that later states must not contradict, and the first contradiction found.
 #[derive(Debug, Clone, Default, Hash)]
 pub struct Promises {
-    /// Each entry that some node applied, with the term in which it was first known as committed.
+    /// The entries applied by any node, with the term in which each was first known to be committed.
     pub committed: Vec<(log::Entry, log::Term)>,
-    /// Who led in each term.
+    /// The leader of each term.
     pub leaders: collections::BTreeMap<log::Term, log::NodeId>,
-    /// Terms whose leader stepped down.
+    /// The terms whose leader stepped down.
     pub stepped_down: collections::BTreeSet<log::Term>,
-    /// What was broken.
+    /// The violated invariant.
     pub broken: Option<String>,
 }
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /// `log` is what the new leader holds.
+    /// Checks a new leader, whose log is `log`.
     fn lead(&mut self, id: log::NodeId, term: log::Term, log: &[log::Entry]) {
         if let Some(other) = self.leaders.insert(term, id)
             && other != id
@@ -132,28 +133,28 @@
     }
 }
 
-/// All VMs and what is between them.
+/// All VMs and the messages between them.
 #[derive(Debug, Clone)]
 pub struct World {
-    /// By VM number less one.
+    /// The VMs. The index is the VM's number minus one.
     pub vms: Vec<Vm>,
-    /// By digest, so that one order of sending is as good as another.
+    /// The messages in flight, by digest, so that states do not differ by the order of sending.
     pub network: collections::BTreeMap<u64, sync::Arc<Envelope>>,
-    /// What must be kept.
+    /// The facts that must not be contradicted.
     pub promises: Promises,
-    /// VMs that are cut off from the others, but not from each other.
+    /// VMs that are partitioned from the others, but not from each other.
     pub apart: sync::Arc<[u32]>,
     settings: sync::Arc<Settings>,
 }
 
-/// What all VMs share.
+/// The settings of all VMs.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Guards that are in.
+    /// The guards.
     pub guards: config::Guards,
-    /// One entry in each message, which lets more happen between them.
+    /// Whether each message contains only one entry, so that other events can happen between entries.
     pub one_entry: bool,
-    /// The voters at the first start.
+    /// The voters with which the group is formed.
     pub voters: log::Membership,
 }
 
@@ -170,17 +171,17 @@
     }
 }
 
-/// Up to where a step is carried out.
+/// Up to which action a step is carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Until {
     End,
-    /// The process ends just before it would write.
+    /// The process crashes just before its write.
     Write,
 }
 
 impl World {
-    /// A group of VMs numbered from one. The voters have disks with the membership on them, others
-    /// empty ones.
+    /// A group of VMs numbered from one. The disks of the voters contain the membership, other disks are
+    /// empty.
     #[must_use]
     pub fn new(vms: u32, settings: Settings) -> Self {
         let settings = sync::Arc::new(settings);
@@ -216,19 +217,19 @@
         self.vms[place(vm)].node.status()
     }
 
-    /// Whether this VM's node leads.
+    /// Whether this VM's node is a leader.
     #[must_use]
     pub fn leads(&self, vm: u32) -> bool {
         self.status(vm).role == status::Role::Leader
     }
 
-    /// Hands `event` to the node of `vm` and carries out what it says.
+    /// Passes `event` to the node of `vm` and carries out its actions.
     pub fn step(&mut self, vm: u32, event: event::Event) {
         self.step_until(vm, event, Until::End);
     }
 
-    /// As [`Self::step`], but the process ends before its write and starts again from its disk.
-    /// None if nothing would have left it before: then it is like a crash before the event.
+    /// Like [`Self::step`], but the process crashes before its write and restarts from its disk. None if the
+    /// guards prevent actions before the write, since this is then equivalent to a crash before the event.
     #[must_use]
     pub fn crash_in(&self, vm: u32, event: event::Event) -> Option<Self> {
         if self.settings.guards.sync {
@@ -240,8 +241,8 @@
         Some(next)
     }
 
-    /// Delivers the message with this digest, and takes it off the network unless `keep`. Whether
-    /// it changed anything.
+    /// Delivers the message with this digest, and removes it from the network unless `keep` is set. Returns
+    /// whether the message had an effect.
     pub fn deliver(&mut self, digest: u64, keep: bool) -> bool {
         let Some(envelope) = self.network.get(&digest).cloned() else {
             return false;
@@ -256,7 +257,7 @@
         *before.state() != *self.vms[place(vm)].node.state() || self.network.len() != sent
     }
 
-    /// The process of `vm` ends and starts again from its disk.
+    /// Restarts the process of `vm` from its disk.
     pub fn restart(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
         let vm = &mut self.vms[place(vm)];
@@ -265,8 +266,8 @@
         self.prune();
     }
 
-    /// `vm` loses its disk and starts under the next generation. Without that guard it takes the
-    /// membership from its settings, as at the first start, and so its old name.
+    /// Restarts `vm` with an empty disk and the next generation. Without the guard `generation` it takes the
+    /// membership from its settings, as at the first start, and thereby its old id.
     pub fn lose_disk(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
         let vm = &mut self.vms[place(vm)];
@@ -281,7 +282,7 @@
         self.prune();
     }
 
-    /// Forgets all messages under way: they are lost.
+    /// Drops all messages in flight.
     pub fn lose_messages(&mut self) {
         self.network.clear();
     }
@@ -341,7 +342,7 @@
             .insert(hasher.finish(), sync::Arc::new(envelope));
     }
 
-    /// Takes off what can have no effect any more.
+    /// Removes messages that cannot have an effect any more.
     fn prune(&mut self) {
         let vms = &self.vms;
         self.network.retain(|_, envelope| {
@@ -351,7 +352,7 @@
             };
             let status = vm.node.status();
             let pre_vote = matches!(message.body, message::Body::PreVoteReply { .. });
-            // Such a message tells a leader that its term is over, by the answer to it.
+            // The reply to such a message tells its sender, a leader, that its term is outdated.
             let sender = vms.get(place(envelope.from.vm)).map(|vm| vm.node.status());
             let from_leader = sender.is_some_and(|sender| {
                 sender.role == status::Role::Leader && sender.term == message.term
--- a/spec/src/main.rs
+++ b/spec/src/main.rs
@@ -1,4 +1,4 @@
-//! Explores specifications and prints what was found.
+//! Explores specifications and prints the results.
 
 use std::{env, process};
 
--- a/spec/src/memberships.rs
+++ b/spec/src/memberships.rs
@@ -1,16 +1,16 @@
-//! Which changes of membership leave two majorities without a common voter.
+//! Which membership changes allow two disjoint majorities.
 //!
-//! Two leaders may for a while go by memberships that follow each other. If a majority of the one
-//! and a majority of the other share nobody, both can elect and commit.
+//! For a while two leaders may use two successive memberships. If a majority of one and a majority of
+//! the other are disjoint, both can elect a leader and commit entries.
 
 use std::collections;
 
 use sageshed_quorum::{event, log};
 
-/// Voters.
+/// A set of voters.
 pub type Voters = collections::BTreeSet<log::NodeId>;
 
-/// A majority of the voters of `old` and one of `new` that share nobody, if there are two.
+/// Two disjoint majorities, one of the voters of `old` and one of `new`, if there are any.
 #[must_use]
 pub fn disjoint_majorities(
     old: &log::Membership,
@@ -23,7 +23,7 @@
     })
 }
 
-/// All smallest majorities.
+/// All majorities of minimal size.
 fn majorities(members: &log::Membership) -> Vec<Voters> {
     let voters: Vec<_> = members.voters.iter().copied().collect();
     let subsets = (0_u32..1 << voters.len()).filter(|set| {
@@ -36,7 +36,7 @@
     subsets.map(chosen).collect()
 }
 
-/// The voters after a change that a node offers; learners don't count.
+/// The membership after a change that a node supports.
 #[must_use]
 pub fn after(members: &log::Membership, change: event::Change) -> log::Membership {
     let mut next = members.clone();
@@ -56,7 +56,7 @@
     next
 }
 
-/// The change that a node does not offer: `new` in place of `old` in one step.
+/// The membership after a change that a node does not support: replacing `old` by `new` in one step.
 #[must_use]
 pub fn swapped(members: &log::Membership, old: log::NodeId, new: log::NodeId) -> log::Membership {
     let mut next = members.clone();
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -1,18 +1,18 @@
-//! A leader with the real ledger, and the engines.
+//! A leader with the production ledger, and the engines.
 //!
-//! What is proposed is up to the checker, within the rules by which
-//! [`sageshed_place::placement::Placement`] proposes, sends, takes back and settles; its planner is
-//! left out.
+//! The checker chooses which orders are proposed, within the rules by which
+//! [`sageshed_place::placement::Placement`] proposes, sends, cancels and settles them. Its planner is not
+//! used.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use sageshed_place::{engine, ledger, orders};
 use sageshed_types::{arena::EndpointKey, catalog, endpoints, time};
 
-/// Memory of an engine: one model and a little more.
+/// The memory of an engine in MiB: enough for a large model and a small one.
 pub const CAPACITY_MIB: u64 = 3;
 
-/// The models, all on offer, with their memory.
+/// The models with their memory in MiB.
 pub const MODELS: [(&str, u64); 3] = [("a", 2), ("b", 1), ("c", 2)];
 
 /// The memory of `model`, in MiB.
@@ -22,7 +22,7 @@
     known.map_or(0, |(_, memory)| *memory)
 }
 
-/// The engines.
+/// The names of the engines.
 pub const ENGINES: [&str; 2] = ["e", "f"];
 
 const NOW: time::Instant = time::Instant(0);
@@ -30,19 +30,20 @@
 /// A control process.
 #[derive(Debug, Clone)]
 pub struct Leader {
-    /// What it knows.
+    /// Its ledger of engines and orders.
     pub ledger: ledger::Ledger,
-    /// The term in which it believes to lead.
+    /// The term in which it considers itself leader.
     pub term: Option<u64>,
-    /// Of the ledger. It has no hash of its own; what it writes for debugging shows all of it.
+    /// A hash of the ledger's debug output, which contains its whole state. The ledger does not implement
+    /// `Hash`.
     digest: u64,
     rules: Rules,
 }
 
-/// Rules that are not the ledger's.
+/// Rules that are implemented outside the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// A new leader waits for reports that show the orders it found in the table.
+    /// A new leader waits for reports that show the orders that it found in the table.
     pub wait_for_restored: bool,
     /// The last order to each engine stays in the table.
     pub keep_settled: bool,
@@ -55,17 +56,17 @@
     }
 }
 
-/// What a leader does with an order that was committed.
+/// An action of a leader after an order is committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Todo {
-    /// Send it.
+    /// Send the order.
     Send(endpoints::Order),
-    /// Remove these from the table.
+    /// Remove these orders from the table.
     Settle(Vec<endpoints::OrderId>),
 }
 
 impl Leader {
-    /// One that does not lead and has heard nothing.
+    /// A control process that does not lead and has received no reports.
     #[must_use]
     pub fn new(rules: Rules) -> Self {
         let model = |(name, memory_mib): (&str, u64)| catalog::Model {
@@ -92,7 +93,7 @@
         self.digest = hasher.finish();
     }
 
-    /// Whether `task` may begin on `engine`.
+    /// Whether `task` may be started on `engine`.
     #[must_use]
     pub fn allows(&self, engine: &engine::Engine, task: orders::Task) -> bool {
         if !self.ledger.takes_orders(NOW, engine) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The task for `endpoint`, if it may be proposed.
+    /// The task for the ledger, if it may be proposed for `endpoint`.
     #[must_use]
     pub fn may_propose(
         &self,
@@ -139,13 +140,13 @@
         (wanted && self.allows(engine, task)).then_some((key, task))
     }
 
-    /// Proposes what [`Self::may_propose`] allows.
+    /// Records a proposal that [`Self::may_propose`] allows.
     pub fn propose(&mut self, key: EndpointKey, task: orders::Task) {
         drop(self.ledger.propose(key, task));
         self.note();
     }
 
-    /// Takes a committed order in. `refused`: the connection to the engine is refused.
+    /// Handles a committed order. `refused` is set if the engine refuses the connection.
     pub fn committed(&mut self, order: &endpoints::Order, refused: bool) -> Vec<Todo> {
         let todo = self.take_in(order, refused);
         self.note();
@@ -180,7 +181,7 @@
         todo
     }
 
-    /// The removal of these from the table is committed.
+    /// Handles the committed removal of these orders from the table.
     pub fn removed(&mut self, orders: &[endpoints::OrderId]) {
         for id in orders {
             if let Some(engine) = self.ledger.engine_with_order(*id) {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Starts to lead with the orders in the table. Returns those to remove from it.
+    /// Becomes leader with the orders in the table. Returns the orders to remove from the table.
     pub fn lead(&mut self, term: u64, open: Vec<endpoints::Order>) -> Vec<endpoints::OrderId> {
         self.term = Some(term);
         let removed = if self.rules.wait_for_restored {
@@ -213,21 +214,21 @@
         removed
     }
 
-    /// Leads no longer.
+    /// Steps down.
     pub fn follow(&mut self) {
         self.term = None;
         self.ledger.clear_orders();
         self.note();
     }
 
-    /// Whether `report` says anything new.
+    /// Whether `report` is newer than the latest known one.
     #[must_use]
     pub fn is_newer(&self, report: &endpoints::Report) -> bool {
         let known = self.ledger.endpoint(&report.identity.endpoint);
         known.is_none_or(|key| self.ledger.engine(key).is_newer(report))
     }
 
-    /// Takes in a report. Returns orders to remove from the table.
+    /// Handles a report. Returns the orders to remove from the table.
     pub fn report(&mut self, report: &endpoints::Report) -> Vec<endpoints::OrderId> {
         let mut removed = self.ledger.report(NOW, report);
         if !self.rules.keep_settled && self.term.is_some() {
@@ -239,7 +240,7 @@
         removed
     }
 
-    /// Orders that were sent and not seen in a report.
+    /// The orders that were sent and that no report has shown.
     #[must_use]
     pub fn unseen(&self) -> Vec<endpoints::Order> {
         let engines = self.ledger.engines().iter();
@@ -252,18 +253,18 @@
     }
 }
 
-/// An engine as it really is.
+/// The actual state of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Engine {
-    /// Models held, at the start and after each order.
+    /// The models in its memory, initially and after each order.
     history: Vec<Vec<String>>,
-    /// Orders that came, and whether each was carried out.
+    /// The received orders, and whether each was executed.
     came: Vec<(endpoints::OrderId, bool)>,
     highest: endpoints::Fence,
 }
 
 impl Engine {
-    /// One that holds these models.
+    /// An engine that holds these models.
     #[must_use]
     pub fn new(held: &[&str]) -> Self {
         Self {
@@ -273,19 +274,20 @@
         }
     }
 
-    /// What it holds now.
+    /// The models that it holds now.
     #[must_use]
     pub fn held(&self) -> &[String] {
         self.history.last().map_or(&[], Vec::as_slice)
     }
 
-    /// Memory taken, in MiB.
+    /// The memory in use, in MiB.
     #[must_use]
     pub fn taken_mib(&self) -> u64 {
         self.held().iter().map(|model| memory_mib(model)).sum()
     }
 
-    /// Carries an order out. `once`: not if it came before; `fenced`: not if a later one came.
+    /// Executes an order. With `once`, ignores a duplicate. With `fenced`, refuses an order with an outdated
+    /// fencing token.
     pub fn run(&mut self, order: &endpoints::Order, once: bool, fenced: bool) {
         if once && self.came.iter().any(|(id, _)| *id == order.order) {
             return;
@@ -314,7 +316,7 @@
         held
     }
 
-    /// All reports that it has sent, each of which may come late.
+    /// All reports that it has sent. Each of them may be delivered late.
     #[must_use]
     pub fn reports(&self, name: &str, checks_fence: bool) -> Vec<endpoints::Report> {
         let numbered = self.history.iter().enumerate();
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -1,13 +1,14 @@
-//! Orders to engines that ignore fencing numbers, over changes of leader.
+//! Specification of orders to engines that ignore fencing tokens, over changes of the leader.
 //!
-//! Two engines have memory for one large model and a small one; three models are on offer. Two control
-//! processes lead one after the other, the earlier one unaware of it for as long as it likes. They
-//! use the real [`sageshed_place::ledger::Ledger`]; what is committed is the real
-//! [`order_table::OrderTable`]. Commands wait to be committed (those of one leader in their order),
-//! orders and reports are under way, all for as long as they like. Engines do not start anew here: an order to an earlier start is refused.
+//! There are three models, and two engines that each have memory for one large model and a small one. Two
+//! control processes lead one after the other, and the former leader may learn of its successor
+//! arbitrarily late. They use the production [`sageshed_place::ledger::Ledger`], and the committed state
+//! is the production [`order_table::OrderTable`]. Commits, orders and reports may be delayed arbitrarily.
+//! The commands of one leader are committed in order. Engines do not restart, since an order to an
+//! earlier incarnation is refused anyway.
 //!
-//! What must hold: no engine is ordered to hold more than fits, and a model that could be reached
-//! stays reachable.
+//! Invariants: no engine is ordered to hold more than its memory, and a model that was reachable stays
+//! reachable.
 
 pub mod leader;
 
@@ -18,33 +19,33 @@
 
 use crate::explore;
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariants rest on. Each can be turned off.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is one independent switch of a checker"
 )]
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// Orders are in the table before they are sent.
+    /// Orders are committed to the table before they are sent.
     pub commit_first: bool,
-    /// One order at once to an engine that ignores fencing numbers. Out: the engine says that it
-    /// checks them.
+    /// Only one order at a time is sent to an engine that ignores fencing tokens. If off, the engine
+    /// reports that it checks them.
     pub one_at_a_time: bool,
-    /// No order is sent twice to such an engine, which may not know it again.
+    /// No order is sent twice to such an engine, which may not detect the duplicate.
     pub no_resend: bool,
-    /// The last order to each engine stays in the table. Out: it goes when a report settles it.
+    /// The last order to each engine stays in the table. If off, it is removed when a report settles it.
     pub keep_settled: bool,
-    /// A new leader waits for reports that show the orders it found in the table.
+    /// A new leader waits for reports that show the orders that it found in the table.
     pub wait_for_restored: bool,
-    /// Orders of earlier terms are not issued. Out: they are taken for those of the present term,
-    /// and the leader that proposed them still sends them.
+    /// Orders of earlier terms are not issued. If off, they are treated as orders of the current term, and
+    /// the leader that proposed them still sends them.
     pub term: bool,
-    /// Engines carry out each order once, which is needed only where messages are doubled.
+    /// Engines execute each order once. Needed only if messages are duplicated.
     pub order_ids: bool,
 }
 
 impl Guards {
-    /// All of them.
+    /// All guards.
     pub const ALL: Self = Self {
         commit_first: true,
         one_at_a_time: true,
@@ -55,7 +56,7 @@
         order_ids: true,
     };
 
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self::ALL;
@@ -78,38 +79,38 @@
 /// The specification.
 #[derive(Debug, Clone, Copy)]
 pub struct Orders {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// What engines hold.
+    /// The models on the engines in the initial state.
     pub start: Start,
-    /// What engines can do.
+    /// The capabilities of the engines.
     pub engines: Engines,
-    /// Commands that get lost before they reach the log.
+    /// The maximum number of commands that are lost before they reach the log.
     pub losses: u32,
-    /// Orders proposed at most.
+    /// The maximum number of proposed orders.
     pub proposals: u32,
-    /// Changes of leader after the first election.
+    /// The maximum number of elections after the first one.
     pub elections: u32,
 }
 
-/// What engines hold at the start.
+/// The models on the engines in the initial state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// The first model is on both, and either may lose it.
+    /// Both engines hold the first model, and orders may be sent to both.
     BothFull,
-    /// The first engine holds nothing and takes all orders.
+    /// The first engine is empty, and orders are sent only to it.
     OneEmpty,
 }
 
-/// What engines can do.
+/// The capabilities of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Engines {
-    /// They carry out what comes. Messages are not doubled, and nothing is sent again.
+    /// They execute all orders that they receive. Messages are not duplicated, and orders are not resent.
     Plain,
-    /// They carry out each order once. Messages may be doubled.
+    /// They execute each order once. Messages may be duplicated.
     Knowing,
-    /// They also refuse fencing numbers lower than the highest they have seen. Orders that no report
-    /// has shown are sent again.
+    /// They also refuse fencing tokens lower than the highest that they have seen. Orders that no report has
+    /// shown are resent.
     Fenced,
 }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// A command that waits to be committed.
+/// A command that is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Command {
     Issue {
@@ -129,17 +130,17 @@
     Settle(Vec<endpoints::OrderId>),
 }
 
-/// Everything in one moment.
+/// The state of the control processes and engines.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
     table: order_table::OrderTable,
     leaders: [rc::Rc<leader::Leader>; 2],
-    /// By leader, in the order in which they were submitted.
+    /// Uncommitted commands by leader, in the order of submission.
     waiting: [collections::VecDeque<Command>; 2],
-    /// Orders under way, by id.
+    /// Orders in flight, by id.
     network: collections::BTreeMap<u64, endpoints::Order>,
     engines: [leader::Engine; 2],
-    /// Models that could be reached once.
+    /// The models that were reachable at some time.
     reached: collections::BTreeSet<String>,
     proposals: u32,
     elections: u32,
@@ -148,7 +149,7 @@
     losses: u32,
 }
 
-/// One thing that happens.
+/// The description of an event.
 #[derive(Debug, Clone)]
 pub struct Event(String);
 
@@ -205,7 +206,7 @@
         true
     }
 
-    /// Without the guard: the order goes out at once, and its record is lost with the leader.
+    /// Without the guard `commit_first`, sends the order at once. It is not known to the next leader.
     fn send_uncommitted(&mut self, by: usize, order: command::ProposedOrder) {
         let id = endpoints::OrderId(1_000 + u64::from(self.proposals));
         let order = endpoints::Order {
@@ -432,7 +433,7 @@
     type State = State;
     type Event = Event;
 
-    /// The first control process leads.
+    /// The first control process is the leader.
     fn start(&self) -> State {
         let full = leader::Engine::new(&[leader::MODELS[0].0]);
         let first = match self.start {
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -1,14 +1,14 @@
-//! A group that grows and replaces its voters by itself, while disks are lost.
+//! Specification of a group that grows and replaces its voters automatically while disks are lost.
 //!
-//! The nodes and their messages are those of [`crate::log`], and each change of membership is one
-//! that the real [`repair::Policy`] asks for. Which voters a leader takes for silent is up to the
-//! checker, within what the group is to bear: at most [`TOLERATED`] VMs are lost at once. A VM counts as
-//! lost from the loss of its disk, or from the moment at which a leader takes it for silent, until it
-//! votes again or the group is complete without it.
+//! The nodes and their messages are those of [`crate::log`], and all membership changes are requested by
+//! the production [`repair::Policy`]. The checker chooses which voters a leader considers silent, as far
+//! as the group tolerates it: at most [`TOLERATED`] VMs are lost at once. A VM counts as lost from the
+//! loss of its disk, or from the time at which a leader considers it silent, until it votes again or the
+//! group is complete without it.
 //!
-//! What must hold, besides the promises of the log: once a command was acknowledged, some VM that holds
-//! all that was acknowledged can be elected, and none can that does not. Elections themselves need not
-//! be played for that, which keeps the way to a fault short.
+//! Invariant, besides those of the log: once a command is acknowledged, there is a VM that can be elected,
+//! and each VM that can be elected holds all acknowledged commands. This can be checked without running
+//! elections, which keeps counterexamples short.
 
 use std::{collections, fmt, sync};
 
@@ -17,27 +17,28 @@
 
 use crate::{explore, log, log::world};
 
-/// Losses that the group bears at once.
+/// The number of simultaneous losses that the group tolerates.
 const TOLERATED: usize = 1;
 
-/// A voter that answered at [`NOW`] is heard, one that never did is silent.
+/// The timeout after which a voter is silent. One that answered at [`NOW`] is not, one that never answered
+/// is.
 const SILENCE: time::Millis = time::Millis(1);
 
 const NOW: time::Instant = time::Instant(10);
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariant rests on. Each can be turned off.
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
     /// The first command waits until the group has all its voters.
     pub complete: bool,
-    /// The voter that is replaced goes before its successor votes.
+    /// The replaced voter is removed before its replacement is promoted.
     pub remove_first: bool,
-    /// Only a learner that lacks nothing goes on.
+    /// Only a learner that lacks no entries replaces a voter.
     pub lag: bool,
 }
 
 impl Guards {
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self {
@@ -60,37 +61,37 @@
 /// The specification.
 #[derive(Debug, Clone)]
 pub struct Repair {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// Where it begins.
+    /// The initial state.
     pub start: State,
 }
 
-/// Everything in one moment.
+/// The state of the group.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
-    /// The VMs.
+    /// The VMs and their messages.
     pub world: world::World,
-    /// Commands that may still be proposed.
+    /// How many more commands may be proposed.
     pub proposals: u8,
-    /// Disks that may still be lost.
+    /// How many more disks may be lost.
     pub losses: u32,
-    /// Voters that may still be taken for silent.
+    /// How many more voters may be considered silent.
     pub silences: u32,
-    /// VMs that are lost now.
+    /// The VMs that currently count as lost.
     pub lost: collections::BTreeSet<u32>,
-    /// Commands that were acknowledged.
+    /// The indexes of acknowledged commands.
     pub acknowledged: collections::BTreeSet<quorum_log::Index>,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// A message arrives.
+    /// A message is delivered.
     Deliver(sync::Arc<world::Envelope>),
     /// A disk is lost.
     Lose(u32),
-    /// A leader changes the membership, with this VM taken for silent.
+    /// A leader changes the membership and considers this VM silent.
     Change(u32, event::Change, Option<u32>),
     /// A command is proposed to a leader.
     Propose(u32),
@@ -110,7 +111,7 @@
     }
 }
 
-/// VM 1 has founded a group alone, and two others join.
+/// VM 1 has formed a group alone, and two other VMs join.
 #[must_use]
 pub fn growth(guards: Guards) -> Repair {
     let start = State {
@@ -124,7 +125,7 @@
     Repair { guards, start }
 }
 
-/// Three voters of which one after another loses its disk and comes back.
+/// Three voters, of which one after the other loses its disk and joins again.
 #[must_use]
 pub fn wiped(guards: Guards) -> Repair {
     let start = State {
@@ -135,7 +136,7 @@
     Repair { guards, start }
 }
 
-/// Three voters and an empty VM, which takes the place of one that is silent for a while.
+/// Three voters and a new VM, which replaces a voter that is silent for a while.
 #[must_use]
 pub fn replaced(guards: Guards) -> Repair {
     let start = State {
@@ -152,7 +153,7 @@
         repair::Policy::tolerating(TOLERATED, lag, SILENCE)
     }
 
-    /// The change that the leader on `vm` asks for when it takes `silent` for silent.
+    /// The change that the leader on `vm` requests if it considers the VM `silent` silent.
     fn change(&self, state: &State, vm: u32, silent: Option<u32>) -> Option<event::Change> {
         let mut status = state.world.status(vm);
         let ids: Vec<_> = state.world.vms.iter().map(|it| it.node.id()).collect();
@@ -169,7 +170,7 @@
         Some(self.in_order(change, &status, &joiners))
     }
 
-    /// Without its guard, a caught-up learner votes before the one that it replaces goes.
+    /// Without the guard `remove_first`, promotes a learner before the voter that it replaces is removed.
     fn in_order(
         &self,
         change: event::Change,
@@ -240,7 +241,7 @@
 }
 
 impl State {
-    /// The state in which `silent` counts as lost, if the group is to bear that now.
+    /// The state in which the VM `silent` counts as lost. None if the group does not tolerate that now.
     fn without(&self, silent: Option<u32>) -> Option<Self> {
         let mut next = self.clone();
         let Some(vm) = silent else {
@@ -275,7 +276,7 @@
         }
     }
 
-    /// VMs that vote again, or that a complete group no longer needs, are no losses any more.
+    /// Removes VMs from the lost ones that vote again or are not needed any more by a complete group.
     fn note_returned(&mut self) {
         let committed = &self.world.promises.committed;
         let newest = committed
@@ -289,8 +290,8 @@
             return;
         };
         let vms = &self.world.vms;
-        // A change is over within milliseconds, and a VM that was silent counts as lost for seconds
-        // after it is back.
+        // A change completes within milliseconds, while a silent VM counts as lost for seconds after it
+        // responds again.
         if vms.iter().any(|vm| changes_after(vm, committed.len())) {
             return;
         }
@@ -300,7 +301,7 @@
         self.lost.retain(|vm| !is_complete && !votes(vm));
     }
 
-    /// Whether each VM that could be elected holds all that was acknowledged, and there is one.
+    /// Returns a violation if no VM can be elected, or one that lacks acknowledged commands.
     fn lost_promise(&self) -> Option<String> {
         if self.acknowledged.is_empty() {
             return None;
@@ -321,7 +322,7 @@
         (!any).then(|| "something was acknowledged, and nobody can be elected".to_owned())
     }
 
-    /// Whether the VMs that live could elect this one, all others being silent.
+    /// Whether the voters whose current disk is in the membership could elect this VM.
     fn is_electable(&self, vm: &world::Vm) -> bool {
         let members = membership(vm);
         let own = position(vm);
@@ -333,7 +334,7 @@
     }
 }
 
-/// Whether `vm` holds a change of membership behind the first `committed` entries.
+/// Whether the log of `vm` contains a membership change after the first `committed` entries.
 fn changes_after(vm: &world::Vm, committed: usize) -> bool {
     let mut open = vm.disk.entries.iter().skip(committed);
     open.any(|it| matches!(it.data, quorum_log::EntryData::Membership(_)))
--- a/spec/src/run.rs
+++ b/spec/src/run.rs
@@ -1,25 +1,26 @@
-//! The command line, and the table of all specifications that it and the tests go by.
+//! The command line, and the table of all specifications that it shares with the tests.
 
 use sageshed_quorum::config;
 
 use crate::{claims, explore, leases, log, orders, repair, suspensions};
 
-/// One specification with the guards that can be taken out.
+/// A specification with the guards that can be turned off.
 #[derive(Debug, Clone, Copy)]
 pub struct Entry {
     /// Its name on the command line.
     pub name: &'static str,
-    /// Guards without which its promise breaks.
+    /// Guards without which an invariant is violated.
     pub needed: &'static [&'static str],
-    /// Guards that its promise does not rest on.
+    /// Guards that are not needed for the invariants.
     pub spare: &'static [&'static str],
-    /// The bound of a run on the command line.
+    /// The limits of a run on the command line.
     pub bound: explore::Bound,
     explore: fn(Option<&str>, explore::Bound) -> Option<explore::Report>,
 }
 
 impl Entry {
-    /// Explores, without the guard called `without` if one is named. None if there is no such guard.
+    /// Explores the specification, with the guard `without` turned off if one is given. None if there is no
+    /// such guard.
     #[must_use]
     pub fn explore(&self, without: Option<&str>, bound: explore::Bound) -> Option<explore::Report> {
         (self.explore)(without, bound)
@@ -39,7 +40,7 @@
     Some(explore::explore(&scenario(guards), bound))
 }
 
-/// What most specifications of orders begin with.
+/// The parameters of most specifications of orders.
 const ORDERS: orders::Orders = orders::Orders {
     guards: orders::Guards::ALL,
     start: orders::Start::BothFull,
@@ -345,27 +346,27 @@
     },
 ];
 
-/// The specification called `name`.
+/// The specification with this name.
 #[must_use]
 pub fn find(name: &str) -> Option<&'static Entry> {
     ALL.iter().find(|entry| entry.name == name)
 }
 
-/// What the command line asks for.
+/// The arguments of the command line.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Which specification; all if none is named.
+    /// The name of a specification. None: all of them.
     pub name: Option<String>,
-    /// The guard to take out.
+    /// The guard to turn off.
     pub without: Option<String>,
-    /// Another bound of depth.
+    /// Overrides the limit of the depth.
     pub depth: Option<usize>,
-    /// Another bound of states.
+    /// Overrides the limit of the number of states.
     pub states: Option<usize>,
 }
 
 impl Options {
-    /// Reads the arguments after the program's name. The error is for people.
+    /// Parses the arguments after the program's name. The error is human-readable.
     pub fn read(mut args: impl Iterator<Item = String>) -> Result<Self, String> {
         let mut options = Self::default();
         while let Some(arg) = args.next() {
@@ -380,7 +381,7 @@
         Ok(options)
     }
 
-    /// Explores what is asked for and passes each result on as text.
+    /// Explores the selected specifications and passes each result to `print` as text.
     pub fn run(&self, mut print: impl FnMut(&str)) -> Result<(), String> {
         let named = |entry: &&Entry| self.name.as_deref().is_none_or(|name| name == entry.name);
         let entries: Vec<_> = ALL.iter().filter(named).collect();
--- a/spec/src/suspensions.rs
+++ b/spec/src/suspensions.rs
@@ -1,16 +1,17 @@
-//! Orders of two leaders over suspensions of their VMs.
+//! Specification of the orders of two leaders whose VMs are suspended and resumed.
 //!
-//! Two control processes and a third voter, whose vote decides. A process believes to lead by the real
-//! [`status::Status::leads_at`] and orders within the real [`leadership::Leadership`]. Time goes on in ticks, and
-//! a VM may be suspended at any moment and resumed at any later one. The third voter answers heartbeats,
-//! and votes for the other process once it has heard none for an election timeout.
+//! There are two control processes that may lead, and a third voter whose vote decides. A process
+//! considers itself leader by the production [`status::Status::leads_at`] and issues orders as the
+//! production [`leadership::Leadership`] allows. Time advances in ticks. A VM may be suspended and
+//! resumed at any time. The third voter answers heartbeats, and votes for the other process after it has
+//! received none for an election timeout.
 //!
-//! What must hold: between two orders by different processes there is a lease. Engines that check no
-//! fence obey both.
+//! Invariant: at least the duration of a lease passes between two orders of different processes, since
+//! engines that do not check fencing tokens obey both.
 //!
-//! Left out: a process that is suspended between its last look at the clock and the sending of an
-//! order. No clock helps there; the order names the number of orders before it, and does nothing once
-//! the other leader has given one.
+//! Not covered: a process that is suspended between reading the clock and sending an order. No clock
+//! prevents that. Instead the order contains the number of earlier orders, and has no effect after the
+//! other leader has issued one.
 
 use std::fmt;
 
@@ -23,25 +24,25 @@
 /// One tick, in milliseconds.
 const TICK_MS: u64 = 500;
 
-/// Within this the third voter has heard its leader and votes for nobody else.
+/// How long the third voter does not vote for another process after a heartbeat.
 const ELECTION_TIMEOUT: time::Millis = time::Millis(1_000);
 
-/// What must lie between orders of two leaders.
+/// The minimum time between orders of two leaders.
 const LEASE: time::Millis = time::Millis(1_500);
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariant rests on. Each can be turned off.
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// A new leader waits for a lease before its first order.
+    /// A new leader waits for the duration of a lease before its first order.
     pub lease: bool,
-    /// A leader orders only while it has its majority.
+    /// A leader issues orders only while it has contact to a majority.
     pub majority: bool,
-    /// Clocks go on while a VM is suspended.
+    /// Clocks continue while a VM is suspended.
     pub boot_clock: bool,
 }
 
 impl Guards {
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self {
@@ -64,56 +65,56 @@
 /// The specification.
 #[derive(Debug, Clone, Copy)]
 pub struct Suspensions {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// Ticks of the clock.
+    /// The number of ticks.
     pub ticks: u64,
 }
 
-/// One of the two that may lead.
+/// One of the two processes that may lead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Process {
     is_suspended: bool,
-    /// Ticks that its clock lacks, for which it was suspended.
+    /// The number of ticks that its clock has missed while it was suspended.
     slept: u64,
     leads: Option<Leads>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Leads {
-    /// When the latest round of heartbeats began that was answered, by its own clock.
+    /// When the latest answered round of heartbeats began, on its own clock.
     round: time::Instant,
     leadership: leadership::Leadership,
 }
 
-/// Everything in one moment.
+/// The state of the processes and the third voter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
-    /// Ticks so far.
+    /// The number of elapsed ticks.
     now: u64,
     processes: [Process; 2],
-    /// Whom the third voter follows, and since which tick it has heard nothing of it.
+    /// The process that the third voter follows, and the tick of its last heartbeat.
     follows: usize,
     heard: u64,
-    /// Who gave the latest order, and when.
+    /// The process that issued the latest order, and the tick of the order.
     last: Option<(usize, u64)>,
     broken: Option<String>,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
-    /// Time goes on.
+    /// The time advances by one tick.
     Tick(u64),
     /// A VM is suspended.
     Suspend(usize),
-    /// It goes on.
+    /// A VM is resumed.
     Resume(usize),
     /// The third voter answers a heartbeat.
     Heartbeat(usize),
-    /// The third voter elects.
+    /// The third voter votes for a process, which becomes leader.
     Elect(usize),
-    /// A leader gives an order.
+    /// A leader issues an order.
     Order(usize),
 }
 
@@ -131,7 +132,7 @@
 }
 
 impl Suspensions {
-    /// What the clock of a process reads.
+    /// The clock of a process.
     fn clock(state: &State, at: usize) -> time::Instant {
         time::Instant((state.now - state.processes[at].slept) * TICK_MS)
     }
@@ -185,7 +186,7 @@
         next
     }
 
-    /// What one of the processes that is not suspended may do.
+    /// The events possible at a process that is not suspended.
     fn of_process(&self, state: &State, at: usize, all: &mut Vec<(Event, State)>) {
         let mut next = state.clone();
         next.processes[at].is_suspended = true;
@@ -223,7 +224,7 @@
     type State = State;
     type Event = Event;
 
-    /// Process 0 leads for long enough to give orders.
+    /// Process 0 has led for long enough to issue orders.
     fn start(&self) -> State {
         let mut state = State {
             now: 0,
