--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -133,7 +133,7 @@
     /// The number of runs since the key was last removed.
     runs: u32,
     crashes: u32,
-    taken_for_dead: u32,
+    declared_dead: u32,
     resends: u32,
     clocks: u32,
 }
@@ -159,10 +159,10 @@
     }
 }
 
-type Nexts = Vec<(Event, State)>;
+type Successors = Vec<(Event, State)>;
 
 impl State {
-    fn push(&self, all: &mut Nexts, event: String, act: impl FnOnce(&mut Self)) {
+    fn push(&self, all: &mut Successors, event: String, act: impl FnOnce(&mut Self)) {
         let mut next = self.clone();
         act(&mut next);
         all.push((Event(event), next));
@@ -303,7 +303,7 @@
         }
     }
 
-    fn of_arrival(&self, number: usize, guards: Guards, all: &mut Nexts) {
+    fn arrival_events(&self, number: usize, guards: Guards, all: &mut Successors) {
         let (it, shown) = (&self.arrivals[number], number + 1);
         let ready = match it.phase {
             Phase::Granted => true,
@@ -345,7 +345,7 @@
         }
     }
 
-    fn of_process(&self, process: usize, spec: Claims, all: &mut Nexts) {
+    fn process_events(&self, process: usize, spec: Claims, all: &mut Successors) {
         let (guards, name) = (spec.guards, vm(process));
         // By symmetry the first arrival can be at the first process.
         let here = !self.arrivals.is_empty() || process == 0;
@@ -360,18 +360,18 @@
                 next.crash(process);
             });
         }
-        if self.taken_for_dead > 0 {
+        if self.declared_dead > 0 {
             self.push(all, format!("{name} is taken for dead, wrongly"), |next| {
-                next.taken_for_dead -= 1;
+                next.declared_dead -= 1;
                 let below = next.incarnations[process] + 1;
                 next.waiting.insert(Command::HolderGone { process, below });
             });
         }
     }
 
-    fn of_control(&self, guards: Guards, all: &mut Nexts) {
+    fn control_events(&self, guards: Guards, all: &mut Successors) {
         for command in &self.waiting {
-            self.push(all, format!("committed: {}", shown(command)), |next| {
+            self.push(all, format!("committed: {}", describe(command)), |next| {
                 next.waiting.remove(command);
                 next.commit(command, guards);
             });
@@ -398,7 +398,7 @@
     }
 }
 
-fn shown(command: &Command) -> String {
+fn describe(command: &Command) -> String {
     match command {
         Command::Claim(arrival) => format!("claim of arrival {}", arrival + 1),
         Command::Settle(arrival, end) => format!("arrival {} ended as {end:?}", arrival + 1),
@@ -421,25 +421,25 @@
             incarnations: [1, 1],
             runs: 0,
             crashes: 1,
-            taken_for_dead: 1,
+            declared_dead: 1,
             resends: 1,
             clocks: 1,
         }
     }
 
-    fn next(&self, state: &State) -> Nexts {
+    fn next(&self, state: &State) -> Successors {
         let mut all = Vec::new();
         for number in 0..state.arrivals.len() {
-            state.of_arrival(number, self.guards, &mut all);
+            state.arrival_events(number, self.guards, &mut all);
         }
         for process in 0..state.incarnations.len() {
-            state.of_process(process, *self, &mut all);
+            state.process_events(process, *self, &mut all);
         }
-        state.of_control(self.guards, &mut all);
+        state.control_events(self.guards, &mut all);
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         if state.runs > 1 {
             return Some(format!("the request ran {} times", state.runs));
         }
--- a/spec/src/explore.rs
+++ b/spec/src/explore.rs
@@ -27,7 +27,7 @@
     fn next(&self, state: &Self::State) -> Vec<(Self::Event, Self::State)>;
 
     /// The invariant that `state` violates, if any.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
 /// The limits of an exploration.
@@ -47,7 +47,7 @@
     /// All states that can be reached by this number of events were visited.
     pub depth: usize,
     /// The limit that kept some states from being visited, if any.
-    pub cut: Option<Cut>,
+    pub limit: Option<Limit>,
     /// The shortest sequence of events that violates an invariant.
     pub counterexample: Option<Counterexample>,
     /// The duration of the exploration.
@@ -56,7 +56,7 @@
 
 /// The limit that an exploration has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
+pub enum Limit {
     /// The limit of the depth.
     Depth,
     /// The limit of the number of states.
@@ -69,7 +69,7 @@
     /// The events, in order.
     pub events: Vec<String>,
     /// The invariant that is violated.
-    pub broken: String,
+    pub violation: String,
 }
 
 impl Report {
@@ -90,12 +90,12 @@
             for (number, event) in found.events.iter().enumerate() {
                 writeln!(f, "  {:>3}. {event}", number + 1)?;
             }
-            return write!(f, "  => {}", found.broken);
+            return write!(f, "  => {}", found.violation);
         }
-        match self.cut {
+        match self.limit {
             None => write!(f, "holds: every reachable state was met"),
-            Some(Cut::Depth) => write!(f, "holds: all states up to this depth, cut there"),
-            Some(Cut::States) => write!(f, "holds: all states up to this depth, cut by count"),
+            Some(Limit::Depth) => write!(f, "holds: all states up to this depth, cut there"),
+            Some(Limit::States) => write!(f, "holds: all states up to this depth, cut by count"),
         }
     }
 }
@@ -107,7 +107,7 @@
     event: Option<S::Event>,
     /// The state, until its successors are known.
     state: cell::RefCell<Option<S::State>>,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 impl<S: Spec> Node<S> {
@@ -118,7 +118,7 @@
             fingerprint: hasher.finish(),
             depth,
             event,
-            broken: spec.broken(&state),
+            violation: spec.violation(&state),
             state: cell::RefCell::new(Some(state)),
         }
     }
@@ -146,7 +146,7 @@
             depth: self.depth,
             event: self.event.clone(),
             state: cell::RefCell::new(self.state.borrow_mut().take()),
-            broken: self.broken.clone(),
+            violation: self.violation.clone(),
         }
     }
 }
@@ -156,7 +156,7 @@
     let began = time::Instant::now();
     let mut seen = std::collections::HashSet::new();
     let mut depth = 0;
-    let mut cut = None;
+    let mut limit = None;
     let start = Node::new(spec, 0, None, spec.start());
     seen.insert(start.fingerprint);
     let successors = |node: &Node<S>| {
@@ -164,11 +164,11 @@
             return Vec::new();
         };
         if node.depth >= bound.depth {
-            cut.get_or_insert(Cut::Depth);
+            limit.get_or_insert(Limit::Depth);
             return Vec::new();
         }
         if seen.len() >= bound.states {
-            cut = Some(Cut::States);
+            limit = Some(Limit::States);
             return Vec::new();
         }
         depth = node.depth;
@@ -177,24 +177,24 @@
         let new = nodes.filter(|next| seen.insert(next.fingerprint));
         new.collect()
     };
-    let path = bfs::bfs(&start, successors, |node| node.broken.is_some());
+    let path = bfs::bfs(&start, successors, |node| node.violation.is_some());
     let states = seen.len();
     let counterexample = path.map(|path| {
         let events = path.iter().filter_map(|node| node.event.as_ref());
-        let broken = path.iter().find_map(|node| node.broken.clone());
+        let violation = path.iter().find_map(|node| node.violation.clone());
         Counterexample {
             events: events.map(ToString::to_string).collect(),
-            broken: broken.unwrap_or_default(),
+            violation: violation.unwrap_or_default(),
         }
     });
     Report {
         states,
-        depth: if cut == Some(Cut::Depth) {
+        depth: if limit == Some(Limit::Depth) {
             bound.depth
         } else {
             depth
         },
-        cut,
+        limit,
         counterexample,
         took: began.elapsed(),
     }
--- a/spec/src/leases.rs
+++ b/spec/src/leases.rs
@@ -187,14 +187,14 @@
         })
     }
 
-    fn take(&mut self, grant: Grant) {
+    fn receive_grant(&mut self, grant: Grant) {
         self.grants.retain(|it| it.from.vm != grant.from.vm);
         self.grants.push(grant);
         self.grants.sort();
     }
 
-    fn note_commits(&mut self) {
-        let known = &self.group.world.promises.committed;
+    fn record_commits(&mut self) {
+        let known = &self.group.world.history.committed;
         let changes = known
             .iter()
             .filter(|(entry, _)| matches!(entry.data, quorum_log::EntryData::Command(_)));
@@ -251,7 +251,7 @@
             grants: Vec::new(),
             committed: Vec::new(),
         };
-        state.note_commits();
+        state.record_commits();
         state
     }
 
@@ -262,16 +262,16 @@
                 group,
                 ..state.clone()
             };
-            next.note_commits();
+            next.record_commits();
             all.push((Event::Group(step), next));
         }
         for vm in 1..=u32::try_from(state.group.world.vms.len()).unwrap_or(u32::MAX) {
             if let Some(grant) = state.grant(vm, self)
                 && !state.grants.contains(&grant)
             {
-                let event = shown(&grant);
+                let event = describe(&grant);
                 let mut next = state.clone();
-                next.take(grant);
+                next.receive_grant(grant);
                 all.push((Event::Grant(event), next));
             }
             let commit = state.group.world.status(vm).commit;
@@ -292,7 +292,7 @@
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let due = state
             .committed
             .iter()
@@ -310,7 +310,7 @@
     }
 }
 
-fn shown(grant: &Grant) -> String {
+fn describe(grant: &Grant) -> String {
     let voters: Vec<_> = grant.voters.iter().map(|it| it.vm.as_str()).collect();
     format!(
         "VM {} grants a lease at {}: voters {}, revision {} required",
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -38,7 +38,7 @@
 
 /// The invariants of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Promise {
+pub enum Invariant {
     /// The invariants of the log.
     Safety,
     /// No leader steps down. Only for scenarios in which no leader has to.
@@ -53,11 +53,11 @@
     /// The numbers of events.
     pub budget: Budget,
     /// The VMs whose election timer may expire.
-    pub restless: Vec<u32>,
+    pub may_campaign: Vec<u32>,
     /// The VMs that may crash or lose their disk.
-    pub frail: Vec<u32>,
+    pub may_fail: Vec<u32>,
     /// The invariants.
-    pub promise: Promise,
+    pub invariant: Invariant,
 }
 
 /// The state of the VMs and messages, with the remaining budget.
@@ -128,18 +128,18 @@
     #[must_use]
     pub fn next(&self, scenario: &Scenario) -> Vec<(Step, Self)> {
         let mut all = Vec::new();
-        self.deliveries(&mut all);
+        self.delivery_events(&mut all);
         for vm in 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX) {
             if self.world.leads(vm) {
-                self.by_leader(vm, &mut all);
-            } else if scenario.restless.contains(&vm) {
+                self.leader_events(vm, &mut all);
+            } else if scenario.may_campaign.contains(&vm) {
                 let spend = |budget: &mut Budget| take(&mut budget.elections);
                 let timeout = event::Event::ElectionTimeout;
                 self.push(&mut all, Step::ElectionTimeout(vm), spend, |world| {
                     world.step(vm, timeout);
                 });
             }
-            if scenario.frail.contains(&vm) {
+            if scenario.may_fail.contains(&vm) {
                 let spend = |budget: &mut Budget| take(&mut budget.crashes);
                 self.push(&mut all, Step::Crash(vm), spend, |world| world.restart(vm));
                 let spend = |budget: &mut Budget| take(&mut budget.disks);
@@ -151,7 +151,7 @@
         all
     }
 
-    fn deliveries(&self, all: &mut Vec<(Step, Self)>) {
+    fn delivery_events(&self, all: &mut Vec<(Step, Self)>) {
         for (digest, envelope) in &self.world.network {
             let mut next = self.clone();
             if next.world.deliver(*digest, false) {
@@ -164,9 +164,9 @@
             let vm = envelope.message.to.vm;
             let mut next = self.clone();
             next.world.network.remove(digest);
-            let event = world::event_of(envelope);
+            let event = world::delivery_event(envelope);
             if take(&mut next.budget.crashes)
-                && let Some(world) = next.world.crash_in(vm, event)
+                && let Some(world) = next.world.step_and_crash(vm, event)
             {
                 next.world = world;
                 all.push((Step::DeliverAndCrash(sync::Arc::clone(envelope)), next));
@@ -174,7 +174,7 @@
         }
     }
 
-    fn by_leader(&self, vm: u32, all: &mut Vec<(Step, Self)>) {
+    fn leader_events(&self, vm: u32, all: &mut Vec<(Step, Self)>) {
         let spend = |budget: &mut Budget| take(&mut budget.heartbeats);
         let heartbeat = event::Event::HeartbeatDue;
         self.push(all, Step::Heartbeats(vm), spend, |world| {
@@ -245,13 +245,13 @@
         state.next(self)
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        let promises = &state.world.promises;
-        let begun = &self.world.promises.stepped_down;
-        match self.promise {
-            Promise::Safety => promises.broken.clone(),
-            Promise::NoStepDown => {
-                promises.stepped_down.difference(begun).next().map(|term| {
+    fn violation(&self, state: &State) -> Option<String> {
+        let history = &state.world.history;
+        let begun = &self.world.history.stepped_down;
+        match self.invariant {
+            Invariant::Safety => history.violation.clone(),
+            Invariant::NoStepDown => {
+                history.stepped_down.difference(begun).next().map(|term| {
                     format!("the leader of term {term} steps down, though nothing failed")
                 })
             }
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -5,7 +5,7 @@
 
 use sageshed_quorum::{config, event, log};
 
-use super::{Budget, Promise, Scenario, id, world};
+use super::{Budget, Invariant, Scenario, id, world};
 
 /// The log's guards with `guard` turned off. None if there is no such guard.
 #[must_use]
@@ -101,8 +101,8 @@
         ..Budget::default()
     };
     Scenario {
-        restless: vec![1, 2, 3],
-        frail: vec![2],
+        may_campaign: vec![1, 2, 3],
+        may_fail: vec![2],
         ..scenario(script.world, budget)
     }
 }
@@ -152,10 +152,10 @@
         elections: 1,
         ..Budget::default()
     };
-    script.wake_leaders();
+    script.run_heartbeat_rounds();
     Scenario {
-        restless: vec![3],
-        frail: Vec::new(),
+        may_campaign: vec![3],
+        may_fail: Vec::new(),
         ..scenario(script.world, budget)
     }
 }
@@ -186,23 +186,23 @@
     script.elect(1, &[1, 2, 3, 4]);
     script.change(1, event::Change::AddLearner(id(5, 1)), &[1, 2, 3, 4, 5]);
     script.world.step(1, event::Event::HeartbeatDue);
-    script.settle(&[1, 2, 3, 4, 5]);
+    script.deliver_all(&[1, 2, 3, 4, 5]);
     script.change(1, event::Change::Promote(id(5, 1)), &[1, 5]);
     script.world.step(2, event::Event::ElectionTimeout);
     script.deliver_votes(&[2, 3, 4]);
     script.world.step(1, event::Event::QuorumLost);
     script.world.step(1, event::Event::ElectionTimeout);
     script.world.lose_messages();
-    script.world.apart = [1, 4, 5].into();
-    script.wake_leaders();
+    script.world.partitioned = [1, 4, 5].into();
+    script.run_heartbeat_rounds();
     let budget = Budget {
         elections: 1,
         changes: vec![event::Change::Remove(id(1, 1))],
         ..Budget::default()
     };
     Scenario {
-        restless: vec![1],
-        frail: Vec::new(),
+        may_campaign: vec![1],
+        may_fail: Vec::new(),
         ..scenario(script.world, budget)
     }
 }
@@ -220,9 +220,9 @@
         ..Budget::default()
     };
     Scenario {
-        restless: vec![3],
-        frail: Vec::new(),
-        promise: Promise::NoStepDown,
+        may_campaign: vec![3],
+        may_fail: Vec::new(),
+        invariant: Invariant::NoStepDown,
         ..scenario(script.world, budget)
     }
 }
@@ -238,8 +238,8 @@
         ..Budget::default()
     };
     Scenario {
-        restless: vec![2],
-        frail: Vec::new(),
+        may_campaign: vec![2],
+        may_fail: Vec::new(),
         ..scenario(script.world, budget)
     }
 }
@@ -251,7 +251,7 @@
     let mut script = with_learner(guards);
     script.change(3, event::Change::Promote(id(4, 1)), &[1, 3, 4]);
     script.change(3, event::Change::Remove(id(1, 1)), &[3, 4]);
-    script.world.apart = [1, 2].into();
+    script.world.partitioned = [1, 2].into();
     let budget = Budget {
         proposals: 1,
         ..Budget::default()
@@ -289,7 +289,7 @@
     script.elect(3, &[1, 2, 3]);
     script.change(3, event::Change::AddLearner(id(4, 1)), &[1, 2, 3, 4]);
     script.world.step(3, event::Event::HeartbeatDue);
-    script.settle(&[1, 2, 3, 4]);
+    script.deliver_all(&[1, 2, 3, 4]);
     script
 }
 
@@ -305,9 +305,9 @@
     Scenario {
         world,
         budget,
-        restless: vec![1, 2, 3],
-        frail: vec![1, 2, 3],
-        promise: Promise::Safety,
+        may_campaign: vec![1, 2, 3],
+        may_fail: vec![1, 2, 3],
+        invariant: Invariant::Safety,
     }
 }
 
@@ -332,7 +332,7 @@
     /// Lets `vm` campaign, with messages delivered among these VMs only.
     fn elect(&mut self, vm: u32, among: &[u32]) {
         self.world.step(vm, event::Event::ElectionTimeout);
-        self.settle(among);
+        self.deliver_all(among);
     }
 
     fn propose(&mut self, vm: u32, command: u8, among: &[u32]) {
@@ -342,7 +342,7 @@
             payload,
         };
         self.world.step(vm, propose);
-        self.settle(among);
+        self.deliver_all(among);
     }
 
     fn change(&mut self, vm: u32, change: event::Change, among: &[u32]) {
@@ -351,11 +351,11 @@
             change,
         };
         self.world.step(vm, change);
-        self.settle(among);
+        self.deliver_all(among);
     }
 
     /// Runs the rounds of heartbeats after which leaders send their first messages, which were lost, again.
-    fn wake_leaders(&mut self) {
+    fn run_heartbeat_rounds(&mut self) {
         let vms = 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX);
         let leaders: Vec<_> = vms.filter(|vm| self.world.leads(*vm)).collect();
         for vm in leaders {
@@ -366,7 +366,7 @@
     }
 
     /// Delivers messages among these VMs until there are none, then drops the others.
-    fn settle(&mut self, among: &[u32]) {
+    fn deliver_all(&mut self, among: &[u32]) {
         self.deliver(among, |_| true);
     }
 
--- a/spec/src/log/world.rs
+++ b/spec/src/log/world.rs
@@ -40,7 +40,7 @@
             } => {
                 write!(f, "append after {}/{} ", prev.index, prev.term)?;
                 for entry in entries {
-                    write!(f, "[{}] ", Shown(entry))?;
+                    write!(f, "[{}] ", EntryDisplay(entry))?;
                 }
                 write!(f, "commit {commit}")
             }
@@ -50,15 +50,15 @@
 }
 
 /// Formats an entry in a few characters.
-pub struct Shown<'e>(pub &'e log::Entry);
+pub struct EntryDisplay<'e>(pub &'e log::Entry);
 
-impl fmt::Debug for Shown<'_> {
+impl fmt::Debug for EntryDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for EntryDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self(entry) = self;
         write!(f, "{}/{} ", entry.index, entry.term)?;
@@ -85,7 +85,7 @@
 
 /// The facts that later states must not contradict, and the first contradiction found.
 #[derive(Debug, Clone, Default, Hash)]
-pub struct Promises {
+pub struct History {
     /// The entries applied by any node, with the term in which each was first known to be committed.
     pub committed: Vec<(log::Entry, log::Term)>,
     /// The leader of each term.
@@ -93,10 +93,10 @@
     /// The terms whose leader stepped down.
     pub stepped_down: collections::BTreeSet<log::Term>,
     /// The violated invariant.
-    pub broken: Option<String>,
+    pub violation: Option<String>,
 }
 
-impl Promises {
+impl History {
     fn apply(&mut self, node: &node::Node, entries: Vec<log::Entry>) {
         for entry in entries {
             let at = usize::try_from(entry.index.0).unwrap_or(usize::MAX) - 1;
@@ -104,9 +104,9 @@
                 None => self.committed.push((entry, node.status().term)),
                 Some((known, _)) if *known == entry => {}
                 Some((known, _)) => {
-                    let (known, entry) = (Shown(known), Shown(&entry));
+                    let (known, entry) = (EntryDisplay(known), EntryDisplay(&entry));
                     let id = node.id();
-                    self.broken =
+                    self.violation =
                         Some(format!("{id} applies [{entry}], and [{known}] was applied"));
                 }
             }
@@ -114,18 +114,18 @@
     }
 
     /// Checks a new leader, whose log is `log`.
-    fn lead(&mut self, id: log::NodeId, term: log::Term, log: &[log::Entry]) {
+    fn check_new_leader(&mut self, id: log::NodeId, term: log::Term, log: &[log::Entry]) {
         if let Some(other) = self.leaders.insert(term, id)
             && other != id
         {
-            self.broken = Some(format!("{other} and {id} both lead in term {term}"));
+            self.violation = Some(format!("{other} and {id} both lead in term {term}"));
         }
         let earlier = self.committed.iter().filter(|(_, known)| *known < term);
         for (entry, known) in earlier {
             let at = usize::try_from(entry.index.0).unwrap_or(usize::MAX) - 1;
             if log.get(at) != Some(entry) {
-                let entry = Shown(entry);
-                self.broken = Some(format!(
+                let entry = EntryDisplay(entry);
+                self.violation = Some(format!(
                     "{id} leads in term {term} without [{entry}], committed in term {known}"
                 ));
             }
@@ -141,9 +141,9 @@
     /// The messages in flight, by digest, so that states do not differ by the order of sending.
     pub network: collections::BTreeMap<u64, sync::Arc<Envelope>>,
     /// The facts that must not be contradicted.
-    pub promises: Promises,
+    pub history: History,
     /// VMs that are partitioned from the others, but not from each other.
-    pub apart: sync::Arc<[u32]>,
+    pub partitioned: sync::Arc<[u32]>,
     settings: sync::Arc<Settings>,
 }
 
@@ -167,7 +167,7 @@
         for digest in self.network.keys() {
             digest.hash(hasher);
         }
-        self.promises.hash(hasher);
+        self.history.hash(hasher);
     }
 }
 
@@ -205,8 +205,8 @@
         Self {
             vms: vms.collect(),
             network: collections::BTreeMap::new(),
-            promises: Promises::default(),
-            apart: sync::Arc::default(),
+            history: History::default(),
+            partitioned: sync::Arc::default(),
             settings,
         }
     }
@@ -214,7 +214,7 @@
     /// The status of a VM's node.
     #[must_use]
     pub fn status(&self, vm: u32) -> status::Status {
-        self.vms[place(vm)].node.status()
+        self.vms[vm_index(vm)].node.status()
     }
 
     /// Whether this VM's node is a leader.
@@ -231,7 +231,7 @@
     /// Like [`Self::step`], but the process crashes before its write and restarts from its disk. None if the
     /// guards prevent actions before the write, since this is then equivalent to a crash before the event.
     #[must_use]
-    pub fn crash_in(&self, vm: u32, event: event::Event) -> Option<Self> {
+    pub fn step_and_crash(&self, vm: u32, event: event::Event) -> Option<Self> {
         if self.settings.guards.sync {
             return None;
         }
@@ -251,16 +251,16 @@
             self.network.remove(&digest);
         }
         let vm = envelope.message.to.vm;
-        let before = sync::Arc::clone(&self.vms[place(vm)].node);
+        let before = sync::Arc::clone(&self.vms[vm_index(vm)].node);
         let sent = self.network.len();
-        self.step(vm, event_of(&envelope));
-        *before.state() != *self.vms[place(vm)].node.state() || self.network.len() != sent
+        self.step(vm, delivery_event(&envelope));
+        *before.state() != *self.vms[vm_index(vm)].node.state() || self.network.len() != sent
     }
 
     /// Restarts the process of `vm` from its disk.
     pub fn restart(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
-        let vm = &mut self.vms[place(vm)];
+        let vm = &mut self.vms[vm_index(vm)];
         let disk = log::PersistedState::clone(&vm.disk);
         vm.node = sync::Arc::new(start(vm.node.id(), disk, &settings));
         self.prune();
@@ -270,7 +270,7 @@
     /// membership from its settings, as at the first start, and thereby its old id.
     pub fn lose_disk(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
-        let vm = &mut self.vms[place(vm)];
+        let vm = &mut self.vms[vm_index(vm)];
         let mut id = vm.node.id();
         id.generation += 1;
         let mut disk = log::PersistedState::default();
@@ -288,25 +288,25 @@
     }
 
     fn step_until(&mut self, vm: u32, event: event::Event, until: Until) {
-        let mut node = node::Node::clone(&self.vms[place(vm)].node);
+        let mut node = node::Node::clone(&self.vms[vm_index(vm)].node);
         let actions = node.step(NOW, event);
         let id = node.id();
-        self.vms[place(vm)].node = sync::Arc::new(node);
+        self.vms[vm_index(vm)].node = sync::Arc::new(node);
         for action in actions {
             match action {
                 event::Action::Persist(_) if until == Until::Write => return,
                 event::Action::Persist(write) => self.persist(vm, write),
                 event::Action::Send { message, .. } => self.send(id, message),
                 event::Action::Apply(entries) => {
-                    let node = sync::Arc::clone(&self.vms[place(vm)].node);
-                    self.promises.apply(&node, entries);
+                    let node = sync::Arc::clone(&self.vms[vm_index(vm)].node);
+                    self.history.apply(&node, entries);
                 }
                 event::Action::BecameLeader { term } => {
-                    let disk = sync::Arc::clone(&self.vms[place(vm)].disk);
-                    self.promises.lead(id, term, &disk.entries);
+                    let disk = sync::Arc::clone(&self.vms[vm_index(vm)].disk);
+                    self.history.check_new_leader(id, term, &disk.entries);
                 }
                 event::Action::SteppedDown { term } => {
-                    self.promises.stepped_down.insert(term);
+                    self.history.stepped_down.insert(term);
                 }
                 _ => {}
             }
@@ -315,7 +315,7 @@
     }
 
     fn persist(&mut self, vm: u32, write: log::LogWrite) {
-        let disk = sync::Arc::make_mut(&mut self.vms[place(vm)].disk);
+        let disk = sync::Arc::make_mut(&mut self.vms[vm_index(vm)].disk);
         if let Some(hard_state) = write.hard_state {
             disk.hard_state = hard_state;
         }
@@ -331,8 +331,8 @@
             message::Body::Heartbeat { commit, .. } => commit.0 == 0,
             _ => false,
         };
-        let apart = |id: log::NodeId| self.apart.contains(&id.vm);
-        if idle || apart(from) != apart(message.to) {
+        let partitioned = |id: log::NodeId| self.partitioned.contains(&id.vm);
+        if idle || partitioned(from) != partitioned(message.to) {
             return;
         }
         let envelope = Envelope { from, message };
@@ -347,13 +347,15 @@
         let vms = &self.vms;
         self.network.retain(|_, envelope| {
             let message = &envelope.message;
-            let Some(vm) = vms.get(place(message.to.vm)) else {
+            let Some(vm) = vms.get(vm_index(message.to.vm)) else {
                 return false;
             };
             let status = vm.node.status();
             let pre_vote = matches!(message.body, message::Body::PreVoteReply { .. });
             // The reply to such a message tells its sender, a leader, that its term is outdated.
-            let sender = vms.get(place(envelope.from.vm)).map(|vm| vm.node.status());
+            let sender = vms
+                .get(vm_index(envelope.from.vm))
+                .map(|vm| vm.node.status());
             let from_leader = sender.is_some_and(|sender| {
                 sender.role == status::Role::Leader && sender.term == message.term
             });
@@ -375,14 +377,14 @@
 
 /// The event that delivers a message.
 #[must_use]
-pub fn event_of(envelope: &Envelope) -> event::Event {
+pub fn delivery_event(envelope: &Envelope) -> event::Event {
     event::Event::Message {
         from: envelope.from,
         message: envelope.message.clone(),
     }
 }
 
-fn place(vm: u32) -> usize {
+fn vm_index(vm: u32) -> usize {
     vm as usize - 1
 }
 
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -58,7 +58,7 @@
 
 /// An action of a leader after an order is committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Todo {
+pub enum LeaderAction {
     /// Send the order.
     Send(endpoints::Order),
     /// Remove these orders from the table.
@@ -87,7 +87,7 @@
         }
     }
 
-    fn note(&mut self) {
+    fn update_digest(&mut self) {
         let mut hasher = DefaultHasher::new();
         format!("{:?}", self.ledger.engines()).hash(&mut hasher);
         self.digest = hasher.finish();
@@ -143,17 +143,17 @@
     /// Records a proposal that [`Self::may_propose`] allows.
     pub fn propose(&mut self, key: EndpointKey, task: orders::Task) {
         drop(self.ledger.propose(key, task));
-        self.note();
+        self.update_digest();
     }
 
     /// Handles a committed order. `refused` is set if the engine refuses the connection.
-    pub fn committed(&mut self, order: &endpoints::Order, refused: bool) -> Vec<Todo> {
-        let todo = self.take_in(order, refused);
-        self.note();
-        todo
+    pub fn committed(&mut self, order: &endpoints::Order, refused: bool) -> Vec<LeaderAction> {
+        let actions = self.handle_committed(order, refused);
+        self.update_digest();
+        actions
     }
 
-    fn take_in(&mut self, order: &endpoints::Order, refused: bool) -> Vec<Todo> {
+    fn handle_committed(&mut self, order: &endpoints::Order, refused: bool) -> Vec<LeaderAction> {
         if self.term.is_none() {
             return Vec::new();
         }
@@ -163,22 +163,22 @@
         let engine = engine.clone();
         let allowed = ours && self.allows(&engine, task);
         let removed = self.ledger.add(NOW, order.clone(), !ours);
-        let mut todo = vec![Todo::Settle(removed)];
+        let mut actions = vec![LeaderAction::Settle(removed)];
         if !ours {
-            return todo;
+            return actions;
         }
         if allowed {
             self.count_send(order.order);
         }
         if allowed && !refused {
-            todo.push(Todo::Send(order.clone()));
-            return todo;
+            actions.push(LeaderAction::Send(order.clone()));
+            return actions;
         }
         let engine = self.ledger.engine_mut(&order.endpoint);
         if engine.cancel_unsent(order.order) {
-            todo.push(Todo::Settle(vec![order.order]));
+            actions.push(LeaderAction::Settle(vec![order.order]));
         }
-        todo
+        actions
     }
 
     /// Handles the committed removal of these orders from the table.
@@ -188,7 +188,7 @@
                 engine.remove(*id);
             }
         }
-        self.note();
+        self.update_digest();
     }
 
     fn count_send(&mut self, id: endpoints::OrderId) {
@@ -210,7 +210,7 @@
             let add = |order| self.ledger.add(NOW, order, false);
             open.into_iter().flat_map(add).collect()
         };
-        self.note();
+        self.update_digest();
         removed
     }
 
@@ -218,7 +218,7 @@
     pub fn follow(&mut self) {
         self.term = None;
         self.ledger.clear_orders();
-        self.note();
+        self.update_digest();
     }
 
     /// Whether `report` is newer than the latest known one.
@@ -236,7 +236,7 @@
             let settled = engine.orders.iter().filter(|open| open.is_settled());
             removed.extend(settled.map(|open| open.order.order));
         }
-        self.note();
+        self.update_digest();
         removed
     }
 
@@ -259,7 +259,7 @@
     /// The models in its memory, initially and after each order.
     history: Vec<Vec<String>>,
     /// The received orders, and whether each was executed.
-    came: Vec<(endpoints::OrderId, bool)>,
+    received: Vec<(endpoints::OrderId, bool)>,
     highest: endpoints::Fence,
 }
 
@@ -269,7 +269,7 @@
     pub fn new(held: &[&str]) -> Self {
         Self {
             history: vec![held.iter().map(ToString::to_string).collect()],
-            came: Vec::new(),
+            received: Vec::new(),
             highest: endpoints::Fence::default(),
         }
     }
@@ -289,12 +289,12 @@
     /// Executes an order. With `once`, ignores a duplicate. With `fenced`, refuses an order with an outdated
     /// fencing token.
     pub fn run(&mut self, order: &endpoints::Order, once: bool, fenced: bool) {
-        if once && self.came.iter().any(|(id, _)| *id == order.order) {
+        if once && self.received.iter().any(|(id, _)| *id == order.order) {
             return;
         }
         let stale = fenced && order.fence < self.highest;
         self.highest = self.highest.max(order.fence);
-        self.came.push((order.order, !stale));
+        self.received.push((order.order, !stale));
         let held = if stale {
             self.held().to_vec()
         } else {
@@ -347,7 +347,7 @@
                 endpoints::OrderOutcome::Refused { problem }
             },
         };
-        let results = self.came[..number].iter().map(result);
+        let results = self.received[..number].iter().map(result);
         endpoints::Report {
             identity: endpoints::Identity {
                 endpoint: name.to_owned(),
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -108,7 +108,7 @@
     /// They execute all orders that they receive. Messages are not duplicated, and orders are not resent.
     Plain,
     /// They execute each order once. Messages may be duplicated.
-    Knowing,
+    Deduplicating,
     /// They also refuse fencing tokens lower than the highest that they have seen. Orders that no report has
     /// shown are resent.
     Fenced,
@@ -141,7 +141,7 @@
     network: collections::BTreeMap<u64, endpoints::Order>,
     engines: [leader::Engine; 2],
     /// The models that were reachable at some time.
-    reached: collections::BTreeSet<String>,
+    reachable: collections::BTreeSet<String>,
     proposals: u32,
     elections: u32,
     copies: u32,
@@ -159,7 +159,7 @@
     }
 }
 
-type Nexts = Vec<(Event, State)>;
+type Successors = Vec<(Event, State)>;
 
 impl State {
     fn elect(&mut self, by: usize) {
@@ -216,15 +216,15 @@
             fence: endpoints::Fence(id.0),
             task: order.task,
         };
-        for todo in self.leader(by).committed(&order, false) {
-            self.carry_out(by, todo);
+        for actions in self.leader(by).committed(&order, false) {
+            self.carry_out(by, actions);
         }
     }
 
-    fn carry_out(&mut self, by: usize, todo: leader::Todo) {
-        match todo {
-            leader::Todo::Send(order) => drop(self.network.insert(order.order.0, order)),
-            leader::Todo::Settle(orders) => self.settle_later(by, orders),
+    fn carry_out(&mut self, by: usize, actions: leader::LeaderAction) {
+        match actions {
+            leader::LeaderAction::Send(order) => drop(self.network.insert(order.order.0, order)),
+            leader::LeaderAction::Settle(orders) => self.settle_later(by, orders),
         }
     }
 
@@ -246,8 +246,8 @@
                     return;
                 };
                 for order in orders {
-                    for todo in self.leader(by).committed(&order, refused) {
-                        self.carry_out(by, todo);
+                    for actions in self.leader(by).committed(&order, refused) {
+                        self.carry_out(by, actions);
                     }
                 }
             }
@@ -269,22 +269,22 @@
             let fenced = spec.engines == Engines::Fenced;
             self.engines[place].run(&order, knows, fenced);
         }
-        self.note_reached();
+        self.record_reachable();
     }
 
-    fn note_reached(&mut self) {
+    fn record_reachable(&mut self) {
         let held = self.engines.iter().flat_map(leader::Engine::held);
-        self.reached.extend(held.cloned());
+        self.reachable.extend(held.cloned());
     }
 
-    fn push(&self, all: &mut Nexts, event: String, act: impl FnOnce(&mut Self) -> bool) {
+    fn push(&self, all: &mut Successors, event: String, act: impl FnOnce(&mut Self) -> bool) {
         let mut next = self.clone();
         if act(&mut next) {
             all.push((Event(event), next));
         }
     }
 
-    fn by_leaders(&self, spec: Orders, all: &mut Nexts) {
+    fn leader_events(&self, spec: Orders, all: &mut Successors) {
         for by in 0..self.leaders.len() {
             let name = format!("control {}", by + 1);
             if self.elections > 0 {
@@ -307,13 +307,13 @@
                     },
                 );
             }
-            self.proposals_of(by, spec, all);
-            self.reports_to(by, spec, all);
-            self.resends_of(by, spec, all);
+            self.proposal_events(by, spec, all);
+            self.report_events(by, spec, all);
+            self.resend_events(by, spec, all);
         }
     }
 
-    fn proposals_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn proposal_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         if self.proposals == 0 || self.leaders[by].term.is_none() {
             return;
         }
@@ -323,7 +323,7 @@
         };
         for endpoint in engines {
             for task in tasks() {
-                let event = format!("control {} proposes: {}", by + 1, shown(endpoint, &task));
+                let event = format!("control {} proposes: {}", by + 1, describe(endpoint, &task));
                 self.push(all, event, |next| {
                     next.proposals -= 1;
                     next.propose(by, endpoint, task.clone(), spec)
@@ -332,7 +332,7 @@
         }
     }
 
-    fn reports_to(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn report_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         for (name, engine) in leader::ENGINES.iter().zip(&self.engines) {
             for report in engine.reports(name, spec.says_fenced()) {
                 if !self.leaders[by].is_newer(&report) {
@@ -353,12 +353,12 @@
         }
     }
 
-    fn commands_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn commit_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         let Some(command) = self.waiting[by].front() else {
             return;
         };
         let what = match command {
-            Command::Issue { order, .. } => shown(&order.endpoint, &order.task),
+            Command::Issue { order, .. } => describe(&order.endpoint, &order.task),
             Command::Settle(orders) => {
                 let ids: Vec<_> = orders.iter().map(ToString::to_string).collect();
                 format!("settled: order {}", ids.join(", "))
@@ -390,7 +390,7 @@
         }
     }
 
-    fn resends_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn resend_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         let resends = spec.engines == Engines::Fenced || !spec.guards.no_resend;
         if !resends || self.copies == 0 {
             return;
@@ -421,7 +421,7 @@
     })
 }
 
-fn shown(endpoint: &str, task: &endpoints::OrderTask) -> String {
+fn describe(endpoint: &str, task: &endpoints::OrderTask) -> String {
     match task {
         endpoints::OrderTask::Load { model, .. } => format!("load {model} on {endpoint}"),
         endpoints::OrderTask::Unload { model, .. } => format!("unload {model} from {endpoint}"),
@@ -450,7 +450,7 @@
             waiting: Default::default(),
             network: collections::BTreeMap::new(),
             engines: [first, full],
-            reached: collections::BTreeSet::new(),
+            reachable: collections::BTreeSet::new(),
             proposals: self.proposals,
             elections: self.elections,
             copies: 1,
@@ -465,23 +465,23 @@
             }
         }
         state.elect(0);
-        state.note_reached();
+        state.record_reachable();
         state
     }
 
-    fn next(&self, state: &State) -> Nexts {
+    fn next(&self, state: &State) -> Successors {
         let mut all = Vec::new();
-        state.by_leaders(*self, &mut all);
+        state.leader_events(*self, &mut all);
         for by in 0..state.waiting.len() {
-            state.commands_of(by, *self, &mut all);
+            state.commit_events(by, *self, &mut all);
         }
         for (id, order) in &state.network {
-            let what = shown(&order.endpoint, &order.task);
+            let what = describe(&order.endpoint, &order.task);
             state.push(&mut all, format!("order {id} arrives: {what}"), |next| {
                 next.arrive(*id, false, *self);
                 true
             });
-            if self.engines == Engines::Knowing && state.copies > 0 {
+            if self.engines == Engines::Deduplicating && state.copies > 0 {
                 let event = format!("order {id} arrives: {what} (a copy stays under way)");
                 state.push(&mut all, event, |next| {
                     next.copies -= 1;
@@ -493,7 +493,7 @@
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         for (name, engine) in leader::ENGINES.iter().zip(&state.engines) {
             let (taken, held) = (engine.taken_mib(), engine.held().join(" "));
             if taken > leader::CAPACITY_MIB {
@@ -501,7 +501,7 @@
             }
         }
         let held = |model: &String| state.engines.iter().any(|it| it.held().contains(model));
-        let lost = state.reached.iter().find(|model| !held(model))?;
+        let lost = state.reachable.iter().find(|model| !held(model))?;
         Some(format!("the last route to {lost} is gone"))
     }
 }
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -22,7 +22,7 @@
 
 /// The timeout after which a voter is silent. One that answered at [`NOW`] is not, one that never answered
 /// is.
-const SILENCE: time::Millis = time::Millis(1);
+const SILENCE_TIMEOUT: time::Millis = time::Millis(1);
 
 const NOW: time::Instant = time::Instant(10);
 
@@ -150,7 +150,7 @@
 impl Repair {
     fn policy(&self) -> repair::Policy {
         let lag = if self.guards.lag { 0 } else { u64::MAX };
-        repair::Policy::tolerating(TOLERATED, lag, SILENCE)
+        repair::Policy::tolerating(TOLERATED, lag, SILENCE_TIMEOUT)
     }
 
     /// The change that the leader on `vm` requests if it considers the VM `silent` silent.
@@ -167,11 +167,11 @@
             joiners: &joiners,
         };
         let change = self.policy().next_change(view)?;
-        Some(self.in_order(change, &status, &joiners))
+        Some(self.apply_order_guard(change, &status, &joiners))
     }
 
     /// Without the guard `remove_first`, promotes a learner before the voter that it replaces is removed.
-    fn in_order(
+    fn apply_order_guard(
         &self,
         change: event::Change,
         status: &status::Status,
@@ -200,11 +200,11 @@
             .may_acknowledge(&status.membership, was_complete)
     }
 
-    fn by_leader(&self, state: &State, vm: u32, all: &mut Vec<(Step, State)>) {
+    fn leader_events(&self, state: &State, vm: u32, all: &mut Vec<(Step, State)>) {
         let voters = state.world.status(vm).membership.voters;
         let others = voters.iter().map(|id| id.vm).filter(|it| *it != vm);
         for silent in others.map(Some).chain([None]) {
-            let Some(next) = state.without(silent) else {
+            let Some(next) = state.with_silent(silent) else {
                 continue;
             };
             let Some(change) = self.change(state, vm, silent) else {
@@ -242,7 +242,7 @@
 
 impl State {
     /// The state in which the VM `silent` counts as lost. None if the group does not tolerate that now.
-    fn without(&self, silent: Option<u32>) -> Option<Self> {
+    fn with_silent(&self, silent: Option<u32>) -> Option<Self> {
         let mut next = self.clone();
         let Some(vm) = silent else {
             return Some(next);
@@ -255,12 +255,12 @@
 
     fn after(mut self, act: impl FnOnce(&mut world::World)) -> Self {
         act(&mut self.world);
-        self.note_acknowledged();
-        self.note_returned();
+        self.record_acknowledged();
+        self.update_lost();
         self
     }
 
-    fn note_acknowledged(&mut self) {
+    fn record_acknowledged(&mut self) {
         for vm in &self.world.vms {
             let status = vm.node.status();
             if status.role != status::Role::Leader {
@@ -277,8 +277,8 @@
     }
 
     /// Removes VMs from the lost ones that vote again or are not needed any more by a complete group.
-    fn note_returned(&mut self) {
-        let committed = &self.world.promises.committed;
+    fn update_lost(&mut self) {
+        let committed = &self.world.history.committed;
         let newest = committed
             .iter()
             .rev()
@@ -302,7 +302,7 @@
     }
 
     /// Returns a violation if no VM can be elected, or one that lacks acknowledged commands.
-    fn lost_promise(&self) -> Option<String> {
+    fn acknowledgement_violation(&self) -> Option<String> {
         if self.acknowledged.is_empty() {
             return None;
         }
@@ -377,7 +377,7 @@
         }
         for vm in 1..=u32::try_from(state.world.vms.len()).unwrap_or(u32::MAX) {
             if state.world.leads(vm) {
-                self.by_leader(state, vm, &mut all);
+                self.leader_events(state, vm, &mut all);
             }
             let may_lose = state.losses > 0 && !state.lost.contains(&vm);
             if may_lose && state.lost.len() < TOLERATED {
@@ -391,8 +391,11 @@
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        let promises = &state.world.promises;
-        promises.broken.clone().or_else(|| state.lost_promise())
+    fn violation(&self, state: &State) -> Option<String> {
+        let history = &state.world.history;
+        history
+            .violation
+            .clone()
+            .or_else(|| state.acknowledgement_violation())
     }
 }
--- a/spec/src/run.rs
+++ b/spec/src/run.rs
@@ -6,19 +6,19 @@
 
 /// A specification with the guards that can be turned off.
 #[derive(Debug, Clone, Copy)]
-pub struct Entry {
+pub struct SpecEntry {
     /// Its name on the command line.
     pub name: &'static str,
     /// Guards without which an invariant is violated.
     pub needed: &'static [&'static str],
     /// Guards that are not needed for the invariants.
-    pub spare: &'static [&'static str],
+    pub optional: &'static [&'static str],
     /// The limits of a run on the command line.
     pub bound: explore::Bound,
     explore: fn(Option<&str>, explore::Bound) -> Option<explore::Report>,
 }
 
-impl Entry {
+impl SpecEntry {
     /// Explores the specification, with the guard `without` turned off if one is given. None if there is no
     /// such guard.
     #[must_use]
@@ -83,102 +83,102 @@
 }
 
 /// All specifications.
-pub const ALL: &[Entry] = &[
-    Entry {
+pub const ALL: &[SpecEntry] = &[
+    SpecEntry {
         name: "log-elections",
         needed: &["sync"],
-        spare: &["check_quorum"],
+        optional: &["check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::elections, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-bare-elections",
         needed: &["sync"],
-        spare: &["pre_vote", "stickiness"],
+        optional: &["pre_vote", "stickiness"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::bare_elections, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-lagging",
         needed: &["generation", "up_to_date"],
-        spare: &["pre_vote", "stickiness", "check_quorum"],
+        optional: &["pre_vote", "stickiness", "check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::lagging, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-bare-lagging",
         needed: &["generation", "up_to_date"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::bare_lagging, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-repair",
         needed: &[],
-        spare: &["caught_up"],
+        optional: &["caught_up"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::repair, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-second-loss",
         needed: &[],
-        spare: &["caught_up"],
+        optional: &["caught_up"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::second_loss, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-old-entry",
         needed: &["own_term_commit"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::old_entry, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-two-changes",
         needed: &["single_change"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::two_changes, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-two-leaders",
         needed: &["own_term_change"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::two_leaders, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-cut-off",
         needed: &["pre_vote", "stickiness"],
-        spare: &["check_quorum"],
+        optional: &["check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::cut_off, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-growth",
         needed: &["complete"],
-        spare: &["remove_first", "lag"],
+        optional: &["remove_first", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::growth, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-wiped",
         needed: &["remove_first"],
-        spare: &["complete", "lag"],
+        optional: &["complete", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::wiped, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-replaced",
         needed: &[],
-        spare: &["complete", "lag"],
+        optional: &["complete", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::replaced, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "suspensions",
         needed: &["lease", "majority", "boot_clock"],
-        spare: &[],
+        optional: &[],
         bound: bound(80, 2_000_000),
         explore: |without, bound| {
             let guards = suspensions::Guards::without(without)?;
@@ -189,7 +189,7 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders",
         needed: &[
             "commit_first",
@@ -198,17 +198,17 @@
             "wait_for_restored",
             "term",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = ORDERS;
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-lost-commands",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -218,23 +218,23 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-doubled",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
-                engines: orders::Engines::Knowing,
+                engines: orders::Engines::Deduplicating,
                 ..ORDERS
             };
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-fenced",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -244,10 +244,10 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-fenced-lost-commands",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -258,7 +258,7 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-memory",
         needed: &[
             "commit_first",
@@ -267,27 +267,27 @@
             "keep_settled",
             "term",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = MEMORY;
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-memory-doubled",
         needed: &["order_ids"],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
-                engines: orders::Engines::Knowing,
+                engines: orders::Engines::Deduplicating,
                 ..MEMORY
             };
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "claims",
         needed: &[
             "gone_is_unknown",
@@ -298,7 +298,7 @@
             "grant_age",
             "incarnation",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 2_000_000),
         explore: |without, bound| {
             let guards = claims::Guards::without(without)?;
@@ -309,10 +309,10 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "claims-three",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 2_000_000),
         explore: |without, bound| {
             let guards = claims::Guards::without(without)?;
@@ -323,24 +323,24 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "leases-change",
         needed: &["uncommitted", "required"],
-        spare: &["voters"],
+        optional: &["voters"],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::change, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "leases-removed",
         needed: &["voters", "required"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::removed, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "leases-replacement",
         needed: &["required", "uncommitted"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::replacement, without, bound),
     },
@@ -348,7 +348,7 @@
 
 /// The specification with this name.
 #[must_use]
-pub fn find(name: &str) -> Option<&'static Entry> {
+pub fn find(name: &str) -> Option<&'static SpecEntry> {
     ALL.iter().find(|entry| entry.name == name)
 }
 
@@ -383,7 +383,7 @@
 
     /// Explores the selected specifications and passes each result to `print` as text.
     pub fn run(&self, mut print: impl FnMut(&str)) -> Result<(), String> {
-        let named = |entry: &&Entry| self.name.as_deref().is_none_or(|name| name == entry.name);
+        let named = |entry: &&SpecEntry| self.name.as_deref().is_none_or(|name| name == entry.name);
         let entries: Vec<_> = ALL.iter().filter(named).collect();
         if entries.is_empty() {
             return Err(usage());
@@ -409,8 +409,8 @@
 }
 
 fn usage() -> String {
-    let line = |entry: &Entry| {
-        let guards: Vec<_> = entry.needed.iter().chain(entry.spare).copied().collect();
+    let line = |entry: &SpecEntry| {
+        let guards: Vec<_> = entry.needed.iter().chain(entry.optional).copied().collect();
         format!("\n  {} (guards: {})", entry.name, guards.join(", "))
     };
     let lines: String = ALL.iter().map(line).collect();
--- a/spec/src/suspensions.rs
+++ b/spec/src/suspensions.rs
@@ -76,7 +76,7 @@
 struct Process {
     is_suspended: bool,
     /// The number of ticks that its clock has missed while it was suspended.
-    slept: u64,
+    missed_ticks: u64,
     leads: Option<Leads>,
 }
 
@@ -95,10 +95,10 @@
     processes: [Process; 2],
     /// The process that the third voter follows, and the tick of its last heartbeat.
     follows: usize,
-    heard: u64,
+    last_heartbeat: u64,
     /// The process that issued the latest order, and the tick of the order.
     last: Option<(usize, u64)>,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 /// An event.
@@ -134,14 +134,14 @@
 impl Suspensions {
     /// The clock of a process.
     fn clock(state: &State, at: usize) -> time::Instant {
-        time::Instant((state.now - state.processes[at].slept) * TICK_MS)
+        time::Instant((state.now - state.processes[at].missed_ticks) * TICK_MS)
     }
 
-    fn ticked(&self, state: &State) -> State {
+    fn after_tick(&self, state: &State) -> State {
         let mut next = state.clone();
         next.now += 1;
         for process in &mut next.processes {
-            process.slept += u64::from(process.is_suspended && !self.guards.boot_clock);
+            process.missed_ticks += u64::from(process.is_suspended && !self.guards.boot_clock);
         }
         next
     }
@@ -172,7 +172,7 @@
             leadership: leadership::Leadership::elected(now, LEASE),
         });
         next.follows = at;
-        next.heard = state.now;
+        next.last_heartbeat = state.now;
         next
     }
 
@@ -182,36 +182,36 @@
         if let Some(leads) = &mut next.processes[at].leads {
             leads.round = round;
         }
-        next.heard = state.now;
+        next.last_heartbeat = state.now;
         next
     }
 
     /// The events possible at a process that is not suspended.
-    fn of_process(&self, state: &State, at: usize, all: &mut Vec<(Event, State)>) {
+    fn process_events(&self, state: &State, at: usize, all: &mut Vec<(Event, State)>) {
         let mut next = state.clone();
         next.processes[at].is_suspended = true;
         all.push((Event::Suspend(at), next));
-        let silent = time::Millis((state.now - state.heard) * TICK_MS);
+        let silent = time::Millis((state.now - state.last_heartbeat) * TICK_MS);
         if state.follows == at {
             all.push((Event::Heartbeat(at), Self::heartbeat(state, at)));
         } else if silent >= ELECTION_TIMEOUT {
             all.push((Event::Elect(at), Self::elect(state, at)));
         }
         if self.may_order(state, at) {
-            all.push((Event::Order(at), state.ordered(at)));
+            all.push((Event::Order(at), state.after_order(at)));
         }
     }
 }
 
 impl State {
-    fn ordered(&self, at: usize) -> Self {
+    fn after_order(&self, at: usize) -> Self {
         let mut next = self.clone();
         if let Some((other, when)) = self.last
             && other != at
             && time::Millis((self.now - when) * TICK_MS) < LEASE
         {
             let when = when * TICK_MS;
-            next.broken = Some(format!(
+            next.violation = Some(format!(
                 "process {at} orders, and process {other} has ordered at {when} ms"
             ));
         }
@@ -230,13 +230,13 @@
             now: 0,
             processes: [Process::default(); 2],
             follows: 0,
-            heard: 0,
+            last_heartbeat: 0,
             last: None,
-            broken: None,
+            violation: None,
         };
         state = Self::elect(&state, 0);
         while state.now * TICK_MS < LEASE.0 {
-            state = self.ticked(&state);
+            state = self.after_tick(&state);
             state = Self::heartbeat(&state, 0);
         }
         state
@@ -245,7 +245,7 @@
     fn next(&self, state: &State) -> Vec<(Event, State)> {
         let mut all = Vec::new();
         if state.now < self.ticks {
-            all.push((Event::Tick(state.now + 1), self.ticked(state)));
+            all.push((Event::Tick(state.now + 1), self.after_tick(state)));
         }
         for (at, process) in state.processes.iter().enumerate() {
             if process.is_suspended {
@@ -253,13 +253,13 @@
                 next.processes[at].is_suspended = false;
                 all.push((Event::Resume(at), next));
             } else {
-                self.of_process(state, at, &mut all);
+                self.process_events(state, at, &mut all);
             }
         }
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        state.broken.clone()
+    fn violation(&self, state: &State) -> Option<String> {
+        state.violation.clone()
     }
 }
--- a/spec/tests/specs/log.rs
+++ b/spec/tests/specs/log.rs
@@ -81,9 +81,9 @@
 #[test]
 fn guards_that_safety_does_not_rest_on() {
     let safety =
-        |entry: &&run::Entry| entry.name.starts_with("log-") && entry.name != "log-cut-off";
+        |entry: &&run::SpecEntry| entry.name.starts_with("log-") && entry.name != "log-cut-off";
     for entry in run::ALL.iter().filter(safety) {
-        for guard in entry.spare {
+        for guard in entry.optional {
             let bound = explore::Bound {
                 states: 20_000,
                 ..entry.bound
--- a/spec/tests/specs/run.rs
+++ b/spec/tests/specs/run.rs
@@ -34,7 +34,7 @@
             .collect()
     }
 
-    fn broken(&self, state: &u32) -> Option<String> {
+    fn violation(&self, state: &u32) -> Option<String> {
         (*state == 5).then(|| "five".to_owned())
     }
 }
@@ -49,7 +49,7 @@
     let report = explore::explore(&Counter { last: 9 }, FAR);
     let found = report.counterexample.expect("five is reached");
     assert_eq!(found.events.len(), 3);
-    assert_eq!(found.broken, "five");
+    assert_eq!(found.violation, "five");
 }
 
 #[test]
@@ -58,32 +58,32 @@
         last: u32,
         bound: explore::Bound,
         states: usize,
-        cut: Option<explore::Cut>,
+        limit: Option<explore::Limit>,
     }
     let cases = [
         Case {
             last: 4,
             bound: FAR,
             states: 5,
-            cut: None,
+            limit: None,
         },
         Case {
             last: 9,
             bound: explore::Bound { depth: 1, ..FAR },
             states: 3,
-            cut: Some(explore::Cut::Depth),
+            limit: Some(explore::Limit::Depth),
         },
         Case {
             last: 9,
             bound: explore::Bound { states: 3, ..FAR },
             states: 3,
-            cut: Some(explore::Cut::States),
+            limit: Some(explore::Limit::States),
         },
     ];
     for case in cases {
         let report = explore::explore(&Counter { last: case.last }, case.bound);
         assert!(report.holds());
-        assert_eq!((report.states, report.cut), (case.states, case.cut));
+        assert_eq!((report.states, report.limit), (case.states, case.limit));
     }
 }
 
@@ -94,7 +94,7 @@
         states: 1,
     };
     for entry in run::ALL {
-        for guard in entry.needed.iter().chain(entry.spare) {
+        for guard in entry.needed.iter().chain(entry.optional) {
             assert!(entry.explore(Some(guard), none).is_some(), "{guard}");
         }
         assert!(entry.explore(Some("no such guard"), none).is_none());
--- a/spec/tests/specs/support.rs
+++ b/spec/tests/specs/support.rs
@@ -36,7 +36,7 @@
 /// Like [`holds`], and checks that all reachable states were visited.
 pub fn holds_everywhere(name: &str) {
     let report = explored(name, None, MANY);
-    assert!(report.holds() && report.cut.is_none(), "{name}: {report}");
+    assert!(report.holds() && report.limit.is_none(), "{name}: {report}");
 }
 
 /// Checks that an invariant is violated without each of the guards that the specification names as needed.
