--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -323,7 +323,7 @@
                     |next| next.tell_not_run(number),
                 );
                 if self.resends > 0 && !self.waiting.contains(&Command::Claim(number)) {
-                    self.push(all, format!("arrival {shown}: asks again"), |next| {
+                    self.push(all, format!("arrival {shown}: claims again"), |next| {
                         next.resends -= 1;
                         next.waiting.insert(Command::Claim(number));
                     });
@@ -338,7 +338,7 @@
                 self.push(all, format!("arrival {shown}: answered"), |next| {
                     next.end(number, End::Ran);
                 });
-                let event = format!("arrival {shown}: cut off, caller told may have run");
+                let event = format!("arrival {shown}: connection lost, caller told may have run");
                 self.push(all, event, |next| next.end(number, End::Unknown));
             }
             Phase::Ended | Phase::ToldNotRun | Phase::Dead => {}
@@ -356,12 +356,12 @@
             });
         }
         if self.crashes > 0 {
-            self.push(all, format!("{name} crashes and starts anew"), |next| {
+            self.push(all, format!("{name} crashes and restarts"), |next| {
                 next.crash(process);
             });
         }
         if self.declared_dead > 0 {
-            self.push(all, format!("{name} is taken for dead, wrongly"), |next| {
+            self.push(all, format!("{name} is wrongly declared dead"), |next| {
                 next.declared_dead -= 1;
                 let below = next.incarnations[process] + 1;
                 next.waiting.insert(Command::HolderGone { process, below });
@@ -391,7 +391,7 @@
         let running = held.filter(|held| held.state == claim_table::ClaimState::Running);
         if let Some(held) = running.filter(|_| !guards.no_expiry) {
             let holder = held.holder.clone();
-            self.push(all, "a running claim ends by time".to_owned(), |next| {
+            self.push(all, "a running claim times out".to_owned(), |next| {
                 next.settle_holder(holder, End::NotRun);
             });
         }
--- a/spec/src/leases.rs
+++ b/spec/src/leases.rs
@@ -138,7 +138,7 @@
             Self::Learn(vm, revision) => {
                 write!(
                     f,
-                    "the entry process hears of revision {revision} from VM {vm}"
+                    "the entry process learns revision {revision} from VM {vm}"
                 )
             }
             Self::Tick(now) => write!(f, "the clock reads {now}"),
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -97,9 +97,9 @@
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ElectionTimeout(vm) => write!(f, "VM {vm}: election timer runs out"),
+            Self::ElectionTimeout(vm) => write!(f, "VM {vm}: election timer expires"),
             Self::Heartbeats(vm) => write!(f, "VM {vm}: sends heartbeats"),
-            Self::QuorumLost(vm) => write!(f, "VM {vm}: hears no majority, leads no longer"),
+            Self::QuorumLost(vm) => write!(f, "VM {vm}: lost contact to a majority, steps down"),
             Self::Propose(vm, command) => write!(f, "VM {vm}: command {command} proposed"),
             Self::Change(vm, change) => {
                 let (what, id) = match change {
@@ -109,14 +109,14 @@
                 };
                 write!(f, "VM {vm}: asked to {what} {id}")
             }
-            Self::Crash(vm) => write!(f, "VM {vm}: process ends, starts again from its disk"),
-            Self::LoseDisk(vm) => write!(f, "VM {vm}: disk lost, starts with an empty one"),
+            Self::Crash(vm) => write!(f, "VM {vm}: process crashes and restarts from its disk"),
+            Self::LoseDisk(vm) => write!(f, "VM {vm}: disk lost, restarts with an empty one"),
             Self::Deliver(envelope) => write!(f, "{envelope}"),
-            Self::Copy(envelope) => write!(f, "{envelope} (a copy stays under way)"),
+            Self::Copy(envelope) => write!(f, "{envelope} (a copy stays in flight)"),
             Self::DeliverAndCrash(envelope) => {
                 write!(
                     f,
-                    "{envelope} (answered, then the process ends before its write)"
+                    "{envelope} (answered, then the process crashes before its write)"
                 )
             }
         }
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -300,7 +300,7 @@
             if deposed {
                 self.push(
                     all,
-                    format!("{name} hears that it leads no longer"),
+                    format!("{name} learns that it is no longer the leader"),
                     |next| {
                         next.leader(by).follow();
                         true
@@ -482,7 +482,7 @@
                 true
             });
             if self.engines == Engines::Deduplicating && state.copies > 0 {
-                let event = format!("order {id} arrives: {what} (a copy stays under way)");
+                let event = format!("order {id} arrives: {what} (a copy stays in flight)");
                 state.push(&mut all, event, |next| {
                     next.copies -= 1;
                     next.arrive(*id, true, *self);
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -101,7 +101,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Deliver(envelope) => write!(f, "{envelope}"),
-            Self::Lose(vm) => write!(f, "VM {vm}: disk lost, starts with an empty one"),
+            Self::Lose(vm) => write!(f, "VM {vm}: disk lost, restarts with an empty one"),
             Self::Change(vm, change, silent) => {
                 write!(f, "VM {vm}: {change:?}")?;
                 silent.map_or(Ok(()), |it| write!(f, ", VM {it} being silent"))
--- a/spec/src/run.rs
+++ b/spec/src/run.rs
@@ -405,7 +405,7 @@
 
 fn number(text: &str) -> Result<usize, String> {
     text.parse()
-        .map_err(|e| format!("{text} is no number: {e}"))
+        .map_err(|e| format!("{text} is not a number: {e}"))
 }
 
 fn usage() -> String {
--- a/spec/src/suspensions.rs
+++ b/spec/src/suspensions.rs
@@ -123,10 +123,10 @@
         match self {
             Self::Tick(now) => write!(f, "{} ms", now * TICK_MS),
             Self::Suspend(at) => write!(f, "process {at} is suspended"),
-            Self::Resume(at) => write!(f, "process {at} goes on"),
+            Self::Resume(at) => write!(f, "process {at} is resumed"),
             Self::Heartbeat(at) => write!(f, "process {at}: its heartbeat is answered"),
             Self::Elect(at) => write!(f, "process {at} is elected"),
-            Self::Order(at) => write!(f, "process {at} gives an order"),
+            Self::Order(at) => write!(f, "process {at} issues an order"),
         }
     }
 }
