--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -77,12 +77,12 @@
         let query = query(request, &self.names);
         let Some(rule) = self.rules.first_match(&query).cloned() else {
             self.set_rule(req, None);
-            return self.within_caller_limit(now, req);
+            return self.check_caller_limit(now, req);
         };
         self.set_rule(req, Some(&rule));
         let id = &rule.id;
         match &rule.compiled_action {
-            rules::CompiledAction::Route { .. } => self.within_caller_limit(now, req),
+            rules::CompiledAction::Route { .. } => self.check_caller_limit(now, req),
             rules::CompiledAction::RouteToUnknown { model } => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::NoRoute,
                 detail: format!("rule `{id}` asks the model `{model}`, which is not offered here"),
@@ -90,8 +90,8 @@
             }),
             rules::CompiledAction::Refuse(refuse) => RuleOutcome::Refuse(rule_refused(id, refuse)),
             rules::CompiledAction::Limit { limit, slot } => {
-                match self.within_rule_limit(now, req, *limit, *slot, id) {
-                    RuleOutcome::Continue => self.within_caller_limit(now, req),
+                match self.check_rule_limit(now, req, *limit, *slot, id) {
+                    RuleOutcome::Continue => self.check_caller_limit(now, req),
                     refused @ RuleOutcome::Refuse(_) => refused,
                 }
             }
@@ -107,14 +107,14 @@
         let id = rule.map(|rule| std::sync::Arc::clone(&rule.id));
         request.rule = Some(id.unwrap_or_else(|| std::sync::Arc::from(refusal::DEFAULT_RULE)));
         if let Some(rule) = rule {
-            apply_marks(request, rule);
+            apply_rule(request, rule);
             request.urgent = request.priority >= self.policy.urgent_priority;
         }
         self.expiries.remove(&(old, req));
         self.expiries.insert((self.expiry(req), req));
     }
 
-    fn within_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
+    fn check_caller_limit(&mut self, now: time::Instant, req: event::ReqId) -> RuleOutcome {
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
@@ -124,7 +124,10 @@
             return RuleOutcome::Continue;
         };
         let share = limits::Share::new(rate, row.burst.unwrap_or(rate), self.entries);
-        match self.limits.take(now, limits::Owner::Caller(caller), share) {
+        match self
+            .limits
+            .take(now, limits::BucketKey::Caller(caller), share)
+        {
             limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::CallerLimit,
@@ -137,7 +140,7 @@
         }
     }
 
-    fn within_rule_limit(
+    fn check_rule_limit(
         &mut self,
         now: time::Instant,
         req: event::ReqId,
@@ -148,9 +151,9 @@
         let Some(request) = self.requests.get(&req) else {
             return RuleOutcome::Continue;
         };
-        let owner = owner(limit.per, slot, request);
+        let bucket_key = bucket_key(limit.per, slot, request);
         let share = limits::Share::new(limit.rate, limit.burst, self.entries);
-        match self.limits.take(now, owner, share) {
+        match self.limits.take(now, bucket_key, share) {
             limits::LimitOutcome::Within => RuleOutcome::Continue,
             limits::LimitOutcome::Over(retry_after) => RuleOutcome::Refuse(RefusalCause {
                 reason: verdict::Reason::RuleLimit,
@@ -207,7 +210,7 @@
 ///
 /// A deadline of the caller that is shorter than that of the rule takes precedence. A rule may mark
 /// any request as non-repeatable, but removes the mark only if it comes from the HTTP method.
-fn apply_marks(request: &mut request::Request, rule: &rules::Rule) {
+fn apply_rule(request: &mut request::Request, rule: &rules::Rule) {
     if let Some(deadline) = rule.deadline {
         let asked = request.info.deadline.unwrap_or(deadline);
         request.deadline = deadline.min(asked);
@@ -244,19 +247,23 @@
     }
 }
 
-fn owner(per: types_rules::LimitScope, slot: u32, request: &request::Request) -> limits::Owner {
+fn bucket_key(
+    per: types_rules::LimitScope,
+    slot: u32,
+    request: &request::Request,
+) -> limits::BucketKey {
     let class: arena::ClassKey = request.class;
     match (per, request.info.target) {
-        (types_rules::LimitScope::Rule, _) => limits::Owner::Rule(slot),
+        (types_rules::LimitScope::Rule, _) => limits::BucketKey::Rule(slot),
         (types_rules::LimitScope::Caller, _) => {
-            limits::Owner::RuleCaller(slot, request.info.caller)
+            limits::BucketKey::RuleCaller(slot, request.info.caller)
         }
-        (types_rules::LimitScope::Class, _) => limits::Owner::RuleClass(slot, class),
+        (types_rules::LimitScope::Class, _) => limits::BucketKey::RuleClass(slot, class),
         (types_rules::LimitScope::Model, event::Target::Model(key)) => {
-            limits::Owner::RuleModel(slot, key)
+            limits::BucketKey::RuleModel(slot, key)
         }
         (types_rules::LimitScope::Model, event::Target::Service(key)) => {
-            limits::Owner::RuleService(slot, key)
+            limits::BucketKey::RuleService(slot, key)
         }
     }
 }
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -14,9 +14,9 @@
 
 use sageshed_types::{arena, time};
 
-/// What a bucket applies to.
+/// Identifies a token bucket by what it applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Owner {
+pub enum BucketKey {
     /// The limit of a caller in the settings.
     Caller(arena::CallerKey),
     /// All requests to which the rule limit with this slot applies.
@@ -31,7 +31,7 @@
     RuleClass(u32, arena::ClassKey),
 }
 
-impl Owner {
+impl BucketKey {
     /// The slot of the rule limit that the bucket belongs to, if any.
     #[must_use]
     pub fn slot(self) -> Option<u32> {
@@ -83,7 +83,7 @@
 /// All token buckets of one entry process.
 #[derive(Debug)]
 pub struct Limits {
-    buckets: collections::HashMap<Owner, Bucket>,
+    buckets: collections::HashMap<BucketKey, Bucket>,
     max: usize,
 }
 
@@ -118,12 +118,17 @@
         self.buckets.is_empty()
     }
 
-    /// Takes one token from the bucket of `owner`, if it has one.
-    pub fn take(&mut self, now: time::Instant, owner: Owner, share: Share) -> LimitOutcome {
-        if !self.make_room(now, owner) {
+    /// Takes one token from the bucket of `bucket_key`, if it has one.
+    pub fn take(
+        &mut self,
+        now: time::Instant,
+        bucket_key: BucketKey,
+        share: Share,
+    ) -> LimitOutcome {
+        if !self.make_room(now, bucket_key) {
             return LimitOutcome::Within;
         }
-        let bucket = self.buckets.entry(owner).or_insert(Bucket {
+        let bucket = self.buckets.entry(bucket_key).or_insert(Bucket {
             share,
             tokens: share.burst,
             at: now,
@@ -139,11 +144,11 @@
     /// Drops the buckets of rule limits whose slots are no longer in use.
     pub fn retain_slots(&mut self, in_force: impl Fn(u32) -> bool) {
         self.buckets
-            .retain(|owner, _| owner.slot().is_none_or(&in_force));
+            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&in_force));
     }
 
-    fn make_room(&mut self, now: time::Instant, owner: Owner) -> bool {
-        if self.buckets.len() < self.max || self.buckets.contains_key(&owner) {
+    fn make_room(&mut self, now: time::Instant, bucket_key: BucketKey) -> bool {
+        if self.buckets.len() < self.max || self.buckets.contains_key(&bucket_key) {
             return true;
         }
         self.buckets.retain(|_, bucket| {
--- a/crates/sageshed-decide/src/rules.rs
+++ b/crates/sageshed-decide/src/rules.rs
@@ -185,21 +185,29 @@
     }
 
     fn fill_rule(&mut self, i: usize, when: &rules::When, names: &names::Names) {
-        if !zone_holds(when, names) {
+        if !zone_matches(when, names) {
             return;
         }
         for (key, name) in names.callers.iter() {
-            insert_if(&mut self.by_caller[key.index()], i, any(&when.caller, name));
+            insert_if(
+                &mut self.by_caller[key.index()],
+                i,
+                list_matches(&when.caller, name),
+            );
         }
         for (key, name) in names.classes.iter() {
-            insert_if(&mut self.by_class[key.index()], i, any(&when.class, name));
+            insert_if(
+                &mut self.by_class[key.index()],
+                i,
+                list_matches(&when.class, name),
+            );
         }
         for (key, _) in names.models.iter() {
-            let holds = target_holds(when, event::Target::Model(key), names);
+            let holds = target_matches(when, event::Target::Model(key), names);
             insert_if(&mut self.by_model[key.index()], i, holds);
         }
         for (key, _) in names.services.iter() {
-            let holds = target_holds(when, event::Target::Service(key), names);
+            let holds = target_matches(when, event::Target::Service(key), names);
             insert_if(&mut self.by_service[key.index()], i, holds);
         }
         for streaming in [false, true] {
@@ -227,7 +235,7 @@
             let mut left = caller[word] & class[word] & target[word] & flags[word];
             while left != 0 {
                 let rule = &self.rules[word * 64 + left.trailing_zeros() as usize];
-                if rule.ranges_hold(query) {
+                if rule.ranges_match(query) {
                     return Some(rule);
                 }
                 left &= left - 1;
@@ -238,7 +246,7 @@
 }
 
 impl Rule {
-    fn ranges_hold(&self, query: &Query) -> bool {
+    fn ranges_match(&self, query: &Query) -> bool {
         let prompt = self.prompt_tokens;
         let priority = self.priority;
         prompt.is_none_or(|range| range.contains(query.prompt_tokens))
@@ -272,23 +280,23 @@
 }
 
 /// Whether a list condition holds for a name: the list is empty or contains it.
-fn any(list: &[String], name: &str) -> bool {
+fn list_matches(list: &[String], name: &str) -> bool {
     list.is_empty() || list.iter().any(|member| member == name)
 }
 
 /// Whether the rule applies in the availability zone of this entry process.
-fn zone_holds(when: &rules::When, names: &names::Names) -> bool {
-    any(&when.availability_zone, names.own_zone())
+fn zone_matches(when: &rules::When, names: &names::Names) -> bool {
+    list_matches(&when.availability_zone, names.own_zone())
 }
 
 /// Whether the conditions on model, adapter and service hold for a target. Conditions on the other
 /// kind of target must be empty.
-fn target_holds(when: &rules::When, target: event::Target, names: &names::Names) -> bool {
+fn target_matches(when: &rules::When, target: event::Target, names: &names::Names) -> bool {
     match target {
         event::Target::Service(key) => {
             when.model.is_empty()
                 && when.adapter.is_empty()
-                && any(&when.service, names.services.name(key))
+                && list_matches(&when.service, names.services.name(key))
         }
         event::Target::Model(key) => {
             let name = names.models.name(key);
@@ -298,8 +306,9 @@
                 when.model.iter().any(|member| member == base)
             });
             when.service.is_empty()
-                && (any(&when.model, name) || by_base)
-                && (when.adapter.is_empty() || (base.is_some() && any(&when.adapter, name)))
+                && (list_matches(&when.model, name) || by_base)
+                && (when.adapter.is_empty()
+                    || (base.is_some() && list_matches(&when.adapter, name)))
         }
     }
 }
