--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -59,7 +59,7 @@
 const EVENTS: usize = 20_000;
 
 /// Rounds without faults after which every model must have a route.
-const QUIET_ROUNDS: usize = 600;
+const FAULTLESS_ROUNDS: usize = 600;
 
 /// A command that the leader has submitted to the control group.
 enum Pending {
@@ -78,7 +78,7 @@
     /// Submitted commands of the leader in order. Those of earlier leaders are never committed.
     pending: Vec<Pending>,
     /// Orders in transit, which may still arrive, possibly twice.
-    wire: Vec<endpoints::Order>,
+    in_transit: Vec<endpoints::Order>,
     /// Reports in transit, with the index of the control process that they are sent to.
     reports: Vec<(usize, endpoints::Report)>,
     lossy: bool,
@@ -88,7 +88,7 @@
     overcommits: usize,
     lost_routes: usize,
     unloads: usize,
-    crowded: usize,
+    concurrent_orders: usize,
 }
 
 fn models() -> Vec<catalog::Model> {
@@ -129,7 +129,7 @@
             table: Table::default(),
             leader: 0,
             pending: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             reports: Vec::new(),
             lossy: true,
             loss: case.loss,
@@ -138,9 +138,9 @@
             overcommits: 0,
             lost_routes: 0,
             unloads: 0,
-            crowded: 0,
+            concurrent_orders: 0,
         };
-        world.lead(0);
+        world.change_leader(0);
         world
     }
 
@@ -185,7 +185,7 @@
     }
 
     fn deliver_order(&mut self) {
-        let Some(order) = self.random.take(&mut self.wire) else {
+        let Some(order) = self.random.take(&mut self.in_transit) else {
             return;
         };
         let mut engines = self.engines.iter_mut();
@@ -195,7 +195,7 @@
         // An engine that ignores fencing tokens ignores order ids too. The network does not duplicate
         // orders to it: there, an order arrives twice only if it is sent twice.
         if engine.identity.checks_fence && self.lossy && self.random.percent(15) {
-            self.wire.push(order);
+            self.in_transit.push(order);
         }
     }
 
@@ -257,20 +257,20 @@
     fn send(&mut self, control: usize, order: endpoints::Order) {
         let id = order.order;
         self.unloads += usize::from(matches!(order.task, endpoints::OrderTask::Unload { .. }));
-        self.crowded += usize::from(self.is_crowded(&order));
+        self.concurrent_orders += usize::from(self.is_concurrent(&order));
         if self.lossy && self.random.percent(10) {
             self.step_at(control, place::Event::OrderNotSent(id));
             return;
         }
         if !self.lossy || !self.random.percent(self.loss) {
-            self.wire.push(order);
+            self.in_transit.push(order);
         }
         self.step_at(control, place::Event::OrderSent(id));
     }
 
     /// Whether `order` is sent to an engine that ignores fencing tokens while another order there has
     /// not ended.
-    fn is_crowded(&self, order: &endpoints::Order) -> bool {
+    fn is_concurrent(&self, order: &endpoints::Order) -> bool {
         let mut engines = self.engines.iter();
         let engine = engines.find(|e| e.identity.endpoint == order.endpoint);
         let engine = engine.unwrap();
@@ -314,7 +314,7 @@
     fn fail(&mut self) {
         if self.random.percent(25) {
             let next = self.random.below(self.controls.len());
-            self.lead(next);
+            self.change_leader(next);
         }
         if self.random.below(20) < self.restarts {
             let at = self.random.below(self.engines.len());
@@ -324,7 +324,7 @@
 
     /// Changes the leader. A random number of the old leader's commands is committed without it being
     /// notified; the rest is lost.
-    fn lead(&mut self, next: usize) {
+    fn change_leader(&mut self, next: usize) {
         let kept = self.random.below(self.pending.len() + 1);
         for pending in self.pending.drain(..).take(kept) {
             match pending {
@@ -347,14 +347,14 @@
     }
 
     /// Runs rounds without faults. Engines that are blocked by a lost order are restarted.
-    fn quiet(&mut self) {
+    fn run_without_faults(&mut self) {
         self.lossy = false;
-        for round in 0..QUIET_ROUNDS {
+        for round in 0..FAULTLESS_ROUNDS {
             self.now.0 += 500;
-            if round == QUIET_ROUNDS / 4 {
+            if round == FAULTLESS_ROUNDS / 4 {
                 self.restart_blocked();
             }
-            self.wire_all();
+            self.deliver_all_orders();
             for at in 0..self.engines.len() {
                 self.engines[at].advance();
                 let report = self.engines[at].report();
@@ -368,8 +368,8 @@
         }
     }
 
-    fn wire_all(&mut self) {
-        while !self.wire.is_empty() {
+    fn deliver_all_orders(&mut self) {
+        while !self.in_transit.is_empty() {
             self.deliver_order();
         }
     }
@@ -401,10 +401,15 @@
         } else {
             0
         };
-        world.quiet();
+        world.run_without_faults();
         let unreachable = world.routes().iter().filter(|routes| **routes == 0).count();
         assert_eq!(
-            (world.overcommits, taken, unreachable, world.crowded),
+            (
+                world.overcommits,
+                taken,
+                unreachable,
+                world.concurrent_orders
+            ),
             (0, 0, 0, 0),
             "{}, seed {seed}: overcommits, last routes taken, models without a route, orders beside \
              another",
