--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn ask(
+fn claim(
     table: &mut claim_table::ClaimTable,
     on: &str,
     holder: claims::Holder,
@@ -90,7 +90,7 @@
     claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Granted)
 }
 
-fn kept(answer: Option<claims::RecordedAnswer>) -> claim_table::ClaimAttempt {
+fn ran_with(answer: Option<claims::RecordedAnswer>) -> claim_table::ClaimAttempt {
     claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Ran { answer })
 }
 
@@ -103,12 +103,12 @@
 #[test]
 fn a_repeated_claim_of_the_same_holder_is_granted() {
     let mut table = table();
-    assert_eq!(ask(&mut table, "k", first()), granted());
-    assert_eq!(ask(&mut table, "k", first()), granted());
+    assert_eq!(claim(&mut table, "k", first()), granted());
+    assert_eq!(claim(&mut table, "k", first()), granted());
     assert_eq!(table.len(), 1);
     let others = [holder("vm1", 6, "r1"), holder("vm1", 5, "r2"), second()];
     for other in others {
-        assert_eq!(ask(&mut table, "k", other), running(first()));
+        assert_eq!(claim(&mut table, "k", other), running(first()));
     }
 }
 
@@ -122,7 +122,7 @@
     ];
     for end in ends {
         let mut table = table();
-        ask(&mut table, "k", first());
+        claim(&mut table, "k", first());
         if let Some(end) = end {
             settle(&mut table, "k", first(), end);
         }
@@ -139,16 +139,16 @@
     let mut table = table();
     settle(&mut table, "k", first(), claims::ExecutionOutcome::NotRun);
     assert_eq!(
-        ask(&mut table, "k", first()),
+        claim(&mut table, "k", first()),
         claim_table::ClaimAttempt::TooLate
     );
     table.holder_gone("vm2", endpoints::Incarnation(6));
     assert_eq!(
-        ask(&mut table, "k", second()),
+        claim(&mut table, "k", second()),
         claim_table::ClaimAttempt::TooLate
     );
     assert!(table.is_empty());
-    assert_eq!(ask(&mut table, "k", holder("vm2", 6, "r2")), granted());
+    assert_eq!(claim(&mut table, "k", holder("vm2", 6, "r2")), granted());
 }
 
 #[test]
@@ -163,9 +163,9 @@
         );
     }
     let late = claim_table::ClaimAttempt::TooLate;
-    assert_eq!(ask(&mut table, "k", holder("vm1", 5, "b")), late);
-    assert_eq!(ask(&mut table, "k", holder("vm1", 5, "c")), late);
-    assert_eq!(ask(&mut table, "k", holder("vm1", 5, "a")), granted());
+    assert_eq!(claim(&mut table, "k", holder("vm1", 5, "b")), late);
+    assert_eq!(claim(&mut table, "k", holder("vm1", 5, "c")), late);
+    assert_eq!(claim(&mut table, "k", holder("vm1", 5, "a")), granted());
 }
 
 // Guards against evicting claims from a full table, which would let the evicted claim's request run
@@ -174,30 +174,36 @@
 fn a_full_table_refuses_new_claims_and_evicts_none() {
     let mut table = table();
     for on in ["a", "b", "c"] {
-        assert_eq!(ask(&mut table, on, first()), granted());
+        assert_eq!(claim(&mut table, on, first()), granted());
     }
     let full = claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Full);
-    assert_eq!(ask(&mut table, "d", second()), full);
-    assert_eq!(ask(&mut table, "a", second()), running(first()));
+    assert_eq!(claim(&mut table, "d", second()), full);
+    assert_eq!(claim(&mut table, "a", second()), running(first()));
     settle(&mut table, "a", first(), ran(b"x"));
-    assert_eq!(ask(&mut table, "d", second()), full);
+    assert_eq!(claim(&mut table, "d", second()), full);
     table.advance_clock(10);
     table.advance_clock(10 + RETENTION);
-    assert_eq!(ask(&mut table, "d", second()), granted());
+    assert_eq!(claim(&mut table, "d", second()), granted());
 }
 
 #[test]
 fn the_total_size_of_responses_is_bounded_and_freed_on_expiry() {
     let mut table = table();
     for on in ["a", "b"] {
-        ask(&mut table, on, first());
+        claim(&mut table, on, first());
         settle(&mut table, on, first(), ran(b"1234"));
     }
-    assert_eq!(ask(&mut table, "a", second()), kept(Some(answer(b"1234"))));
-    assert_eq!(ask(&mut table, "b", second()), kept(None));
+    assert_eq!(
+        claim(&mut table, "a", second()),
+        ran_with(Some(answer(b"1234")))
+    );
+    assert_eq!(claim(&mut table, "b", second()), ran_with(None));
     table.advance_clock(1);
     assert_eq!(table.advance_clock(1 + RETENTION), 2);
-    ask(&mut table, "c", first());
+    claim(&mut table, "c", first());
     settle(&mut table, "c", first(), ran(b"5678"));
-    assert_eq!(ask(&mut table, "c", second()), kept(Some(answer(b"5678"))));
+    assert_eq!(
+        claim(&mut table, "c", second()),
+        ran_with(Some(answer(b"5678")))
+    );
 }
--- a/crates/sageshed-state/tests/rules.rs
+++ b/crates/sageshed-state/tests/rules.rs
@@ -3,8 +3,8 @@
 use sageshed_state::{rule_log, update};
 use sageshed_types::{messages, rules};
 
-const KEPT_CHANGES: usize = 300;
-const KEPT_IDS: usize = 400;
+const HISTORY_LIMIT: usize = 300;
+const CHANGE_ID_LIMIT: usize = 400;
 
 fn rule(id: &str) -> rules::Rule {
     rules::Rule {
@@ -39,8 +39,8 @@
 }
 
 /// The rules a, b and c at revision 3.
-fn abc() -> rule_log::RuleLog {
-    let mut log = rule_log::RuleLog::new(KEPT_CHANGES, KEPT_IDS);
+fn log_with_three_rules() -> rule_log::RuleLog {
+    let mut log = rule_log::RuleLog::new(HISTORY_LIMIT, CHANGE_ID_LIMIT);
     for (base, id) in ["a", "b", "c"].into_iter().enumerate() {
         let change = change(&format!("add-{id}"), base as u64, add(rule(id)));
         assert_eq!(log.apply_change(change), accepted(base as u64 + 1));
@@ -53,7 +53,7 @@
 // asks and never catch up.
 #[test]
 fn a_copy_older_than_the_history_gets_a_snapshot() {
-    let mut log = rule_log::RuleLog::new(2, KEPT_IDS);
+    let mut log = rule_log::RuleLog::new(2, CHANGE_ID_LIMIT);
     for (base, id) in ["a", "b", "c"].into_iter().enumerate() {
         log.apply_change(change(id, base as u64, add(rule(id))));
     }
@@ -64,8 +64,8 @@
 }
 
 /// A log at `revision` whose only rule was alternately added and withdrawn.
-fn long(revision: u64) -> rule_log::RuleLog {
-    let mut log = rule_log::RuleLog::new(KEPT_CHANGES, KEPT_IDS);
+fn log_at(revision: u64) -> rule_log::RuleLog {
+    let mut log = rule_log::RuleLog::new(HISTORY_LIMIT, CHANGE_ID_LIMIT);
     for base in 0..revision {
         let edit = if base % 2 == 0 {
             add(rule("a"))
@@ -89,7 +89,7 @@
 // 3 and both submit a change. The second one must be refused with the changes in between.
 #[test]
 fn the_second_of_two_concurrent_changes_gets_the_changes_in_between() {
-    let mut log = abc();
+    let mut log = log_with_three_rules();
     let first = change("first", 3, add(rule("d")));
     assert_eq!(log.apply_change(first.clone()), accepted(4));
     let second = log.apply_change(change("second", 3, add(rule("e"))));
@@ -111,7 +111,7 @@
 // accepted and the reply is lost. Other changes are accepted, then the operator sends the change again.
 #[test]
 fn a_retried_change_gets_the_first_outcome() {
-    let mut log = abc();
+    let mut log = log_with_three_rules();
     let first = change("first", 3, add(rule("d")));
     assert_eq!(log.apply_change(first.clone()), accepted(4));
     assert_eq!(
@@ -145,7 +145,7 @@
 // The retry must be refused as a conflict.
 #[test]
 fn a_retry_with_an_evicted_change_id_is_a_conflict() {
-    let mut log = long(KEPT_IDS as u64 + 1);
+    let mut log = log_at(CHANGE_ID_LIMIT as u64 + 1);
     let state = log.clone();
     let again = log.apply_change(change("change-0", 0, add(rule("a"))));
     assert!(
@@ -217,16 +217,16 @@
         delta,
     } in cases
     {
-        let log = long(newest);
+        let log = log_at(newest);
         let label = format!("{have} to {newest}");
         let sent = match log.updates_since(rules::Revision(have)) {
             messages::ConfigUpdate::Delta(changes) => Some(changes.len()),
             messages::ConfigUpdate::Snapshot(_) => None,
         };
         assert_eq!(sent, delta, "{label}");
-        let mut copy = long(have).current().clone();
+        let mut copy = log_at(have).current().clone();
         update::apply_update(&mut copy, log.updates_since(rules::Revision(have)));
-        let expected = if have > newest { long(have) } else { log };
+        let expected = if have > newest { log_at(have) } else { log };
         assert_eq!(copy, *expected.current(), "{label}");
     }
 }
@@ -241,11 +241,11 @@
         updated: update::UpdateOutcome,
     }
     let changes = |from: usize, to: usize| {
-        let log = long(9);
+        let log = log_at(9);
         let all: Vec<_> = log.history().cloned().collect();
         messages::ConfigUpdate::Delta(all[from..to].to_vec())
     };
-    let whole = |at| messages::ConfigUpdate::Snapshot(long(at).current().clone());
+    let whole = |at| messages::ConfigUpdate::Snapshot(log_at(at).current().clone());
     let gap = update::UpdateOutcome::Gap {
         needed: rules::Revision(6),
         came: rules::Revision(7),
@@ -284,12 +284,12 @@
         },
     ];
     for case in cases {
-        let mut copy = long(5).current().clone();
+        let mut copy = log_at(5).current().clone();
         let updated = update::apply_update(&mut copy, case.update);
         assert_eq!(updated, case.updated, "{}", case.label);
         let expected = match updated {
-            update::UpdateOutcome::Applied(revision) => long(revision.0),
-            _ => long(5),
+            update::UpdateOutcome::Applied(revision) => log_at(revision.0),
+            _ => log_at(5),
         };
         assert_eq!(copy, *expected.current(), "{}", case.label);
     }
@@ -297,7 +297,7 @@
 
 #[test]
 fn a_delta_that_cannot_be_applied_leaves_the_copy_unchanged() {
-    let mut copy = long(5).current().clone();
+    let mut copy = log_at(5).current().clone();
     let misfit = rules::AcceptedChange {
         revision: rules::Revision(6),
         change: change("x", 5, rules::Edit::Withdraw { id: "x".to_owned() }),
@@ -307,5 +307,5 @@
         matches!(updated, update::UpdateOutcome::Inapplicable { .. }),
         "{updated:?}"
     );
-    assert_eq!(copy, *long(5).current());
+    assert_eq!(copy, *log_at(5).current());
 }
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -67,7 +67,7 @@
 
 fn check_edit(case: EditCase) {
     let label = format!("{:?}", case.edit);
-    let mut log = abc();
+    let mut log = log_with_three_rules();
     let outcome = log.apply_change(change("id", 3, case.edit));
     let ids: Vec<_> = log.current().rules.iter().map(|r| r.id.as_str()).collect();
     match outcome {
@@ -78,14 +78,14 @@
         rules::ChangeOutcome::Invalid { problem } => {
             let says = case.says.expect("an edit that can be applied");
             assert!(problem.contains(&says), "{label}: {problem}");
-            assert_eq!(log, abc(), "{label}");
+            assert_eq!(log, log_with_three_rules(), "{label}");
         }
         other => panic!("{label}: {other:?}"),
     }
 }
 
 /// The rules a, b and c at revision 3.
-fn abc() -> rule_log::RuleLog {
+fn log_with_three_rules() -> rule_log::RuleLog {
     let mut log = rule_log::RuleLog::new(9, 9);
     for (id, base) in [("a", 0), ("b", 1), ("c", 2)] {
         let rule = rules::Rule {
