--- a/crates/sageshed-types/src/headers.rs
+++ b/crates/sageshed-types/src/headers.rs
@@ -1,7 +1,7 @@
 //! Names of HTTP headers that are used by more than one package.
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that each sender of a message sets
-/// itself. They are not forwarded. In lower case.
+/// itself. In lower case.
 pub const HOP_BY_HOP: [&str; 12] = [
     "connection",
     "content-length",
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -2,7 +2,7 @@
 //!
 //! The nodes and their messages are those of [`crate::log`], and all membership changes are requested by
 //! the production [`repair::Policy`]. The checker chooses which voters a leader considers silent, as far
-//! as the group tolerates it: at most [`TOLERATED`] VMs are lost at once. A VM counts as lost from the
+//! as the group tolerates it: at most `TOLERATED` VMs are lost at once. A VM counts as lost from the
 //! loss of its disk, or from the time at which a leader considers it silent, until it votes again or the
 //! group is complete without it.
 //!
