--- a/spec/src/log/world.rs
+++ b/spec/src/log/world.rs
@@ -1,11 +1,11 @@
 //! VMs with nodes of the log, their disks and the messages between them.
 //!
-//! The clock stands still: timers are raised by the checker, as [`event::Event::ElectionTimeout`]
-//! and its kin allow. A message under way may be delivered at any time, in any order, or never; it
-//! is delivered once, unless there is a copy to spend. Left out, which only makes fewer things
-//! happen: answers to heartbeats (they serve reads and the clock), heartbeats that commit nothing,
-//! messages of a term that the receiver has left behind (unless they come from one who still leads
-//! in it), and messages that would change nothing. Snapshots are not made.
+//! The clock stands still: the checker raises the timer events, such as
+//! [`event::Event::ElectionTimeout`], directly. A message in flight may be delivered at any time, in any
+//! order, or never. It is delivered once, unless the budget allows a copy. Some messages are left out,
+//! which only reduces the number of possible events: replies to heartbeats (which matter only for reads
+//! and the clock), heartbeats that commit nothing, messages of a term earlier than the receiver's (unless
+//! their sender still leads in that term), and messages without an effect. There are no snapshots.
 
 use std::{
     collections, fmt,
@@ -16,13 +16,13 @@
 use sageshed_quorum::{config, event, log, message, node, status};
 use sageshed_types::time;
 
-/// The clock of every node, always.
+/// The constant clock of all nodes.
 const NOW: time::Instant = time::Instant(0);
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: log::NodeId,
     /// The message.
     pub message: message::Message,
@@ -40,7 +40,7 @@
             } => {
                 write!(f, "append after {}/{} ", prev.index, prev.term)?;
                 for entry in entries {
-                    write!(f, "[{}] ", Shown(entry))?;
+                    write!(f, "[{}] ", EntryDisplay(entry))?;
                 }
                 write!(f, "commit {commit}")
             }
@@ -49,16 +49,16 @@
     }
 }
 
-/// An entry in a few characters.
-pub struct Shown<'e>(pub &'e log::Entry);
+/// Formats an entry in a few characters.
+pub struct EntryDisplay<'e>(pub &'e log::Entry);
 
-impl fmt::Debug for Shown<'_> {
+impl fmt::Debug for EntryDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for EntryDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self(entry) = self;
         write!(f, "{}/{} ", entry.index, entry.term)?;
@@ -76,26 +76,27 @@
 /// A VM.
 #[derive(Debug, Clone)]
 pub struct Vm {
-    /// Its process.
+    /// The node that runs on it.
     pub node: sync::Arc<node::Node>,
-    /// What is synced. Between two steps it holds all that the node does but its commit index.
+    /// The synced content of its disk. Between two steps it holds the node's whole state except the commit
+    /// index.
     pub disk: sync::Arc<log::PersistedState>,
 }
 
-/// What was once promised, and whether it was kept.
+/// The facts that later states must not contradict, and the first contradiction found.
 #[derive(Debug, Clone, Default, Hash)]
-pub struct Promises {
-    /// Each entry that some node applied, with the term in which it was first known as committed.
+pub struct History {
+    /// The entries applied by any node, with the term in which each was first known to be committed.
     pub committed: Vec<(log::Entry, log::Term)>,
-    /// Who led in each term.
+    /// The leader of each term.
     pub leaders: collections::BTreeMap<log::Term, log::NodeId>,
-    /// Terms whose leader stepped down.
+    /// The terms whose leader stepped down.
     pub stepped_down: collections::BTreeSet<log::Term>,
-    /// What was broken.
-    pub broken: Option<String>,
+    /// The violated invariant.
+    pub violation: Option<String>,
 }
 
-impl Promises {
+impl History {
     fn apply(&mut self, node: &node::Node, entries: Vec<log::Entry>) {
         for entry in entries {
             let at = usize::try_from(entry.index.0).unwrap_or(usize::MAX) - 1;
@@ -103,28 +104,28 @@
                 None => self.committed.push((entry, node.status().term)),
                 Some((known, _)) if *known == entry => {}
                 Some((known, _)) => {
-                    let (known, entry) = (Shown(known), Shown(&entry));
+                    let (known, entry) = (EntryDisplay(known), EntryDisplay(&entry));
                     let id = node.id();
-                    self.broken =
+                    self.violation =
                         Some(format!("{id} applies [{entry}], and [{known}] was applied"));
                 }
             }
         }
     }
 
-    /// `log` is what the new leader holds.
-    fn lead(&mut self, id: log::NodeId, term: log::Term, log: &[log::Entry]) {
+    /// Checks a new leader, whose log is `log`.
+    fn check_new_leader(&mut self, id: log::NodeId, term: log::Term, log: &[log::Entry]) {
         if let Some(other) = self.leaders.insert(term, id)
             && other != id
         {
-            self.broken = Some(format!("{other} and {id} both lead in term {term}"));
+            self.violation = Some(format!("{other} and {id} both lead in term {term}"));
         }
         let earlier = self.committed.iter().filter(|(_, known)| *known < term);
         for (entry, known) in earlier {
             let at = usize::try_from(entry.index.0).unwrap_or(usize::MAX) - 1;
             if log.get(at) != Some(entry) {
-                let entry = Shown(entry);
-                self.broken = Some(format!(
+                let entry = EntryDisplay(entry);
+                self.violation = Some(format!(
                     "{id} leads in term {term} without [{entry}], committed in term {known}"
                 ));
             }
@@ -132,28 +133,28 @@
     }
 }
 
-/// All VMs and what is between them.
+/// All VMs and the messages between them.
 #[derive(Debug, Clone)]
 pub struct World {
-    /// By VM number less one.
+    /// The VMs. The index is the VM's number minus one.
     pub vms: Vec<Vm>,
-    /// By digest, so that one order of sending is as good as another.
+    /// The messages in flight, by digest, so that states do not differ by the order of sending.
     pub network: collections::BTreeMap<u64, sync::Arc<Envelope>>,
-    /// What must be kept.
-    pub promises: Promises,
-    /// VMs that are cut off from the others, but not from each other.
-    pub apart: sync::Arc<[u32]>,
+    /// The facts that must not be contradicted.
+    pub history: History,
+    /// VMs that are partitioned from the others, but not from each other.
+    pub partitioned: sync::Arc<[u32]>,
     settings: sync::Arc<Settings>,
 }
 
-/// What all VMs share.
+/// The settings of all VMs.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Guards that are in.
+    /// The guards.
     pub guards: config::Guards,
-    /// One entry in each message, which lets more happen between them.
+    /// Whether each message contains only one entry, so that other events can happen between entries.
     pub one_entry: bool,
-    /// The voters at the first start.
+    /// The voters with which the group is formed.
     pub voters: log::Membership,
 }
 
@@ -166,21 +167,21 @@
         for digest in self.network.keys() {
             digest.hash(hasher);
         }
-        self.promises.hash(hasher);
+        self.history.hash(hasher);
     }
 }
 
-/// Up to where a step is carried out.
+/// Up to which action a step is carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Until {
     End,
-    /// The process ends just before it would write.
+    /// The process crashes just before its write.
     Write,
 }
 
 impl World {
-    /// A group of VMs numbered from one. The voters have disks with the membership on them, others
-    /// empty ones.
+    /// A group of VMs numbered from one. The disks of the voters contain the membership, other disks are
+    /// empty.
     #[must_use]
     pub fn new(vms: u32, settings: Settings) -> Self {
         let settings = sync::Arc::new(settings);
@@ -204,8 +205,8 @@
         Self {
             vms: vms.collect(),
             network: collections::BTreeMap::new(),
-            promises: Promises::default(),
-            apart: sync::Arc::default(),
+            history: History::default(),
+            partitioned: sync::Arc::default(),
             settings,
         }
     }
@@ -213,24 +214,24 @@
     /// The status of a VM's node.
     #[must_use]
     pub fn status(&self, vm: u32) -> status::Status {
-        self.vms[place(vm)].node.status()
+        self.vms[vm_index(vm)].node.status()
     }
 
-    /// Whether this VM's node leads.
+    /// Whether this VM's node is a leader.
     #[must_use]
     pub fn leads(&self, vm: u32) -> bool {
         self.status(vm).role == status::Role::Leader
     }
 
-    /// Hands `event` to the node of `vm` and carries out what it says.
+    /// Passes `event` to the node of `vm` and carries out its actions.
     pub fn step(&mut self, vm: u32, event: event::Event) {
         self.step_until(vm, event, Until::End);
     }
 
-    /// As [`Self::step`], but the process ends before its write and starts again from its disk.
-    /// None if nothing would have left it before: then it is like a crash before the event.
+    /// Like [`Self::step`], but the process crashes before its write and restarts from its disk. None if the
+    /// guards prevent actions before the write, since this is then equivalent to a crash before the event.
     #[must_use]
-    pub fn crash_in(&self, vm: u32, event: event::Event) -> Option<Self> {
+    pub fn step_and_crash(&self, vm: u32, event: event::Event) -> Option<Self> {
         if self.settings.guards.sync {
             return None;
         }
@@ -240,8 +241,8 @@
         Some(next)
     }
 
-    /// Delivers the message with this digest, and takes it off the network unless `keep`. Whether
-    /// it changed anything.
+    /// Delivers the message with this digest, and removes it from the network unless `keep` is set. Returns
+    /// whether the message had an effect.
     pub fn deliver(&mut self, digest: u64, keep: bool) -> bool {
         let Some(envelope) = self.network.get(&digest).cloned() else {
             return false;
@@ -250,26 +251,26 @@
             self.network.remove(&digest);
         }
         let vm = envelope.message.to.vm;
-        let before = sync::Arc::clone(&self.vms[place(vm)].node);
+        let before = sync::Arc::clone(&self.vms[vm_index(vm)].node);
         let sent = self.network.len();
-        self.step(vm, event_of(&envelope));
-        *before.state() != *self.vms[place(vm)].node.state() || self.network.len() != sent
+        self.step(vm, delivery_event(&envelope));
+        *before.state() != *self.vms[vm_index(vm)].node.state() || self.network.len() != sent
     }
 
-    /// The process of `vm` ends and starts again from its disk.
+    /// Restarts the process of `vm` from its disk.
     pub fn restart(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
-        let vm = &mut self.vms[place(vm)];
+        let vm = &mut self.vms[vm_index(vm)];
         let disk = log::PersistedState::clone(&vm.disk);
         vm.node = sync::Arc::new(start(vm.node.id(), disk, &settings));
         self.prune();
     }
 
-    /// `vm` loses its disk and starts under the next generation. Without that guard it takes the
-    /// membership from its settings, as at the first start, and so its old name.
+    /// Restarts `vm` with an empty disk and the next generation. Without the guard `generation` it takes the
+    /// membership from its settings, as at the first start, and thereby its old id.
     pub fn lose_disk(&mut self, vm: u32) {
         let settings = sync::Arc::clone(&self.settings);
-        let vm = &mut self.vms[place(vm)];
+        let vm = &mut self.vms[vm_index(vm)];
         let mut id = vm.node.id();
         id.generation += 1;
         let mut disk = log::PersistedState::default();
@@ -281,31 +282,31 @@
         self.prune();
     }
 
-    /// Forgets all messages under way: they are lost.
+    /// Drops all messages in flight.
     pub fn lose_messages(&mut self) {
         self.network.clear();
     }
 
     fn step_until(&mut self, vm: u32, event: event::Event, until: Until) {
-        let mut node = node::Node::clone(&self.vms[place(vm)].node);
+        let mut node = node::Node::clone(&self.vms[vm_index(vm)].node);
         let actions = node.step(NOW, event);
         let id = node.id();
-        self.vms[place(vm)].node = sync::Arc::new(node);
+        self.vms[vm_index(vm)].node = sync::Arc::new(node);
         for action in actions {
             match action {
                 event::Action::Persist(_) if until == Until::Write => return,
                 event::Action::Persist(write) => self.persist(vm, write),
                 event::Action::Send { message, .. } => self.send(id, message),
                 event::Action::Apply(entries) => {
-                    let node = sync::Arc::clone(&self.vms[place(vm)].node);
-                    self.promises.apply(&node, entries);
+                    let node = sync::Arc::clone(&self.vms[vm_index(vm)].node);
+                    self.history.apply(&node, entries);
                 }
                 event::Action::BecameLeader { term } => {
-                    let disk = sync::Arc::clone(&self.vms[place(vm)].disk);
-                    self.promises.lead(id, term, &disk.entries);
+                    let disk = sync::Arc::clone(&self.vms[vm_index(vm)].disk);
+                    self.history.check_new_leader(id, term, &disk.entries);
                 }
                 event::Action::SteppedDown { term } => {
-                    self.promises.stepped_down.insert(term);
+                    self.history.stepped_down.insert(term);
                 }
                 _ => {}
             }
@@ -314,7 +315,7 @@
     }
 
     fn persist(&mut self, vm: u32, write: log::LogWrite) {
-        let disk = sync::Arc::make_mut(&mut self.vms[place(vm)].disk);
+        let disk = sync::Arc::make_mut(&mut self.vms[vm_index(vm)].disk);
         if let Some(hard_state) = write.hard_state {
             disk.hard_state = hard_state;
         }
@@ -330,8 +331,8 @@
             message::Body::Heartbeat { commit, .. } => commit.0 == 0,
             _ => false,
         };
-        let apart = |id: log::NodeId| self.apart.contains(&id.vm);
-        if idle || apart(from) != apart(message.to) {
+        let partitioned = |id: log::NodeId| self.partitioned.contains(&id.vm);
+        if idle || partitioned(from) != partitioned(message.to) {
             return;
         }
         let envelope = Envelope { from, message };
@@ -341,18 +342,20 @@
             .insert(hasher.finish(), sync::Arc::new(envelope));
     }
 
-    /// Takes off what can have no effect any more.
+    /// Removes messages that cannot have an effect any more.
     fn prune(&mut self) {
         let vms = &self.vms;
         self.network.retain(|_, envelope| {
             let message = &envelope.message;
-            let Some(vm) = vms.get(place(message.to.vm)) else {
+            let Some(vm) = vms.get(vm_index(message.to.vm)) else {
                 return false;
             };
             let status = vm.node.status();
             let pre_vote = matches!(message.body, message::Body::PreVoteReply { .. });
-            // Such a message tells a leader that its term is over, by the answer to it.
-            let sender = vms.get(place(envelope.from.vm)).map(|vm| vm.node.status());
+            // The reply to such a message tells its sender, a leader, that its term is outdated.
+            let sender = vms
+                .get(vm_index(envelope.from.vm))
+                .map(|vm| vm.node.status());
             let from_leader = sender.is_some_and(|sender| {
                 sender.role == status::Role::Leader && sender.term == message.term
             });
@@ -374,14 +377,14 @@
 
 /// The event that delivers a message.
 #[must_use]
-pub fn event_of(envelope: &Envelope) -> event::Event {
+pub fn delivery_event(envelope: &Envelope) -> event::Event {
     event::Event::Message {
         from: envelope.from,
         message: envelope.message.clone(),
     }
 }
 
-fn place(vm: u32) -> usize {
+fn vm_index(vm: u32) -> usize {
     vm as usize - 1
 }
 
