--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -419,7 +419,7 @@
 
     /// Hands the request for an adapter to the planning thread.
     pub fn request_adapter(&self, want: messages::AdapterReq) {
-        self.plan(planning::Input::Want(want));
+        self.plan(planning::Input::AdapterRequest(want));
     }
 
     /// Hands an input to the planning thread. It is dropped if the queue is full.
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -42,7 +42,7 @@
     /// The demand that an entry process has reported.
     Demand(Vec<messages::Demand>),
     /// A request waits for an adapter.
-    Want(messages::AdapterReq),
+    AdapterRequest(messages::AdapterReq),
     /// An order, and the engine's answer if one arrived.
     Answered(Box<dialect::Order>, Option<dialect::OrderResponse>),
     /// The report of an engine; none if the query failed.
@@ -114,7 +114,7 @@
         for input in inputs {
             match input {
                 Input::Demand(demand) => self.planner.add_demand(now, &demand),
-                Input::Want(req) => self.planner.request_adapter(now, req),
+                Input::AdapterRequest(req) => self.planner.request_adapter(now, req),
                 Input::Reported(instance, report) => {
                     self.planner.handle_report(now, &instance, report);
                 }
