--- a/spec/tests/specs/run.rs
+++ b/spec/tests/specs/run.rs
@@ -1,10 +1,10 @@
-//! The explorer itself, and the command line.
+//! The exploration itself, and the command line.
 
 use std::fmt;
 
 use sageshed_spec::{explore, run};
 
-/// Counts up by one or two to a bound; five is forbidden.
+/// Counts up by one or two to a limit. The invariant is that the count is not five.
 struct Counter {
     last: u32,
 }
@@ -34,7 +34,7 @@
             .collect()
     }
 
-    fn broken(&self, state: &u32) -> Option<String> {
+    fn violation(&self, state: &u32) -> Option<String> {
         (*state == 5).then(|| "five".to_owned())
     }
 }
@@ -45,56 +45,56 @@
 };
 
 #[test]
-fn the_shortest_way_is_found() {
+fn the_shortest_counterexample_is_found() {
     let report = explore::explore(&Counter { last: 9 }, FAR);
     let found = report.counterexample.expect("five is reached");
     assert_eq!(found.events.len(), 3);
-    assert_eq!(found.broken, "five");
+    assert_eq!(found.violation, "five");
 }
 
 #[test]
-fn bounds_are_told() {
+fn reached_limits_are_reported() {
     struct Case {
         last: u32,
         bound: explore::Bound,
         states: usize,
-        cut: Option<explore::Cut>,
+        limit: Option<explore::Limit>,
     }
     let cases = [
         Case {
             last: 4,
             bound: FAR,
             states: 5,
-            cut: None,
+            limit: None,
         },
         Case {
             last: 9,
             bound: explore::Bound { depth: 1, ..FAR },
             states: 3,
-            cut: Some(explore::Cut::Depth),
+            limit: Some(explore::Limit::Depth),
         },
         Case {
             last: 9,
             bound: explore::Bound { states: 3, ..FAR },
             states: 3,
-            cut: Some(explore::Cut::States),
+            limit: Some(explore::Limit::States),
         },
     ];
     for case in cases {
         let report = explore::explore(&Counter { last: case.last }, case.bound);
         assert!(report.holds());
-        assert_eq!((report.states, report.cut), (case.states, case.cut));
+        assert_eq!((report.states, report.limit), (case.states, case.limit));
     }
 }
 
 #[test]
-fn every_guard_that_is_named_exists() {
+fn all_named_guards_exist() {
     let none = explore::Bound {
         depth: 0,
         states: 1,
     };
     for entry in run::ALL {
-        for guard in entry.needed.iter().chain(entry.spare) {
+        for guard in entry.needed.iter().chain(entry.optional) {
             assert!(entry.explore(Some(guard), none).is_some(), "{guard}");
         }
         assert!(entry.explore(Some("no such guard"), none).is_none());
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_command_line_is_read() {
+fn the_command_line_is_parsed() {
     let args = ["claims", "--without", "wait", "--depth", "7"].map(str::to_owned);
     let options = run::Options::read(args.into_iter()).expect("the arguments are right");
     let expected = run::Options {
