--- a/crates/sageshed-fleet/src/directory/succession.rs
+++ b/crates/sageshed-fleet/src/directory/succession.rs
@@ -12,7 +12,7 @@
 //! receives its announcements then raises its rank, once
 //!
 //! * it has announced itself for [`CONTENTION_TIME`], and
-//! * the seemingly later one was silent for [`super::RIVAL_SILENCE`] meanwhile.
+//! * the seemingly later one has been silent for [`super::RIVAL_SILENCE`], and for all of the contention time.
 //!
 //! A running instance passes this test, since it announces itself about every second. Announcements that were held
 //! up by a network partition arrive in one burst, and the running instance announces itself between them. So a clock
