--- a/crates/sageshed-place/src/planner/baselines.rs
+++ b/crates/sageshed-place/src/planner/baselines.rs
@@ -36,7 +36,7 @@
         {
             return self.load_on_demand(base);
         }
-        if let Some(key) = self.roomiest(model, need_mib) {
+        if let Some(key) = self.best_engine_with_room(model, need_mib) {
             return self.load(key, model, "it was asked for");
         }
         if self.await_room(model, need_mib) {
@@ -89,7 +89,7 @@
             if !self.inputs.budget.allows() || self.replicas(model) == 0 {
                 continue;
             }
-            if let Some(key) = self.roomiest(model, self.memory(model)) {
+            if let Some(key) = self.best_engine_with_room(model, self.memory(model)) {
                 self.load(key, model, "memory is free");
             }
         }
--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -97,7 +97,7 @@
     }
 
     fn give_base_route(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if let Some(key) = self.roomiest(model, need_mib) {
+        if let Some(key) = self.best_engine_with_room(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
         match self.make_room(model, need_mib) {
@@ -110,7 +110,7 @@
     /// on an engine with room for both.
     fn give_adapter_route(&mut self, model: ModelKey, base: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
-        if let Some(key) = self.roomiest(model, need_mib) {
+        if let Some(key) = self.best_engine_with_room(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
         if !self.loading_on[base.index()].is_empty() {
@@ -120,7 +120,7 @@
             return Attempt::Waiting;
         }
         let both_mib = need_mib + self.memory(base);
-        if let Some(key) = self.roomiest(base, both_mib) {
+        if let Some(key) = self.best_engine_with_room(base, both_mib) {
             return self.load(key, base, "an adapter on it has no route");
         }
         if self.routes[base.index()].is_empty() {
@@ -138,7 +138,11 @@
     /// The best engine with `need_mib` of free memory for `model`. In this order, prefers one where it
     /// is pinned, with room for its adapters too, in an availability zone without a replica, and with
     /// the most free memory.
-    pub(super) fn roomiest(&self, model: ModelKey, need_mib: u64) -> Option<EndpointKey> {
+    pub(super) fn best_engine_with_room(
+        &self,
+        model: ModelKey,
+        need_mib: u64,
+    ) -> Option<EndpointKey> {
         let family_mib = self.family_mib(model);
         self.keys()
             .filter(|key| {
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -123,7 +123,7 @@
 
     /// Finds a way to load `moved` and its adapters on another engine.
     fn plan_move(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
-        if let Some(to) = self.roomiest(moved, memory_mib) {
+        if let Some(to) = self.best_engine_with_room(moved, memory_mib) {
             return Some(MoveStep::Load(moved, to));
         }
         if self.is_adapter_of_redundant(from, moved) {
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -63,7 +63,7 @@
                 && self.has_base(*key, model)
                 && !self.engine(*key).awaits(model)
         });
-        if let Some(key) = beside.or_else(|| self.roomiest(model, need_mib)) {
+        if let Some(key) = beside.or_else(|| self.best_engine_with_room(model, need_mib)) {
             return self.load(key, model, "a newer version is wanted");
         }
         if outdated.len() > 1 {
