--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -193,7 +193,7 @@
                     routes.push(engine.key);
                 }
             }
-            for model in self.arriving(engine) {
+            for model in self.loading_models(engine) {
                 let loading_on = &mut self.loading_on[model.index()];
                 if loading_on.last() != Some(&engine.key) {
                     loading_on.push(engine.key);
@@ -206,7 +206,7 @@
     }
 
     /// The models of the catalog that are being loaded on `engine`.
-    fn arriving(&self, engine: &Engine) -> Vec<ModelKey> {
+    fn loading_models(&self, engine: &Engine) -> Vec<ModelKey> {
         let ordered = self.under_way(engine).filter_map(Task::loaded);
         let loading = engine
             .held
