--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -207,7 +207,7 @@
 
     /// The models of the catalog that are being loaded on `engine`.
     fn loading_models(&self, engine: &Engine) -> Vec<ModelKey> {
-        let ordered = self.under_way(engine).filter_map(Task::loaded);
+        let ordered = self.expected_tasks(engine).filter_map(Task::loaded);
         let loading = engine
             .held
             .iter()
@@ -225,7 +225,7 @@
     /// An order that no report has shown for a long time is not included, although its memory stays
     /// reserved. A lost order to an engine that ignores fencing tokens is never sent again, so
     /// waiting for it would never end.
-    fn under_way<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
+    fn expected_tasks<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
         let now = self.inputs.now;
         let lost_after = self.inputs.policy.lost_after();
         let ordered = engine
--- a/crates/sageshed-place/src/planner/room.rs
+++ b/crates/sageshed-place/src/planner/room.rs
@@ -76,7 +76,7 @@
     /// since waiting for them might never end.
     fn freed_mib(&self, key: EndpointKey) -> u64 {
         let engine = self.engine(key);
-        let freeing: Vec<Task> = self.under_way(engine).collect();
+        let freeing: Vec<Task> = self.expected_tasks(engine).collect();
         let frees = |held: &&engine::HeldModel| {
             let (model, version) = (held.model, held.version);
             held.phase == endpoints::Phase::Unloading
