--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -77,7 +77,7 @@
             candidates.select_nth_unstable_by(MAX_EVICTION_PLANS, |a, b| self.compare(model, a, b));
             candidates.truncate(MAX_EVICTION_PLANS);
         }
-        self.displace(model, need_mib, &candidates)
+        self.evict_for_demand(model, need_mib, &candidates)
     }
 
     /// The engines on which another replica of `model` would be useful.
@@ -121,7 +121,12 @@
     }
 
     /// Evicts less useful replicas from one of the candidates, if this is worth the cost.
-    fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
+    fn evict_for_demand(
+        &mut self,
+        model: ModelKey,
+        need_mib: u64,
+        candidates: &[Candidate],
+    ) -> Attempt {
         let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
         for candidate in candidates.iter().take(MAX_EVICTION_PLANS) {
