--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -48,7 +48,7 @@
                 self.inputs.move_limits.reset(*model);
             }
         }
-        let start = self.first_attempt();
+        let start = self.rotation_offset();
         let lacking = ranking
             .iter()
             .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
@@ -69,7 +69,7 @@
 
     /// The offset at which the rotation through models without a route starts. It advances with time, so
     /// that each model gets its turn.
-    fn first_attempt(&self) -> usize {
+    fn rotation_offset(&self) -> usize {
         let interval = self.inputs.policy.plan_interval_ms.0.max(1);
         let plans = self.inputs.now.0 / interval;
         usize::try_from(plans).unwrap_or(0) * MAX_MODELS
