--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -364,11 +364,11 @@
     #[must_use]
     pub fn has_adapter_of(&self, engine: &Engine, model: ModelKey) -> bool {
         let held = engine.held.iter().map(|held| held.model);
-        let coming = engine.pending().filter_map(|task| match task {
+        let loading = engine.pending().filter_map(|task| match task {
             Task::Load { model, .. } => Some(model),
             Task::Unload { .. } | Task::ChangeRole => None,
         });
-        held.chain(coming)
+        held.chain(loading)
             .any(|m| self.offer(m).is_some_and(|offer| offer.base == Some(model)))
     }
 }
