--- a/crates/sageshed-place/src/engine.rs
+++ b/crates/sageshed-place/src/engine.rs
@@ -355,7 +355,7 @@
     /// next order only when the outcome of the previous one is known.
     #[must_use]
     pub fn takes_orders(&self, now: time::Instant, stale_after: time::Millis) -> bool {
-        let at_once = if self.checks_fence {
+        let max_open = if self.checks_fence {
             MAX_OPEN_ORDERS
         } else {
             1
@@ -363,7 +363,7 @@
         self.is_fresh(now, stale_after)
             && !self.leaving
             && self.orders.iter().all(|o| o.seen || !o.restored)
-            && self.pending().count() < at_once
+            && self.pending().count() < max_open
     }
 
     /// Whether a change of the engine's pool may be in progress.
