--- a/crates/sageshed-place/src/budget.rs
+++ b/crates/sageshed-place/src/budget.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Budget {
     tokens: f64,
-    at_once: u32,
+    max_concurrent: u32,
     loads_in_progress: u32,
     refilled: Option<time::Instant>,
 }
@@ -25,14 +25,14 @@
             None => most,
         };
         self.tokens = (self.tokens + earned).min(most);
-        self.at_once = policy.store_loads_at_once;
+        self.max_concurrent = policy.store_loads_at_once;
         self.loads_in_progress = ledger.engines().iter().map(loads_on).sum();
     }
 
     /// Whether a load may start.
     #[must_use]
     pub fn allows(&self) -> bool {
-        self.tokens >= 1.0 && self.loads_in_progress < self.at_once
+        self.tokens >= 1.0 && self.loads_in_progress < self.max_concurrent
     }
 
     /// Counts a load that starts.
