--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -155,7 +155,7 @@
             84..92 => self.step(place::Event::Plan),
             92..95 => self.request(),
             95..97 => self.silence(),
-            97 => self.drop_something(),
+            97 => self.drop_report(),
             _ => self.fail(),
         }
         self.check();
@@ -307,7 +307,7 @@
         self.step(place::Event::EndpointSilent { endpoint });
     }
 
-    fn drop_something(&mut self) {
+    fn drop_report(&mut self) {
         let _: Option<_> = self.random.take(&mut self.reports);
     }
 
