--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -49,17 +49,19 @@
             }
         }
         let start = self.rotation_offset();
-        let lacking = ranking
+        let without_route = ranking
             .iter()
             .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
-        let lacking: Vec<ModelKey> = lacking.copied().collect();
-        let critical = lacking.iter().filter(|m| self.offer(**m).model.critical);
+        let without_route: Vec<ModelKey> = without_route.copied().collect();
+        let critical = without_route
+            .iter()
+            .filter(|m| self.offer(**m).model.critical);
         let first = critical.count().min(MAX_MODELS);
-        let rest = lacking.len() - first;
+        let rest = without_route.len() - first;
         let turn = if rest > MAX_MODELS { start % rest } else { 0 };
         let order = (0..first).chain((0..rest).map(|i| first + (i + turn) % rest));
         for at in order.take(MAX_MODELS) {
-            let model = lacking[at];
+            let model = without_route[at];
             let attempt = self.give_route_within_limits(model);
             if attempt == Attempt::Impossible {
                 self.report_problem(model, "no engine that takes orders now can make room");
@@ -168,10 +170,10 @@
             return self.memory(model);
         }
         let adapters = self.inputs.ledger.offers().iter().zip(&self.routes);
-        let lacking = adapters
+        let without_route = adapters
             .filter(|(offer, routes)| offer.base == Some(model) && routes.is_empty())
             .map(|(offer, _)| offer.model.memory_mib);
-        self.memory(model) + lacking.sum::<u64>()
+        self.memory(model) + without_route.sum::<u64>()
     }
 
     /// Whether there is no replica of `model` in the availability zone of `key`.
