--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -29,14 +29,14 @@
 impl Planner<'_> {
     /// Adds replicas of the models with the most unserved demand.
     pub(super) fn capacity(&mut self) {
-        let mut lacking: Vec<(f64, ModelKey)> = (0..self.routes.len())
+        let mut underserved: Vec<(f64, ModelKey)> = (0..self.routes.len())
             .map(ModelKey::from_index)
             .filter(|m| !self.routes[m.index()].is_empty())
             .map(|m| (self.unserved(m), m))
             .filter(|(unserved, _)| *unserved > NEGLIGIBLE_SLOTS)
             .collect();
-        lacking.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        for (_, model) in lacking.into_iter().take(MAX_MODELS) {
+        underserved.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        for (_, model) in underserved.into_iter().take(MAX_MODELS) {
             if !self.inputs.budget.allows() {
                 return;
             }
