--- a/crates/sageshed-decide/src/decider.rs
+++ b/crates/sageshed-decide/src/decider.rs
@@ -113,7 +113,7 @@
                 self.handle_attempt_end(now, req, outcome, &mut out);
             }
             event::Event::FirstToken { req } | event::Event::Progress { req, .. } => {
-                self.mark_answer_started(req);
+                self.mark_response_started(req);
             }
             event::Event::BackoffRequested { req, span } => self.handle_backoff(now, req, span),
             event::Event::CallerGone(req) => self.handle_caller_gone(now, req, &mut out),
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -35,7 +35,7 @@
 }
 
 impl Decider {
-    pub(super) fn mark_answer_started(&mut self, req: event::ReqId) {
+    pub(super) fn mark_response_started(&mut self, req: event::ReqId) {
         if let Some(request) = self.requests.get_mut(&req) {
             request.answer_started = true;
         }
