--- a/crates/sageshed-decide/src/decider/arrive.rs
+++ b/crates/sageshed-decide/src/decider/arrive.rs
@@ -63,7 +63,7 @@
             attempts: 0,
             failed_on: Vec::new(),
             verdict: verdict::Verdict::NotRun,
-            answer_started: false,
+            response_started: false,
             queued: time::Millis(0),
             candidates: Vec::new(),
         }
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -37,7 +37,7 @@
 impl Decider {
     pub(super) fn mark_response_started(&mut self, req: event::ReqId) {
         if let Some(request) = self.requests.get_mut(&req) {
-            request.answer_started = true;
+            request.response_started = true;
         }
     }
 
@@ -200,7 +200,7 @@
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
             return NextStep::GiveUp("it may not be repeated");
         }
-        if request.answer_started && request.info.streaming {
+        if request.response_started && request.info.streaming {
             return NextStep::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -95,7 +95,7 @@
     /// The most pessimistic verdict of all its ended attempts.
     pub verdict: verdict::Verdict,
     /// Whether part of the response may have reached the caller.
-    pub answer_started: bool,
+    pub response_started: bool,
     /// How long it waited before its first attempt.
     pub queued: time::Millis,
     /// The endpoints considered for the first attempt.
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -11,7 +11,7 @@
 struct Failure {
     not_repeatable: bool,
     /// Whether the request is streamed and its first token was passed on.
-    answer_started: bool,
+    response_started: bool,
     verdict: verdict::Verdict,
     fault: event::AttemptError,
     expected: &'static str,
@@ -23,14 +23,14 @@
 const FAILURES: &[Failure] = &[
     Failure {
         not_repeatable: false,
-        answer_started: false,
+        response_started: false,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
         expected: "send",
     },
     Failure {
         not_repeatable: false,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
         expected: "send",
@@ -38,7 +38,7 @@
     // The caller already has part of the response of one run, which must not be mixed with another.
     Failure {
         not_repeatable: false,
-        answer_started: true,
+        response_started: true,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
         expected: "endpoint_failed may_have_run",
@@ -46,14 +46,14 @@
     // No byte was sent, so the request may be sent again under the same claim.
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: REFUSED,
         expected: "send",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: MAY_HAVE_RUN,
         fault: event::AttemptError::NoFirstByte,
         expected: "endpoint_failed may_have_run",
@@ -61,21 +61,21 @@
     // Once a connection was established, `NotRun` is not trusted.
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: CUT,
         expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: event::AttemptError::Status(500),
         expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: event::AttemptError::Status(429),
         expected: "send",
@@ -90,13 +90,13 @@
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
         let (req, mut actions) = harness.arrive(|f| {
             f.not_repeatable = case.not_repeatable;
-            f.streaming = case.answer_started;
+            f.streaming = case.response_started;
         });
         if case.not_repeatable {
             actions = harness.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
-        if case.answer_started {
+        if case.response_started {
             harness.step(event::Event::FirstToken { req });
         }
         let actions = harness.fail(req, case.verdict, case.fault);
