--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -142,9 +142,9 @@
     }
 
     /// Drops the buckets of rule limits whose slots are no longer in use.
-    pub fn retain_slots(&mut self, in_force: impl Fn(u32) -> bool) {
+    pub fn retain_slots(&mut self, is_in_use: impl Fn(u32) -> bool) {
         self.buckets
-            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&in_force));
+            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&is_in_use));
     }
 
     fn make_room(&mut self, now: time::Instant, bucket_key: BucketKey) -> bool {
