--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -37,7 +37,7 @@
     /// Send the request to the chosen endpoint now.
     Send(router::Pick),
     /// Queue the request.
-    Wait,
+    Queue,
     /// Refuse the request.
     Refuse(RefusalCause),
 }
@@ -66,7 +66,7 @@
                 out.push(event::Action::Claim { req });
             }
             Admission::Send(pick) => self.send(now, req, pick, out),
-            Admission::Wait => self.enqueue(now, req, out),
+            Admission::Queue => self.enqueue(now, req, out),
         }
     }
 
@@ -88,7 +88,7 @@
     /// Decides what to do with a request. Changes no state except that of the random generator.
     pub(super) fn assess(&mut self, now: time::Instant, req: event::ReqId) -> Admission {
         let Some(request) = self.requests.get(&req) else {
-            return Admission::Wait;
+            return Admission::Queue;
         };
         let choice = self.router.choose(now, &request.requirements());
         let ahead = self.queues.ahead(request.lane, &request.queue_key());
@@ -134,7 +134,7 @@
         if full && displaced_by().is_none() {
             return Admission::Refuse(self.queue_full(request, wait));
         }
-        Admission::Wait
+        Admission::Queue
     }
 
     /// Returns a refusal if a request that waits `wait` milliseconds would miss its deadline.
