--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -158,11 +158,11 @@
         match self.inputs.policy.baseline {
             policy::PlannerKind::Planned => {
                 self.ensure_routes();
-                self.pins();
-                self.versions();
-                self.capacity();
+                self.load_pinned();
+                self.replace_outdated();
+                self.add_capacity();
                 if self.proposals.is_empty() && self.awaited_mib.iter().all(|mib| *mib == 0) {
-                    self.spread();
+                    self.spread_replicas();
                 }
             }
             policy::PlannerKind::OnDemandLru => self.load_requested(),
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -28,7 +28,7 @@
 
 impl Planner<'_> {
     /// Adds replicas of the models with the most unserved demand.
-    pub(super) fn capacity(&mut self) {
+    pub(super) fn add_capacity(&mut self) {
         let mut underserved: Vec<(f64, ModelKey)> = (0..self.routes.len())
             .map(ModelKey::from_index)
             .filter(|m| !self.routes[m.index()].is_empty())
@@ -170,7 +170,7 @@
 
     /// Uses free memory so that each model has `min_replicas` replicas, and replicas in two
     /// availability zones if the policy requires it. Nothing is evicted for this.
-    pub(super) fn spread(&mut self) {
+    pub(super) fn spread_replicas(&mut self) {
         let ranking = self.inputs.ranking;
         let wanting = ranking.iter().filter(|m| self.wants_spread(**m));
         let wanting: Vec<ModelKey> = wanting.copied().collect();
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -16,7 +16,7 @@
 
 impl Planner<'_> {
     /// Replaces outdated replicas.
-    pub(super) fn versions(&mut self) {
+    pub(super) fn replace_outdated(&mut self) {
         for index in 0..self.routes.len() {
             let model = ModelKey::from_index(index);
             let outdated = self.outdated(model);
@@ -95,7 +95,7 @@
     }
 
     /// Loads pinned models on their engines.
-    pub(super) fn pins(&mut self) {
+    pub(super) fn load_pinned(&mut self) {
         for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
             if !self.can_host(*key, *model) || !self.has_base(*key, *model) {
