--- a/crates/sageshed-decide/src/decider/admit.rs
+++ b/crates/sageshed-decide/src/decider/admit.rs
@@ -51,9 +51,10 @@
 }
 
 impl Decider {
-    /// Sends, queues or refuses a request that has passed the rules and limits. A claim for a
-    /// non-repeatable request is requested only after this assessment, so that no claim is made for a
-    /// request that can't be served.
+    /// Sends, queues or refuses a request that has passed the rules and limits.
+    ///
+    /// A non-repeatable request needs a claim before it is sent or queued. The claim is requested only
+    /// if the request would not be refused, so that none is made for a request that can't be served.
     pub(super) fn admit(&mut self, now: time::Instant, req: event::ReqId, out: &mut Actions) {
         let admission = self.assess(now, req);
         let needs_claim = self.requests.get(&req).is_some_and(|request| {
--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -265,8 +265,8 @@
         }
     }
 
-    /// The queued requests of a lane that can no longer meet their deadline. The wait of each request
-    /// is computed without the ones found before it.
+    /// The queued requests of a lane that can no longer meet their deadline. Those already found don't
+    /// count towards the wait of the requests behind them.
     fn late_requests(
         &self,
         now: time::Instant,
--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -17,10 +17,11 @@
 
 use super::{Actions, Decider, RefusalCause, admit};
 
-/// HTTP status of an endpoint that is at capacity, which does not count as a failure.
+/// HTTP status of an endpoint that is at capacity. Pauses the endpoint, but is no failure of it.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// HTTP status of an endpoint that is temporarily unavailable.
+/// HTTP status of an endpoint that is temporarily unavailable. Pauses the endpoint and counts as its
+/// failure.
 const UNAVAILABLE: u16 = 503;
 
 /// The lowest HTTP status that counts as a failure of the endpoint.
--- a/crates/sageshed-decide/src/event.rs
+++ b/crates/sageshed-decide/src/event.rs
@@ -115,8 +115,8 @@
         tokens: u32,
     },
     /// The endpoint responded with an error, which was passed on to the caller unchanged. The request
-    /// is not retried. A status of 429, or of 500 and above, affects the health of the endpoint; any
-    /// other status is attributed to the request.
+    /// is not retried. A status of 429 or 503 pauses the endpoint, and one of 500 or above counts as
+    /// its failure. Any other status is attributed to the request.
     Refused {
         /// The HTTP status.
         status: u16,
--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -72,7 +72,9 @@
     /// The time that the load figures refer to.
     load_as_of: time::Instant,
     own_at_report: u32,
+    /// Requests of the other entry processes in flight at that time.
     others: u32,
+    /// The random number from 0 to 1 with which the share is rounded, drawn for each report.
     dither: f64,
     busy_until: time::Instant,
     ready: bits::BitSet,
@@ -193,7 +195,8 @@
         now >= self.busy_until && self.own < self.limit(now, policy, entries, urgent)
     }
 
-    /// Sends nothing more until this time, since the endpoint reported that it is busy.
+    /// Excludes the endpoint from new requests until this time, since it responded that it is busy or
+    /// requested a backoff.
     pub fn pause(&mut self, until: time::Instant) {
         self.busy_until = self.busy_until.max(until);
     }
@@ -264,7 +267,7 @@
     floored
 }
 
-/// What became of a report.
+/// Whether a report was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// Ignored, since a newer one was known.
@@ -334,7 +337,7 @@
         ReportOutcome::Applied(key)
     }
 
-    /// Updates the lists of holders for one endpoint, if its models have changed.
+    /// Updates the lists of holders for one endpoint, if its kind or its ready models have changed.
     ///
     /// Most reports change no models, and searching the lists takes time in proportion to all holders
     /// of all models: 62 µs for each report at 10,000 endpoints, many times the cost of the rest.
--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -8,8 +8,8 @@
 //! it again.
 //!
 //! Only attempts sent after the last state change count. When an endpoint crashes, everything in
-//! flight there fails at about the same time; otherwise this one event would count as an ejection
-//! for each request, and the doubled durations would keep the endpoint out for minutes.
+//! flight there fails at about the same time. If each of these failures counted as an ejection, the
+//! doubled durations would keep the endpoint out for minutes after a single crash.
 
 use sageshed_types::time;
 
--- a/crates/sageshed-decide/src/learned.rs
+++ b/crates/sageshed-decide/src/learned.rs
@@ -11,8 +11,8 @@
 /// The number of samples up to which the mean is a plain average.
 const PLAIN_SAMPLES: f64 = 16.0;
 
-/// The least number of samples for an estimate by which requests may be refused. With fewer, the
-/// estimate is only a guess.
+/// The least number of samples from which requests may be refused by an estimate. With fewer, the
+/// estimate is only a guess, and a guess is no reason to refuse a request.
 pub const MIN_SAMPLES: u32 = 5;
 
 /// The least and the greatest factor by which one endpoint may count as slower than average.
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -118,7 +118,8 @@
         self.buckets.is_empty()
     }
 
-    /// Takes one token from the bucket of `bucket_key`, if it has one.
+    /// Takes one token from the bucket of `bucket_key`, which is created if it doesn't exist. Returns
+    /// whether the request is within the limit.
     pub fn take(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-decide/src/names.rs
+++ b/crates/sageshed-decide/src/names.rs
@@ -42,8 +42,8 @@
     pub queue: u32,
 }
 
-/// The settings of a class that is missing from the settings. Since settings are checked on start,
-/// this is used only if a caller refers to a class that does not exist.
+/// The values for a class that the settings don't define. Settings are checked on start, so this is
+/// reached only if the entry of a caller names such a class.
 const FALLBACK_CLASS: Class = Class {
     priority: 0,
     deadline: time::Millis(30_000),
--- a/crates/sageshed-decide/src/queue.rs
+++ b/crates/sageshed-decide/src/queue.rs
@@ -17,7 +17,7 @@
 
 use crate::event;
 
-/// Identifies a queue by what its requests have in common.
+/// Identifies a lane by what its requests have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lane {
     /// The model, adapter or service that the requests ask for.
@@ -26,7 +26,7 @@
     pub pool: Option<arena::PoolKey>,
 }
 
-/// A queued request. The order is that in which requests are sent.
+/// The sort key of a queued request. The order is that in which requests are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     /// The highest priority comes first.
--- a/crates/sageshed-decide/src/request.rs
+++ b/crates/sageshed-decide/src/request.rs
@@ -57,7 +57,7 @@
     pub room: bool,
     /// Whether it was chosen.
     pub chosen: bool,
-    /// Whether it was eligible for the request.
+    /// Whether it was eligible for the request, and if not, why.
     pub eligibility: router::Eligibility,
 }
 
@@ -72,7 +72,7 @@
     pub priority: u8,
     /// Whether it may use the headroom for urgent requests.
     pub urgent: bool,
-    /// The queue that it belongs to, given by its target and the pool that a rule requires.
+    /// The lane in which it is queued, given by its target and the pool that a rule requires.
     pub lane: queue::Lane,
     /// The rule that was applied; `None` if the rules were not evaluated.
     pub rule: Option<sync::Arc<str>>,
--- a/crates/sageshed-decide/src/router.rs
+++ b/crates/sageshed-decide/src/router.rs
@@ -20,12 +20,13 @@
 //!
 //! # Eligibility
 //!
-//! A leaving endpoint and one where this request has failed are never eligible. Ejected and silent
-//! endpoints are used only if no other holder is left. That all holders of a model look bad at once
-//! is more likely due to missing reports, or to a faulty request that fails everywhere, than to the
-//! loss of all of them, and refusing everything would be worse. An endpoint that is both ejected and
-//! silent is considered dead, since the two signs are independent of each other. A model that is held
-//! only there counts as held nowhere, so that its requests wait for a load elsewhere.
+//! A leaving endpoint and one where this request has failed are never eligible. Ejected endpoints and
+//! silent ones, which have sent no recent report, are used only if no other holder is left. That all
+//! holders of a model look bad at once is more likely due to missing reports, or to a faulty request
+//! that fails everywhere, than to the loss of all of them, and refusing everything would be worse. An
+//! endpoint that is both ejected and silent is considered dead, since the two signs are independent of
+//! each other. A model that is held only there counts as held nowhere, so that its requests wait for a
+//! load elsewhere.
 
 use sageshed_types::{
     arena::{self, Key},
@@ -371,7 +372,7 @@
     }
 }
 
-/// By which share a request is assumed to be slower on an endpoint with all slots busy, in the score.
+/// The penalty in the score for an endpoint whose slots are all busy, as a share of the service time.
 const FULLNESS_WEIGHT: f64 = 0.2;
 
 /// The estimated time to the complete response, in whole milliseconds.
--- a/crates/sageshed-decide/src/settings.rs
+++ b/crates/sageshed-decide/src/settings.rs
@@ -45,9 +45,9 @@
     /// The number of requests that may be in flight for each slot of an endpoint. A little over 1
     /// keeps a slot busy until the report that it is free has arrived.
     pub in_flight_per_slot: f64,
-    /// The weight, in requests, that each entry process has in advance when the free slots of an
-    /// endpoint are divided. With a greater weight a single busy process takes longer to use a whole
-    /// endpoint, but overcommits it less.
+    /// The number of requests that each entry process is assumed to have beyond those in flight when
+    /// the free slots of an endpoint are divided. With a greater number a single busy process takes
+    /// longer to use a whole endpoint, but overcommits it less.
     pub share_prior: f64,
     /// From this priority on a request may exceed the in-flight limit by [`Self::urgent_headroom`].
     pub urgent_priority: u8,
@@ -96,7 +96,7 @@
     pub affinity_share: f64,
     /// The least time limit for the first byte of a response.
     pub first_byte_min_ms: time::Millis,
-    /// The time limit for the first byte, as a multiple of the estimated time to the response.
+    /// The time limit for the first byte, as a multiple of the estimated time to the complete response.
     pub first_byte_factor: f64,
     /// Maximum number of token buckets for rate limits.
     pub max_limit_buckets: u32,
