--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -324,8 +324,11 @@
         })
     }
 
-    /// Whether `engine` is a route for `model`: a recent report shows the model as ready, neither the
-    /// model is being unloaded nor the engine leaving, and for an adapter the same holds for its base.
+    /// Whether `engine` is a route for `model`.
+    ///
+    /// This requires that a recent report, later than all orders that this leader found in the table,
+    /// shows the model as ready, that it is not being unloaded, that the engine is not leaving, and that
+    /// its pool may hold the model. For an adapter, the base must be ready and stay there as well.
     #[must_use]
     pub fn is_route(&self, now: time::Instant, engine: &Engine, model: ModelKey) -> bool {
         let base = self.offer(model).and_then(|offer| offer.base);
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -105,8 +105,8 @@
             .then(a.key.cmp(&b.key))
     }
 
-    /// The additional load that is served in time on the engines that serve `model` when the demand of
-    /// each changes by `less`, which is negative; in slots.
+    /// How the load served in time changes on the engines that serve `model` when the load of each
+    /// changes by `change`, in slots. Negative, since a new replica takes load from them.
     fn relief(&self, model: ModelKey, less: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
         routes.map(|k| self.served_change(*k, less)).sum()
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -34,9 +34,10 @@
 }
 
 impl Planner<'_> {
-    /// Starts to move a model whose only route occupies memory that `model` needs: loads it on another
-    /// engine, so that later plans can evict it here. If the other engine has no room, spare replicas
-    /// are evicted there first. Longer chains of moves are not considered.
+    /// Starts to move another model whose only route occupies memory that `model` needs. The other model
+    /// is loaded on a second engine, so that a later plan can evict it from the first. If the second
+    /// engine has no room, spare replicas are evicted there first. Longer chains of moves are not
+    /// considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
@@ -92,8 +93,8 @@
         suitable.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// The memory on `key` of replicas that have another route elsewhere, in MiB. Some of them may be
-    /// the base of adapters that have none.
+    /// The memory on `key` of the redundant replicas, whose models have a route elsewhere, in MiB. Some
+    /// of them may be the base of adapters that have no other route.
     fn redundant_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
         held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
@@ -140,8 +141,8 @@
     }
 
     /// The models on `key` whose move to another engine would make room for `model`, each with the
-    /// memory that it and its adapters use here, in MiB. If the replicas with another route would free
-    /// enough memory, only their adapters are in the way.
+    /// memory that it and its adapters use on `key`, in MiB. If evicting the redundant replicas would
+    /// free enough memory, only the adapters that depend on them have to be moved.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
         let obtainable_mib = self.room(key) + self.redundant_mib(key, keep);
