--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -85,11 +85,11 @@
         let wanted = self.slots_wanted(model);
         let replicas = self.replicas(model) as f64;
         let share = wanted / (replicas + 1.0);
-        let relief = self.relief(model, share - wanted / replicas.max(1.0));
+        let change_elsewhere = self.change_on_routes(model, share - wanted / replicas.max(1.0));
         self.keys()
             .map(|key| Candidate {
                 key,
-                gain: self.served_change(key, share) + relief,
+                gain: self.served_change(key, share) + change_elsewhere,
             })
             .filter(|c| c.gain > NEGLIGIBLE_SLOTS)
             .filter(|c| self.can_host(c.key, model) && self.has_base(c.key, model))
@@ -107,9 +107,9 @@
 
     /// How the load served in time changes on the engines that serve `model` when the load of each
     /// changes by `change`, in slots. Negative, since a new replica takes load from them.
-    fn relief(&self, model: ModelKey, less: f64) -> f64 {
+    fn change_on_routes(&self, model: ModelKey, change: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
-        routes.map(|k| self.served_change(*k, less)).sum()
+        routes.map(|k| self.served_change(*k, change)).sum()
     }
 
     /// Converts load in slots into completed requests, from the end of a load of `model` to the horizon.
