--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -403,6 +403,6 @@
         None
     );
     assert_eq!(decider.class("idle"), IDLE);
-    let endpoint = decider.endpoint("e1").expect("heard");
+    let endpoint = decider.endpoint("e1").expect("known");
     assert_eq!(decider.endpoint_address(endpoint), "127.0.0.1:2");
 }
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -320,7 +320,7 @@
     harness.report(common::report("other", 1, 1, &["draft"]));
     let (req, _) = harness.arrive(|_| {});
     harness.fail(req, NOT_RUN, REFUSED);
-    let dead = harness.decider.endpoint("dead").expect("heard");
+    let dead = harness.decider.endpoint("dead").expect("known");
     harness.step(event::Event::EndpointSilent(dead));
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "queue");
@@ -347,7 +347,7 @@
     UnavailableCase {
         what: "reported as silent by the daemon",
         make: |harness| {
-            let endpoint = harness.decider.endpoint("e1").expect("heard");
+            let endpoint = harness.decider.endpoint("e1").expect("known");
             harness.step(event::Event::EndpointSilent(endpoint));
         },
     },
--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -78,6 +78,7 @@
     engine: Engine,
     until: u64,
     running: Vec<(usize, u64)>,
+    /// The newest report, which reaches the placement one plan later.
     late: Option<endpoints::Report>,
 }
 
@@ -201,7 +202,7 @@
                 endpoints::OrderTask::ChangeRole { .. } => return,
             };
             let model = self.models.iter().position(|m| m.name == *name);
-            let model = model.expect("on offer");
+            let model = model.expect("in the catalog");
             let drained = server.running.iter().filter(|(m, _)| *m == model);
             let drained = drained.map(|(_, until)| *until).max().unwrap_or(now);
             server.until = if load {
