--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -113,11 +113,11 @@
     /// Whether all adapters of `base` that are only on `key` fit together on another engine where `base`
     /// serves. Without this check the last of them could evict the first.
     fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
-        let alone = self.engine(key).held.iter().filter(|held| {
+        let only_here = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
             self.is_adapter_of(held.model, base) && routes.is_some_and(|routes| *routes == [key])
         });
-        let need_mib: u64 = alone.map(|held| held.memory_mib).sum();
+        let need_mib: u64 = only_here.map(|held| held.memory_mib).sum();
         let mut routes = self.routes.get(base.index()).into_iter().flatten();
         need_mib == 0 || routes.any(|k| *k != key && self.room(*k) >= need_mib)
     }
@@ -148,14 +148,14 @@
         let obtainable_mib = self.room(key) + self.redundant_mib(key, keep);
         let missing_mib = need_mib.saturating_sub(obtainable_mib);
         let engine = self.engine(key);
-        let alone = engine.held.iter().filter(|held| {
+        let only_here = engine.held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
             held.phase == endpoints::Phase::Ready
                 && Some(held.model) != keep
                 && !self.is_pinned(held.model, key)
                 && routes.is_some_and(|routes| *routes == [key])
         });
-        alone
+        only_here
             .map(|held| (held.model, self.local_family_mib(key, held)))
             .filter(|(moved, mib)| {
                 if missing_mib == 0 {
