--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -106,7 +106,7 @@
     }
 
     /// How the load served in time changes on the engines that serve `model` when the load of each
-    /// changes by `change`, in slots. Negative, since a new replica takes load from them.
+    /// changes by `change`, in slots. Negative or 0, since a new replica takes load from them.
     fn change_on_routes(&self, model: ModelKey, change: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
         routes.map(|k| self.served_change(*k, change)).sum()
