--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -17,7 +17,7 @@
     expected: &'static str,
 }
 
-const REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
+const CONNECT_REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
 const CUT: event::AttemptError = event::AttemptError::Cut;
 
 const FAILURES: &[Failure] = &[
@@ -32,7 +32,7 @@
         not_repeatable: false,
         response_started: false,
         verdict: NOT_RUN,
-        fault: REFUSED,
+        fault: CONNECT_REFUSED,
         expected: "send",
     },
     // The caller already has part of the response of one run, which must not be mixed with another.
@@ -48,7 +48,7 @@
         not_repeatable: true,
         response_started: false,
         verdict: NOT_RUN,
-        fault: REFUSED,
+        fault: CONNECT_REFUSED,
         expected: "send",
     },
     Failure {
@@ -127,7 +127,7 @@
     let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let (req, _) = harness.arrive(|_| {});
     harness.fail(req, MAY_HAVE_RUN, CUT);
-    let actions = harness.fail(req, NOT_RUN, REFUSED);
+    let actions = harness.fail(req, NOT_RUN, CONNECT_REFUSED);
     assert_eq!(
         common::summary(&actions, req),
         "endpoint_failed may_have_run"
@@ -186,7 +186,7 @@
         let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
         let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
         harness.advance(500);
-        let actions = harness.fail(req, NOT_RUN, REFUSED);
+        let actions = harness.fail(req, NOT_RUN, CONNECT_REFUSED);
         assert_eq!(common::summary(&actions, req), "endpoint_failed not_run");
     }
 }
@@ -225,7 +225,7 @@
     for (times, fault, ejected) in [
         (2, CUT, false),
         (3, CUT, true),
-        (1, REFUSED, true),
+        (1, CONNECT_REFUSED, true),
         (8, event::AttemptError::Status(429), false),
     ] {
         let mut harness = with_failures(times, fault);
@@ -306,7 +306,7 @@
 fn ejected_endpoint_is_used_when_no_other_is_left() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
     let (req, _) = harness.arrive(|_| {});
-    harness.fail(req, NOT_RUN, REFUSED);
+    harness.fail(req, NOT_RUN, CONNECT_REFUSED);
     assert_eq!(harness.decider.gauges().ejected, 1);
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "send");
@@ -319,7 +319,7 @@
     let mut harness = common::Harness::with_engines(common::settings(), &["dead"]);
     harness.report(common::report("other", 1, 1, &["draft"]));
     let (req, _) = harness.arrive(|_| {});
-    harness.fail(req, NOT_RUN, REFUSED);
+    harness.fail(req, NOT_RUN, CONNECT_REFUSED);
     let dead = harness.decider.endpoint("dead").expect("known");
     harness.step(event::Event::EndpointSilent(dead));
     let (req, actions) = harness.arrive(|_| {});
@@ -410,7 +410,7 @@
     harness.report(report);
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "send");
-    harness.fail(lost, NOT_RUN, REFUSED);
+    harness.fail(lost, NOT_RUN, CONNECT_REFUSED);
     let gauges = harness.decider.gauges();
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
 }
