--- a/crates/sageshed-decide/tests/rules.rs
+++ b/crates/sageshed-decide/tests/rules.rs
@@ -410,7 +410,8 @@
     );
 }
 
-/// Guards against running out of memory: a limit for each caller creates a bucket for each of them.
+/// Guards against running out of memory: a limit for each caller creates a bucket for each of them, and
+/// without a bound none would ever be dropped.
 #[test]
 fn buckets_are_bounded() {
     let mut limits = limits::Limits::new(2);
