--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -1,10 +1,10 @@
-//! The replicated log: elections, replication, lost disks and changes of membership.
+//! Specification of the replicated log: elections, replication, lost disks and membership changes.
 //!
-//! What must hold: one leader in each term; what was applied once is applied everywhere, in that
-//! order; whoever leads in a later term holds all that was committed before.
+//! Invariants: there is at most one leader in each term, all nodes apply the same entries in the same
+//! order, and the leader of a later term holds all entries committed before.
 //!
-//! Each [`Scenario`] starts somewhere and has a [`Budget`] of things that may happen. Deep faults
-//! need a start that is deep already, or the search would not come to them.
+//! Each [`Scenario`] has an initial state and a [`Budget`] of events. A violation that needs many events
+//! can only be found from an initial state that is close to it.
 
 pub mod scenarios;
 pub mod world;
@@ -15,64 +15,64 @@
 
 use crate::explore;
 
-/// How often each thing may still happen.
+/// How many more events of each kind may happen.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// Election timers that run out.
+    /// Election timers that expire.
     pub elections: u32,
-    /// Commands.
+    /// Commands that are proposed.
     pub proposals: u8,
-    /// Processes that end and start again.
+    /// Processes that crash and restart.
     pub crashes: u32,
-    /// Disks lost.
+    /// Disks that are lost.
     pub disks: u32,
-    /// Messages delivered twice.
+    /// Messages that are delivered twice.
     pub copies: u32,
-    /// Rounds of heartbeats besides the first of each leader.
+    /// Rounds of heartbeats besides the first round of each leader.
     pub heartbeats: u32,
-    /// Leaders that step down by themselves.
+    /// Leaders that step down because they lose contact to a majority.
     pub quorums: u32,
-    /// Changes of membership that may be asked for, each once.
+    /// Membership changes that may be requested, each once.
     pub changes: Vec<event::Change>,
 }
 
-/// What must hold.
+/// The invariants of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Promise {
-    /// The promises of the log.
+pub enum Invariant {
+    /// The invariants of the log.
     Safety,
-    /// No leader steps down. Only for starts from which none has to.
+    /// No leader steps down. Only for scenarios in which no leader has to.
     NoStepDown,
 }
 
-/// A start, and what may happen from there.
+/// An initial state and the events possible from there.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Where it begins.
+    /// The initial state of the VMs and messages.
     pub world: world::World,
-    /// What may happen.
+    /// The numbers of events.
     pub budget: Budget,
-    /// The VMs whose election timer may run out.
-    pub restless: Vec<u32>,
+    /// The VMs whose election timer may expire.
+    pub may_campaign: Vec<u32>,
     /// The VMs that may crash or lose their disk.
-    pub frail: Vec<u32>,
-    /// What must hold.
-    pub promise: Promise,
+    pub may_fail: Vec<u32>,
+    /// The invariants.
+    pub invariant: Invariant,
 }
 
-/// A world with what may still happen.
+/// The state of the VMs and messages, with the remaining budget.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
-    /// The VMs.
+    /// The VMs and messages.
     pub world: world::World,
-    /// What may happen.
+    /// The remaining numbers of events.
     pub budget: Budget,
 }
 
-/// One thing that happens.
+/// An event.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// An election timer runs out.
+    /// An election timer expires.
     ElectionTimeout(u32),
     /// A leader sends a round of heartbeats.
     Heartbeats(u32),
@@ -80,26 +80,26 @@
     QuorumLost(u32),
     /// A command is proposed to a leader.
     Propose(u32, u8),
-    /// A change of membership is asked of a leader.
+    /// A membership change is requested from a leader.
     Change(u32, event::Change),
-    /// A process ends and starts again.
+    /// A process crashes and restarts.
     Crash(u32),
     /// A disk is lost.
     LoseDisk(u32),
-    /// A message arrives.
+    /// A message is delivered.
     Deliver(sync::Arc<world::Envelope>),
-    /// A message arrives, and a copy of it is still under way.
+    /// A message is delivered, and a copy of it stays in flight.
     Copy(sync::Arc<world::Envelope>),
-    /// A message arrives, and the process ends after it has answered and before it has written.
+    /// A message is delivered, and the process crashes after it has replied and before it has written.
     DeliverAndCrash(sync::Arc<world::Envelope>),
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::ElectionTimeout(vm) => write!(f, "VM {vm}: election timer runs out"),
+            Self::ElectionTimeout(vm) => write!(f, "VM {vm}: election timer expires"),
             Self::Heartbeats(vm) => write!(f, "VM {vm}: sends heartbeats"),
-            Self::QuorumLost(vm) => write!(f, "VM {vm}: hears no majority, leads no longer"),
+            Self::QuorumLost(vm) => write!(f, "VM {vm}: lost contact to a majority, steps down"),
             Self::Propose(vm, command) => write!(f, "VM {vm}: command {command} proposed"),
             Self::Change(vm, change) => {
                 let (what, id) = match change {
@@ -109,14 +109,14 @@
                 };
                 write!(f, "VM {vm}: asked to {what} {id}")
             }
-            Self::Crash(vm) => write!(f, "VM {vm}: process ends, starts again from its disk"),
-            Self::LoseDisk(vm) => write!(f, "VM {vm}: disk lost, starts with an empty one"),
+            Self::Crash(vm) => write!(f, "VM {vm}: process crashes and restarts from its disk"),
+            Self::LoseDisk(vm) => write!(f, "VM {vm}: disk lost, restarts with an empty one"),
             Self::Deliver(envelope) => write!(f, "{envelope}"),
-            Self::Copy(envelope) => write!(f, "{envelope} (a copy stays under way)"),
+            Self::Copy(envelope) => write!(f, "{envelope} (a copy stays in flight)"),
             Self::DeliverAndCrash(envelope) => {
                 write!(
                     f,
-                    "{envelope} (answered, then the process ends before its write)"
+                    "{envelope} (answered, then the process crashes before its write)"
                 )
             }
         }
@@ -124,22 +124,22 @@
 }
 
 impl State {
-    /// Everything that may happen next. `scenario` names who may do what.
+    /// The possible events with the resulting states. `scenario` names the VMs at which they are possible.
     #[must_use]
     pub fn next(&self, scenario: &Scenario) -> Vec<(Step, Self)> {
         let mut all = Vec::new();
-        self.deliveries(&mut all);
+        self.delivery_events(&mut all);
         for vm in 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX) {
             if self.world.leads(vm) {
-                self.by_leader(vm, &mut all);
-            } else if scenario.restless.contains(&vm) {
+                self.leader_events(vm, &mut all);
+            } else if scenario.may_campaign.contains(&vm) {
                 let spend = |budget: &mut Budget| take(&mut budget.elections);
                 let timeout = event::Event::ElectionTimeout;
                 self.push(&mut all, Step::ElectionTimeout(vm), spend, |world| {
                     world.step(vm, timeout);
                 });
             }
-            if scenario.frail.contains(&vm) {
+            if scenario.may_fail.contains(&vm) {
                 let spend = |budget: &mut Budget| take(&mut budget.crashes);
                 self.push(&mut all, Step::Crash(vm), spend, |world| world.restart(vm));
                 let spend = |budget: &mut Budget| take(&mut budget.disks);
@@ -151,7 +151,7 @@
         all
     }
 
-    fn deliveries(&self, all: &mut Vec<(Step, Self)>) {
+    fn delivery_events(&self, all: &mut Vec<(Step, Self)>) {
         for (digest, envelope) in &self.world.network {
             let mut next = self.clone();
             if next.world.deliver(*digest, false) {
@@ -164,9 +164,9 @@
             let vm = envelope.message.to.vm;
             let mut next = self.clone();
             next.world.network.remove(digest);
-            let event = world::event_of(envelope);
+            let event = world::delivery_event(envelope);
             if take(&mut next.budget.crashes)
-                && let Some(world) = next.world.crash_in(vm, event)
+                && let Some(world) = next.world.step_and_crash(vm, event)
             {
                 next.world = world;
                 all.push((Step::DeliverAndCrash(sync::Arc::clone(envelope)), next));
@@ -174,7 +174,7 @@
         }
     }
 
-    fn by_leader(&self, vm: u32, all: &mut Vec<(Step, Self)>) {
+    fn leader_events(&self, vm: u32, all: &mut Vec<(Step, Self)>) {
         let spend = |budget: &mut Budget| take(&mut budget.heartbeats);
         let heartbeat = event::Event::HeartbeatDue;
         self.push(all, Step::Heartbeats(vm), spend, |world| {
@@ -245,13 +245,13 @@
         state.next(self)
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        let promises = &state.world.promises;
-        let begun = &self.world.promises.stepped_down;
-        match self.promise {
-            Promise::Safety => promises.broken.clone(),
-            Promise::NoStepDown => {
-                promises.stepped_down.difference(begun).next().map(|term| {
+    fn violation(&self, state: &State) -> Option<String> {
+        let history = &state.world.history;
+        let begun = &self.world.history.stepped_down;
+        match self.invariant {
+            Invariant::Safety => history.violation.clone(),
+            Invariant::NoStepDown => {
+                history.stepped_down.difference(begun).next().map(|term| {
                     format!("the leader of term {term} steps down, though nothing failed")
                 })
             }
@@ -265,7 +265,7 @@
     some
 }
 
-/// The node of `vm` with this generation of its disk.
+/// The id of the node on `vm` with this disk generation.
 #[must_use]
 pub const fn id(vm: u32, generation: u64) -> log::NodeId {
     log::NodeId { vm, generation }
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -1,13 +1,14 @@
-//! Orders to engines that ignore fencing numbers, over changes of leader.
+//! Specification of orders to engines that ignore fencing tokens, over changes of the leader.
 //!
-//! Two engines have memory for one large model and a small one; three models are on offer. Two control
-//! processes lead one after the other, the earlier one unaware of it for as long as it likes. They
-//! use the real [`sageshed_place::ledger::Ledger`]; what is committed is the real
-//! [`order_table::OrderTable`]. Commands wait to be committed (those of one leader in their order),
-//! orders and reports are under way, all for as long as they like. Engines do not start anew here: an order to an earlier start is refused.
+//! There are three models, and two engines that each have memory for one large model and a small one. Two
+//! control processes lead one after the other, and the former leader may learn of its successor
+//! arbitrarily late. They use the production [`sageshed_place::ledger::Ledger`], and the committed state
+//! is the production [`order_table::OrderTable`]. Commits, orders and reports may be delayed arbitrarily.
+//! The commands of one leader are committed in order. Engines do not restart, since an order to an
+//! earlier incarnation is refused anyway.
 //!
-//! What must hold: no engine is ordered to hold more than fits, and a model that could be reached
-//! stays reachable.
+//! Invariants: no engine is ordered to hold more than its memory, and a model that was reachable stays
+//! reachable.
 
 pub mod leader;
 
@@ -18,33 +19,33 @@
 
 use crate::explore;
 
-/// What keeps the promise, each of which can be taken out.
+/// The mechanisms that the invariants rest on. Each can be turned off.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is one independent switch of a checker"
 )]
 #[derive(Debug, Clone, Copy)]
 pub struct Guards {
-    /// Orders are in the table before they are sent.
+    /// Orders are committed to the table before they are sent.
     pub commit_first: bool,
-    /// One order at once to an engine that ignores fencing numbers. Out: the engine says that it
-    /// checks them.
+    /// Only one order at a time is sent to an engine that ignores fencing tokens. If off, the engine
+    /// reports that it checks them.
     pub one_at_a_time: bool,
-    /// No order is sent twice to such an engine, which may not know it again.
+    /// No order is sent twice to such an engine, which may not detect the duplicate.
     pub no_resend: bool,
-    /// The last order to each engine stays in the table. Out: it goes when a report settles it.
+    /// The last order to each engine stays in the table. If off, it is removed when a report settles it.
     pub keep_settled: bool,
-    /// A new leader waits for reports that show the orders it found in the table.
+    /// A new leader waits for reports that show the orders that it found in the table.
     pub wait_for_restored: bool,
-    /// Orders of earlier terms are not issued. Out: they are taken for those of the present term,
-    /// and the leader that proposed them still sends them.
+    /// Orders of earlier terms are not issued. If off, they are treated as orders of the current term, and
+    /// the leader that proposed them still sends them.
     pub term: bool,
-    /// Engines carry out each order once, which is needed only where messages are doubled.
+    /// Engines execute each order once. Needed only if messages are duplicated.
     pub order_ids: bool,
 }
 
 impl Guards {
-    /// All of them.
+    /// All guards.
     pub const ALL: Self = Self {
         commit_first: true,
         one_at_a_time: true,
@@ -55,7 +56,7 @@
         order_ids: true,
     };
 
-    /// All but the one called `guard`; none if there is no such guard.
+    /// All guards except `guard`. None if there is no such guard.
     #[must_use]
     pub fn without(guard: Option<&str>) -> Option<Self> {
         let mut guards = Self::ALL;
@@ -78,38 +79,38 @@
 /// The specification.
 #[derive(Debug, Clone, Copy)]
 pub struct Orders {
-    /// The guards that are in.
+    /// The guards.
     pub guards: Guards,
-    /// What engines hold.
+    /// The models on the engines in the initial state.
     pub start: Start,
-    /// What engines can do.
+    /// The capabilities of the engines.
     pub engines: Engines,
-    /// Commands that get lost before they reach the log.
+    /// The maximum number of commands that are lost before they reach the log.
     pub losses: u32,
-    /// Orders proposed at most.
+    /// The maximum number of proposed orders.
     pub proposals: u32,
-    /// Changes of leader after the first election.
+    /// The maximum number of elections after the first one.
     pub elections: u32,
 }
 
-/// What engines hold at the start.
+/// The models on the engines in the initial state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// The first model is on both, and either may lose it.
+    /// Both engines hold the first model, and orders may be sent to both.
     BothFull,
-    /// The first engine holds nothing and takes all orders.
+    /// The first engine is empty, and orders are sent only to it.
     OneEmpty,
 }
 
-/// What engines can do.
+/// The capabilities of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Engines {
-    /// They carry out what comes. Messages are not doubled, and nothing is sent again.
+    /// They execute all orders that they receive. Messages are not duplicated, and orders are not resent.
     Plain,
-    /// They carry out each order once. Messages may be doubled.
-    Knowing,
-    /// They also refuse fencing numbers lower than the highest they have seen. Orders that no report
-    /// has shown are sent again.
+    /// They execute each order once. Messages may be duplicated.
+    Deduplicating,
+    /// They also refuse fencing tokens lower than the highest that they have seen. Orders that no report has
+    /// shown are resent.
     Fenced,
 }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// A command that waits to be committed.
+/// A command that is not committed yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Command {
     Issue {
@@ -129,18 +130,18 @@
     Settle(Vec<endpoints::OrderId>),
 }
 
-/// Everything in one moment.
+/// The state of the control processes and engines.
 #[derive(Debug, Clone, Hash)]
 pub struct State {
     table: order_table::OrderTable,
     leaders: [rc::Rc<leader::Leader>; 2],
-    /// By leader, in the order in which they were submitted.
+    /// Uncommitted commands by leader, in the order of submission.
     waiting: [collections::VecDeque<Command>; 2],
-    /// Orders under way, by id.
+    /// Orders in flight, by id.
     network: collections::BTreeMap<u64, endpoints::Order>,
     engines: [leader::Engine; 2],
-    /// Models that could be reached once.
-    reached: collections::BTreeSet<String>,
+    /// The models that were reachable at some time.
+    reachable: collections::BTreeSet<String>,
     proposals: u32,
     elections: u32,
     copies: u32,
@@ -148,7 +149,7 @@
     losses: u32,
 }
 
-/// One thing that happens.
+/// The description of an event.
 #[derive(Debug, Clone)]
 pub struct Event(String);
 
@@ -158,7 +159,7 @@
     }
 }
 
-type Nexts = Vec<(Event, State)>;
+type Successors = Vec<(Event, State)>;
 
 impl State {
     fn elect(&mut self, by: usize) {
@@ -205,7 +206,7 @@
         true
     }
 
-    /// Without the guard: the order goes out at once, and its record is lost with the leader.
+    /// Without the guard `commit_first`, sends the order at once. It is not known to the next leader.
     fn send_uncommitted(&mut self, by: usize, order: command::ProposedOrder) {
         let id = endpoints::OrderId(1_000 + u64::from(self.proposals));
         let order = endpoints::Order {
@@ -215,15 +216,15 @@
             fence: endpoints::Fence(id.0),
             task: order.task,
         };
-        for todo in self.leader(by).committed(&order, false) {
-            self.carry_out(by, todo);
+        for actions in self.leader(by).committed(&order, false) {
+            self.carry_out(by, actions);
         }
     }
 
-    fn carry_out(&mut self, by: usize, todo: leader::Todo) {
-        match todo {
-            leader::Todo::Send(order) => drop(self.network.insert(order.order.0, order)),
-            leader::Todo::Settle(orders) => self.settle_later(by, orders),
+    fn carry_out(&mut self, by: usize, actions: leader::LeaderAction) {
+        match actions {
+            leader::LeaderAction::Send(order) => drop(self.network.insert(order.order.0, order)),
+            leader::LeaderAction::Settle(orders) => self.settle_later(by, orders),
         }
     }
 
@@ -245,8 +246,8 @@
                     return;
                 };
                 for order in orders {
-                    for todo in self.leader(by).committed(&order, refused) {
-                        self.carry_out(by, todo);
+                    for actions in self.leader(by).committed(&order, refused) {
+                        self.carry_out(by, actions);
                     }
                 }
             }
@@ -268,22 +269,22 @@
             let fenced = spec.engines == Engines::Fenced;
             self.engines[place].run(&order, knows, fenced);
         }
-        self.note_reached();
+        self.record_reachable();
     }
 
-    fn note_reached(&mut self) {
+    fn record_reachable(&mut self) {
         let held = self.engines.iter().flat_map(leader::Engine::held);
-        self.reached.extend(held.cloned());
+        self.reachable.extend(held.cloned());
     }
 
-    fn push(&self, all: &mut Nexts, event: String, act: impl FnOnce(&mut Self) -> bool) {
+    fn push(&self, all: &mut Successors, event: String, act: impl FnOnce(&mut Self) -> bool) {
         let mut next = self.clone();
         if act(&mut next) {
             all.push((Event(event), next));
         }
     }
 
-    fn by_leaders(&self, spec: Orders, all: &mut Nexts) {
+    fn leader_events(&self, spec: Orders, all: &mut Successors) {
         for by in 0..self.leaders.len() {
             let name = format!("control {}", by + 1);
             if self.elections > 0 {
@@ -299,20 +300,20 @@
             if deposed {
                 self.push(
                     all,
-                    format!("{name} hears that it leads no longer"),
+                    format!("{name} learns that it is no longer the leader"),
                     |next| {
                         next.leader(by).follow();
                         true
                     },
                 );
             }
-            self.proposals_of(by, spec, all);
-            self.reports_to(by, spec, all);
-            self.resends_of(by, spec, all);
+            self.proposal_events(by, spec, all);
+            self.report_events(by, spec, all);
+            self.resend_events(by, spec, all);
         }
     }
 
-    fn proposals_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn proposal_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         if self.proposals == 0 || self.leaders[by].term.is_none() {
             return;
         }
@@ -322,7 +323,7 @@
         };
         for endpoint in engines {
             for task in tasks() {
-                let event = format!("control {} proposes: {}", by + 1, shown(endpoint, &task));
+                let event = format!("control {} proposes: {}", by + 1, describe(endpoint, &task));
                 self.push(all, event, |next| {
                     next.proposals -= 1;
                     next.propose(by, endpoint, task.clone(), spec)
@@ -331,7 +332,7 @@
         }
     }
 
-    fn reports_to(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn report_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         for (name, engine) in leader::ENGINES.iter().zip(&self.engines) {
             for report in engine.reports(name, spec.says_fenced()) {
                 if !self.leaders[by].is_newer(&report) {
@@ -352,12 +353,12 @@
         }
     }
 
-    fn commands_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn commit_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         let Some(command) = self.waiting[by].front() else {
             return;
         };
         let what = match command {
-            Command::Issue { order, .. } => shown(&order.endpoint, &order.task),
+            Command::Issue { order, .. } => describe(&order.endpoint, &order.task),
             Command::Settle(orders) => {
                 let ids: Vec<_> = orders.iter().map(ToString::to_string).collect();
                 format!("settled: order {}", ids.join(", "))
@@ -389,7 +390,7 @@
         }
     }
 
-    fn resends_of(&self, by: usize, spec: Orders, all: &mut Nexts) {
+    fn resend_events(&self, by: usize, spec: Orders, all: &mut Successors) {
         let resends = spec.engines == Engines::Fenced || !spec.guards.no_resend;
         if !resends || self.copies == 0 {
             return;
@@ -420,7 +421,7 @@
     })
 }
 
-fn shown(endpoint: &str, task: &endpoints::OrderTask) -> String {
+fn describe(endpoint: &str, task: &endpoints::OrderTask) -> String {
     match task {
         endpoints::OrderTask::Load { model, .. } => format!("load {model} on {endpoint}"),
         endpoints::OrderTask::Unload { model, .. } => format!("unload {model} from {endpoint}"),
@@ -432,7 +433,7 @@
     type State = State;
     type Event = Event;
 
-    /// The first control process leads.
+    /// The first control process is the leader.
     fn start(&self) -> State {
         let full = leader::Engine::new(&[leader::MODELS[0].0]);
         let first = match self.start {
@@ -449,7 +450,7 @@
             waiting: Default::default(),
             network: collections::BTreeMap::new(),
             engines: [first, full],
-            reached: collections::BTreeSet::new(),
+            reachable: collections::BTreeSet::new(),
             proposals: self.proposals,
             elections: self.elections,
             copies: 1,
@@ -464,24 +465,24 @@
             }
         }
         state.elect(0);
-        state.note_reached();
+        state.record_reachable();
         state
     }
 
-    fn next(&self, state: &State) -> Nexts {
+    fn next(&self, state: &State) -> Successors {
         let mut all = Vec::new();
-        state.by_leaders(*self, &mut all);
+        state.leader_events(*self, &mut all);
         for by in 0..state.waiting.len() {
-            state.commands_of(by, *self, &mut all);
+            state.commit_events(by, *self, &mut all);
         }
         for (id, order) in &state.network {
-            let what = shown(&order.endpoint, &order.task);
+            let what = describe(&order.endpoint, &order.task);
             state.push(&mut all, format!("order {id} arrives: {what}"), |next| {
                 next.arrive(*id, false, *self);
                 true
             });
-            if self.engines == Engines::Knowing && state.copies > 0 {
-                let event = format!("order {id} arrives: {what} (a copy stays under way)");
+            if self.engines == Engines::Deduplicating && state.copies > 0 {
+                let event = format!("order {id} arrives: {what} (a copy stays in flight)");
                 state.push(&mut all, event, |next| {
                     next.copies -= 1;
                     next.arrive(*id, true, *self);
@@ -492,7 +493,7 @@
         all
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         for (name, engine) in leader::ENGINES.iter().zip(&state.engines) {
             let (taken, held) = (engine.taken_mib(), engine.held().join(" "));
             if taken > leader::CAPACITY_MIB {
@@ -500,7 +501,7 @@
             }
         }
         let held = |model: &String| state.engines.iter().any(|it| it.held().contains(model));
-        let lost = state.reached.iter().find(|model| !held(model))?;
+        let lost = state.reachable.iter().find(|model| !held(model))?;
         Some(format!("the last route to {lost} is gone"))
     }
 }
--- a/spec/src/run.rs
+++ b/spec/src/run.rs
@@ -1,25 +1,26 @@
-//! The command line, and the table of all specifications that it and the tests go by.
+//! The command line, and the table of all specifications that it shares with the tests.
 
 use sageshed_quorum::config;
 
 use crate::{claims, explore, leases, log, orders, repair, suspensions};
 
-/// One specification with the guards that can be taken out.
+/// A specification with the guards that can be turned off.
 #[derive(Debug, Clone, Copy)]
-pub struct Entry {
+pub struct SpecEntry {
     /// Its name on the command line.
     pub name: &'static str,
-    /// Guards without which its promise breaks.
+    /// Guards without which an invariant is violated.
     pub needed: &'static [&'static str],
-    /// Guards that its promise does not rest on.
-    pub spare: &'static [&'static str],
-    /// The bound of a run on the command line.
+    /// Guards that are not needed for the invariants.
+    pub optional: &'static [&'static str],
+    /// The limits of a run on the command line.
     pub bound: explore::Bound,
     explore: fn(Option<&str>, explore::Bound) -> Option<explore::Report>,
 }
 
-impl Entry {
-    /// Explores, without the guard called `without` if one is named. None if there is no such guard.
+impl SpecEntry {
+    /// Explores the specification, with the guard `without` turned off if one is given. None if there is no
+    /// such guard.
     #[must_use]
     pub fn explore(&self, without: Option<&str>, bound: explore::Bound) -> Option<explore::Report> {
         (self.explore)(without, bound)
@@ -39,7 +40,7 @@
     Some(explore::explore(&scenario(guards), bound))
 }
 
-/// What most specifications of orders begin with.
+/// The parameters of most specifications of orders.
 const ORDERS: orders::Orders = orders::Orders {
     guards: orders::Guards::ALL,
     start: orders::Start::BothFull,
@@ -82,102 +83,102 @@
 }
 
 /// All specifications.
-pub const ALL: &[Entry] = &[
-    Entry {
+pub const ALL: &[SpecEntry] = &[
+    SpecEntry {
         name: "log-elections",
         needed: &["sync"],
-        spare: &["check_quorum"],
+        optional: &["check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::elections, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-bare-elections",
         needed: &["sync"],
-        spare: &["pre_vote", "stickiness"],
+        optional: &["pre_vote", "stickiness"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::bare_elections, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-lagging",
         needed: &["generation", "up_to_date"],
-        spare: &["pre_vote", "stickiness", "check_quorum"],
+        optional: &["pre_vote", "stickiness", "check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::lagging, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-bare-lagging",
         needed: &["generation", "up_to_date"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::bare_lagging, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-repair",
         needed: &[],
-        spare: &["caught_up"],
+        optional: &["caught_up"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::repair, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-second-loss",
         needed: &[],
-        spare: &["caught_up"],
+        optional: &["caught_up"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::second_loss, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-old-entry",
         needed: &["own_term_commit"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::old_entry, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-two-changes",
         needed: &["single_change"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::two_changes, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-two-leaders",
         needed: &["own_term_change"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::two_leaders, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "log-cut-off",
         needed: &["pre_vote", "stickiness"],
-        spare: &["check_quorum"],
+        optional: &["check_quorum"],
         bound: bound(40, 400_000),
         explore: |without, bound| log(log::scenarios::cut_off, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-growth",
         needed: &["complete"],
-        spare: &["remove_first", "lag"],
+        optional: &["remove_first", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::growth, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-wiped",
         needed: &["remove_first"],
-        spare: &["complete", "lag"],
+        optional: &["complete", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::wiped, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "repair-replaced",
         needed: &[],
-        spare: &["complete", "lag"],
+        optional: &["complete", "lag"],
         bound: bound(60, 400_000),
         explore: |without, bound| repaired(repair::replaced, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "suspensions",
         needed: &["lease", "majority", "boot_clock"],
-        spare: &[],
+        optional: &[],
         bound: bound(80, 2_000_000),
         explore: |without, bound| {
             let guards = suspensions::Guards::without(without)?;
@@ -188,7 +189,7 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders",
         needed: &[
             "commit_first",
@@ -197,17 +198,17 @@
             "wait_for_restored",
             "term",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = ORDERS;
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-lost-commands",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -217,23 +218,23 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-doubled",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
-                engines: orders::Engines::Knowing,
+                engines: orders::Engines::Deduplicating,
                 ..ORDERS
             };
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-fenced",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -243,10 +244,10 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-fenced-lost-commands",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
@@ -257,7 +258,7 @@
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-memory",
         needed: &[
             "commit_first",
@@ -266,27 +267,27 @@
             "keep_settled",
             "term",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = MEMORY;
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "orders-memory-doubled",
         needed: &["order_ids"],
-        spare: &[],
+        optional: &[],
         bound: bound(60, 400_000),
         explore: |without, bound| {
             let spec = orders::Orders {
-                engines: orders::Engines::Knowing,
+                engines: orders::Engines::Deduplicating,
                 ..MEMORY
             };
             orders(spec, without, bound)
         },
     },
-    Entry {
+    SpecEntry {
         name: "claims",
         needed: &[
             "gone_is_unknown",
@@ -297,7 +298,7 @@
             "grant_age",
             "incarnation",
         ],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 2_000_000),
         explore: |without, bound| {
             let guards = claims::Guards::without(without)?;
@@ -308,10 +309,10 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "claims-three",
         needed: &[],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 2_000_000),
         explore: |without, bound| {
             let guards = claims::Guards::without(without)?;
@@ -322,50 +323,50 @@
             ))
         },
     },
-    Entry {
+    SpecEntry {
         name: "leases-change",
         needed: &["uncommitted", "required"],
-        spare: &["voters"],
+        optional: &["voters"],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::change, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "leases-removed",
         needed: &["voters", "required"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::removed, without, bound),
     },
-    Entry {
+    SpecEntry {
         name: "leases-replacement",
         needed: &["required", "uncommitted"],
-        spare: &[],
+        optional: &[],
         bound: bound(40, 400_000),
         explore: |without, bound| leases(leases::replacement, without, bound),
     },
 ];
 
-/// The specification called `name`.
+/// The specification with this name.
 #[must_use]
-pub fn find(name: &str) -> Option<&'static Entry> {
+pub fn find(name: &str) -> Option<&'static SpecEntry> {
     ALL.iter().find(|entry| entry.name == name)
 }
 
-/// What the command line asks for.
+/// The arguments of the command line.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Which specification; all if none is named.
+    /// The name of a specification. None: all of them.
     pub name: Option<String>,
-    /// The guard to take out.
+    /// The guard to turn off.
     pub without: Option<String>,
-    /// Another bound of depth.
+    /// Overrides the limit of the depth.
     pub depth: Option<usize>,
-    /// Another bound of states.
+    /// Overrides the limit of the number of states.
     pub states: Option<usize>,
 }
 
 impl Options {
-    /// Reads the arguments after the program's name. The error is for people.
+    /// Parses the arguments after the program's name. The error is human-readable.
     pub fn read(mut args: impl Iterator<Item = String>) -> Result<Self, String> {
         let mut options = Self::default();
         while let Some(arg) = args.next() {
@@ -380,9 +381,9 @@
         Ok(options)
     }
 
-    /// Explores what is asked for and passes each result on as text.
+    /// Explores the selected specifications and passes each result to `print` as text.
     pub fn run(&self, mut print: impl FnMut(&str)) -> Result<(), String> {
-        let named = |entry: &&Entry| self.name.as_deref().is_none_or(|name| name == entry.name);
+        let named = |entry: &&SpecEntry| self.name.as_deref().is_none_or(|name| name == entry.name);
         let entries: Vec<_> = ALL.iter().filter(named).collect();
         if entries.is_empty() {
             return Err(usage());
@@ -404,12 +405,12 @@
 
 fn number(text: &str) -> Result<usize, String> {
     text.parse()
-        .map_err(|e| format!("{text} is no number: {e}"))
+        .map_err(|e| format!("{text} is not a number: {e}"))
 }
 
 fn usage() -> String {
-    let line = |entry: &Entry| {
-        let guards: Vec<_> = entry.needed.iter().chain(entry.spare).copied().collect();
+    let line = |entry: &SpecEntry| {
+        let guards: Vec<_> = entry.needed.iter().chain(entry.optional).copied().collect();
         format!("\n  {} (guards: {})", entry.name, guards.join(", "))
     };
     let lines: String = ALL.iter().map(line).collect();
