--- a/crates/sageshed-decide/tests/admission.rs
+++ b/crates/sageshed-decide/tests/admission.rs
@@ -16,13 +16,13 @@
 fn queue_is_ordered_by_priority_then_deadline() {
     let mut harness = one_engine();
     let (running, _) = harness.arrive(|_| {});
-    let (idle, actions) = harness.arrive(|f| {
-        f.class = IDLE;
-        f.deadline = Some(time::Millis(7_000));
+    let (idle, actions) = harness.arrive(|info| {
+        info.class = IDLE;
+        info.deadline = Some(time::Millis(7_000));
     });
     assert!(common::queued(&actions, idle));
-    let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(9_000)));
-    let (soon, _) = harness.arrive(|f| f.deadline = Some(time::Millis(8_000)));
+    let (late, _) = harness.arrive(|info| info.deadline = Some(time::Millis(9_000)));
+    let (soon, _) = harness.arrive(|info| info.deadline = Some(time::Millis(8_000)));
     let mut busy = running;
     for next in [soon, late, idle] {
         let actions = harness.done(busy);
@@ -43,7 +43,7 @@
     }
     let (usual, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, usual), "queue");
-    let (urgent, actions) = harness.arrive(|f| f.class = URGENT);
+    let (urgent, actions) = harness.arrive(|info| info.class = URGENT);
     assert_eq!(common::summary(&actions, urgent), "send");
 }
 
@@ -58,7 +58,7 @@
     assert_eq!(common::summary(&actions, more), "queue_full not_run");
     let refusal = common::refused(&actions, more).expect("refused");
     assert!(refusal.retry_after.is_some_and(|span| span.0 > 0));
-    let (other, actions) = harness.arrive(|f| f.caller = arena::CallerKey(1));
+    let (other, actions) = harness.arrive(|info| info.caller = arena::CallerKey(1));
     assert_eq!(common::summary(&actions, other), "queue");
     assert_eq!(common::summary(&actions, flood[3]), "queue_full not_run");
 }
@@ -120,7 +120,8 @@
         if case.busy {
             harness.arrive(|_| {});
         }
-        let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(case.deadline)));
+        let (req, actions) =
+            harness.arrive(|info| info.deadline = Some(time::Millis(case.deadline)));
         assert_eq!(
             common::summary(&actions, req),
             case.expected,
@@ -144,7 +145,7 @@
     harness.train(1_000);
     harness.report(common::report("e1", 2, 1, &["sort"]));
     harness.arrive(|_| {});
-    let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(3_500)));
+    let (req, actions) = harness.arrive(|info| info.deadline = Some(time::Millis(3_500)));
     assert!(common::queued(&actions, req));
     assert_eq!(common::summary(&harness.tick_after(100), req), "");
     assert_eq!(
@@ -191,7 +192,7 @@
         if known {
             harness.report(common::report("e1", 1, 1, &["draft"]));
         }
-        let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(deadline)));
+        let (req, actions) = harness.arrive(|info| info.deadline = Some(time::Millis(deadline)));
         assert_eq!(common::summary(&actions, req), expected);
         let refusal = common::refused(&actions, req);
         assert_eq!(refusal.and_then(|r| r.retry_after), back.map(time::Millis));
@@ -217,7 +218,7 @@
     report.resident[0].phase = endpoints::Phase::Loading;
     harness.report(report);
     harness.advance(2_500);
-    let (req, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(2_000)));
+    let (req, actions) = harness.arrive(|info| info.deadline = Some(time::Millis(2_000)));
     assert_eq!(common::summary(&actions, req), "queue");
 }
 
@@ -227,7 +228,7 @@
     harness.report(common::report("base", 1, 4, &["sort"]));
     harness.report(common::report("both", 1, 4, &["sort", "sort-leith"]));
     let target = harness.request_info("sort-leith").target;
-    let (req, actions) = harness.arrive(|f| f.target = target);
+    let (req, actions) = harness.arrive(|info| info.target = target);
     let endpoint = common::sent_to(&actions, req).expect("sent");
     assert_eq!(harness.decider.endpoint_name(endpoint), "both");
 }
@@ -237,7 +238,7 @@
 #[test]
 fn nothing_is_sent_before_its_claim() {
     let mut harness = one_engine();
-    let once = |f: &mut event::RequestInfo| f.not_repeatable = true;
+    let once = |info: &mut event::RequestInfo| info.not_repeatable = true;
     let (req, actions) = harness.arrive(once);
     assert_eq!(common::summary(&actions, req), "claim");
     assert_eq!(common::summary(&harness.tick_after(50), req), "");
@@ -276,7 +277,7 @@
 fn late_answer_is_awaited_up_to_the_expiry() {
     for (not_repeatable, waits) in [(false, 12_500), (true, 20_000)] {
         let mut harness = one_engine();
-        let (req, _) = harness.arrive(|f| f.not_repeatable = not_repeatable);
+        let (req, _) = harness.arrive(|info| info.not_repeatable = not_repeatable);
         harness.step(event::Event::ClaimGranted(req));
         assert_eq!(common::summary(&harness.tick_after(waits - 1), req), "");
         let actions = harness.tick_after(1);
@@ -349,7 +350,7 @@
     for prefix in 1..20 {
         let chosen = [names, reversed].map(|order| {
             let mut harness = common::Harness::with_engines(common::settings(), &order);
-            let (req, actions) = harness.arrive(|f| f.prefix = prefix);
+            let (req, actions) = harness.arrive(|info| info.prefix = prefix);
             let endpoint = common::sent_to(&actions, req).expect("sent");
             harness.decider.endpoint_name(endpoint).to_owned()
         });
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -88,9 +88,9 @@
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
-        let (req, mut actions) = harness.arrive(|f| {
-            f.not_repeatable = case.not_repeatable;
-            f.streaming = case.response_started;
+        let (req, mut actions) = harness.arrive(|info| {
+            info.not_repeatable = case.not_repeatable;
+            info.streaming = case.response_started;
         });
         if case.not_repeatable {
             actions = harness.step(event::Event::ClaimGranted(req));
@@ -184,7 +184,7 @@
         let mut settings = common::settings();
         settings.policy.shed = shed;
         let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
-        let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
+        let (req, _) = harness.arrive(|info| info.deadline = Some(time::Millis(500)));
         harness.advance(500);
         let actions = harness.fail(req, NOT_RUN, CONNECT_REFUSED);
         assert_eq!(common::summary(&actions, req), "endpoint_failed not_run");
@@ -428,14 +428,14 @@
     ] {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
-            let (req, _) = harness.arrive(|f| f.max_tokens = 2);
+            let (req, _) = harness.arrive(|info| info.max_tokens = 2);
             harness.advance(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
             harness.step(event::Event::AttemptEnded { req, outcome });
         }
-        let (_, actions) = harness.arrive(|f| {
-            f.max_tokens = max_tokens;
-            f.streaming = streaming;
+        let (_, actions) = harness.arrive(|info| {
+            info.max_tokens = max_tokens;
+            info.streaming = streaming;
         });
         let limit = actions.iter().find_map(|action| match action {
             event::Action::Send {
@@ -460,7 +460,7 @@
         let report = common::report("e1", 1, 4, &["sort"]);
         harness.step(event::Event::Report(Box::new(report), time::Millis(0)));
         for _ in 0..8 {
-            let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(1_000)));
+            let (late, _) = harness.arrive(|info| info.deadline = Some(time::Millis(1_000)));
             let (other, _) = harness.arrive(|_| {});
             harness.advance(600);
             if answers_others {
@@ -507,7 +507,7 @@
         harness.step(event::Event::BackoffRequested { req, span });
         harness.fail(req, NOT_RUN, event::AttemptError::Status(503));
         harness.advance(after);
-        let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
+        let (next, actions) = harness.arrive(|info| info.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
         assert_eq!(
             is_sent, is_used_again,
