--- a/crates/sageshed-decide/src/decider/dispatch.rs
+++ b/crates/sageshed-decide/src/decider/dispatch.rs
@@ -87,8 +87,8 @@
         time::Millis::rounded_up(usual).max(self.policy.first_byte_min_ms)
     }
 
-    /// The factor by which the longest possible wait for the first byte exceeds the estimate, if
-    /// known. It is 1 unless the first byte depends on the length of the response.
+    /// The ratio of the longest possible time to the first byte to the estimated one, if known. It is 1
+    /// unless the first byte comes only with the complete response, whose length varies.
     fn max_length_ratio(&self, req: event::ReqId) -> Option<f64> {
         let request = self.requests.get(&req)?;
         match request.lane.target {
--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -24,7 +24,7 @@
 /// The greatest jitter added to an ejection, as a share of its duration.
 const MAX_JITTER_SHARE: f64 = 0.25;
 
-/// How often the duration of an ejection is doubled at most.
+/// The greatest number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sageshed-place/src/move_limits.rs
+++ b/crates/sageshed-place/src/move_limits.rs
@@ -17,7 +17,7 @@
 /// The length of the first pause.
 const FIRST_PAUSE: time::Millis = time::Millis(600_000);
 
-/// How often the pause is doubled at most.
+/// The greatest number of times that the pause is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
 
 /// The moves made for each model while it had no route.
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -8,7 +8,8 @@
 //! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, base models before
 //!    adapters, large families first. If there is no room, spare replicas are evicted. If there are
 //!    none, the only replica of another model is first duplicated on another engine.
-//! 2. [`versions`]: outdated replicas are replaced one by one, while another route serves.
+//! 2. [`versions`]: pinned models are loaded on their engines. Then outdated replicas are replaced one
+//!    by one, while another route serves.
 //! 3. [`capacity`]: replicas are added by demand. If a plan has nothing else to do, the remaining
 //!    memory is used to place each model in two availability zones. This comes last, since replicas
 //!    added for redundancy while demand causes evictions would be the next to be evicted.
@@ -16,9 +17,9 @@
 //! Each plan is made from scratch from the ledger and the demand, and only as far as the budget of
 //! the weight store allows, since a load that can't start now needs no decision now. The cost of a
 //! plan is one pass over the engines and their models plus one scan of the engines for each load that
-//! starts, whether the cluster is empty or stable. All state between plans is in the ledger: a
-//! replica that was loaded elsewhere to free an engine makes the original one a spare for the next
-//! plan.
+//! starts, whether the cluster is empty or stable. Except for the [`move_limits`], all state between
+//! plans is in the ledger: a replica that was loaded elsewhere to free an engine makes the original
+//! one a spare for the next plan.
 //!
 //! # The value of a replica
 //!
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -1,4 +1,4 @@
-//! Rolling updates of outdated versions, and the operators' pins.
+//! Loads of pinned models, and rolling updates of outdated versions.
 //!
 //! The new version is loaded beside the old one if both fit, otherwise on another engine. The old one
 //! is unloaded once the model has another route. If a model has a single replica and there is no
