--- a/crates/sageshed-decide/src/decider/ended.rs
+++ b/crates/sageshed-decide/src/decider/ended.rs
@@ -17,10 +17,11 @@
 
 use super::{Actions, Decider, RefusalCause, admit};
 
-/// HTTP status of an endpoint that is at capacity, which does not count as a failure.
+/// HTTP status of an endpoint that is at capacity. Pauses the endpoint, but is no failure of it.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// HTTP status of an endpoint that is temporarily unavailable.
+/// HTTP status of an endpoint that is temporarily unavailable. Pauses the endpoint and counts as its
+/// failure.
 const UNAVAILABLE: u16 = 503;
 
 /// The lowest HTTP status that counts as a failure of the endpoint.
@@ -35,9 +36,9 @@
 }
 
 impl Decider {
-    pub(super) fn mark_answer_started(&mut self, req: event::ReqId) {
+    pub(super) fn mark_response_started(&mut self, req: event::ReqId) {
         if let Some(request) = self.requests.get_mut(&req) {
-            request.answer_started = true;
+            request.response_started = true;
         }
     }
 
@@ -200,7 +201,7 @@
         if request.not_repeatable && request.verdict != verdict::Verdict::NotRun {
             return NextStep::GiveUp("it may not be repeated");
         }
-        if request.answer_started && request.info.streaming {
+        if request.response_started && request.info.streaming {
             return NextStep::GiveUp("part of the answer had been passed on");
         }
         if request.attempts >= self.policy.max_attempts {
--- a/crates/sageshed-decide/src/limits.rs
+++ b/crates/sageshed-decide/src/limits.rs
@@ -118,7 +118,8 @@
         self.buckets.is_empty()
     }
 
-    /// Takes one token from the bucket of `bucket_key`, if it has one.
+    /// Takes one token from the bucket of `bucket_key`, which is created if it doesn't exist. Returns
+    /// whether the request is within the limit.
     pub fn take(
         &mut self,
         now: time::Instant,
@@ -142,9 +143,9 @@
     }
 
     /// Drops the buckets of rule limits whose slots are no longer in use.
-    pub fn retain_slots(&mut self, in_force: impl Fn(u32) -> bool) {
+    pub fn retain_slots(&mut self, is_in_use: impl Fn(u32) -> bool) {
         self.buckets
-            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&in_force));
+            .retain(|bucket_key, _| bucket_key.slot().is_none_or(&is_in_use));
     }
 
     fn make_room(&mut self, now: time::Instant, bucket_key: BucketKey) -> bool {
--- a/crates/sageshed-place/src/planner/versions.rs
+++ b/crates/sageshed-place/src/planner/versions.rs
@@ -1,4 +1,4 @@
-//! Rolling updates of outdated versions, and the operators' pins.
+//! Loads of pinned models, and rolling updates of outdated versions.
 //!
 //! The new version is loaded beside the old one if both fit, otherwise on another engine. The old one
 //! is unloaded once the model has another route. If a model has a single replica and there is no
@@ -16,7 +16,7 @@
 
 impl Planner<'_> {
     /// Replaces outdated replicas.
-    pub(super) fn versions(&mut self) {
+    pub(super) fn replace_outdated(&mut self) {
         for index in 0..self.routes.len() {
             let model = ModelKey::from_index(index);
             let outdated = self.outdated(model);
@@ -63,7 +63,7 @@
                 && self.has_base(*key, model)
                 && !self.engine(*key).awaits(model)
         });
-        if let Some(key) = beside.or_else(|| self.roomiest(model, need_mib)) {
+        if let Some(key) = beside.or_else(|| self.best_engine_with_room(model, need_mib)) {
             return self.load(key, model, "a newer version is wanted");
         }
         if outdated.len() > 1 {
@@ -95,7 +95,7 @@
     }
 
     /// Loads pinned models on their engines.
-    pub(super) fn pins(&mut self) {
+    pub(super) fn load_pinned(&mut self) {
         for (model, key) in self.inputs.pins {
             let need_mib = self.memory(*model);
             if !self.can_host(*key, *model) || !self.has_base(*key, *model) {
