--- a/crates/sageshed-quorum/src/election.rs
+++ b/crates/sageshed-quorum/src/election.rs
@@ -130,8 +130,8 @@
         candidacy: message::Candidacy,
         out: &mut output::Output,
     ) {
-        // The candidate's term is not adopted either: that would make the leader step down whenever a
-        // removed or partitioned node requests votes.
+        // There is no reply, and the candidate's term is not adopted: that would make the leader step
+        // down whenever a removed or partitioned node requests votes.
         if self.is_bound_not_to_vote() {
             return;
         }
--- a/crates/sageshed-quorum/src/node.rs
+++ b/crates/sageshed-quorum/src/node.rs
@@ -22,8 +22,8 @@
 //! returns it. A voter that replies has heard from the leader at that instant or later, and grants no
 //! vote for an election timeout after that. So no other leader can be elected until the start of the
 //! latest round that a majority has answered, plus the election timeout, minus the maximum clock drift:
-//! [`Node::has_quorum_until`]. When this time has passed without a newer round, the leader steps down
-//! before it handles any later event.
+//! [`Node::has_quorum_until`]. If an election timeout has passed since the start of that round, the
+//! leader steps down before it handles any later event.
 //!
 //! # Membership
 //!
@@ -31,7 +31,7 @@
 //! Any two majorities of successive memberships then share a voter. See [`event::Change`].
 //!
 //! A voter is identified by its VM and disk generation ([`log::NodeId`]). Messages contain both, and
-//! those to or from another generation of the same VM are ignored.
+//! those to or from another generation of the same VM are ignored, except for leader checks.
 //!
 //! A node that is not a voter in its own log grants no vote, unless the candidate's log contains a later
 //! membership, since the candidate asks only the voters of that membership. Without this exception an
--- a/crates/sageshed-quorum/src/repair.rs
+++ b/crates/sageshed-quorum/src/repair.rs
@@ -87,7 +87,7 @@
         joiners.find_map(|joiner| self.next_change_for(view, *joiner))
     }
 
-    /// The next change on the way of `joiner` to a voter.
+    /// The next change that `joiner` needs to become a voter, if one is due.
     fn next_change_for(&self, view: GroupView<'_>, joiner: log::NodeId) -> Option<event::Change> {
         let members = &view.status.membership;
         if members.voters.contains(&joiner) || has_newer_generation(members, joiner) {
--- a/crates/sageshed-quorum/src/restart.rs
+++ b/crates/sageshed-quorum/src/restart.rs
@@ -32,7 +32,7 @@
 
 use crate::{log, message, node, output};
 
-/// What a node has still to do about its term before the restart.
+/// What a node still has to settle after a restart about the term in which it stopped.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum RestartState {
     /// Nothing.
--- a/crates/sageshed-quorum/src/state.rs
+++ b/crates/sageshed-quorum/src/state.rs
@@ -21,7 +21,7 @@
     /// Whether a leader may rely on this node not to vote until an election timeout after the last message
     /// of the leader.
     pub(crate) heard_leader: bool,
-    /// What the node has still to do about its term before the restart.
+    /// What the node still has to settle after a restart about the term in which it stopped.
     pub(crate) restart: restart::RestartState,
     /// Whether another node has reported that this node was removed. It does not campaign until it hears
     /// from a leader.
--- a/crates/sageshed-state/src/change_ids.rs
+++ b/crates/sageshed-state/src/change_ids.rs
@@ -11,8 +11,8 @@
 
 /// SHA-256 of a change's content.
 ///
-/// Replicas of different builds must compute the same digest, and the hashers of the standard library
-/// may change between releases.
+/// The hashers of the standard library are not used, since they may change between releases and
+/// replicas of different builds must compute the same digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest([u8; 32]);
@@ -25,7 +25,7 @@
     /// Panics if `content` cannot be encoded, which is the case for no type of this package.
     #[must_use]
     pub fn of<T: Serialize>(content: &T) -> Self {
-        let bytes = rmp_serde::to_vec_named(content).expect("the codec writes every content");
+        let bytes = rmp_serde::to_vec_named(content).expect("all contents can be encoded");
         Self(sha2::Sha256::digest(bytes).into())
     }
 }
--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -39,9 +39,10 @@
 //!
 //! The clock is the leader's wall clock, replicated by commands, and never goes back here. It stands
 //! still while there is no leader. If the retention of a claim settled right after an outage were
-//! counted from the last reading before the outage, the claim would expire at the next reading. So the
-//! retention of a settled claim is counted from the next reading. The claim is kept for up to one
-//! clock interval longer than its retention, and never shorter as measured by the leaders' wall clocks.
+//! counted from the last clock command before the outage, the claim would expire at the next one. So
+//! the retention of a settled claim is counted from the next clock command. The claim is kept for up
+//! to one interval between clock commands longer than its retention, and never shorter as measured by
+//! the leaders' wall clocks.
 //!
 //! # Limits
 //!
@@ -104,7 +105,7 @@
         /// The response, if it was small enough to be stored.
         answer: Option<claims::RecordedAnswer>,
     },
-    /// The request may have run.
+    /// The request may have run: its holder could not tell, or was declared gone before it reported.
     Unknown,
 }
 
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -41,10 +41,12 @@
     pins: collections::BTreeMap<String, collections::BTreeSet<command::Place>>,
     draining: collections::BTreeSet<String>,
     drain_ids: change_ids::ChangeIds<bool>,
-    /// The configuration of the fleet. Its number is zero until one is submitted.
+    /// The configuration of the fleet. Its number is zero until one is submitted. States encoded by
+    /// earlier builds lack it.
     #[serde(default)]
     fleet: document::Document,
-    /// The quarantined requests, which entry processes of the fleet no longer forward.
+    /// The quarantined requests, which entry processes of the fleet no longer forward. States encoded
+    /// by earlier builds lack them.
     #[serde(default)]
     held_requests: Vec<quarantine::QuarantinedRequest>,
 }
--- a/crates/sageshed-state/src/rule_log.rs
+++ b/crates/sageshed-state/src/rule_log.rs
@@ -3,7 +3,7 @@
 //! If two operators submit changes with the same base revision, the first one applied is accepted and
 //! the second one is refused as a conflict, with the changes in between. An operator who sends a
 //! change again because the reply was lost gets the first reply. For that the change id is checked
-//! before the base revision: by then the base revision is no longer the newest, and the operator's
+//! before the base revision, which by then is no longer the newest: in the other order the operator's
 //! own change would be reported as a conflict.
 //!
 //! The content of a change includes its edit, base revision and operator. A change with the same id
--- a/crates/sageshed-types/src/arena.rs
+++ b/crates/sageshed-types/src/arena.rs
@@ -23,7 +23,7 @@
 
         impl Key for $name {
             fn from_index(index: usize) -> Self {
-                Self(u32::try_from(index).expect("an arena holds fewer than 2^32 names"))
+                Self(u32::try_from(index).expect("an interner holds fewer than 2^32 names"))
             }
 
             fn index(self) -> usize {
--- a/crates/sageshed-types/src/claims.rs
+++ b/crates/sageshed-types/src/claims.rs
@@ -28,7 +28,7 @@
     pub request_id: String,
 }
 
-/// Requests a claim.
+/// The request of an entry process for a claim on a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
     /// The key to claim.
@@ -42,7 +42,7 @@
     pub retention: time::Millis,
 }
 
-/// Records how a claimed request ended.
+/// The report of a claim's holder on how the request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Settle {
     /// The key of the claim.
@@ -95,7 +95,7 @@
         /// The response, if it was stored.
         answer: Option<RecordedAnswer>,
     },
-    /// The request may have run. This is final.
+    /// The request may have run: its holder could not tell, or was declared gone before it reported.
     Unknown,
     /// The key was used before with a different digest.
     OtherContent,
--- a/crates/sageshed-types/src/secret.rs
+++ b/crates/sageshed-types/src/secret.rs
@@ -45,7 +45,7 @@
     pub fn to_hex(&self) -> String {
         let mut hex = String::with_capacity(2 * BYTES);
         for byte in self.0 {
-            write!(hex, "{byte:02x}").expect("a string takes all text");
+            write!(hex, "{byte:02x}").expect("writing to a string cannot fail");
         }
         hex
     }
--- a/crates/sageshed-types/src/verdict.rs
+++ b/crates/sageshed-types/src/verdict.rs
@@ -24,7 +24,7 @@
 }
 
 impl Verdict {
-    /// The combined verdict of two attempts of one request: the one that guarantees less.
+    /// The combined verdict of two attempts of one request: the one further from `NotRun`.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         self.max(other)
--- a/crates/sageshed-types/tests/verdict.rs
+++ b/crates/sageshed-types/tests/verdict.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_verdict_of_two_attempts_is_the_one_that_guarantees_less() {
+fn the_verdict_of_two_attempts_is_the_one_further_from_not_run() {
     for (one, other, both) in [
         (Verdict::NotRun, Verdict::NotRun, Verdict::NotRun),
         (Verdict::NotRun, Verdict::MayHaveRun, Verdict::MayHaveRun),
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -50,7 +50,7 @@
 pub struct Scenario {
     /// The initial state of the VMs and messages.
     pub world: world::World,
-    /// The numbers of events.
+    /// How many events of each kind may happen.
     pub budget: Budget,
     /// The VMs whose election timer may expire.
     pub may_campaign: Vec<u32>,
@@ -65,7 +65,7 @@
 pub struct State {
     /// The VMs and messages.
     pub world: world::World,
-    /// The remaining numbers of events.
+    /// How many more events of each kind may happen.
     pub budget: Budget,
 }
 
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -354,7 +354,7 @@
         self.deliver_all(among);
     }
 
-    /// Runs the rounds of heartbeats after which leaders send their first messages, which were lost, again.
+    /// Runs so many rounds of heartbeats that leaders resend their first messages, which were lost.
     fn run_heartbeat_rounds(&mut self) {
         let vms = 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX);
         let leaders: Vec<_> = vms.filter(|vm| self.world.leads(*vm)).collect();
--- a/spec/src/repair.rs
+++ b/spec/src/repair.rs
@@ -291,7 +291,7 @@
         };
         let vms = &self.world.vms;
         // A change completes within milliseconds, while a silent VM counts as lost for seconds after it
-        // responds again.
+        // responds again. So all lost VMs stay lost while a change is in progress.
         if vms.iter().any(|vm| changes_after(vm, committed.len())) {
             return;
         }
--- a/spec/src/suspensions.rs
+++ b/spec/src/suspensions.rs
@@ -93,8 +93,9 @@
     /// The number of elapsed ticks.
     now: u64,
     processes: [Process; 2],
-    /// The process that the third voter follows, and the tick of its last heartbeat.
+    /// The process that the third voter follows.
     follows: usize,
+    /// The tick at which the third voter last answered a heartbeat of that process, or voted for it.
     last_heartbeat: u64,
     /// The process that issued the latest order, and the tick of the order.
     last: Option<(usize, u64)>,
