--- a/crates/sageshed-quorum/tests/testsuite/sim.rs
+++ b/crates/sageshed-quorum/tests/testsuite/sim.rs
@@ -38,7 +38,8 @@
     pub guards: config::Guards,
     pub vms: collections::BTreeMap<u32, Vm>,
     pub partitioned: collections::BTreeSet<u32>,
-    /// Of so many messages, on average one each is lost, duplicated and very late. Zero for no faults.
+    /// On average one in this many messages is lost, one is duplicated and one is very late. Zero for no
+    /// faults.
     pub fault_every: u64,
     pub committed: collections::BTreeMap<log::Index, Committed>,
     pub answers: Vec<event::Action>,
--- a/crates/sageshed-types/src/attempt_error.rs
+++ b/crates/sageshed-types/src/attempt_error.rs
@@ -31,7 +31,7 @@
     /// The response ended before it was complete.
     #[display("cut")]
     Cut,
-    /// The response violates the protocol or belongs to another request or run.
+    /// The response violates the protocol, or belongs to another request or to another run of the same one.
     #[display("corrupt")]
     Corrupt,
     /// The endpoint responded with this HTTP status, which is not a success.
