--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -67,7 +67,8 @@
     /// The maximum total size of all stored response bodies in bytes.
     pub all_answer_bytes: usize,
     /// The maximum number of recorded holders that released their claims.
-    pub given_back: usize,
+    #[serde(rename = "given_back")]
+    pub released: usize,
 }
 
 impl Default for Limits {
@@ -76,7 +77,7 @@
             claims: 100_000,
             answer_bytes: 16 * 1024,
             all_answer_bytes: 64 * 1024 * 1024,
-            given_back: 10_000,
+            released: 10_000,
         }
     }
 }
@@ -126,11 +127,14 @@
     claims: collections::BTreeMap<claims::ClaimKey, ClaimEntry>,
     answer_bytes: usize,
     /// Claims settled since the last clock command, which have no expiry yet.
-    unstamped: Vec<claims::ClaimKey>,
+    #[serde(rename = "unstamped")]
+    without_expiry: Vec<claims::ClaimKey>,
     /// The expiries of settled claims, in milliseconds since 1970.
     expiries: collections::BTreeSet<(u64, claims::ClaimKey)>,
-    given_back: collections::BTreeSet<claims::Holder>,
-    given_back_oldest_first: collections::VecDeque<claims::Holder>,
+    #[serde(rename = "given_back")]
+    released: collections::BTreeSet<claims::Holder>,
+    #[serde(rename = "given_back_oldest_first")]
+    released_oldest_first: collections::VecDeque<claims::Holder>,
     /// By VM: the lowest incarnation that may still be running. Holds each entry VM of which a process
     /// has ever ended.
     alive_from: collections::BTreeMap<String, endpoints::Incarnation>,
@@ -145,10 +149,10 @@
             unix_ms: 0,
             claims: collections::BTreeMap::new(),
             answer_bytes: 0,
-            unstamped: Vec::new(),
+            without_expiry: Vec::new(),
             expiries: collections::BTreeSet::new(),
-            given_back: collections::BTreeSet::new(),
-            given_back_oldest_first: collections::VecDeque::new(),
+            released: collections::BTreeSet::new(),
+            released_oldest_first: collections::VecDeque::new(),
             alive_from: collections::BTreeMap::new(),
         }
     }
@@ -259,7 +263,7 @@
             .alive_from
             .get(&holder.vm)
             .is_some_and(|alive_from| holder.incarnation < *alive_from);
-        gone || self.given_back.contains(holder)
+        gone || self.released.contains(holder)
     }
 
     fn grant(&mut self, claim: claims::Claim) -> claims::ClaimOutcome {
@@ -289,12 +293,12 @@
             }
             _ => {}
         }
-        if self.given_back.insert(holder.clone()) {
-            self.given_back_oldest_first.push_back(holder);
+        if self.released.insert(holder.clone()) {
+            self.released_oldest_first.push_back(holder);
         }
-        while self.given_back.len() > self.limits.given_back {
-            if let Some(oldest) = self.given_back_oldest_first.pop_front() {
-                self.given_back.remove(&oldest);
+        while self.released.len() > self.limits.released {
+            if let Some(oldest) = self.released_oldest_first.pop_front() {
+                self.released.remove(&oldest);
             }
         }
         command::SettleOutcome::Settled
@@ -302,13 +306,13 @@
 
     fn record_ran(&mut self, key: claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
         self.store_answer(&key, answer);
-        self.unstamped.push(key);
+        self.without_expiry.push(key);
     }
 
     fn mark_unknown(&mut self, key: claims::ClaimKey) {
         if let Some(entry) = self.claims.get_mut(&key) {
             entry.state = ClaimState::Unknown;
-            self.unstamped.push(key);
+            self.without_expiry.push(key);
         }
     }
 
@@ -324,7 +328,7 @@
 
     /// Sets the expiries of the claims that were settled since the last clock command.
     fn set_expiries(&mut self) {
-        for key in std::mem::take(&mut self.unstamped) {
+        for key in std::mem::take(&mut self.without_expiry) {
             if let Some(entry) = self.claims.get(&key) {
                 let at = self.unix_ms.saturating_add(entry.retention.0);
                 self.expiries.insert((at, key));
--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -11,7 +11,7 @@
         claims: 3,
         answer_bytes: 4,
         all_answer_bytes: 6,
-        given_back: 2,
+        released: 2,
     }
 }
 
