--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAttempt {
     /// The reply to the process that requested the claim.
-    Answer(claims::ClaimOutcome),
+    Reply(claims::ClaimOutcome),
     /// The holder has already released the claim, or its process has ended. Nothing was recorded.
     TooLate,
 }
@@ -184,12 +184,12 @@
     /// Grants a claim, or returns why it is not granted.
     pub fn claim(&mut self, claim: claims::Claim) -> ClaimAttempt {
         match self.claims.get(&claim.key) {
-            Some(entry) => ClaimAttempt::Answer(reply_for_existing(entry, &claim)),
+            Some(entry) => ClaimAttempt::Reply(reply_for_existing(entry, &claim)),
             None if self.is_too_late(&claim.holder) => ClaimAttempt::TooLate,
             None if self.claims.len() >= self.limits.claims => {
-                ClaimAttempt::Answer(claims::ClaimOutcome::Full)
+                ClaimAttempt::Reply(claims::ClaimOutcome::Full)
             }
-            None => ClaimAttempt::Answer(self.grant(claim)),
+            None => ClaimAttempt::Reply(self.grant(claim)),
         }
     }
 
--- a/crates/sageshed-state/src/control.rs
+++ b/crates/sageshed-state/src/control.rs
@@ -140,7 +140,7 @@
         match command {
             Command::Change(change) => Outcome::Change(self.rules.apply_change(change)),
             Command::Claim(claim) => match self.claims.claim(claim) {
-                claim_table::ClaimAttempt::Answer(answer) => Outcome::Claim(answer),
+                claim_table::ClaimAttempt::Reply(answer) => Outcome::Claim(answer),
                 claim_table::ClaimAttempt::TooLate => Outcome::ClaimTooLate,
             },
             Command::Settle(settle) => Outcome::Settle(self.claims.settle(settle)),
--- a/crates/sageshed-state/tests/claims.rs
+++ b/crates/sageshed-state/tests/claims.rs
@@ -87,15 +87,15 @@
 }
 
 fn granted() -> claim_table::ClaimAttempt {
-    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Granted)
+    claim_table::ClaimAttempt::Reply(claims::ClaimOutcome::Granted)
 }
 
 fn ran_with(answer: Option<claims::RecordedAnswer>) -> claim_table::ClaimAttempt {
-    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Ran { answer })
+    claim_table::ClaimAttempt::Reply(claims::ClaimOutcome::Ran { answer })
 }
 
 fn running(holder: claims::Holder) -> claim_table::ClaimAttempt {
-    claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Running { holder })
+    claim_table::ClaimAttempt::Reply(claims::ClaimOutcome::Running { holder })
 }
 
 // Guards against refusing a holder's repeated claim. If the reply that grants the claim is lost, the
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_same_key_with_other_content_is_rejected_in_every_state() {
-    let other = claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::OtherContent);
+    let other = claim_table::ClaimAttempt::Reply(claims::ClaimOutcome::OtherContent);
     let ends = [
         None,
         Some(ran(b"x")),
@@ -176,7 +176,7 @@
     for on in ["a", "b", "c"] {
         assert_eq!(claim(&mut table, on, first()), granted());
     }
-    let full = claim_table::ClaimAttempt::Answer(claims::ClaimOutcome::Full);
+    let full = claim_table::ClaimAttempt::Reply(claims::ClaimOutcome::Full);
     assert_eq!(claim(&mut table, "d", second()), full);
     assert_eq!(claim(&mut table, "a", second()), running(first()));
     settle(&mut table, "a", first(), ran(b"x"));
--- a/crates/sageshed-state/tests/tables.rs
+++ b/crates/sageshed-state/tests/tables.rs
@@ -182,7 +182,7 @@
 fn describe(claimed: claim_table::ClaimAttempt) -> String {
     use claims::ClaimOutcome;
     let outcome = match claimed {
-        claim_table::ClaimAttempt::Answer(outcome) => outcome,
+        claim_table::ClaimAttempt::Reply(outcome) => outcome,
         claim_table::ClaimAttempt::TooLate => return "too late".to_owned(),
     };
     match outcome {
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -212,7 +212,7 @@
             digest: 1,
             retention: RETENTION,
         };
-        if let claim_table::ClaimAttempt::Answer(answer) = self.table.claim(claim) {
+        if let claim_table::ClaimAttempt::Reply(answer) = self.table.claim(claim) {
             self.answers.push((arrival, answer));
         }
     }
