--- a/crates/sageshed-types/src/secret.rs
+++ b/crates/sageshed-types/src/secret.rs
@@ -9,11 +9,11 @@
 use sha2::Digest;
 
 /// The length of a digest in bytes.
-const BYTES: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
 /// The SHA-256 of a key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyDigest([u8; BYTES]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// The digest of `key`.
@@ -26,10 +26,10 @@
     #[must_use]
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
-        if digits.len() != 2 * BYTES || !digits.iter().all(u8::is_ascii_hexdigit) {
+        if digits.len() != 2 * DIGEST_BYTES || !digits.iter().all(u8::is_ascii_hexdigit) {
             return None;
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; DIGEST_BYTES];
         for (byte, pair) in bytes.iter_mut().zip(text.as_bytes().chunks(2)) {
             *byte = u8::from_str_radix(str::from_utf8(pair).ok()?, 16).ok()?;
         }
@@ -43,7 +43,7 @@
     /// Never, since writing to a string cannot fail.
     #[must_use]
     pub fn to_hex(&self) -> String {
-        let mut hex = String::with_capacity(2 * BYTES);
+        let mut hex = String::with_capacity(2 * DIGEST_BYTES);
         for byte in self.0 {
             write!(hex, "{byte:02x}").expect("writing to a string cannot fail");
         }
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -294,8 +294,8 @@
         // The first command sets the expiries of settled claims, the second is past them.
         let now = self.table.unix_ms() + 1;
         self.table.advance_clock(now);
-        let forgotten = self.table.advance_clock(now + RETENTION.0 + 1);
-        if forgotten > 0 {
+        let expired = self.table.advance_clock(now + RETENTION.0 + 1);
+        if expired > 0 {
             self.runs = 0;
         }
         for it in &mut self.arrivals {
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -31,7 +31,7 @@
     /// Rounds of heartbeats besides the first round of each leader.
     pub heartbeats: u32,
     /// Leaders that step down because they lose contact to a majority.
-    pub quorums: u32,
+    pub quorum_losses: u32,
     /// Membership changes that may be requested, each once.
     pub changes: Vec<event::Change>,
 }
@@ -180,7 +180,7 @@
         self.push(all, Step::Heartbeats(vm), spend, |world| {
             world.step(vm, heartbeat);
         });
-        let spend = |budget: &mut Budget| take(&mut budget.quorums);
+        let spend = |budget: &mut Budget| take(&mut budget.quorum_losses);
         self.push(all, Step::QuorumLost(vm), spend, |world| {
             world.step(vm, event::Event::QuorumLost);
         });
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -167,7 +167,7 @@
     script.elect(1, &[1, 2, 3]);
     let budget = Budget {
         elections: 1,
-        quorums: 1,
+        quorum_losses: 1,
         changes: vec![
             event::Change::Remove(id(2, 1)),
             event::Change::Remove(id(3, 1)),
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -246,8 +246,8 @@
         let engines = self.ledger.engines().iter();
         let orders = engines.flat_map(|engine| engine.orders.iter());
         let unseen = orders.filter(|open| {
-            let unsent = open.seen || open.cancelled;
-            self.term.is_some() && !unsent
+            let excluded = open.seen || open.cancelled;
+            self.term.is_some() && !excluded
         });
         unseen.map(|open| open.order.clone()).collect()
     }
