--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -193,7 +193,10 @@
         }
     }
 
-    /// Records how a claimed request ended. Ignored unless it names the claim's holder.
+    /// Records how a claimed request ended.
+    ///
+    /// A report of another holder does not change the claim. If it says that the request did not run, a
+    /// late claim of that holder is not granted. Otherwise it is ignored.
     pub fn settle(&mut self, settle: claims::Settle) -> command::SettleOutcome {
         let claims::Settle { key, holder, end } = settle;
         if matches!(end, claims::ExecutionOutcome::NotRun) {
--- a/crates/sageshed-types/src/claims.rs
+++ b/crates/sageshed-types/src/claims.rs
@@ -47,7 +47,7 @@
 pub struct Settle {
     /// The key of the claim.
     pub key: ClaimKey,
-    /// The holder. A message that names another holder than the claim's is ignored.
+    /// The holder. A message that names another holder than the claim's does not change the claim.
     pub holder: Holder,
     /// How it ended.
     pub end: ExecutionOutcome,
