--- a/crates/sageshed-fleet/tests/allowance.rs
+++ b/crates/sageshed-fleet/tests/allowance.rs
@@ -270,7 +270,7 @@
 /// coordinator of the quota among them. In no window may more be granted than the quota with its overage,
 /// and most of what the remaining processes can grant has to be granted.
 #[test]
-fn in_trouble_the_bound_holds_and_most_is_served() {
+fn the_limit_holds_under_faults_and_most_is_granted() {
     for scenario in scenarios() {
         for (seed, in_window) in [(1, 14.0), (2, 300.0), (3, 3_000.0)] {
             let limit = limit(in_window);
@@ -324,7 +324,7 @@
 /// other processes reach them. Control no longer lists them, so that others replace them as producers. If
 /// they continued by the old list, two fifths more than the quota would be granted.
 #[test]
-fn processes_that_control_lists_no_longer_yield_nothing() {
+fn unlisted_processes_yield_nothing() {
     let limit = limit(300.0);
     let mut world = World::new(5, ENTRIES, vec![(key(), limit)]);
     world.run(3_000);
@@ -394,7 +394,7 @@
 /// Faults occur and overlap at random while three times the quota is requested. The limit has to hold in
 /// every window.
 #[test]
-fn no_window_is_over_whatever_overlaps() {
+fn the_limit_holds_under_overlapping_faults() {
     let mut windows = 0;
     for seed in 0..SEEDS {
         for entries in [7, 73, 195] {
--- a/crates/sageshed-fleet/tests/backlog.rs
+++ b/crates/sageshed-fleet/tests/backlog.rs
@@ -16,7 +16,7 @@
 /// Prompts of 2,000 tokens arrive twice as fast as the engines prefill them. The tenth in the queue would
 /// be prefilled after five seconds; it has to be told now, and not when its five seconds are over.
 #[test]
-fn a_request_knows_how_long_those_before_it_take() {
+fn the_estimate_covers_the_requests_ahead() {
     let mut backlog = Backlog::default();
     let tickets: Vec<u64> = (0..10).map(|_| backlog.push(T0, "m0", PLAIN)).collect();
     for n in 0..4 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn nothing_is_said_where_nothing_was_read_lately() {
+fn there_is_no_estimate_without_recent_prefill() {
     let mut backlog = Backlog::default();
     let ticket = backlog.push(T0, "m0", PLAIN);
     let soon = T0 + time::Millis(500);
@@ -156,7 +156,7 @@
 /// An adapter is loaded on one busy engine, and other engines hold its base model. Requests for the base
 /// model must not wait for that engine.
 #[test]
-fn a_request_for_an_adapter_holds_back_only_its_like() {
+fn a_request_for_an_adapter_holds_back_only_those_for_the_same_one() {
     let with = |name: &str| QueuedRequest {
         priority: 0,
         adapter: Some(name.to_owned()),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn one_that_has_just_come_goes_behind_its_equals() {
+fn a_new_request_goes_behind_its_equals() {
     let mut backlog = Backlog::default();
     let ticket = backlog.push(T0, "m0", PLAIN);
     assert!(backlog.is_preceded(T0, "m0", &PLAIN, None));
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -95,7 +95,7 @@
 /// The coordinator of the limit is killed every three seconds, the fleet is partitioned, or processes that
 /// know the limit are suspended and resumed. None of this may add to what the endpoint gets.
 #[test]
-fn a_limit_holds_in_trouble() {
+fn a_limit_holds_under_faults() {
     for seed in 0..6 {
         for per_s in [1.1, 10.0] {
             let entries = 73;
@@ -128,7 +128,7 @@
 /// A limit is lowered. Some processes know the new one and others send the old one along: the newer one
 /// applies, whoever asks last.
 #[test]
-fn of_two_limits_the_younger_holds() {
+fn the_newer_of_two_limits_applies() {
     let mut world = limited_world(1, 7, 40.0);
     demand(&mut world, 7, 60.0, 10_000);
     world.run(4_000);
@@ -257,7 +257,7 @@
 /// Two requests of one process acquire a turn at the same time and get one each. The process continues at
 /// the earlier one; if it waited for the later one, it would leave unused what others were granted.
 #[test]
-fn of_several_turns_the_first_counts() {
+fn the_shortest_of_several_delays_counts() {
     let (mut chooser, engines) = chooser(&["e1"]);
     let (now, id) = (Instant(10_000), &engines[0].id);
     chooser.close_for(now, id, Millis(400));
@@ -292,7 +292,7 @@
 
 /// An engine that reports a limit of zero could never report another one if nothing were sent to it.
 #[test]
-fn a_limit_of_none_lets_one_through_now_and_then() {
+fn a_limit_of_zero_still_lets_requests_through() {
     let (mut chooser, engines) = chooser(&["e1"]);
     chooser.set_limit(Instant(0), &engines[0].id, 0.0);
     let named = chooser.limit(Instant(0), &engines[0].id);
--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_question_that_is_asked_again_takes_once() {
+fn a_retried_acquisition_is_charged_once() {
     let mut world = World::full();
     let now = at(1_200);
     assert_eq!(world.acquire(now, request(7, 15.0)), AcquireReply::Granted);
@@ -161,14 +161,14 @@
 /// A coordinator is suspended or partitioned with a full bucket. Another process coordinates meanwhile, so
 /// the units in the bucket must not be spent as well.
 #[test]
-fn the_bucket_of_a_coordinator_without_contact_is_void() {
-    for (later, is_void) in [(1_000, false), (5_000, true)] {
+fn the_bucket_of_a_coordinator_without_contact_is_emptied() {
+    for (later, is_emptied) in [(1_000, false), (5_000, true)] {
         let mut world = World::full();
         let now = at(1_100 + later);
         let reply = world.acquire(now, request(1, 40.0));
         assert_eq!(
             reply == AcquireReply::Granted,
-            !is_void,
+            !is_emptied,
             "after {later} ms: {reply:?}"
         );
     }
@@ -191,7 +191,7 @@
 
 /// A workspace is over its quota. Its urgent requests go before those that can wait.
 #[test]
-fn the_less_urgent_leave_a_part_to_the_urgent() {
+fn less_urgent_requests_leave_a_reserve_to_urgent_ones() {
     let mut world = World::full();
     let lookup = |id| AcquireRequest {
         rank: 2,
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn what_is_given_back_is_there_again_and_never_more_than_the_burst() {
+fn returned_units_are_available_again_up_to_the_burst() {
     let mut world = World::full();
     assert_eq!(
         world.acquire(at(1_101), request(1, 60.0)),
@@ -344,7 +344,7 @@
 /// When all processes start, one that knows a single other process would yield half of the rate, and so
 /// would all the others. One that knows many yields at once, since its callers are back.
 #[test]
-fn who_knows_few_others_yields_nothing_at_first() {
+fn a_producer_with_a_short_list_yields_nothing_at_first() {
     let few: Vec<_> = (1..=2).map(ip).collect();
     let many: Vec<_> = (1..=20).map(ip).collect();
     let mut isolated = producer(&few, 0);
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -52,7 +52,7 @@
 /// Prompts of 1,800 tokens keep an engine busy for a tenth of a second each. When twenty arrive at once,
 /// the last would wait two seconds if all went to one engine, and one if they are balanced.
 #[test]
-fn prompts_are_shared_out_by_the_tokens_that_wait() {
+fn prompts_are_balanced_by_pending_tokens() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let mut counts = [0, 0];
@@ -270,7 +270,7 @@
 /// An engine crashes and its address refuses connections. The first request finds out and goes elsewhere;
 /// the next ones are not sent there at all until the engine is tried again a little later.
 #[test]
-fn an_endpoint_that_cannot_be_reached_is_left_out_for_a_while() {
+fn an_unreachable_endpoint_is_ejected_for_a_while() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
@@ -287,7 +287,7 @@
 /// An engine fails four of ten requests while its health check is good. It has to get fewer requests than
 /// the healthy one, and its share again once it has recovered.
 #[test]
-fn an_endpoint_that_fails_some_requests_gets_fewer_until_it_is_mended() {
+fn an_endpoint_that_fails_some_requests_gets_fewer_until_it_recovers() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let mut share = |from: u64, fails: bool| {
@@ -318,7 +318,7 @@
 /// An engine was told to unload a model that its directory record still lists. It responds that it does not
 /// hold the model and must not be selected for it again at once.
 #[test]
-fn an_engine_that_says_it_lacks_a_model_is_not_asked_again_at_once() {
+fn an_engine_that_lacks_a_model_is_not_selected_again_at_once() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
@@ -351,7 +351,7 @@
 }
 
 /// Number of prompts of 50 ms that the only engine gets before one has to wait.
-fn taken_at_once(chooser: &mut Chooser) -> usize {
+fn dispatched_at_once(chooser: &mut Chooser) -> usize {
     let m0 = wanted("m0", None);
     let ask = EndpointQuery {
         patience: time::Millis(100),
@@ -385,21 +385,21 @@
         chooser.record_pauses(T0 + time::Millis(1_000), &pick, pauses);
         chooser.record_end(T0, &pick, Some(&m0), false, AttemptOutcome::Answered);
     };
-    let at_first = taken_at_once(&mut chooser);
+    let at_first = dispatched_at_once(&mut chooser);
     ended(&mut chooser, 170);
     ended(&mut chooser, 170);
-    let risen = taken_at_once(&mut chooser);
+    let risen = dispatched_at_once(&mut chooser);
     assert!(risen > at_first, "{risen} of {at_first}");
     for _ in 0..30 {
         ended(&mut chooser, 900);
     }
-    assert_eq!(taken_at_once(&mut chooser), at_first);
+    assert_eq!(dispatched_at_once(&mut chooser), at_first);
 }
 
 /// Twenty prompts are pending at the only engine. Another request has 300 ms left and would be answered in
 /// two seconds, so it has to be refused now and not at its deadline.
 #[test]
-fn what_cannot_be_in_time_is_turned_away_at_once() {
+fn a_request_that_cannot_be_in_time_is_refused_at_once() {
     let mut chooser = Chooser::new("z1", 7);
     chooser.update_instance(&support::engine("e1", &["m0"]));
     let m0 = wanted("m0", None);
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn endpoints_of_a_plain_service_take_as_many_as_they_have_places_for() {
+fn endpoints_of_a_plain_service_get_as_many_requests_as_their_slots_allow() {
     let mut chooser = Chooser::new("z1", 7);
     chooser.update_instance(&support::instance("p1", support::PLAIN, &[]));
     let mut picks = Vec::new();
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn an_endpoint_that_was_tried_is_not_chosen_again_and_one_near_by_is_preferred() {
+fn a_tried_endpoint_is_not_selected_again_and_a_local_one_is_preferred() {
     let mut chooser = Chooser::new("z1", 7);
     let mut far = support::engine("e1", &["m0"]);
     far.availability_zone = "z2".to_owned();
@@ -455,7 +455,7 @@
 /// wait in vain. It has to be suspected while the first of them still wait, and ejected once one of them
 /// has waited until its deadline.
 #[test]
-fn an_engine_that_says_nothing_is_avoided() {
+fn a_silent_engine_is_avoided() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
     let dark = sent(chooser.choose(T0, &support::ask(&m0, 100)));
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -259,7 +259,7 @@
 /// The coordinator itself selects by its own view. The second coordinator queries the first, and all others
 /// both in order.
 #[test]
-fn the_coordinator_itself_asks_nobody() {
+fn the_coordinator_itself_queries_nobody() {
     let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
     let asked_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
--- a/crates/sageshed-fleet/tests/fingerprint.rs
+++ b/crates/sageshed-fleet/tests/fingerprint.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn requests_are_the_same_by_what_they_ask() {
+fn requests_with_the_same_content_have_the_same_fingerprint() {
     let same = Case {
         name: "retried",
         method: "POST",
--- a/crates/sageshed-fleet/tests/links.rs
+++ b/crates/sageshed-fleet/tests/links.rs
@@ -59,7 +59,7 @@
 /// The control group may be partitioned with three processes on the larger side: three links to different
 /// control processes reach it in every case.
 #[test]
-fn links_go_to_different_control_processes_and_the_first_to_the_near_one() {
+fn links_go_to_different_control_processes_and_the_first_to_the_local_one() {
     for (zone, local) in [("z4", Some(ip(4))), ("z1", Some(ip(1))), ("z6", None)] {
         let (_, targets) = linked(zone);
         let different: collections::BTreeSet<_> = targets.iter().collect();
@@ -75,7 +75,7 @@
 /// chance. If it stayed there, endpoint records would come from another zone for as long as the process
 /// lives.
 #[test]
-fn the_first_link_takes_the_near_control_process_from_another() {
+fn the_first_link_takes_the_local_control_process_from_another() {
     let mut links = Links::new("z2", vec![ip(2)]);
     assert_eq!(links.pick(T0, 1, 0), Some(ip(2)));
     links.add_control_vms(control());
@@ -90,7 +90,7 @@
 /// A process that starts gets all it needs with its first response, from whichever control process. From
 /// then on, a single link delivers endpoint records.
 #[test]
-fn one_link_brings_endpoints_once_one_has_answered() {
+fn one_link_delivers_endpoint_records_once_one_has_responded() {
     let (mut links, _) = linked("z4");
     assert_eq!(
         requested_details(&links, T0),
@@ -146,7 +146,7 @@
 /// endpoint records for as long as they do. Changes that are merely on their way must not count as a
 /// difference.
 #[test]
-fn links_whose_digest_differs_bring_endpoints_too() {
+fn links_whose_digest_differs_deliver_endpoint_records_too() {
     let (mut links, _) = linked("z4");
     for number in 0..LINK_COUNT {
         links.record_reply(T0, number, &reply(false, false));
@@ -162,7 +162,7 @@
 
 /// All control processes are lost at once and return one by one: links have to retry soon.
 #[test]
-fn links_try_again_where_nobody_answers() {
+fn links_retry_when_nobody_responds() {
     let (mut links, _) = linked("z4");
     for last in 1..=5 {
         links.mark_unreachable(at(10), usize::from(last) % LINK_COUNT, ip(last));
--- a/crates/sageshed-fleet/tests/quarantine.rs
+++ b/crates/sageshed-fleet/tests/quarantine.rs
@@ -82,7 +82,7 @@
 /// between: it was not the cause. If it were quarantined, a page that all callers request would be refused
 /// for an hour.
 #[test]
-fn a_request_that_is_answered_in_between_is_not_quarantined() {
+fn a_request_that_completes_in_between_is_not_quarantined() {
     let mut quarantine = Quarantine::new(1);
     let mut now = NOW;
     for endpoint in 0..10 {
@@ -110,7 +110,7 @@
 /// Each entry process completes it many times a second on the others. If it were quarantined by the reports
 /// of three of them, it would be refused for all callers for an hour.
 #[test]
-fn what_is_answered_all_the_time_is_not_quarantined_when_a_rack_is_lost() {
+fn a_request_that_completes_all_the_time_is_not_quarantined_when_a_rack_is_lost() {
     let crashes = [crash(1, 1), crash(1, 2), crash(1, 3)];
     let control = seen(1, &crashes);
     assert!(
@@ -272,7 +272,7 @@
 
 /// A crash of an hour ago that another process reports now must not be kept for another hour.
 #[test]
-fn crashes_are_forgotten_by_their_age() {
+fn crashes_expire_by_their_age() {
     let mut quarantine = Quarantine::new(1);
     for endpoint in 1..=3 {
         let old = Crash {
--- a/crates/sageshed-fleet/tests/workspaces.rs
+++ b/crates/sageshed-fleet/tests/workspaces.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_is_known_by_the_key_that_it_shows() {
+fn a_request_is_attributed_by_its_key() {
     let key = |key| secret::Credential::Bearer(digest(key));
     let case = |name, shown, is_open, known| Case {
         name,
@@ -215,7 +215,7 @@
 /// Configurations and identities are printed while debugging. The digest of a short key would reveal the
 /// key.
 #[test]
-fn what_is_printed_of_a_key_tells_nothing() {
+fn printed_keys_reveal_nothing() {
     let shown = format!("{:?} {:?}", two(), workspaces::Workspaces::new(&two()));
     let hex = digest(DUG).to_hex();
     assert!(!shown.contains(DUG) && !shown.contains(&hex), "{shown}");
