--- a/crates/sageshed-fleet/src/allowance/bucket.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -146,8 +146,8 @@
         if per_ms <= 0.0 {
             return MAX_RETRY_DELAY;
         }
-        let time_to_grow = time::Millis::rounded_up((needed - self.units).max(0.0) / per_ms);
-        let due = (now + time_to_grow).max(self.scheduled_until);
+        let time_to_accrue = time::Millis::rounded_up((needed - self.units).max(0.0) / per_ms);
+        let due = (now + time_to_accrue).max(self.scheduled_until);
         let wait = due.since(now).min(MAX_RETRY_DELAY);
         if wait < MAX_RETRY_DELAY {
             self.scheduled_until = due + time::Millis::rounded_up(amount / per_ms);
--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -161,14 +161,16 @@
             .prefilled
             .iter()
             .filter(|(at, _)| now.since(*at) <= span);
-        let read: u64 = recent.map(|(_, tokens)| *tokens).sum();
+        let prefilled_tokens: u64 = recent.map(|(_, tokens)| *tokens).sum();
         let own = queue.waiting.get(&ticket)?.rank(now, ticket);
         let before = queue
             .waiting
             .iter()
             .filter(|(at, it)| it.rank(now, **at) <= own);
         let ahead: u64 = before.map(|(_, it)| it.tokens).sum();
-        (ahead * span.0).checked_div(read).map(time::Millis)
+        (ahead * span.0)
+            .checked_div(prefilled_tokens)
+            .map(time::Millis)
     }
 
     /// Number of waiting requests.
--- a/crates/sageshed-fleet/src/chooser/coordinators.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -134,7 +134,7 @@
     /// The coordinators to query for requests to `model`, in order; none if this process selects engines by
     /// itself.
     #[must_use]
-    pub fn to_query(&self, model: &str) -> Vec<net::Ipv4Addr> {
+    pub fn query_order(&self, model: &str) -> Vec<net::Ipv4Addr> {
         let mut coordinators = self.of(model);
         if coordinators.first() == Some(&self.own) {
             return Vec::new();
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -398,7 +398,7 @@
         let engines = self.by_service.get(service).into_iter().flatten();
         let ready = engines.filter_map(|key| Some(&self.get(*key)?.instance));
         let has = |list: &[String]| list.contains(&model.name);
-        let near = ready.filter(|it| it.is_ready()).map(|it| {
+        let load_times = ready.filter(|it| it.is_ready()).map(|it| {
             if has(&it.in_memory) {
                 model.memory_load
             } else if has(&it.on_disk) {
@@ -407,7 +407,7 @@
                 model.store_load
             }
         });
-        near.min().unwrap_or(model.store_load)
+        load_times.min().unwrap_or(model.store_load)
     }
 
     /// Endpoints of the service that accept requests now.
@@ -442,8 +442,8 @@
         key: arena::EndpointKey,
         query: &EndpointQuery<'_>,
     ) -> bool {
-        let takes = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
-        !query.tried.contains(&key) && self.get(key).is_some_and(takes)
+        let accepts = |it: &Endpoint| it.instance.is_ready() && now >= it.ejected_until;
+        !query.tried.contains(&key) && self.get(key).is_some_and(accepts)
     }
 
     fn holds(
@@ -475,7 +475,7 @@
     }
 
     /// Microseconds of prefill that a prompt costs on the engine that caches most of it, out of those that
-    /// hold its model. `advised` is the number of cached tokens that the model's coordinator reported. If
+    /// hold its model. `coordinator_cached` is the number of cached tokens that the model's coordinator reported. If
     /// no engine caches any, the whole prompt counts.
     ///
     /// The leader weighs models by this. When it counted whole prompts, shared prefixes that every engine
@@ -486,18 +486,18 @@
         &self,
         service: &str,
         wanted: &dialect::ModelRef,
-        passing: &dialect::RequestMetadata,
-        advised: Option<u64>,
+        request: &dialect::RequestMetadata,
+        coordinator_cached: Option<u64>,
     ) -> u64 {
         let holders = self.by_model.get(&wanted.model).into_iter().flatten();
         let holders = holders
             .filter_map(|key| self.get(*key))
             .filter(|it| it.instance.service == service);
         let cached = holders
-            .map(|it| it.prefix_cache.cached_tokens(wanted, &passing.parts))
+            .map(|it| it.prefix_cache.cached_tokens(wanted, &request.parts))
             .max();
-        let cached = cached.max(advised).unwrap_or(0);
-        let uncached_tokens = passing.prompt_tokens.saturating_sub(cached);
+        let cached = cached.max(coordinator_cached).unwrap_or(0);
+        let uncached_tokens = request.prompt_tokens.saturating_sub(cached);
         let ms = uncached_tokens as f64 * self.prefill_speeds.ms_per_token(&wanted.model);
         to_u64(ms * endpoint::MICROS_PER_MS)
     }
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -107,7 +107,7 @@
     /// itself.
     #[must_use]
     pub fn coordinators(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        self.coordinators.to_query(model)
+        self.coordinators.query_order(model)
     }
 
     /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -102,7 +102,7 @@
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
-    connections: [Link; LINK_COUNT],
+    links: [Link; LINK_COUNT],
     /// Up to where the control process that delivers endpoint records knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
@@ -117,7 +117,7 @@
             availability_zone: availability_zone.to_owned(),
             seeds,
             zones: collections::BTreeMap::new(),
-            connections: std::array::from_fn(|_| Link::default()),
+            links: std::array::from_fn(|_| Link::default()),
             peers: collections::HashMap::new(),
             unreachable_since: collections::HashMap::new(),
         }
@@ -135,7 +135,7 @@
         let is_local =
             |ip: &net::Ipv4Addr| self.is_local(*ip) && !self.unreachable_since.contains_key(ip);
         let local = all.iter().copied().find(is_local).filter(|_| number == 0);
-        let target = self.connections[number].target.filter(is_available);
+        let target = self.links[number].target.filter(is_available);
         let chosen = local.or(target).or_else(|| {
             let free: Vec<_> = all.iter().copied().filter(is_available).collect();
             let reachable = all
@@ -149,8 +149,8 @@
             let at = usize::try_from(draw).unwrap_or_default() % from.len();
             Some(from[at])
         })?;
-        if self.connections[number].target != Some(chosen) {
-            self.connections[number] = Link {
+        if self.links[number].target != Some(chosen) {
+            self.links[number] = Link {
                 target: Some(chosen),
                 ..Link::default()
             };
@@ -161,7 +161,7 @@
     /// What link `number` requests: endpoint records or a digest.
     #[must_use]
     pub fn requested_detail(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
-        let differs = self.connections[number].differs_since;
+        let differs = self.links[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
         if lags || self.endpoint_source().is_none_or(|source| source == number) {
             messages::DirectoryDetail::News
@@ -173,21 +173,21 @@
     /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
     pub fn endpoint_source(&self) -> Option<usize> {
-        self.connections.iter().position(|it| it.has_responded)
+        self.links.iter().position(|it| it.has_responded)
     }
 
     /// Handles the response of a control process. While it has more endpoint records to send, what makes
     /// digests differ is still on its way, and need not come over other links.
     pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
-        self.connections[number].has_responded = true;
+        self.links[number].has_responded = true;
         if reply.has_more {
-            self.connections.iter_mut().for_each(Link::clear_difference);
+            self.links.iter_mut().for_each(Link::clear_difference);
             return;
         }
         if self.endpoint_source() == Some(number) {
             self.set_peers(reply.peers);
         }
-        let link = &mut self.connections[number];
+        let link = &mut self.links[number];
         let known = link.target.and_then(|ip| self.peers.get(&ip)).copied();
         if reply.differs {
             link.record_difference(now, reply.news, known);
@@ -198,7 +198,7 @@
 
     fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
-        for link in &mut self.connections {
+        for link in &mut self.links {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
             // A difference that was recorded without cursors lasts until the digests agree.
             if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
@@ -210,7 +210,7 @@
     /// Records that a control process could not be reached.
     pub fn mark_unreachable(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
         self.unreachable_since.insert(ip, now);
-        self.connections[number] = Link::default();
+        self.links[number] = Link::default();
     }
 
     /// Adds control processes and their availability zones.
@@ -242,7 +242,7 @@
     }
 
     fn is_taken(&self, number: usize, ip: net::Ipv4Addr) -> bool {
-        let mut others = self.connections.iter().enumerate();
+        let mut others = self.links.iter().enumerate();
         others.any(|(at, it)| at != number && it.target == Some(ip))
     }
 }
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -132,7 +132,7 @@
     /// The last change that concerned a quarantined request.
     last_quarantine_change: u64,
     requests: collections::HashMap<Fingerprint, Suspect>,
-    swept: time::Instant,
+    swept_at: time::Instant,
     recent_successes: RecentSuccesses,
 }
 
@@ -450,10 +450,10 @@
 
     /// Removes crashes that are older than [`RETENTION`].
     fn sweep(&mut self, now: time::Instant) {
-        if now.since(self.swept) < SWEEP_INTERVAL {
+        if now.since(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.swept_at = now;
         self.requests.retain(|_, suspect| {
             suspect.crashes.retain(|it| now < it.expires_at);
             !suspect.crashes.is_empty()
