--- a/crates/sageshed-fleet/src/chooser/backpressure.rs
+++ b/crates/sageshed-fleet/src/chooser/backpressure.rs
@@ -96,8 +96,8 @@
 }
 
 impl Chooser {
-    /// Applies the notice in a response to a request that was sent to the instance `id`. Returns the change
-    /// of its limit, if any.
+    /// Applies the limit and the pause that a response asks for, if it comes from the instance `id` that the
+    /// request was sent to. Returns the change of its limit, if any.
     pub fn apply_notice(
         &mut self,
         now: time::Instant,
@@ -167,8 +167,8 @@
         })
     }
 
-    /// Holds back requests to this instance for `span`, until it is this process's turn. The earliest of
-    /// several turns counts.
+    /// Holds back requests to this instance for `span`, the retry delay of a refused acquisition. The
+    /// shortest of several delays counts.
     pub fn close_for(
         &mut self,
         now: time::Instant,
@@ -247,8 +247,8 @@
         self.backpressure.closed_for(now, &endpoint.instance.id)
     }
 
-    /// Why a request has to wait. Where endpoints that could take it are only held back, that is when the
-    /// first of them opens; otherwise it is `missing`.
+    /// Why a request has to wait: [`WaitReason::Allowance`] if limits and pauses alone hold back endpoints
+    /// that could take it, otherwise `missing`.
     pub(super) fn wait_reason(
         &self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/coordinators.rs
+++ b/crates/sageshed-fleet/src/chooser/coordinators.rs
@@ -5,8 +5,8 @@
 //! While a thousand entry processes are restarted one after the other, their list changes several times a
 //! second, and each of them knows thousands of engines. So coordinators are cached by model: a change of
 //! the list costs one hash for each model and added process, and a ranking of all processes only for the
-//! models that lost a coordinator. A ranking for each engine took every process engines x entry processes
-//! for each change.
+//! models that lost a coordinator. When processes were ranked for each engine, a change cost each process
+//! engines x entry processes hashes.
 
 use std::{collections, net};
 
@@ -32,8 +32,8 @@
 }
 
 impl Coordinators {
-    /// Sets the list of entry processes, of which this one is `own`. Returns for how many models all
-    /// processes were ranked.
+    /// Sets the list of entry processes, of which this one is `own`. Returns the number of models for which
+    /// all processes had to be ranked.
     pub fn set_entries(&mut self, own: net::Ipv4Addr, entries: &[net::Ipv4Addr]) -> usize {
         self.own = own;
         let mut entries = entries.to_vec();
--- a/crates/sageshed-fleet/src/chooser/endpoint.rs
+++ b/crates/sageshed-fleet/src/chooser/endpoint.rs
@@ -44,8 +44,8 @@
 /// within that time.
 const PENDING_PREFILL_TTL: time::Millis = time::Millis(900);
 
-/// How long a request that was routed for another process counts before that process sends an observation
-/// of it. This arrives within milliseconds, unless its datagram is lost.
+/// How long a request that was routed for another process counts as pending, unless an observation of that
+/// process replaces it earlier. This arrives within milliseconds, unless its datagram is lost.
 const ROUTED_TTL: time::Millis = time::Millis(150);
 
 /// Share of the allowed pause of streams that a prefill may take without penalty. The step in progress and
@@ -58,7 +58,8 @@
 /// How long an engine's report of its running requests is used. Most streams last that long.
 const RUNNING_TTL: time::Millis = time::Millis(2_000);
 
-/// First ejection time of an endpoint that can't be reached. It doubles with each further failure.
+/// First ejection time of an endpoint that can't be reached. It doubles each time until the endpoint
+/// responds.
 const MIN_EJECTION: time::Millis = time::Millis(300);
 
 /// Longest ejection time of an endpoint that can't be reached.
@@ -298,9 +299,9 @@
         part * f64::from(running) * STALL_PENALTY_MS
     }
 
-    /// Estimated milliseconds until an engine has finished a prefill that takes `prefill_ms` by itself. If
-    /// this process receives no observations of it (`is_observer`), other processes may have sent more
-    /// there.
+    /// Estimated milliseconds until an engine has finished a prefill that takes `prefill_ms` by itself.
+    /// Unless this process receives the observations of the engine (`is_observer`),
+    /// [`UNOBSERVED_LOAD_MS`] is added for what others may have sent there.
     pub(super) fn engine_estimate_ms(
         &self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -475,8 +475,8 @@
     }
 
     /// Microseconds of prefill that a prompt costs on the engine that caches most of it, out of those that
-    /// hold its model. `coordinator_cached` is the number of cached tokens that the model's coordinator reported. If
-    /// no engine caches any, the whole prompt counts.
+    /// hold its model. `coordinator_cached` is the number of cached tokens that the model's coordinator
+    /// reported. If no engine caches any, the whole prompt counts.
     ///
     /// The leader weighs models by this. When it counted whole prompts, shared prefixes that every engine
     /// caches made models look four to six times as busy as they were; each model seemed short of replicas,
--- a/crates/sageshed-fleet/src/chooser/prefix_cache.rs
+++ b/crates/sageshed-fleet/src/chooser/prefix_cache.rs
@@ -14,8 +14,9 @@
 /// The parts that one engine caches.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
-    /// By model, adapter and id of the part, the number of the request that last used it.
+    /// For each part, by scope and id, the value of `clock` when it was last recorded.
     parts: collections::HashMap<(CacheScope, u64), u64>,
+    /// Number of prompts and prefixes recorded so far.
     clock: u64,
 }
 
--- a/crates/sageshed-fleet/src/chooser/query.rs
+++ b/crates/sageshed-fleet/src/chooser/query.rs
@@ -105,8 +105,8 @@
     Adapter,
     /// No endpoint has a free slot, or no engine has room below its prefill limit.
     Place,
-    /// All endpoints that could take the request have asked for a pause, the first of which ends after this
-    /// time.
+    /// All endpoints that could take the request are held back by a limit or a pause. The first of them is
+    /// available after this time.
     Allowance(time::Millis),
 }
 
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -96,8 +96,8 @@
     /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
     /// timings, pauses and faults.
     ///
-    /// A small number of processes has enough requests to learn from their own, and one process's bad luck
-    /// with an engine would count against that engine for all.
+    /// Where all processes exchange observations directly, each has enough requests of its own to learn these
+    /// from; if they were shared, one process's bad luck with an engine would count against it on all.
     #[must_use]
     pub fn uses_coordinators(&self) -> bool {
         self.coordinators.are_used()
--- a/crates/sageshed-fleet/src/chooser/wait_estimates.rs
+++ b/crates/sageshed-fleet/src/chooser/wait_estimates.rs
@@ -3,7 +3,7 @@
 //! Under load, prompts arrive faster than the engines of a model prefill them. Each of some hundred entry
 //! processes holds a few waiting requests and can't tell how many there are in all; if it held them until
 //! their callers give up, these would lose the time in which they could have retried. The coordinator is
-//! asked again and again for each waiting request, so it knows how many there are and how many it has
+//! queried again and again for each waiting request, so it knows how many there are and how many it has
 //! routed lately.
 
 use std::collections;
@@ -14,8 +14,8 @@
 /// estimate jump; with a longer one, it would follow added or removed engines too late.
 const WINDOW: time::Millis = time::Millis(2_000);
 
-/// A request that was not asked for within this time waits no longer. A waiting request is asked for ten
-/// times a second.
+/// How long a request counts as waiting after its last query. A process repeats the query for a waiting
+/// request ten times a second.
 const WAITING_TTL: time::Millis = time::Millis(300);
 
 /// Routed requests within [`WINDOW`] below which no estimate is given.
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 struct ModelQueue {
     routed: collections::VecDeque<time::Instant>,
-    /// By request, when it was last asked for.
+    /// The time of the last query for each request.
     waiting: collections::HashMap<u64, time::Instant>,
 }
 
