--- a/crates/sageshed-fleet/src/allowance/bucket.rs
+++ b/crates/sageshed-fleet/src/allowance/bucket.rs
@@ -132,8 +132,9 @@
         self.granted.iter().any(|(_, it)| *it == (from, id))
     }
 
-    /// The delay after which a refused request finds `needed` units, behind those scheduled before it. If a
-    /// hundred refused requests were retried at once, they would find the units that one of them needs.
+    /// The delay after which a refused request finds `needed` units, and schedules them for it after those of
+    /// earlier refused requests. If a hundred were retried at the same time, they would find the units that
+    /// one of them needs.
     fn schedule_retry(
         &mut self,
         now: time::Instant,
@@ -219,8 +220,8 @@
     }
 
     /// Adds the units that a producer gave to a collection. A second reply, or one to an earlier
-    /// collection, is dropped: the network may duplicate datagrams, and units are rather lost than counted
-    /// twice.
+    /// collection, is dropped: the network may duplicate datagrams, and it is safe to lose units but not to
+    /// count them twice.
     pub fn add_collected(
         &mut self,
         now: time::Instant,
--- a/crates/sageshed-fleet/src/allowance/mod.rs
+++ b/crates/sageshed-fleet/src/allowance/mod.rs
@@ -21,15 +21,15 @@
 //! partitioned, and whichever of them they take for the coordinator, no unit can be spent that was not
 //! produced, and production needs no agreement: a side of a partition that holds four of the [`PRODUCERS`]
 //! produces four shares of the rate. A process that restarts with an empty state holds no more than before.
-//! One that was suspended finds its bucket void, as it was out of contact with the producers for
-//! [`CONTACT_TIMEOUT`].
+//! One that was suspended for [`CONTACT_TIMEOUT`] loses the units in its bucket, as it was out of contact
+//! with the producers.
 //!
 //! The remaining inaccuracy is bounded by the margin that allowances leave above their rate. Units in the
 //! bucket of a coordinator that becomes unreachable are spent beside those of the next one, at most one
-//! burst. Two processes with different lists of entry processes may each count a sixteenth as a producer
-//! for as long as the lists differ. And a producer that restarts immediately yields what accrues in
-//! [`SHARE_WINDOW`], which it may have yielded before: if all of them are killed at once, they yield that
-//! much extra, and spend nothing while they are down.
+//! burst. While two processes have different lists of entry processes, each may count a process as a
+//! producer that the other doesn't, so that sixteen produce. And a producer that has restarted yields at
+//! once what accrues in [`SHARE_WINDOW`], which it may have yielded before: if all of them are killed at
+//! once, they yield that much extra, and spend nothing while they are down.
 
 mod acquisition;
 mod bucket;
