--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -4,10 +4,10 @@
 //!
 //! # Order
 //!
-//! Requests that can still be on time go first, urgent ones before others, and among equals by the earliest
-//! deadline. A request that is already late loses nothing more by waiting; if it went first, those behind
-//! it would all be late as well. A request for an adapter can go to fewer engines than one for the base
-//! model, so it does not hold that one back.
+//! Requests that can still be on time go first, urgent ones before others, and among equals the one that
+//! would be late first. A request that is already late loses nothing more by waiting; if it went first,
+//! those behind it would all be late as well. A request for an adapter can go to fewer engines than one for
+//! the base model, so it does not hold that one back.
 //!
 //! # Time
 //!
--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -4,8 +4,8 @@
 //! that selects an engine has to know what the others have just sent there; the engine's own report comes
 //! with a response, when it is too late.
 //!
-//! A small number of entry processes ([`MAX_BROADCAST_ENTRIES`]) send their observations to all others, and
-//! each selects engines by itself. With more processes, that takes a quadratic number of messages, and each
+//! Up to [`MAX_BROADCAST_ENTRIES`] entry processes send their observations to all others, and each selects
+//! engines by itself. With more processes, that takes a quadratic number of messages, and each
 //! process has a request for a model so seldom that its view is stale. Then each model has coordinators
 //! among them ([`coordinators`]), chosen by hashing. The coordinator receives the observations of all
 //! engines that hold the model, is queried for each request, and decides where that goes, so a request
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -3,12 +3,13 @@
 //! The first link goes to a control process in the availability zone of this process, if there is one, and
 //! the others to any two. When the control group is partitioned in two, three links reach the larger side,
 //! the one that accepts changes. All links deliver configurations. Endpoint records come over one link
-//! only, the local one: when they came over all three, from whichever zone, they made up most of the
-//! traffic between zones. The other links deliver a digest of what their control process knows, and the
-//! local one tells how far it is up to date with each of the others. A link delivers endpoint records too
-//! while its digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the
-//! local one was not told. Digests alone are not enough: while endpoints change all the time, as in a
-//! rollout of thousands, no two digests agree.
+//! only, the *endpoint source*: the first link while its control process responds, or else the next one.
+//! When they came over all three, from whichever zone, they made up most of the traffic between zones. The
+//! other links deliver a digest of what their control process knows, and the source reports how far its
+//! control process is up to date with each of the others. A link delivers endpoint records too while its
+//! digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the source was not
+//! told. Digests alone are not enough: while endpoints change all the time, as in a rollout of thousands, no
+//! two digests agree.
 
 use std::{collections, net};
 
@@ -22,16 +23,17 @@
 /// How long an unreachable control process is avoided while there are others.
 const RETRY_DELAY: time::Millis = time::Millis(2_000);
 
-/// How long the local control process is not taken back after it was unreachable. If its VM has no power,
-/// each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver endpoint
-/// records.
+/// How long after it was unreachable the first link does not return to the local control process. If its VM
+/// has no power, each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver
+/// endpoint records.
 const LOCAL_RETRY_DELAY: time::Millis = time::Millis(8_000);
 
 /// How long a digest may differ. Changes reach control processes some milliseconds apart, and entry
 /// processes within the time that changes are gathered for one response.
 const MAX_DIGEST_LAG: time::Millis = time::Millis(200);
 
-/// Cursors of one control process that are kept until the local one is known to have caught up with them.
+/// Cursors of one control process that are kept until the endpoint source is known to have caught up with
+/// them.
 const MAX_CURSORS: usize = 64;
 
 /// The response of a control process to a watch request.
@@ -53,10 +55,10 @@
     target: Option<net::Ipv4Addr>,
     /// Whether the control process has responded since it was selected.
     has_responded: bool,
-    /// Since when it is known to have changes that the local one was not told.
+    /// Since when it is known to have changes that the endpoint source was not told.
     differs_since: Option<time::Instant>,
-    /// Its cursors, with the time of each, that arrived with a differing digest and that the local one is
-    /// not known to have.
+    /// Its cursors that arrived with a differing digest and that the endpoint source is not known to have
+    /// reached, with the time of each.
     unconfirmed: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
@@ -66,8 +68,8 @@
         self.unconfirmed.clear();
     }
 
-    /// Records that its digest differs. `news` is its cursor, and `known` is up to where the local one
-    /// knows it.
+    /// Records that its digest differs. `news` is its cursor, and `known` is the cursor up to which the
+    /// endpoint source knows it.
     fn record_difference(
         &mut self,
         now: time::Instant,
@@ -88,7 +90,7 @@
         self.confirm(known);
     }
 
-    /// Drops the cursors that the local one has caught up with.
+    /// Drops the cursors that the endpoint source has caught up with.
     fn confirm(&mut self, known: directory::Cursor) {
         self.unconfirmed
             .retain(|(_, cursor)| cursor.start != known.start || cursor.change > known.change);
@@ -103,7 +105,7 @@
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
     links: [Link; LINK_COUNT],
-    /// Up to where the control process that delivers endpoint records knows the others.
+    /// Up to where the control process of the endpoint source knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
@@ -176,8 +178,8 @@
         self.links.iter().position(|it| it.has_responded)
     }
 
-    /// Handles the response of a control process. While it has more endpoint records to send, what makes
-    /// digests differ is still on its way, and need not come over other links.
+    /// Handles the response of a control process. While it has more endpoint records to send, the records
+    /// that make digests differ are still on their way and need not come over other links.
     pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
         self.links[number].has_responded = true;
         if reply.has_more {
--- a/crates/sageshed-fleet/src/quarantine.rs
+++ b/crates/sageshed-fleet/src/quarantine.rs
@@ -4,8 +4,8 @@
 //! with another id and to another entry process; passed on each time, it takes down the whole pool. So
 //! crashes are recorded by the content of the request ([`crate::fingerprint`]) instead of its id, and by
 //! all processes together: an entry process reports what it saw to control, control processes exchange
-//! reports, and all entry processes are told of a request that [`CRASH_LIMIT`] instances of endpoints
-//! crashed under. It is then *quarantined*, that is refused at once by every entry process, for
+//! reports, and all entry processes are told of a request under which [`CRASH_LIMIT`] instances of endpoints
+//! have crashed. It is then *quarantined*, that is refused at once by every entry process, for
 //! [`RETENTION`].
 //!
 //! # Evidence, and how it is merged
@@ -268,7 +268,7 @@
         }
     }
 
-    /// The cursor that a peer reaches which is sent everything now.
+    /// The cursor of a peer that has been sent everything up to now.
     #[must_use]
     pub fn cursor(&self) -> Cursor {
         Cursor {
@@ -397,7 +397,7 @@
         Some(end.since(now))
     }
 
-    /// Number of endpoints that crashed under a request and were not cleared.
+    /// Number of crashes under a request that are neither cleared nor expired.
     #[must_use]
     pub fn crash_count(&self, now: time::Instant, content: Fingerprint) -> usize {
         let suspect = self.requests.get(&content);
@@ -460,7 +460,8 @@
         });
     }
 
-    /// Makes room for another request and for some more, since looking for the oldest visits all of them.
+    /// Makes room for another request if there is none. Evicts [`EVICTION_BATCH`] requests at a time, since
+    /// finding the oldest ones sorts all of them.
     fn evict_oldest(&mut self, now: time::Instant, content: Fingerprint) {
         if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&content) {
             return;
