--- a/crates/sageshed-fleet/tests/backlog.rs
+++ b/crates/sageshed-fleet/tests/backlog.rs
@@ -114,7 +114,7 @@
             second: soon_late.clone(),
         },
         Case {
-            name: "earlier deadline first",
+            name: "late sooner before late later",
             first: soon_late,
             second: PLAIN,
         },
--- a/crates/sageshed-fleet/tests/quarantine_spread.rs
+++ b/crates/sageshed-fleet/tests/quarantine_spread.rs
@@ -13,8 +13,8 @@
 /// milliseconds.
 const CONTACT_AFTER: u64 = 3_000;
 
-/// How often the request may still reach an endpoint through processes in contact, later than that after
-/// the third crash.
+/// How often processes in contact may still send the request to an endpoint later than [`CONTACT_AFTER`]
+/// after the third crash.
 const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// Seeds of each case.
--- a/crates/sageshed-fleet/tests/stalls.rs
+++ b/crates/sageshed-fleet/tests/stalls.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_prompt_goes_where_it_stops_the_fewest_streams_for_long() {
+fn a_prompt_goes_where_it_stalls_the_fewest_streams() {
     let case = |name, tokens, later, pending_ms, to_idle_engine| Case {
         name,
         tokens,
@@ -92,8 +92,8 @@
         to_idle_engine,
     };
     let cases = [
-        case("400 ms to read", 7_600, 10, 0, true),
-        case("300 ms to read", 5_700, 10, 0, true),
+        case("400 ms of prefill", 7_600, 10, 0, true),
+        case("300 ms of prefill", 5_700, 10, 0, true),
         case(
             "a short prompt does not wait for that",
             1_900,
