--- a/crates/sageshed-fleet/src/entry_peers.rs
+++ b/crates/sageshed-fleet/src/entry_peers.rs
@@ -5,12 +5,12 @@
 //! with a response, when it is too late.
 //!
 //! Up to [`MAX_BROADCAST_ENTRIES`] entry processes send their observations to all others, and each selects
-//! engines by itself. With more processes, that takes a quadratic number of messages, and each
-//! process has a request for a model so seldom that its view is stale. Then each model has coordinators
-//! among them ([`coordinators`]), chosen by hashing. The coordinator receives the observations of all
-//! engines that hold the model, is queried for each request, and decides where that goes, so a request
-//! costs the same few datagrams however many processes there are. If no reply arrives within milliseconds,
-//! the process that asked selects an engine by its own view, and queries the next coordinator from then on.
+//! engines by itself. With more processes, that takes a quadratic number of messages, and each process has
+//! a request for a model so seldom that its view is stale. Then each model has coordinators among them
+//! ([`coordinators`]), chosen by hashing. The first coordinator receives the observations of all engines
+//! that hold the model, is queried for each request, and decides where that goes, so a request costs the
+//! same few datagrams however many processes there are. If no reply arrives within milliseconds, the
+//! process that asked selects an engine by its own view, and queries the next coordinator from then on.
 
 use std::{
     collections::hash_map,
