--- a/crates/sageshed-fleet/src/chooser/mod.rs
+++ b/crates/sageshed-fleet/src/chooser/mod.rs
@@ -314,11 +314,11 @@
             (within_limit(with_adapter), within_limit(without_adapter));
         let best = self.lowest_score(now, query, &ready_with);
         let other = self.lowest_score(now, query, &ready_without);
-        let fetch = other.filter(|(ms, _)| {
+        let worth_loading = other.filter(|(ms, _)| {
             let best_ms = best.map_or(f64::INFINITY, |(least, _)| least);
             query.may_load_adapter && ms + ADAPTER_LOAD_MS + MIN_ADAPTER_LOAD_GAIN_MS < best_ms
         });
-        if let Some(endpoint) = fetch.and_then(|(_, key)| self.get(key)) {
+        if let Some(endpoint) = worth_loading.and_then(|(_, key)| self.get(key)) {
             return EngineSelection::LoadAdapter(endpoint.instance.id.clone());
         }
         if let Some((_, key)) = best {
--- a/crates/sageshed-fleet/tests/backpressure.rs
+++ b/crates/sageshed-fleet/tests/backpressure.rs
@@ -280,9 +280,9 @@
     assert_eq!(chooser.set_limit(now, id, 1.5), None);
     chooser.remove_instance(id);
     chooser.update_instance(&engines[0]);
-    let named = chooser.limit(Instant(11_000), id).expect("it has a limit");
-    assert_eq!(named.limit, limit(1.5));
-    assert_eq!(named.age, Millis(1_000));
+    let reported_limit = chooser.limit(Instant(11_000), id).expect("it has a limit");
+    assert_eq!(reported_limit.limit, limit(1.5));
+    assert_eq!(reported_limit.age, Millis(1_000));
     let other = directory::InstanceId::new(&id.name, Some(99));
     assert_eq!(chooser.limit(now, &other), None);
     assert_eq!(chooser.clear_limit(id), Some(LimitChange::Cleared));
@@ -295,8 +295,8 @@
 fn a_limit_of_zero_still_lets_requests_through() {
     let (mut chooser, engines) = chooser(&["e1"]);
     chooser.set_limit(Instant(0), &engines[0].id, 0.0);
-    let named = chooser.limit(Instant(0), &engines[0].id);
-    assert!(named.is_some_and(|it| it.limit.per_s > 0.0));
+    let reported_limit = chooser.limit(Instant(0), &engines[0].id);
+    assert!(reported_limit.is_some_and(|it| it.limit.per_s > 0.0));
 }
 
 /// An engine has rejected a request and asked for a pause. Neither a shorter pause nor the end of its limit
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -441,9 +441,9 @@
     chooser.update_instance(&far);
     chooser.update_instance(&support::engine("e2", &["m0"]));
     let m0 = wanted("m0", None);
-    let near = sent(chooser.choose(T0, &support::ask(&m0, 0)));
-    assert_eq!(near.instance.name, "e2");
-    let tried: [arena::EndpointKey; 1] = [near.key];
+    let local_pick = sent(chooser.choose(T0, &support::ask(&m0, 0)));
+    assert_eq!(local_pick.instance.name, "e2");
+    let tried: [arena::EndpointKey; 1] = [local_pick.key];
     let again = EndpointQuery {
         tried: &tried,
         ..support::ask(&m0, 0)
@@ -458,12 +458,12 @@
 fn a_silent_engine_is_avoided() {
     let mut chooser = two_engines();
     let m0 = wanted("m0", None);
-    let dark = sent(chooser.choose(T0, &support::ask(&m0, 100)));
+    let silent_pick = sent(chooser.choose(T0, &support::ask(&m0, 100)));
     let mut now = T0;
     for _ in 0..20 {
         now = now + time::Millis(100);
         let pick = sent(chooser.choose(now, &support::ask(&m0, 100)));
-        if pick.instance == dark.instance {
+        if pick.instance == silent_pick.instance {
             assert!(
                 now.since(T0) < time::Millis(1_000),
                 "still sent there at {now:?}"
@@ -475,7 +475,7 @@
     }
     chooser.record_end(
         T0 + time::Millis(6_000),
-        &dark,
+        &silent_pick,
         Some(&m0),
         false,
         AttemptOutcome::Silent,
--- a/crates/sageshed-fleet/tests/support/allowances.rs
+++ b/crates/sageshed-fleet/tests/support/allowances.rs
@@ -278,13 +278,13 @@
             Message::Acquire(message) if message.reported.is_some() => 140,
             Message::Acquire(_) => 110,
             Message::Acquired(..) => 70,
-            Message::Collect(pull) => 50 + 9 * pull.of.len() + 36 * pull.reported.len(),
-            Message::Collected(given) => 50 + 19 * given.units.len(),
+            Message::Collect(collect) => 50 + 9 * collect.of.len() + 36 * collect.reported.len(),
+            Message::Collected(reply) => 50 + 19 * reply.units.len(),
         };
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes as u64;
-        let is_cut = self.side[from] != self.side[to];
-        if is_cut || self.rng.u64(0..1_000) < self.lost {
+        let is_partitioned = self.side[from] != self.side[to];
+        if is_partitioned || self.rng.u64(0..1_000) < self.lost {
             return;
         }
         let after = self.rng.u64(1..4);
@@ -292,9 +292,9 @@
     }
 
     fn send_collections(&mut self, from: usize, collections: Vec<(CollectRequest, Vec<Ipv4Addr>)>) {
-        for (pull, group) in collections {
+        for (collect, group) in collections {
             for to in group {
-                self.send(from, entry(to), Message::Collect(pull.clone()));
+                self.send(from, entry(to), Message::Collect(collect.clone()));
             }
         }
     }
@@ -415,11 +415,11 @@
                 let next = self.requests[request].acquisition.replied(reply);
                 self.advance(request, next);
             }
-            Message::Collect(pull) => {
-                let given = self.tables[to].release_share(now, &pull);
-                self.send(to, from, Message::Collected(given));
+            Message::Collect(collect) => {
+                let reply = self.tables[to].release_share(now, &collect);
+                self.send(to, from, Message::Collected(reply));
             }
-            Message::Collected(given) => self.tables[to].add_collected(now, ip(from), &given),
+            Message::Collected(reply) => self.tables[to].add_collected(now, ip(from), &reply),
         }
     }
 }
