--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -104,7 +104,7 @@
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
-    links: [Link; LINK_COUNT],
+    by_number: [Link; LINK_COUNT],
     /// Up to where the control process of the endpoint source knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
@@ -119,7 +119,7 @@
             availability_zone: availability_zone.to_owned(),
             seeds,
             zones: collections::BTreeMap::new(),
-            links: std::array::from_fn(|_| Link::default()),
+            by_number: std::array::from_fn(|_| Link::default()),
             peers: collections::HashMap::new(),
             unreachable_since: collections::HashMap::new(),
         }
@@ -137,7 +137,7 @@
         let is_local =
             |ip: &net::Ipv4Addr| self.is_local(*ip) && !self.unreachable_since.contains_key(ip);
         let local = all.iter().copied().find(is_local).filter(|_| number == 0);
-        let target = self.links[number].target.filter(is_available);
+        let target = self.by_number[number].target.filter(is_available);
         let chosen = local.or(target).or_else(|| {
             let free: Vec<_> = all.iter().copied().filter(is_available).collect();
             let reachable = all
@@ -151,8 +151,8 @@
             let at = usize::try_from(draw).unwrap_or_default() % from.len();
             Some(from[at])
         })?;
-        if self.links[number].target != Some(chosen) {
-            self.links[number] = Link {
+        if self.by_number[number].target != Some(chosen) {
+            self.by_number[number] = Link {
                 target: Some(chosen),
                 ..Link::default()
             };
@@ -163,7 +163,7 @@
     /// What link `number` requests: endpoint records or a digest.
     #[must_use]
     pub fn requested_detail(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
-        let differs = self.links[number].differs_since;
+        let differs = self.by_number[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
         if lags || self.endpoint_source().is_none_or(|source| source == number) {
             messages::DirectoryDetail::News
@@ -175,21 +175,21 @@
     /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
     pub fn endpoint_source(&self) -> Option<usize> {
-        self.links.iter().position(|it| it.has_responded)
+        self.by_number.iter().position(|it| it.has_responded)
     }
 
     /// Handles the response of a control process. While it has more endpoint records to send, the records
     /// that make digests differ are still on their way and need not come over other links.
     pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
-        self.links[number].has_responded = true;
+        self.by_number[number].has_responded = true;
         if reply.has_more {
-            self.links.iter_mut().for_each(Link::clear_difference);
+            self.by_number.iter_mut().for_each(Link::clear_difference);
             return;
         }
         if self.endpoint_source() == Some(number) {
             self.set_peers(reply.peers);
         }
-        let link = &mut self.links[number];
+        let link = &mut self.by_number[number];
         let known = link.target.and_then(|ip| self.peers.get(&ip)).copied();
         if reply.differs {
             link.record_difference(now, reply.news, known);
@@ -200,7 +200,7 @@
 
     fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
-        for link in &mut self.links {
+        for link in &mut self.by_number {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
             // A difference that was recorded without cursors lasts until the digests agree.
             if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
@@ -212,7 +212,7 @@
     /// Records that a control process could not be reached.
     pub fn mark_unreachable(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
         self.unreachable_since.insert(ip, now);
-        self.links[number] = Link::default();
+        self.by_number[number] = Link::default();
     }
 
     /// Adds control processes and their availability zones.
@@ -244,7 +244,7 @@
     }
 
     fn is_taken(&self, number: usize, ip: net::Ipv4Addr) -> bool {
-        let mut others = self.links.iter().enumerate();
+        let mut others = self.by_number.iter().enumerate();
         others.any(|(at, it)| at != number && it.target == Some(ip))
     }
 }
