--- a/crates/sageshed-place/src/planner/first_routes.rs
+++ b/crates/sageshed-place/src/planner/first_routes.rs
@@ -48,18 +48,20 @@
                 self.inputs.move_limits.reset(*model);
             }
         }
-        let start = self.first_attempt();
-        let lacking = ranking
+        let start = self.rotation_offset();
+        let without_route = ranking
             .iter()
             .filter(|m| self.routes[m.index()].is_empty() && self.loading_on[m.index()].is_empty());
-        let lacking: Vec<ModelKey> = lacking.copied().collect();
-        let critical = lacking.iter().filter(|m| self.offer(**m).model.critical);
+        let without_route: Vec<ModelKey> = without_route.copied().collect();
+        let critical = without_route
+            .iter()
+            .filter(|m| self.offer(**m).model.critical);
         let first = critical.count().min(MAX_MODELS);
-        let rest = lacking.len() - first;
+        let rest = without_route.len() - first;
         let turn = if rest > MAX_MODELS { start % rest } else { 0 };
         let order = (0..first).chain((0..rest).map(|i| first + (i + turn) % rest));
         for at in order.take(MAX_MODELS) {
-            let model = lacking[at];
+            let model = without_route[at];
             let attempt = self.give_route_within_limits(model);
             if attempt == Attempt::Impossible {
                 self.report_problem(model, "no engine that takes orders now can make room");
@@ -69,7 +71,7 @@
 
     /// The offset at which the rotation through models without a route starts. It advances with time, so
     /// that each model gets its turn.
-    fn first_attempt(&self) -> usize {
+    fn rotation_offset(&self) -> usize {
         let interval = self.inputs.policy.plan_interval_ms.0.max(1);
         let plans = self.inputs.now.0 / interval;
         usize::try_from(plans).unwrap_or(0) * MAX_MODELS
@@ -97,7 +99,7 @@
     }
 
     fn give_base_route(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
-        if let Some(key) = self.roomiest(model, need_mib) {
+        if let Some(key) = self.best_engine_with_room(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
         match self.make_room(model, need_mib) {
@@ -110,7 +112,7 @@
     /// on an engine with room for both.
     fn give_adapter_route(&mut self, model: ModelKey, base: ModelKey) -> Attempt {
         let need_mib = self.memory(model);
-        if let Some(key) = self.roomiest(model, need_mib) {
+        if let Some(key) = self.best_engine_with_room(model, need_mib) {
             return self.load(key, model, "it has no route");
         }
         if !self.loading_on[base.index()].is_empty() {
@@ -120,7 +122,7 @@
             return Attempt::Waiting;
         }
         let both_mib = need_mib + self.memory(base);
-        if let Some(key) = self.roomiest(base, both_mib) {
+        if let Some(key) = self.best_engine_with_room(base, both_mib) {
             return self.load(key, base, "an adapter on it has no route");
         }
         if self.routes[base.index()].is_empty() {
@@ -138,7 +140,11 @@
     /// The best engine with `need_mib` of free memory for `model`. In this order, prefers one where it
     /// is pinned, with room for its adapters too, in an availability zone without a replica, and with
     /// the most free memory.
-    pub(super) fn roomiest(&self, model: ModelKey, need_mib: u64) -> Option<EndpointKey> {
+    pub(super) fn best_engine_with_room(
+        &self,
+        model: ModelKey,
+        need_mib: u64,
+    ) -> Option<EndpointKey> {
         let family_mib = self.family_mib(model);
         self.keys()
             .filter(|key| {
@@ -164,10 +170,10 @@
             return self.memory(model);
         }
         let adapters = self.inputs.ledger.offers().iter().zip(&self.routes);
-        let lacking = adapters
+        let without_route = adapters
             .filter(|(offer, routes)| offer.base == Some(model) && routes.is_empty())
             .map(|(offer, _)| offer.model.memory_mib);
-        self.memory(model) + lacking.sum::<u64>()
+        self.memory(model) + without_route.sum::<u64>()
     }
 
     /// Whether there is no replica of `model` in the availability zone of `key`.
--- a/crates/sageshed-place/src/planner/moves.rs
+++ b/crates/sageshed-place/src/planner/moves.rs
@@ -34,9 +34,10 @@
 }
 
 impl Planner<'_> {
-    /// Starts to move a model whose only route occupies memory that `model` needs: loads it on another
-    /// engine, so that later plans can evict it here. If the other engine has no room, spare replicas
-    /// are evicted there first. Longer chains of moves are not considered.
+    /// Starts to move another model whose only route occupies memory that `model` needs. The other model
+    /// is loaded on a second engine, so that a later plan can evict it from the first. If the second
+    /// engine has no room, spare replicas are evicted there first. Longer chains of moves are not
+    /// considered.
     pub(super) fn move_away(&mut self, model: ModelKey, need_mib: u64) -> Attempt {
         if self.moves_paused {
             return Attempt::Impossible;
@@ -92,8 +93,8 @@
         suitable.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// The memory on `key` of replicas that have another route elsewhere, in MiB. Some of them may be
-    /// the base of adapters that have none.
+    /// The memory on `key` of the redundant replicas, whose models have a route elsewhere, in MiB. Some
+    /// of them may be the base of adapters that have no other route.
     fn redundant_mib(&self, key: EndpointKey, keep: Option<ModelKey>) -> u64 {
         let held = self.engine(key).held.iter();
         held.filter(|held| Some(held.model) != keep && self.is_redundant(key, held))
@@ -112,18 +113,18 @@
     /// Whether all adapters of `base` that are only on `key` fit together on another engine where `base`
     /// serves. Without this check the last of them could evict the first.
     fn adapters_fit_elsewhere(&self, key: EndpointKey, base: ModelKey) -> bool {
-        let alone = self.engine(key).held.iter().filter(|held| {
+        let only_here = self.engine(key).held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
             self.is_adapter_of(held.model, base) && routes.is_some_and(|routes| *routes == [key])
         });
-        let need_mib: u64 = alone.map(|held| held.memory_mib).sum();
+        let need_mib: u64 = only_here.map(|held| held.memory_mib).sum();
         let mut routes = self.routes.get(base.index()).into_iter().flatten();
         need_mib == 0 || routes.any(|k| *k != key && self.room(*k) >= need_mib)
     }
 
     /// Finds a way to load `moved` and its adapters on another engine.
     fn plan_move(&self, from: EndpointKey, moved: ModelKey, memory_mib: u64) -> Option<MoveStep> {
-        if let Some(to) = self.roomiest(moved, memory_mib) {
+        if let Some(to) = self.best_engine_with_room(moved, memory_mib) {
             return Some(MoveStep::Load(moved, to));
         }
         if self.is_adapter_of_redundant(from, moved) {
@@ -140,21 +141,21 @@
     }
 
     /// The models on `key` whose move to another engine would make room for `model`, each with the
-    /// memory that it and its adapters use here, in MiB. If the replicas with another route would free
-    /// enough memory, only their adapters are in the way.
+    /// memory that it and its adapters use on `key`, in MiB. If evicting the redundant replicas would
+    /// free enough memory, only the adapters that depend on them have to be moved.
     fn movable(&self, key: EndpointKey, model: ModelKey, need_mib: u64) -> Vec<(ModelKey, u64)> {
         let keep = self.offer(model).base;
         let obtainable_mib = self.room(key) + self.redundant_mib(key, keep);
         let missing_mib = need_mib.saturating_sub(obtainable_mib);
         let engine = self.engine(key);
-        let alone = engine.held.iter().filter(|held| {
+        let only_here = engine.held.iter().filter(|held| {
             let routes = self.routes.get(held.model.index());
             held.phase == endpoints::Phase::Ready
                 && Some(held.model) != keep
                 && !self.is_pinned(held.model, key)
                 && routes.is_some_and(|routes| *routes == [key])
         });
-        alone
+        only_here
             .map(|held| (held.model, self.local_family_mib(key, held)))
             .filter(|(moved, mib)| {
                 if missing_mib == 0 {
