--- a/crates/sageshed-fleet/tests/buckets.rs
+++ b/crates/sageshed-fleet/tests/buckets.rs
@@ -365,8 +365,8 @@
     let mut world = World::full();
     let later = at(1_100 + 600);
     assert_eq!(world.acquire(later, request(1, 0.0)), AcquireReply::Granted);
-    let kept_by_producers = PER_S * 0.6;
-    let all = world.units() + kept_by_producers;
+    let stored_by_producers = PER_S * 0.6;
+    let all = world.units() + stored_by_producers;
     assert!(all <= PER_S * 1.05, "{all}");
 }
 
@@ -405,13 +405,13 @@
     coordinator.set_limits(keys.iter().map(|key| (*key, limit)));
     coordinator.set_entries(at(0), &entries);
     let collections = coordinator.tick(at(1));
-    let drawn: usize = collections
+    let collected_keys: usize = collections
         .iter()
         .map(|(collection, _)| collection.of.len())
         .sum();
     assert!(
-        collections.len() > 3 && drawn > 150,
-        "{} pulls of {drawn}",
+        collections.len() > 3 && collected_keys > 150,
+        "{} collections of {collected_keys} allowances",
         collections.len()
     );
     let mut other = AllowanceTable::new(entries[1], 1);
--- a/crates/sageshed-fleet/tests/chooser.rs
+++ b/crates/sageshed-fleet/tests/chooser.rs
@@ -66,7 +66,7 @@
 /// One engine has much prefill pending and runs few requests, the other the reverse. Each policy goes by
 /// its own score; without refusal, a request is sent even if its response will be too late.
 #[test]
-fn each_policy_goes_by_its_own_measure() {
+fn each_policy_goes_by_its_own_score() {
     let m0 = wanted("m0", None);
     let chosen = |choice| {
         let mut chooser = two_engines().with_policy(Policy {
@@ -83,11 +83,11 @@
                 waiting: 0,
                 slots: 64,
             };
-            let read = Prefill {
+            let prefill = Prefill {
                 wanted: &m0,
                 parts: &[],
             };
-            chooser.record_response_start(T0, &pick, Some(read), time::Millis(70), Some(load));
+            chooser.record_response_start(T0, &pick, Some(prefill), time::Millis(70), Some(load));
             chooser.record_end(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
         }
         counts
@@ -104,11 +104,8 @@
         time_left: time::Millis(50),
         ..support::ask(&m0, 9_000)
     };
-    let turned_away = two_engines().choose(T0, &hopeless);
-    assert!(
-        matches!(turned_away, Choice::TooLate { .. }),
-        "{turned_away:?}"
-    );
+    let refused = two_engines().choose(T0, &hopeless);
+    assert!(matches!(refused, Choice::TooLate { .. }), "{refused:?}");
     sent(two_engines().with_policy(policy).choose(T0, &hopeless));
 }
 
@@ -124,11 +121,11 @@
         ..support::ask(&m0, 1_800)
     };
     let pick = sent(chooser.choose(T0, &first));
-    let read = Prefill {
+    let prefill = Prefill {
         wanted: &m0,
         parts: &parts,
     };
-    chooser.record_response_start(T0, &pick, Some(read), time::Millis(100), None);
+    chooser.record_response_start(T0, &pick, Some(prefill), time::Millis(100), None);
     chooser.record_end(T0, &pick, Some(&m0), true, AttemptOutcome::Answered);
     let again = [part(1, 800), part(2, 1_000), part(3, 50)];
     for _ in 0..3 {
@@ -173,11 +170,11 @@
     };
     let m0 = wanted("m0", None);
     let pick = tokens_of(&mut chooser, &m0);
-    let read = Prefill {
+    let prefill = Prefill {
         wanted: &m0,
         parts: &parts,
     };
-    chooser.record_response_start(T0, &pick, Some(read), time::Millis(50), None);
+    chooser.record_response_start(T0, &pick, Some(prefill), time::Millis(50), None);
     let others = [wanted("m1", None), wanted("m0", Some("a1"))];
     for other in &others {
         assert_eq!(
@@ -203,8 +200,8 @@
     let (large, small) = (wanted("m0", None), wanted("m1", None));
     let answer = |chooser: &mut Chooser, wanted: &dialect::ModelRef, took: u64| {
         let pick = sent(chooser.choose(T0, &support::ask(wanted, 2_000)));
-        let read = Prefill { wanted, parts: &[] };
-        chooser.record_response_start(T0, &pick, Some(read), time::Millis(took), None);
+        let prefill = Prefill { wanted, parts: &[] };
+        chooser.record_response_start(T0, &pick, Some(prefill), time::Millis(took), None);
         chooser.record_end(T0, &pick, Some(wanted), true, AttemptOutcome::Answered);
         pick.estimate
     };
--- a/crates/sageshed-fleet/tests/coordinators.rs
+++ b/crates/sageshed-fleet/tests/coordinators.rs
@@ -261,18 +261,18 @@
 #[test]
 fn the_coordinator_itself_queries_nobody() {
     let coordinators = entry_peers::coordinators(entry_peers::name_key("m0"), &entries());
-    let asked_by = |own| {
+    let queried_by = |own| {
         let mut chooser = Chooser::new("z1", 7);
         chooser.set_entries(own, &entries());
         chooser.coordinators("m0")
     };
-    assert!(asked_by(coordinators[0]).is_empty());
-    assert_eq!(asked_by(coordinators[1]), coordinators[..1]);
+    assert!(queried_by(coordinators[0]).is_empty());
+    assert_eq!(queried_by(coordinators[1]), coordinators[..1]);
     let other = entries()
         .into_iter()
         .find(|it| !coordinators.contains(it))
         .expect("193 of them");
-    assert_eq!(asked_by(other), coordinators);
+    assert_eq!(queried_by(other), coordinators);
 }
 
 /// An engine prefills slowly, and its responses show that to processes that each send it a request only now
