--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -46,7 +46,7 @@
     /// The availability zones that the other control processes have reported.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// The demand of callers that was not reported to the leader yet.
-    tally: demand_counter::DemandCounter,
+    unreported_demand: demand_counter::DemandCounter,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
@@ -100,13 +100,13 @@
 
 /// The most inputs that wait for the planning thread. Those that are dropped are lost only for a while: entry processes
 /// report again.
-const PLANNING_QUEUE: usize = 4_096;
+const MAX_QUEUED_INPUTS: usize = 4_096;
 
 impl<W> Hub<W> {
     /// Creates an empty hub. `start` distinguishes this start of the process from others.
     #[must_use]
     pub fn new(start: u64) -> Self {
-        let (planning_tx, planning_rx) = mpsc::sync_channel(PLANNING_QUEUE);
+        let (planning_tx, planning_rx) = mpsc::sync_channel(MAX_QUEUED_INPUTS);
         Self {
             misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             inner: sync::Mutex::new(Inner {
@@ -118,7 +118,7 @@
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
                 control_zones: collections::BTreeMap::new(),
-                tally: demand_counter::DemandCounter::default(),
+                unreported_demand: demand_counter::DemandCounter::default(),
                 quarantine: quarantine::Quarantine::new(start),
                 is_stopping: false,
             }),
@@ -378,7 +378,7 @@
 
     /// Runs `tell` on the demand that was not reported to the leader yet.
     pub fn with_demand<T>(&self, tell: impl FnOnce(&mut demand_counter::DemandCounter) -> T) -> T {
-        self.change(|inner| tell(&mut inner.tally))
+        self.change(|inner| tell(&mut inner.unreported_demand))
     }
 
     /// Merges crashes that another process reports, and answers watchers at once if they have to know.
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -292,7 +292,7 @@
     let answer = if shared.leads() {
         match exchange_with(pool, order.address, &dialect.order(&order)) {
             Ok((head, _)) => {
-                heed(shared, dialect, &order.instance, &head);
+                handle_notice(shared, dialect, &order.instance, &head);
                 Some(dialect.order_response(head.status))
             }
             Err(e) if !e.is_sent => Some(dialect::OrderResponse::Refused(0)),
@@ -315,7 +315,7 @@
     let answer = exchange_with(pool, address, &dialect.report_request(&instance));
     let report = match answer {
         Ok((head, body)) => {
-            heed(shared, dialect, &instance, &head);
+            handle_notice(shared, dialect, &instance, &head);
             read_report(dialect, &instance, head.status, &body)
         }
         Err(e) => {
@@ -346,7 +346,7 @@
 }
 
 /// Applies the notice in a response of an engine.
-fn heed<D: dialect::Dialect>(
+fn handle_notice<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
     instance: &directory::InstanceId,
--- a/src/sageshed/gateway/fetch.rs
+++ b/src/sageshed/gateway/fetch.rs
@@ -85,8 +85,8 @@
         let held = locks::lock(&shared.document).version;
         let next = {
             let mut inner = locks::lock(&fetcher.inner);
-            let near = inner.preferred;
-            inner.incoming.next(held, near)
+            let preferred = inner.preferred;
+            inner.incoming.next(held, preferred)
         };
         match next {
             transfer::NextStep::Wait => wait_for_newer(fetcher, held),
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -68,7 +68,7 @@
     repeats: metrics::Gauge,
     quotas: metrics::Gauge,
     idle: metrics::Gauge,
-    held: metrics::Gauge,
+    quarantined: metrics::Gauge,
 }
 
 impl Default for Metrics {
@@ -128,7 +128,7 @@
                 "What is left at once of a quota that this process keeps",
             ),
             idle: gauge("sageshed_gateway_idle", "Idle connections to endpoints"),
-            held: gauge(
+            quarantined: gauge(
                 "sageshed_gateway_requests_held",
                 "Requests that are passed on no more since endpoints ended under them",
             ),
@@ -213,8 +213,8 @@
         self.gauges.limited_endpoints.set(limited as f64);
         self.gauges.connections.set(shared.pool.opened() as f64);
         self.gauges.idle.set(shared.pool.idle() as f64);
-        let held = shared.with_core(|core| core.quarantine.count_quarantined(now));
-        self.gauges.held.set(held as f64);
+        let quarantined = shared.with_core(|core| core.quarantine.count_quarantined(now));
+        self.gauges.quarantined.set(quarantined as f64);
         self.registry.text()
     }
 }
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -209,13 +209,12 @@
             return self.handle_unusable_response(pick, sink, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
-        let may_go_elsewhere =
-            self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        let may_retry = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         if !is_success && (claims_not_run || !is_verified) {
             let detail = format!("the endpoint answered with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
         }
-        if head.status >= 500 && may_go_elsewhere {
+        if head.status >= 500 && may_retry {
             let detail = format!("the endpoint failed with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
         }
@@ -229,12 +228,12 @@
             Ok(body) => {
                 self.record_start(pick, sent_at, response.load);
                 let failed = head.status >= 500;
-                let how = if failed {
+                let outcome = if failed {
                     chooser::AttemptOutcome::Failed
                 } else {
                     chooser::AttemptOutcome::Answered
                 };
-                self.end_attempt(pick, true, how);
+                self.end_attempt(pick, true, outcome);
                 self.shared.pool.keep(pick.address, exchange);
                 self.finish_answered(pick, head.status, body.len() as u64, sent_at);
                 AttemptResult::Done(sink.send_whole(&head, &body))
@@ -276,19 +275,21 @@
         &self,
         pick: &chooser::Pick,
         began: bool,
-        how: chooser::AttemptOutcome,
+        outcome: chooser::AttemptOutcome,
     ) {
         let now = self.shared.clock.now();
-        self.shared
-            .with_core(|core| core.chooser.record_end(now, pick, self.wanted, began, how));
-        entry_peers::report_end(self.shared, pick, began, self.fault_to_report(how));
+        self.shared.with_core(|core| {
+            core.chooser
+                .record_end(now, pick, self.wanted, began, outcome)
+        });
+        entry_peers::report_end(self.shared, pick, began, self.fault_to_report(outcome));
         self.shared.wake_waiting();
     }
 
-    /// The fault of the engine that is reported to entry peers after an attempt that ended `how`.
-    fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
+    /// The fault of the engine that is reported to entry peers after an attempt with this `outcome`.
+    fn fault_to_report(&self, outcome: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
         let model = self.wanted.map(|it| wire::name_key(&it.model))?;
-        match how {
+        match outcome {
             chooser::AttemptOutcome::Answered | chooser::AttemptOutcome::GivenUp => None,
             chooser::AttemptOutcome::Refused => Some(wire::EngineFault::Rejects(model)),
             chooser::AttemptOutcome::Misdirected if self.is_adapter() => None,
@@ -404,16 +405,16 @@
             .record_outcome(verdict::Verdict::MayHaveRun, &self.last_failure);
         self.note_crash(pick, failure.cause);
         let is_over = self.time_left() == time::Millis(0);
-        let how = match failure.cause {
+        let outcome = match failure.cause {
             failure::Cause::Silent if !began => chooser::AttemptOutcome::Silent,
             _ => chooser::AttemptOutcome::Failed,
         };
-        self.end_attempt(pick, began, how);
+        self.end_attempt(pick, began, outcome);
         self.tried_endpoints.push(pick.key);
-        let goes_on = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        let may_retry = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         // Without the id of an event, no other endpoint can tell where to resume the stream.
         let can_resume = !sink.has_started() || sink.last_id().is_some();
-        if goes_on && can_resume && !is_over {
+        if may_retry && can_resume && !is_over {
             return AttemptResult::Retry(sink);
         }
         let refusal = if is_over {
--- a/src/sageshed/gateway/proxy/backpressure.rs
+++ b/src/sageshed/gateway/proxy/backpressure.rs
@@ -43,7 +43,7 @@
         let Some(named) = limit else {
             return true;
         };
-        let draw = allowance::AcquireRequest {
+        let acquire_request = allowance::AcquireRequest {
             id: 0,
             of: allowance::Key::of_endpoint(&pick.instance),
             amount: 1.0,
@@ -51,7 +51,7 @@
             rank: self.priority(),
             reported: Some(named),
         };
-        let span = match allowances::acquire(self.shared, draw) {
+        let span = match allowances::acquire(self.shared, acquire_request) {
             allowance::Next::Granted | allowance::Next::Ask(..) => return true,
             allowance::Next::Over(span) => span,
             allowance::Next::Unreachable => UNKNOWN_LIMIT_PAUSE,
--- a/src/sageshed/gateway/proxy/coordinator.rs
+++ b/src/sageshed/gateway/proxy/coordinator.rs
@@ -15,33 +15,33 @@
 pub(super) fn decide(
     core: &mut state::Core,
     now: time::Instant,
-    ask: &chooser::EndpointQuery<'_>,
+    query: &chooser::EndpointQuery<'_>,
     decision: Option<entry_peers::RoutingDecision>,
 ) -> chooser::Choice {
     let advised = match decision {
         Some(entry_peers::RoutingDecision::Engine {
             engine, estimate, ..
-        }) => core.chooser.follow_decision(now, engine, estimate, ask),
+        }) => core.chooser.follow_decision(now, engine, estimate, query),
         Some(entry_peers::RoutingDecision::Wait { .. }) => {
             Some(chooser::Choice::Wait(chooser::WaitReason::Place))
         }
         Some(entry_peers::RoutingDecision::Unknown) | None => None,
     };
-    advised.unwrap_or_else(|| core.chooser.choose(now, ask))
+    advised.unwrap_or_else(|| core.chooser.choose(now, query))
 }
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Asks the coordinator of the model where to send the request, at most once per [`QUERY_INTERVAL`].
     pub(super) fn query_coordinator(
         &self,
-        ask: &chooser::EndpointQuery<'_>,
+        query: &chooser::EndpointQuery<'_>,
         queried_at: &mut Option<std_time::Instant>,
     ) -> Option<entry_peers::RoutingDecision> {
         if queried_at.is_some_and(|at| at.elapsed() < QUERY_INTERVAL) {
             return Some(entry_peers::RoutingDecision::Wait { expected: None });
         }
         let request = entry_peers::name_key(self.id());
-        let decision = gateway::entry_peers::query_coordinator(self.shared, request, ask);
+        let decision = gateway::entry_peers::query_coordinator(self.shared, request, query);
         *queried_at = decision.map(|_| std_time::Instant::now());
         decision
     }
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -45,7 +45,7 @@
             return None;
         }
         let held = self.next_charge.take();
-        let draw = allowance::AcquireRequest {
+        let acquire_request = allowance::AcquireRequest {
             id: 0,
             of,
             amount: units,
@@ -53,7 +53,7 @@
             rank: self.route.priority,
             reported: None,
         };
-        match allowances::acquire(self.shared, draw) {
+        match allowances::acquire(self.shared, acquire_request) {
             allowance::Next::Over(after) => {
                 let detail = format!(
                     "the quota of workspace {} is used up; this request takes {units} of it",
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -11,7 +11,7 @@
 
 /// The longest gap between two events before a resumable stream is moved to another endpoint. Callers
 /// abandon a stream after a gap of two seconds.
-const MAX_EVENT_GAP: std_time::Duration = std_time::Duration::from_secs(1);
+const STALL_TIMEOUT: std_time::Duration = std_time::Duration::from_secs(1);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
     /// Forwards a stream to the caller event by event.
@@ -25,8 +25,8 @@
         load: Option<dialect::Load>,
     ) -> AttemptResult<'c> {
         let can_resume = !sink.has_started() || sink.last_id().is_some();
-        let mut piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
-            Ok(piece) => piece,
+        let mut chunk = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
+            Ok(chunk) => chunk,
             Err(failure) => return self.handle_failed_run(pick, sink, false, &failure),
         };
         self.record_start(pick, sent_at, load);
@@ -34,7 +34,7 @@
         let (mut stream, mut events) = sink.start_stream(&exchange.head);
         let mut passed_on: u64 = 0;
         loop {
-            match piece {
+            match chunk {
                 exchange::Piece::Bytes(bytes) => {
                     let whole = events.push(self.shared.dialect, &bytes);
                     passed_on += whole.len() as u64;
@@ -63,8 +63,8 @@
                 }
             }
             let can_resume = events.last_id.is_some();
-            piece = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
-                Ok(piece) => piece,
+            chunk = match self.next_chunk(pick, &mut exchange, stop, can_resume) {
+                Ok(chunk) => chunk,
                 Err(failure) => {
                     events.drop_rest();
                     // Close the connection before the stream is resumed elsewhere, so that this endpoint stops.
@@ -89,11 +89,11 @@
         can_resume: bool,
     ) -> Result<exchange::Piece, failure::Failure> {
         loop {
-            let goes_on =
+            let may_retry =
                 self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
-            let may_leave = goes_on && can_resume;
-            let until = if may_leave {
-                self.deadline.min(std_time::Instant::now() + MAX_EVENT_GAP)
+            let may_move = may_retry && can_resume;
+            let until = if may_move {
+                self.deadline.min(std_time::Instant::now() + STALL_TIMEOUT)
             } else {
                 self.deadline
             };
@@ -110,7 +110,7 @@
     fn has_free_alternative(&self, pick: &chooser::Pick) -> bool {
         let mut tried = self.tried_endpoints.clone();
         tried.push(pick.key);
-        let ask = chooser::EndpointQuery {
+        let query = chooser::EndpointQuery {
             service: self.service,
             wanted: self.wanted,
             parts: &self.metadata.parts,
@@ -124,7 +124,7 @@
         };
         let now = self.shared.clock.now();
         self.shared
-            .with_core(|core| core.chooser.has_free_endpoint(now, &ask))
+            .with_core(|core| core.chooser.has_free_endpoint(now, &query))
     }
 
     /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -78,7 +78,7 @@
                 return NextStep::Refuse(refusal);
             }
             let now = self.shared.clock.now();
-            let ask = chooser::EndpointQuery {
+            let query = chooser::EndpointQuery {
                 service: self.service,
                 wanted: self.wanted,
                 parts: &self.metadata.parts,
@@ -93,7 +93,7 @@
                 may_load_adapter: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
             let queued_here = self.queued_request(now);
-            let decision = self.query_coordinator(&ask, &mut queried_at);
+            let decision = self.query_coordinator(&query, &mut queried_at);
             self.count_demand(decision);
             let (choice, seen) = self.shared.with_core(|core| {
                 let is_preceded = queued_here.as_ref().is_some_and(|it| {
@@ -103,7 +103,7 @@
                 let choice = if is_preceded {
                     chooser::Choice::Wait(chooser::WaitReason::Place)
                 } else {
-                    coordinator::decide(core, now, &ask, decision)
+                    coordinator::decide(core, now, &query, decision)
                 };
                 (choice, core.changes())
             });
@@ -350,8 +350,10 @@
     /// Counts the request as waiting for its model, in the demand reported to the leader.
     fn report_waiting(&self) {
         if let Some(wanted) = self.wanted {
-            self.shared
-                .with_core(|core| core.tally.add_waiting(self.service, &wanted.model));
+            self.shared.with_core(|core| {
+                core.unreported_demand
+                    .add_waiting(self.service, &wanted.model)
+            });
         }
     }
 
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -84,7 +84,7 @@
     /// The hash that identifies that list.
     entries_number: u64,
     /// The demand of callers that was not reported to the leader yet.
-    pub tally: demand_counter::DemandCounter,
+    pub unreported_demand: demand_counter::DemandCounter,
     /// The adapters requested from control lately, and when.
     requested_adapters: collections::HashMap<messages::AdapterReq, time::Instant>,
     /// Counts the changes that may let a waiting request proceed.
@@ -146,7 +146,7 @@
             leaving: Vec::new(),
             entries: vec![settings.discovery.ip],
             entries_number: 0,
-            tally: demand_counter::DemandCounter::default(),
+            unreported_demand: demand_counter::DemandCounter::default(),
             requested_adapters: collections::HashMap::new(),
             changes: 0,
         };
@@ -406,7 +406,8 @@
             output_tokens: metadata.output_tokens,
             adapter: wanted.adapter.as_deref(),
         };
-        self.tally.add_request(service, &wanted.model, &request);
+        self.unreported_demand
+            .add_request(service, &wanted.model, &request);
     }
 
     /// Whether control has to be asked for an adapter now: requests that wait for the same one ask once.
--- a/src/sageshed/gateway/watch.rs
+++ b/src/sageshed/gateway/watch.rs
@@ -145,7 +145,7 @@
         WATCH_TIMEOUT
     };
     let demand = if is_source {
-        shared.with_core(|core| core.tally.take())
+        shared.with_core(|core| core.unreported_demand.take())
     } else {
         Vec::new()
     };
@@ -176,11 +176,11 @@
         .client
         .call(&address, messages::paths::WATCH, &req, limit);
     match &answer {
-        Ok(_) if is_source => shared.with_core(|core| core.tally.mark_sent()),
+        Ok(_) if is_source => shared.with_core(|core| core.unreported_demand.mark_sent()),
         Ok(_) => {}
         Err(_) => {
             let now = shared.clock.now();
-            shared.with_core(|core| core.tally.restore(now, req.demand));
+            shared.with_core(|core| core.unreported_demand.restore(now, req.demand));
         }
     }
     answer
