--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -20,7 +20,7 @@
 /// The known state, and the watchers that wait for a change of it. `W` is the handle that answers a watcher.
 #[derive(Debug)]
 pub struct Hub<W = sageshed_vms::Later> {
-    /// Samples the log of messages of endpoints and of other processes that could not be decoded.
+    /// Limits the log records about messages of endpoints and of other processes that could not be decoded.
     pub misread: sampler::Sampler,
     inner: sync::Mutex<Inner<W>>,
     /// Notified when a round of answers to watchers becomes due sooner.
@@ -82,8 +82,9 @@
 /// hundreds of models takes 15 KB.
 const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// How long an encoded record is reused. It contains the age of the endpoint's announcement at the time of encoding;
-/// the shortest timeout that is checked against that age is several times as long.
+/// How long an encoded record is reused. It contains the age of the endpoint's announcement at the time of encoding, so
+/// reuse makes the announcement seem younger. The shortest timeout that is checked against this age is several times as
+/// long.
 const ENCODED_LIFETIME: time::Millis = time::Millis(500);
 
 /// A record encoded for the wire.
@@ -95,10 +96,10 @@
     record: messages::EncodedRecord,
 }
 
-/// The messages that could not be decoded and are logged per second.
+/// The most log records per second about messages that could not be decoded.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
-/// The most inputs that wait for the planning thread. Those that are dropped are lost only for a while: entry processes
+/// The most inputs that wait for the planning thread. Further ones are dropped; what entry processes report, they
 /// report again.
 const MAX_QUEUED_INPUTS: usize = 4_096;
 
--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -11,7 +11,7 @@
 
 use crate::{control::shared, locks};
 
-/// The longest interval between two planning passes. An input starts one at once.
+/// How long the planning thread waits for an input before it makes a pass without one.
 const PLANNING_INTERVAL: std_time::Duration = std_time::Duration::from_millis(50);
 
 /// The interval between two summaries of the placement in the log.
@@ -26,8 +26,8 @@
 /// The number of threads that query engines for their reports. They are separate, so that no order waits for a query.
 const REPORT_THREADS: usize = 6;
 
-/// The pause after a planning pass, as a multiple of its duration. It bounds the CPU time of planning, since a pass
-/// iterates over all engines.
+/// The pause after a planning pass, as a multiple of its duration, and at most [`PLANNING_INTERVAL`]. It bounds the CPU
+/// time of planning, since a pass iterates over all engines.
 const PAUSE_PER_PASS: u32 = 4;
 
 /// The timeout for an order or a query to an engine.
@@ -387,7 +387,8 @@
         until: std_time::Instant::now() + CALL_TIMEOUT,
         stop: &|| false,
     };
-    // If the engine closed an idle connection at the same moment, the outcome of the order would be unknown.
+    // Reuse only connections that were idle for a short time: if the engine closed one while the order is sent, the
+    // outcome of the order would be unknown.
     let max_age = std_time::Duration::from_secs(1);
     let mut answer = pool.exchange(address, &req, max_age, &patience)?;
     let head = answer.head.clone();
--- a/src/sageshed/control/fleet/port.rs
+++ b/src/sageshed/control/fleet/port.rs
@@ -160,8 +160,8 @@
         Outcome::Ok("{}".to_owned())
     }
 
-    /// Refuses a malformed announcement, which identifies no endpoint and changes no record. A faulty client may send
-    /// them without end, so only a sample is logged.
+    /// Refuses a malformed announcement. It identifies no endpoint, so the records stay as they are. A faulty client
+    /// may send such announcements without end, so only some are logged.
     fn refuse_malformed(&self, endpoint: &str, e: &dialect::DecodeError) -> Outcome {
         match self.shared.hub.misread.line(self.shared.clock.now()) {
             sampler::Line::Write => {
--- a/src/sageshed/control/fleet/watch.rs
+++ b/src/sageshed/control/fleet/watch.rs
@@ -29,8 +29,8 @@
 /// The delay after a failed call to another control process.
 const RETRY_INTERVAL: std_time::Duration = std_time::Duration::from_millis(300);
 
-/// How long a control process may be unreachable until it is no longer watched. It is watched again once another
-/// process reports it.
+/// A control process that has been unreachable for this long is no longer watched, until another process reports it
+/// again.
 const PEER_LOST_AFTER: std_time::Duration = std_time::Duration::from_secs(30);
 
 /// Accepts a long poll, which [`answer_watchers`] answers once there is something new.
@@ -168,8 +168,8 @@
     }
 }
 
-/// Hands the reported demand to the planner if this process leads. Otherwise adds what an entry process has reported to
-/// the demand that is reported to the leader.
+/// Hands the reported demand to the planner if this process leads. Otherwise the demand of an entry process is added to
+/// what this process reports to the leader.
 fn route_demand(shared: &shared::Shared, req: &mut messages::WatchReq) {
     let demand = std::mem::take(&mut req.demand);
     if shared.leads() {
--- a/src/sageshed/control/fleet/watchers.rs
+++ b/src/sageshed/control/fleet/watchers.rs
@@ -19,7 +19,7 @@
 pub enum Urgency {
     /// With the next round.
     Batched,
-    /// At once, in a round of its own.
+    /// At once, even if [`MIN_ROUND_INTERVAL`] has not passed since the last round.
     Immediate,
 }
 
--- a/src/sageshed/gateway/allowances.rs
+++ b/src/sageshed/gateway/allowances.rs
@@ -1,4 +1,7 @@
-//! Allowances that all entry processes share: acquiring units from their coordinators, and acting as one.
+//! Acquires units of the allowances that all entry processes share, and serves such requests as a coordinator.
+//!
+//! An allowance is a rate limit over all entry processes together: the quota of a workspace, or the limit that an
+//! endpoint reports. Its units are handed out by entry processes that act as its coordinators.
 
 use std::{collections, net, sync, thread, time};
 
--- a/src/sageshed/gateway/crashes.rs
+++ b/src/sageshed/gateway/crashes.rs
@@ -5,8 +5,8 @@
 use super::state;
 
 impl<D: dialect::Dialect> state::Shared<D> {
-    /// Merges crashes that this process saw or that control reports, and wakes waiting requests, of which those
-    /// that are quarantined now are refused.
+    /// Merges crashes that this process saw or that control reports. If they quarantine a request, waiting requests
+    /// are woken, so that those with its content are refused.
     pub fn merge_crashes(&self, crashes: &[quarantine::Crash]) {
         if crashes.is_empty() {
             return;
--- a/src/sageshed/gateway/entry_peers.rs
+++ b/src/sageshed/gateway/entry_peers.rs
@@ -275,7 +275,7 @@
     let wanted = query.wanted?;
     let now = shared.clock.now();
     let (coordinators, tried) = shared.with_core(|core| {
-        // The coordinator does not know which engines have closed themselves for this process.
+        // Sent as tried endpoints, since the coordinator does not know which ones are closed for this process only.
         let closed = core.chooser.closed_endpoints(now, query.service);
         let tried = query.tried.iter().chain(&closed);
         let tried: Vec<u64> = tried
@@ -365,8 +365,8 @@
     });
 }
 
-/// Reports the end of an attempt: its fault, if any, if models have coordinators, and that its prefill is no longer
-/// pending, if its response had not started.
+/// Reports the end of an attempt. If its response had not started, peers have to learn that its prefill is no longer
+/// pending; a fault is reported only if models have coordinators.
 pub(super) fn report_end<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
@@ -379,8 +379,8 @@
     });
 }
 
-/// Reports the state of the engine of `pick` to the entry peers. `complete` is passed the observation and whether
-/// models have coordinators; nothing is sent if it returns false.
+/// Sends an observation of the engine of `pick` to the entry peers. `complete` adds to it, given whether models have
+/// coordinators; nothing is sent if it returns false.
 fn report_with<D: dialect::Dialect>(
     shared: &state::Shared<D>,
     pick: &chooser::Pick,
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -12,8 +12,8 @@
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
-/// The number of workspaces that are counted by name; the first ones to send requests are. With three results
-/// each they take 200 lines of output, as many as all other metrics.
+/// The most workspaces that are counted by name: the first ones that send requests. With three results each they
+/// take 200 lines of output, as many as all other metrics.
 const MAX_NAMED_WORKSPACES: usize = 64;
 
 /// The label of all other workspaces.
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -21,7 +21,7 @@
 /// How long a pooled connection may have been idle to be used for a request that may be retried.
 const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
 
-/// An idempotent request is sent to another endpoint after silence for this many times its latency target.
+/// An idempotent request is sent to another endpoint after silence for its latency target times this.
 const SILENCE_PER_LATENCY_TARGET: u64 = 3;
 
 /// The shortest silence after which an idempotent request is sent to another endpoint.
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Records that the response of the endpoint of `pick` has started, which means that the prefill is done, and reports
-    /// it to entry peers.
+    /// Records that the endpoint of `pick` has started to respond, so that its prefill is done, and reports this to
+    /// entry peers.
     pub(super) fn record_start(
         &self,
         pick: &chooser::Pick,
@@ -269,8 +269,8 @@
         self.shared.wake_waiting();
     }
 
-    /// Records the end of the attempt at the endpoint of `pick`, whose response `began` or not, and reports it to entry
-    /// peers.
+    /// Records the end of the attempt at the endpoint of `pick`, and reports it to entry peers. `began` tells whether
+    /// the response had started.
     pub(super) fn end_attempt(
         &self,
         pick: &chooser::Pick,
--- a/src/sageshed/gateway/proxy/completion.rs
+++ b/src/sageshed/gateway/proxy/completion.rs
@@ -96,7 +96,7 @@
         sink.refuse("", &refusal)
     }
 
-    /// Ends a request whose response was passed on, and logs it with the inputs of the choice of its endpoint.
+    /// Ends a request whose response was passed on, and logs it with the estimates by which its endpoint was chosen.
     pub(super) fn finish_answered(
         &mut self,
         pick: &chooser::Pick,
--- a/src/sageshed/gateway/proxy/identity.rs
+++ b/src/sageshed/gateway/proxy/identity.rs
@@ -6,8 +6,8 @@
 use super::ProxiedRequest;
 use crate::gateway::routing;
 
-/// The workspace that sends a request on `route`, by the configuration of `routing`; none if nobody has to
-/// authenticate.
+/// Identifies the workspace that sends a request on `route`, by the configuration of `routing`. None if the sender
+/// need not authenticate.
 ///
 /// # Errors
 ///
--- a/src/sageshed/gateway/proxy/quota.rs
+++ b/src/sageshed/gateway/proxy/quota.rs
@@ -18,7 +18,8 @@
 /// are judged.
 const CHARGE_LIFETIME: std_time::Duration = std_time::Duration::from_millis(500);
 
-/// The age after which a charge is not refunded: the bucket may have refilled by that much, and the units be in use.
+/// The age after which a charge is not refunded: by then the bucket may have refilled, and a refund would grant the
+/// units twice.
 const REFUND_WINDOW: std_time::Duration = std_time::Duration::from_secs(2);
 
 /// The units of a quota charged for one attempt.
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Commits the charge to the attempt that starts, unless the endpoint reports that it did not run the request.
+    /// Assigns the charge to the attempt that starts. [`Self::restore_charge`] takes it back if the request did not
+    /// run.
     pub(super) fn commit_charge(&mut self) {
         self.committed_charge = self.next_charge.take();
     }
@@ -109,8 +111,8 @@
     }
 }
 
-/// Adds the time until the quota has refilled to the refusal of a request that has not run. A request that may have
-/// run gets no `Retry-After`.
+/// Sets the status of an exceeded quota and a `Retry-After` of the time until the quota has refilled. The refusal of a
+/// request that may have run stays as it is, without a `Retry-After`.
 fn with_quota_delay(refusal: refusal::Refusal, after: time::Millis) -> refusal::Refusal {
     if refusal.verdict != verdict::Verdict::NotRun {
         return refusal;
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -9,8 +9,8 @@
 use super::{AttemptResult, ProxiedRequest};
 use crate::gateway::{entry_peers, response::ResponseSink};
 
-/// The longest gap between two events before a resumable stream is moved to another endpoint. Callers
-/// abandon a stream after a gap of two seconds.
+/// How long a resumable stream may send nothing before it is moved to another endpoint. Callers abandon a
+/// stream after two seconds without data.
 const STALL_TIMEOUT: std_time::Duration = std_time::Duration::from_secs(1);
 
 impl<D: dialect::Dialect> ProxiedRequest<'_, D> {
@@ -76,11 +76,11 @@
         }
     }
 
-    /// Reads the next chunk of a stream, which `can_resume` at another endpoint.
+    /// Reads the next chunk of a stream. `can_resume` tells whether another endpoint could resume it.
     ///
-    /// A stalled stream is abandoned only if a free endpoint can resume it and a retry is available. Most often its
-    /// engine is busy with the prefill of other prompts and the stream continues by itself; abandoned without either,
-    /// it could not be resumed, and its caller would lose the rest of the response.
+    /// A stalled stream is abandoned only if a free endpoint can resume it and a retry is available. Otherwise its
+    /// caller would lose the rest of the response, while most often the engine is only busy with the prefill of other
+    /// prompts, and the stream continues by itself.
     fn next_chunk<S: Fn() -> bool>(
         &mut self,
         pick: &chooser::Pick,
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -12,8 +12,8 @@
 use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, coordinator};
 use crate::gateway::state::CALLER_CHECK_INTERVAL;
 
-/// The time that a late request must have left to let others go first. Callers abandon a stream that
-/// has delivered nothing for two seconds or more.
+/// The time that must be left for a request that misses its latency target anyway to let others go first. Callers
+/// abandon a stream only after two seconds or more without data.
 const MIN_TIME_LEFT_IF_LATE: time::Millis = time::Millis(2_000);
 
 /// The time that a request must have left after the prefill of those queued before it, to keep waiting.
@@ -275,7 +275,7 @@
         Some(refusal.with_retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 
-    /// The expected wait behind the requests queued here, if it exceeds the time left.
+    /// The expected wait behind the requests queued here, if less than [`PREFILL_RESERVE`] would be left after it.
     fn unmeetable_wait(
         &self,
         now: time::Instant,
--- a/src/sageshed/gateway/routing.rs
+++ b/src/sageshed/gateway/routing.rs
@@ -23,10 +23,10 @@
 /// take much longer.
 const MAX_FIRST_CONFIG_WAIT: time::Millis = time::Millis(800);
 
-/// A request waits for the first configuration for its deadline divided by this.
+/// A request with a deadline waits for the first configuration for at most the time until then, divided by this.
 const FIRST_CONFIG_WAIT_DIVISOR: u64 = 3;
 
-/// The share of `in_force_ms` after which callers are refused until the newer configuration is in force.
+/// The share of `in_force_ms` for which a newer configuration may be known and not in force before callers are refused.
 const OUT_OF_DATE_RATIO: f64 = 0.8;
 
 /// The most requests that wait for the first configuration at once.
--- a/src/sageshed/gateway/run.rs
+++ b/src/sageshed/gateway/run.rs
@@ -119,7 +119,7 @@
     let open = callers.wait(last_sends.saturating_sub(began.elapsed()));
     ::log::info!(open; "gateway: exiting soon, refusing the requests that wait");
     // A request that still waits when the process exits would get no response, and its caller could not know
-    // that it was not run. In one test run this cut off one of 3,200 requests after seven seconds.
+    // that it was not run. One of 3,200 requests in a day was cut off this way, after it had waited for seven seconds.
     shared.ending.store(true, sync::atomic::Ordering::Relaxed);
     shared.wake_waiting();
     let cut = callers.wait(end.saturating_sub(began.elapsed()));
--- a/src/sageshed/gateway/state.rs
+++ b/src/sageshed/gateway/state.rs
@@ -35,11 +35,11 @@
     pub metrics: metrics::Metrics,
     /// The traces of the latest requests, for operators.
     pub traces: sync::Mutex<accounts::Accounts>,
-    /// Samples the successful requests that are logged.
+    /// Limits the log records about successful requests.
     pub sampler: sampler::Sampler,
-    /// Samples the log of messages of other processes that could not be decoded.
+    /// Limits the log records about messages of other processes that could not be decoded.
     pub misread: sampler::Sampler,
-    /// Samples the endpoint changes that are logged.
+    /// Limits the log records about endpoint changes.
     endpoint_changes: sampler::Sampler,
     pub(super) routing: sync::RwLock<Option<sync::Arc<routing::Routing>>>,
     /// The newest configuration as the operator sent it, the base of the deltas that control sends.
@@ -95,15 +95,15 @@
 /// the last minute.
 const MAX_TRACES: usize = 600;
 
-/// The successful requests that are logged per second. On the smallest VMs, logging three times as many would
-/// cost more than serving them.
+/// The most log records per second about successful requests. On the smallest VMs, logging three times as many
+/// would cost more than serving them.
 pub const MAX_SUCCESSES_LOGGED_PER_SECOND: u64 = 20;
 
-/// The messages of other processes that could not be decoded and are logged per second.
+/// The most log records per second about messages of other processes that could not be decoded.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
-/// The endpoints that leave or end and are logged per second. The release of a large fleet would otherwise make
-/// each entry process write thousands of lines.
+/// The most log records per second about endpoints that leave or end. A release of thousands of endpoints would
+/// otherwise make each entry process write as many lines.
 const ENDPOINT_CHANGES_LOGGED_PER_SECOND: u64 = 10;
 
 /// The longest interval between two checks whether the caller of a waiting request is still connected.
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Applies the observation of an entry peer, and wakes waiting requests if an engine has room by it.
+    /// Applies the observation of an entry peer, and wakes waiting requests if it shows that an engine has room.
     pub fn apply_observation(&self, from: net::Ipv4Addr, observation: &wire::EngineObservation) {
         let now = self.clock.now();
         let has_room =
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Marks an endpoint that has reported in a response that it is leaving. The next calls tell control.
+    /// Marks an endpoint as leaving, since it has reported so in a response. The next calls to control pass this on.
     pub fn mark_leaving(&self, id: &directory::InstanceId) {
         let now = self.clock.now();
         let mut core = locks::lock(&self.core);
--- a/tests/fleet/control.rs
+++ b/tests/fleet/control.rs
@@ -11,7 +11,7 @@
 }
 
 /// Guards against the loss of an acknowledged change when all control processes are killed at the same moment right
-/// after it and restarted.
+/// after it and restarted. Further changes have to be accepted afterwards.
 #[test]
 fn what_was_acknowledged_outlives_the_kill_of_all_control_processes() {
     let (mut fleet, _engines) = Fleet::ready();
@@ -89,10 +89,10 @@
     fleet.replace(&config);
 }
 
-/// Guards against acknowledging the first configuration too early. A group that tolerates the loss of two disks has
-/// four of its five voters: if two disks were lost right after an acknowledgement, the remaining two of four could
-/// elect no leader, and the configuration could never be read again. It is acknowledged once the fifth process votes;
-/// from then on, four voters are enough while one is being replaced.
+/// Guards against acknowledging the first configuration too early. The group has to tolerate the loss of two disks, and
+/// only four of its five voters have joined. If two disks were lost right after an acknowledgement, the remaining two
+/// of four could elect no leader, and the configuration could never be read again. So it is acknowledged only once the
+/// fifth process votes; from then on, four voters are enough while one is being replaced.
 #[test]
 fn nothing_is_acknowledged_before_the_group_has_all_its_voters() {
     let mut fleet = Fleet::tolerating(2, 4, 0);
--- a/tests/fleet/notices.rs
+++ b/tests/fleet/notices.rs
@@ -11,7 +11,7 @@
     },
 };
 
-/// The time for requests that are in flight when an entry process receives a notice; later ones count.
+/// How long after a notice requests may still arrive that were in flight then. Only later ones count.
 const IN_FLIGHT_TIME: time::Duration = time::Duration::from_millis(500);
 
 /// The back-off that an endpoint asks for, in seconds.
--- a/tests/fleet/quota.rs
+++ b/tests/fleet/quota.rs
@@ -115,8 +115,8 @@
     (statuses, began.elapsed())
 }
 
-/// The most requests that may have been admitted in a time: by the rate, with one more second for what a restart grants,
-/// and by the burst.
+/// The most requests that may have been admitted in the time `took`: what the rate yields in it and in one more second,
+/// which a restart may grant, and the burst.
 fn max_admitted(quota: &Quota, per_request: f64, took: time::Duration) -> f64 {
     let grown = f64::from(quota.per_s) * (took.as_secs_f64() + 1.0);
     ((grown + f64::from(quota.burst)) / per_request).ceil()
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -301,8 +301,7 @@
     }
 }
 
-/// Guards against a request for an adapter that no engine holds being refused instead of having the adapter loaded
-/// once.
+/// Guards against refusing a request for an adapter that no engine holds. The adapter has to be loaded, and only once.
 #[test]
 fn a_request_for_an_adapter_that_nobody_holds_has_it_loaded() {
     let (fleet, engines) = Fleet::ready();
--- a/tests/fleet/slow_link.rs
+++ b/tests/fleet/slow_link.rs
@@ -15,14 +15,14 @@
 /// The bandwidth of a link on which half of [`ROUTES`] takes several seconds, however it is sent.
 const SLOW_BYTES_PER_S: f64 = 20_000.0;
 
-/// The number of routes whose text takes longer on that link than a call may take.
+/// The number of routes whose text takes longer on a link of [`BYTES_PER_S`] than a call may take.
 const ROUTES: u64 = 12_000;
 
 /// The number of changes that are made one after the other.
 const CHANGES: u64 = 5;
 
-/// The most bytes of one change: 44,000 changes a day are one every two seconds, and each VM is granted 3 KB per
-/// second.
+/// The most bytes that one change may take. 44,000 changes a day are one every two seconds, and they may take 3 KB per
+/// second to each VM.
 const MAX_CHANGE_BYTES: usize = 6_000;
 
 /// A name that shares little text with the names of other numbers, so that compression can't exploit the similarity.
