--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -280,7 +280,7 @@
         let now = self.shared.clock.now();
         self.shared.with_core(|core| {
             core.chooser
-                .record_end(now, pick, self.wanted, began, outcome)
+                .record_end(now, pick, self.wanted, began, outcome);
         });
         entry_peers::report_end(self.shared, pick, began, self.fault_to_report(outcome));
         self.shared.wake_waiting();
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -352,7 +352,7 @@
         if let Some(wanted) = self.wanted {
             self.shared.with_core(|core| {
                 core.unreported_demand
-                    .add_waiting(self.service, &wanted.model)
+                    .add_waiting(self.service, &wanted.model);
             });
         }
     }
