--- a/crates/sageshed-fleet/src/planner/mod.rs
+++ b/crates/sageshed-fleet/src/planner/mod.rs
@@ -1,5 +1,10 @@
 //! Placement of weights and adapters on engines. Run by the control process that leads.
 //!
+//! # Work
+//!
+//! The work of a model is the engine time that the prefill of its requests takes, per unit of time. It is given in busy
+//! engines: 1.0 keeps one engine busy. Costs that are compared with it have the same unit.
+//!
 //! # Load pattern
 //!
 //! A few models get most of the requests, and many get few. Which ones these are changes within seconds, while
@@ -22,7 +27,7 @@
 //!
 //! Engines that don't check the fencing token would execute the orders of two leaders. A leader that is cut off stops
 //! giving orders when it loses its majority; a new one gives its first order a lease after its election
-//! ([`leadership`]), and counts the store's budget as just spent by its predecessor.
+//! ([`leadership`]), and until then counts the store's budget as spent by its predecessor.
 
 mod adapters;
 mod demand;
@@ -42,7 +47,8 @@
 /// The parameters of a planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
-    /// How long after its election a leader waits before its first order.
+    /// How long after its election a leader waits before its first order; see [`leadership`] for the margin that is
+    /// added.
     pub lease: time::Millis,
     /// Window over which loads from the weight store are counted.
     pub store_window: time::Millis,
@@ -165,7 +171,8 @@
 /// The ready engines of one service at one moment.
 struct Pool<'a> {
     service: &'a str,
-    offer: &'a config::EnginePool,
+    /// The service's settings for its engines.
+    settings: &'a config::EnginePool,
     instances: Vec<&'a directory::Instance>,
 }
 
@@ -302,10 +309,10 @@
         self.update_engines(now, instances);
         let mut actions = self.correct_records(now, instances);
         for service in &config.services {
-            let Some(offer) = &service.engines else {
+            let Some(settings) = &service.engines else {
                 continue;
             };
-            let pool = ready_pool(service, offer, instances);
+            let pool = ready_pool(service, settings, instances);
             actions.extend(self.request_reports(now, &pool));
             actions.extend(self.resend_orders(now, &pool));
             actions.extend(self.serve_adapter_requests(now, &pool));
@@ -323,8 +330,8 @@
         instances: &[&directory::Instance],
     ) -> Vec<Summary> {
         let pools = config.services.iter().filter_map(|service| {
-            let offer = service.engines.as_ref()?;
-            Some(ready_pool(service, offer, instances))
+            let settings = service.engines.as_ref()?;
+            Some(ready_pool(service, settings, instances))
         });
         pools.map(|pool| self.summary_of(now, &pool)).collect()
     }
@@ -336,7 +343,7 @@
         };
         let state = weights::PoolState::new(self, now, pool);
         let short = state.short_of_replicas();
-        let models = pool.offer.models.iter();
+        let models = pool.settings.models.iter();
         let work = models.map(|it| self.demand.work(now, pool.service, &it.name));
         Summary {
             service: pool.service.to_owned(),
@@ -344,7 +351,7 @@
             free_for_orders: pool.instances.iter().filter(is_free).count(),
             short_of_replicas: short.into_iter().map(|it| it.name.clone()).collect(),
             busiest: state.busiest(SUMMARY_MODELS),
-            store_is_free: self.store.allows(now, pool.offer.loads_per_s, 0),
+            store_is_free: self.store.allows(now, pool.settings.loads_per_s, 0),
             work: work.sum(),
             adapter_requests: self.adapter_requests.len(),
         }
@@ -432,7 +439,7 @@
         actions
     }
 
-    /// Sends orders again that were not executed.
+    /// Sends the orders again that their engines have not accepted by their latest reports.
     fn resend_orders(&mut self, now: time::Instant, pool: &Pool<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         for instance in &pool.instances {
@@ -482,7 +489,7 @@
         let instance = pool.instances.iter().find(|it| it.id == *id)?;
         let engine = self.engines.get_mut(id)?;
         let load_time = pool
-            .offer
+            .settings
             .models
             .iter()
             .find(|it| it.name == task.model())
@@ -506,13 +513,13 @@
 
 fn ready_pool<'a>(
     service: &'a config::Service,
-    offer: &'a config::EnginePool,
+    settings: &'a config::EnginePool,
     instances: &[&'a directory::Instance],
 ) -> Pool<'a> {
     let is_ready = |it: &&&directory::Instance| it.service == service.name && it.is_ready();
     Pool {
         service: &service.name,
-        offer,
+        settings,
         instances: instances.iter().filter(is_ready).copied().collect(),
     }
 }
