--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -321,6 +321,7 @@
         self.attempt_log
             .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
         self.restore_charge();
+        // An address may have been given to another endpoint, which rejects what is not meant for it.
         let is_replaced = response.endpoint.is_some_and(|it| it != pick.instance.name);
         if response.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
             self.end_attempt(pick, false, chooser::AttemptOutcome::GivenUp);
