--- a/src/sageshed/control/fleet/planning.rs
+++ b/src/sageshed/control/fleet/planning.rs
@@ -11,7 +11,7 @@
 
 use crate::{control::shared, locks};
 
-/// The longest interval between two planning passes. An input starts one at once.
+/// How long the planning thread waits for an input before it makes a pass without one.
 const PLANNING_INTERVAL: std_time::Duration = std_time::Duration::from_millis(50);
 
 /// The interval between two summaries of the placement in the log.
@@ -26,8 +26,8 @@
 /// The number of threads that query engines for their reports. They are separate, so that no order waits for a query.
 const REPORT_THREADS: usize = 6;
 
-/// The pause after a planning pass, as a multiple of its duration. It bounds the CPU time of planning, since a pass
-/// iterates over all engines.
+/// The pause after a planning pass, as a multiple of its duration, and at most [`PLANNING_INTERVAL`]. It bounds the CPU
+/// time of planning, since a pass iterates over all engines.
 const PAUSE_PER_PASS: u32 = 4;
 
 /// The timeout for an order or a query to an engine.
@@ -292,7 +292,7 @@
     let answer = if shared.leads() {
         match exchange_with(pool, order.address, &dialect.order(&order)) {
             Ok((head, _)) => {
-                heed(shared, dialect, &order.instance, &head);
+                handle_notice(shared, dialect, &order.instance, &head);
                 Some(dialect.order_response(head.status))
             }
             Err(e) if !e.is_sent => Some(dialect::OrderResponse::Refused(0)),
@@ -315,7 +315,7 @@
     let answer = exchange_with(pool, address, &dialect.report_request(&instance));
     let report = match answer {
         Ok((head, body)) => {
-            heed(shared, dialect, &instance, &head);
+            handle_notice(shared, dialect, &instance, &head);
             read_report(dialect, &instance, head.status, &body)
         }
         Err(e) => {
@@ -346,7 +346,7 @@
 }
 
 /// Applies the notice in a response of an engine.
-fn heed<D: dialect::Dialect>(
+fn handle_notice<D: dialect::Dialect>(
     shared: &shared::Shared,
     dialect: D,
     instance: &directory::InstanceId,
@@ -387,7 +387,8 @@
         until: std_time::Instant::now() + CALL_TIMEOUT,
         stop: &|| false,
     };
-    // If the engine closed an idle connection at the same moment, the outcome of the order would be unknown.
+    // Reuse only connections that were idle for a short time: if the engine closed one while the order is sent, the
+    // outcome of the order would be unknown.
     let max_age = std_time::Duration::from_secs(1);
     let mut answer = pool.exchange(address, &req, max_age, &patience)?;
     let head = answer.head.clone();
--- a/src/sageshed/gateway/proxy/waiting.rs
+++ b/src/sageshed/gateway/proxy/waiting.rs
@@ -12,8 +12,8 @@
 use super::{DEFAULT_RETRY_AFTER, NextStep, ProxiedRequest, coordinator};
 use crate::gateway::state::CALLER_CHECK_INTERVAL;
 
-/// The time that a late request must have left to let others go first. Callers abandon a stream that
-/// has delivered nothing for two seconds or more.
+/// The time that must be left for a request that misses its latency target anyway to let others go first. Callers
+/// abandon a stream only after two seconds or more without data.
 const MIN_TIME_LEFT_IF_LATE: time::Millis = time::Millis(2_000);
 
 /// The time that a request must have left after the prefill of those queued before it, to keep waiting.
@@ -78,7 +78,7 @@
                 return NextStep::Refuse(refusal);
             }
             let now = self.shared.clock.now();
-            let ask = chooser::EndpointQuery {
+            let query = chooser::EndpointQuery {
                 service: self.service,
                 wanted: self.wanted,
                 parts: &self.metadata.parts,
@@ -93,7 +93,7 @@
                 may_load_adapter: adapter_requests < MAX_ADAPTER_REQUESTS,
             };
             let queued_here = self.queued_request(now);
-            let decision = self.query_coordinator(&ask, &mut queried_at);
+            let decision = self.query_coordinator(&query, &mut queried_at);
             self.count_demand(decision);
             let (choice, seen) = self.shared.with_core(|core| {
                 let is_preceded = queued_here.as_ref().is_some_and(|it| {
@@ -103,7 +103,7 @@
                 let choice = if is_preceded {
                     chooser::Choice::Wait(chooser::WaitReason::Place)
                 } else {
-                    coordinator::decide(core, now, &ask, decision)
+                    coordinator::decide(core, now, &query, decision)
                 };
                 (choice, core.changes())
             });
@@ -275,7 +275,7 @@
         Some(refusal.with_retry_after(expected.max(DEFAULT_RETRY_AFTER)))
     }
 
-    /// The expected wait behind the requests queued here, if it exceeds the time left.
+    /// The expected wait behind the requests queued here, if less than [`PREFILL_RESERVE`] would be left after it.
     fn unmeetable_wait(
         &self,
         now: time::Instant,
@@ -350,8 +350,10 @@
     /// Counts the request as waiting for its model, in the demand reported to the leader.
     fn report_waiting(&self) {
         if let Some(wanted) = self.wanted {
-            self.shared
-                .with_core(|core| core.tally.add_waiting(self.service, &wanted.model));
+            self.shared.with_core(|core| {
+                core.unreported_demand
+                    .add_waiting(self.service, &wanted.model);
+            });
         }
     }
 
