--- a/crates/sageshed-decide/src/health.rs
+++ b/crates/sageshed-decide/src/health.rs
@@ -8,8 +8,8 @@
 //! it again.
 //!
 //! Only attempts sent after the last state change count. When an endpoint crashes, everything in
-//! flight there fails at about the same time; otherwise this one event would count as an ejection
-//! for each request, and the doubled durations would keep the endpoint out for minutes.
+//! flight there fails at about the same time. If each of these failures counted as an ejection, the
+//! doubled durations would keep the endpoint out for minutes after a single crash.
 
 use sageshed_types::time;
 
@@ -24,7 +24,7 @@
 /// The greatest jitter added to an ejection, as a share of its duration.
 const MAX_JITTER_SHARE: f64 = 0.25;
 
-/// How often the duration of an ejection is doubled at most.
+/// The greatest number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sageshed-decide/tests/faults.rs
+++ b/crates/sageshed-decide/tests/faults.rs
@@ -11,34 +11,34 @@
 struct Failure {
     not_repeatable: bool,
     /// Whether the request is streamed and its first token was passed on.
-    answer_started: bool,
+    response_started: bool,
     verdict: verdict::Verdict,
     fault: event::AttemptError,
     expected: &'static str,
 }
 
-const REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
+const CONNECT_REFUSED: event::AttemptError = event::AttemptError::ConnectRefused;
 const CUT: event::AttemptError = event::AttemptError::Cut;
 
 const FAILURES: &[Failure] = &[
     Failure {
         not_repeatable: false,
-        answer_started: false,
+        response_started: false,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
         expected: "send",
     },
     Failure {
         not_repeatable: false,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
-        fault: REFUSED,
+        fault: CONNECT_REFUSED,
         expected: "send",
     },
     // The caller already has part of the response of one run, which must not be mixed with another.
     Failure {
         not_repeatable: false,
-        answer_started: true,
+        response_started: true,
         verdict: MAY_HAVE_RUN,
         fault: CUT,
         expected: "endpoint_failed may_have_run",
@@ -46,14 +46,14 @@
     // No byte was sent, so the request may be sent again under the same claim.
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
-        fault: REFUSED,
+        fault: CONNECT_REFUSED,
         expected: "send",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: MAY_HAVE_RUN,
         fault: event::AttemptError::NoFirstByte,
         expected: "endpoint_failed may_have_run",
@@ -61,21 +61,21 @@
     // Once a connection was established, `NotRun` is not trusted.
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: CUT,
         expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: event::AttemptError::Status(500),
         expected: "endpoint_failed may_have_run",
     },
     Failure {
         not_repeatable: true,
-        answer_started: false,
+        response_started: false,
         verdict: NOT_RUN,
         fault: event::AttemptError::Status(429),
         expected: "send",
@@ -88,15 +88,15 @@
 fn only_what_cannot_run_twice_is_sent_again() {
     for case in FAILURES {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
-        let (req, mut actions) = harness.arrive(|f| {
-            f.not_repeatable = case.not_repeatable;
-            f.streaming = case.answer_started;
+        let (req, mut actions) = harness.arrive(|info| {
+            info.not_repeatable = case.not_repeatable;
+            info.streaming = case.response_started;
         });
         if case.not_repeatable {
             actions = harness.step(event::Event::ClaimGranted(req));
         }
         let first = common::sent_to(&actions, req).expect("sent");
-        if case.answer_started {
+        if case.response_started {
             harness.step(event::Event::FirstToken { req });
         }
         let actions = harness.fail(req, case.verdict, case.fault);
@@ -127,7 +127,7 @@
     let mut harness = common::Harness::with_engines(common::settings(), &["e1", "e2"]);
     let (req, _) = harness.arrive(|_| {});
     harness.fail(req, MAY_HAVE_RUN, CUT);
-    let actions = harness.fail(req, NOT_RUN, REFUSED);
+    let actions = harness.fail(req, NOT_RUN, CONNECT_REFUSED);
     assert_eq!(
         common::summary(&actions, req),
         "endpoint_failed may_have_run"
@@ -184,9 +184,9 @@
         let mut settings = common::settings();
         settings.policy.shed = shed;
         let mut harness = common::Harness::with_engines(settings, &["e1", "e2"]);
-        let (req, _) = harness.arrive(|f| f.deadline = Some(time::Millis(500)));
+        let (req, _) = harness.arrive(|info| info.deadline = Some(time::Millis(500)));
         harness.advance(500);
-        let actions = harness.fail(req, NOT_RUN, REFUSED);
+        let actions = harness.fail(req, NOT_RUN, CONNECT_REFUSED);
         assert_eq!(common::summary(&actions, req), "endpoint_failed not_run");
     }
 }
@@ -225,7 +225,7 @@
     for (times, fault, ejected) in [
         (2, CUT, false),
         (3, CUT, true),
-        (1, REFUSED, true),
+        (1, CONNECT_REFUSED, true),
         (8, event::AttemptError::Status(429), false),
     ] {
         let mut harness = with_failures(times, fault);
@@ -306,7 +306,7 @@
 fn ejected_endpoint_is_used_when_no_other_is_left() {
     let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
     let (req, _) = harness.arrive(|_| {});
-    harness.fail(req, NOT_RUN, REFUSED);
+    harness.fail(req, NOT_RUN, CONNECT_REFUSED);
     assert_eq!(harness.decider.gauges().ejected, 1);
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "send");
@@ -319,8 +319,8 @@
     let mut harness = common::Harness::with_engines(common::settings(), &["dead"]);
     harness.report(common::report("other", 1, 1, &["draft"]));
     let (req, _) = harness.arrive(|_| {});
-    harness.fail(req, NOT_RUN, REFUSED);
-    let dead = harness.decider.endpoint("dead").expect("heard");
+    harness.fail(req, NOT_RUN, CONNECT_REFUSED);
+    let dead = harness.decider.endpoint("dead").expect("known");
     harness.step(event::Event::EndpointSilent(dead));
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "queue");
@@ -347,7 +347,7 @@
     UnavailableCase {
         what: "reported as silent by the daemon",
         make: |harness| {
-            let endpoint = harness.decider.endpoint("e1").expect("heard");
+            let endpoint = harness.decider.endpoint("e1").expect("known");
             harness.step(event::Event::EndpointSilent(endpoint));
         },
     },
@@ -410,7 +410,7 @@
     harness.report(report);
     let (req, actions) = harness.arrive(|_| {});
     assert_eq!(common::summary(&actions, req), "send");
-    harness.fail(lost, NOT_RUN, REFUSED);
+    harness.fail(lost, NOT_RUN, CONNECT_REFUSED);
     let gauges = harness.decider.gauges();
     assert_eq!((gauges.in_flight, gauges.ejected), (1, 0));
 }
@@ -428,14 +428,14 @@
     ] {
         let mut harness = common::Harness::with_engines(common::settings(), &["e1"]);
         for _ in 0..6 {
-            let (req, _) = harness.arrive(|f| f.max_tokens = 2);
+            let (req, _) = harness.arrive(|info| info.max_tokens = 2);
             harness.advance(100);
             let outcome = event::AttemptOutcome::Done { tokens: 2 };
             harness.step(event::Event::AttemptEnded { req, outcome });
         }
-        let (_, actions) = harness.arrive(|f| {
-            f.max_tokens = max_tokens;
-            f.streaming = streaming;
+        let (_, actions) = harness.arrive(|info| {
+            info.max_tokens = max_tokens;
+            info.streaming = streaming;
         });
         let limit = actions.iter().find_map(|action| match action {
             event::Action::Send {
@@ -460,7 +460,7 @@
         let report = common::report("e1", 1, 4, &["sort"]);
         harness.step(event::Event::Report(Box::new(report), time::Millis(0)));
         for _ in 0..8 {
-            let (late, _) = harness.arrive(|f| f.deadline = Some(time::Millis(1_000)));
+            let (late, _) = harness.arrive(|info| info.deadline = Some(time::Millis(1_000)));
             let (other, _) = harness.arrive(|_| {});
             harness.advance(600);
             if answers_others {
@@ -507,7 +507,7 @@
         harness.step(event::Event::BackoffRequested { req, span });
         harness.fail(req, NOT_RUN, event::AttemptError::Status(503));
         harness.advance(after);
-        let (next, actions) = harness.arrive(|f| f.deadline = Some(time::Millis(10_000)));
+        let (next, actions) = harness.arrive(|info| info.deadline = Some(time::Millis(10_000)));
         let is_sent = common::sent_to(&actions, next).is_some();
         assert_eq!(
             is_sent, is_used_again,
--- a/crates/sageshed-fleet/src/links.rs
+++ b/crates/sageshed-fleet/src/links.rs
@@ -3,12 +3,13 @@
 //! The first link goes to a control process in the availability zone of this process, if there is one, and
 //! the others to any two. When the control group is partitioned in two, three links reach the larger side,
 //! the one that accepts changes. All links deliver configurations. Endpoint records come over one link
-//! only, the local one: when they came over all three, from whichever zone, they made up most of the
-//! traffic between zones. The other links deliver a digest of what their control process knows, and the
-//! local one tells how far it is up to date with each of the others. A link delivers endpoint records too
-//! while its digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the
-//! local one was not told. Digests alone are not enough: while endpoints change all the time, as in a
-//! rollout of thousands, no two digests agree.
+//! only, the *endpoint source*: the first link while its control process responds, or else the next one.
+//! When they came over all three, from whichever zone, they made up most of the traffic between zones. The
+//! other links deliver a digest of what their control process knows, and the source reports how far its
+//! control process is up to date with each of the others. A link delivers endpoint records too while its
+//! digest differs and its control process has known something for [`MAX_DIGEST_LAG`] that the source was not
+//! told. Digests alone are not enough: while endpoints change all the time, as in a rollout of thousands, no
+//! two digests agree.
 
 use std::{collections, net};
 
@@ -22,16 +23,17 @@
 /// How long an unreachable control process is avoided while there are others.
 const RETRY_DELAY: time::Millis = time::Millis(2_000);
 
-/// How long the local control process is not taken back after it was unreachable. If its VM has no power,
-/// each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver endpoint
-/// records.
+/// How long after it was unreachable the first link does not return to the local control process. If its VM
+/// has no power, each attempt takes a fifth of [`RETRY_DELAY`], during which another link has to deliver
+/// endpoint records.
 const LOCAL_RETRY_DELAY: time::Millis = time::Millis(8_000);
 
 /// How long a digest may differ. Changes reach control processes some milliseconds apart, and entry
 /// processes within the time that changes are gathered for one response.
 const MAX_DIGEST_LAG: time::Millis = time::Millis(200);
 
-/// Cursors of one control process that are kept until the local one is known to have caught up with them.
+/// Cursors of one control process that are kept until the endpoint source is known to have caught up with
+/// them.
 const MAX_CURSORS: usize = 64;
 
 /// The response of a control process to a watch request.
@@ -53,10 +55,10 @@
     target: Option<net::Ipv4Addr>,
     /// Whether the control process has responded since it was selected.
     has_responded: bool,
-    /// Since when it is known to have changes that the local one was not told.
+    /// Since when it is known to have changes that the endpoint source was not told.
     differs_since: Option<time::Instant>,
-    /// Its cursors, with the time of each, that arrived with a differing digest and that the local one is
-    /// not known to have.
+    /// Its cursors that arrived with a differing digest and that the endpoint source is not known to have
+    /// reached, with the time of each.
     unconfirmed: collections::VecDeque<(time::Instant, directory::Cursor)>,
 }
 
@@ -66,8 +68,8 @@
         self.unconfirmed.clear();
     }
 
-    /// Records that its digest differs. `news` is its cursor, and `known` is up to where the local one
-    /// knows it.
+    /// Records that its digest differs. `news` is its cursor, and `known` is the cursor up to which the
+    /// endpoint source knows it.
     fn record_difference(
         &mut self,
         now: time::Instant,
@@ -88,7 +90,7 @@
         self.confirm(known);
     }
 
-    /// Drops the cursors that the local one has caught up with.
+    /// Drops the cursors that the endpoint source has caught up with.
     fn confirm(&mut self, known: directory::Cursor) {
         self.unconfirmed
             .retain(|(_, cursor)| cursor.start != known.start || cursor.change > known.change);
@@ -102,8 +104,8 @@
     availability_zone: String,
     seeds: Vec<net::Ipv4Addr>,
     zones: collections::BTreeMap<net::Ipv4Addr, Option<String>>,
-    connections: [Link; LINK_COUNT],
-    /// Up to where the control process that delivers endpoint records knows the others.
+    by_number: [Link; LINK_COUNT],
+    /// Up to where the control process of the endpoint source knows the others.
     peers: collections::HashMap<net::Ipv4Addr, directory::Cursor>,
     unreachable_since: collections::HashMap<net::Ipv4Addr, time::Instant>,
 }
@@ -117,7 +119,7 @@
             availability_zone: availability_zone.to_owned(),
             seeds,
             zones: collections::BTreeMap::new(),
-            connections: std::array::from_fn(|_| Link::default()),
+            by_number: std::array::from_fn(|_| Link::default()),
             peers: collections::HashMap::new(),
             unreachable_since: collections::HashMap::new(),
         }
@@ -135,7 +137,7 @@
         let is_local =
             |ip: &net::Ipv4Addr| self.is_local(*ip) && !self.unreachable_since.contains_key(ip);
         let local = all.iter().copied().find(is_local).filter(|_| number == 0);
-        let target = self.connections[number].target.filter(is_available);
+        let target = self.by_number[number].target.filter(is_available);
         let chosen = local.or(target).or_else(|| {
             let free: Vec<_> = all.iter().copied().filter(is_available).collect();
             let reachable = all
@@ -149,8 +151,8 @@
             let at = usize::try_from(draw).unwrap_or_default() % from.len();
             Some(from[at])
         })?;
-        if self.connections[number].target != Some(chosen) {
-            self.connections[number] = Link {
+        if self.by_number[number].target != Some(chosen) {
+            self.by_number[number] = Link {
                 target: Some(chosen),
                 ..Link::default()
             };
@@ -161,7 +163,7 @@
     /// What link `number` requests: endpoint records or a digest.
     #[must_use]
     pub fn requested_detail(&self, now: time::Instant, number: usize) -> messages::DirectoryDetail {
-        let differs = self.connections[number].differs_since;
+        let differs = self.by_number[number].differs_since;
         let lags = differs.is_some_and(|since| now.since(since) >= MAX_DIGEST_LAG);
         if lags || self.endpoint_source().is_none_or(|source| source == number) {
             messages::DirectoryDetail::News
@@ -173,21 +175,21 @@
     /// The link that delivers endpoint records: the first one whose control process has responded.
     #[must_use]
     pub fn endpoint_source(&self) -> Option<usize> {
-        self.connections.iter().position(|it| it.has_responded)
+        self.by_number.iter().position(|it| it.has_responded)
     }
 
-    /// Handles the response of a control process. While it has more endpoint records to send, what makes
-    /// digests differ is still on its way, and need not come over other links.
+    /// Handles the response of a control process. While it has more endpoint records to send, the records
+    /// that make digests differ are still on their way and need not come over other links.
     pub fn record_reply(&mut self, now: time::Instant, number: usize, reply: &SyncReply<'_>) {
-        self.connections[number].has_responded = true;
+        self.by_number[number].has_responded = true;
         if reply.has_more {
-            self.connections.iter_mut().for_each(Link::clear_difference);
+            self.by_number.iter_mut().for_each(Link::clear_difference);
             return;
         }
         if self.endpoint_source() == Some(number) {
             self.set_peers(reply.peers);
         }
-        let link = &mut self.connections[number];
+        let link = &mut self.by_number[number];
         let known = link.target.and_then(|ip| self.peers.get(&ip)).copied();
         if reply.differs {
             link.record_difference(now, reply.news, known);
@@ -198,7 +200,7 @@
 
     fn set_peers(&mut self, peers: &[(net::Ipv4Addr, directory::Cursor)]) {
         self.peers = peers.iter().copied().collect();
-        for link in &mut self.connections {
+        for link in &mut self.by_number {
             let known = link.target.and_then(|ip| self.peers.get(&ip));
             // A difference that was recorded without cursors lasts until the digests agree.
             if let Some(known) = known.filter(|_| !link.unconfirmed.is_empty()) {
@@ -210,7 +212,7 @@
     /// Records that a control process could not be reached.
     pub fn mark_unreachable(&mut self, now: time::Instant, number: usize, ip: net::Ipv4Addr) {
         self.unreachable_since.insert(ip, now);
-        self.connections[number] = Link::default();
+        self.by_number[number] = Link::default();
     }
 
     /// Adds control processes and their availability zones.
@@ -242,7 +244,7 @@
     }
 
     fn is_taken(&self, number: usize, ip: net::Ipv4Addr) -> bool {
-        let mut others = self.connections.iter().enumerate();
+        let mut others = self.by_number.iter().enumerate();
         others.any(|(at, it)| at != number && it.target == Some(ip))
     }
 }
--- a/crates/sageshed-fleet/src/planner/engine.rs
+++ b/crates/sageshed-fleet/src/planner/engine.rs
@@ -50,7 +50,7 @@
 }
 
 impl Source {
-    /// Cost of a load from this source when engines are compared, in busy engines.
+    /// Cost of a load from this source when engines are compared, in busy engines: a load of 10 s counts as one.
     pub(super) fn cost(self, model: &config::Model) -> f64 {
         let span = match self {
             Self::Memory => model.memory_load,
@@ -108,7 +108,7 @@
     /// The models in its latest report.
     reported_models: Vec<String>,
     report_requested_at: Option<time::Instant>,
-    /// Whether a report request is in flight.
+    /// Whether a report request was sent and its outcome is not known yet.
     report_pending: bool,
     /// Consecutive report requests without a report.
     failed_reports: u32,
@@ -240,7 +240,7 @@
         self.report_pending = true;
     }
 
-    /// Whether a report request is in flight.
+    /// Whether a report request is in flight and has not timed out.
     pub(super) fn awaits_report(&self, now: time::Instant) -> bool {
         let recently = self
             .report_requested_at
@@ -388,7 +388,7 @@
         let until = self.pending.iter().filter_map(|it| match it.state {
             OrderState::Sent => Some(now + UNCONFIRMED_TIMEOUT),
             OrderState::Unconfirmed(until) | OrderState::Resendable(until) => Some(until),
-            // It executed this one before it ended.
+            // The ended instance has accepted this one, so no later instance executes it.
             OrderState::Accepted(_) => None,
         });
         until
@@ -431,12 +431,12 @@
         from_store: bool,
         load_time: time::Millis,
     ) -> Option<u64> {
-        let is_accepted = if task.is_weights() {
+        let can_accept = if task.is_weights() {
             self.accepts_weight_orders(now)
         } else {
             self.accepts_adapter_orders(now)
         };
-        let accepted_before = self.accepted.filter(|_| is_accepted)?;
+        let accepted_before = self.accepted.filter(|_| can_accept)?;
         self.pending.push(PendingOrder {
             task: task.clone(),
             state: OrderState::Sent,
@@ -474,11 +474,11 @@
     pub(super) fn max_weights_mb(
         &self,
         instance: &directory::Instance,
-        offer: &config::EnginePool,
+        settings: &config::EnginePool,
     ) -> f64 {
-        let size = |name: &str| offer.models.iter().find(|it| it.name == name);
+        let size = |name: &str| settings.models.iter().find(|it| it.name == name);
         let mb = |name: &str| size(name).map_or(0.0, |it| it.weights_mb);
-        let adapter_mb = offer
+        let adapter_mb = settings
             .models
             .iter()
             .map(|it| it.adapter_mb)
@@ -491,7 +491,7 @@
         let shown = instance.models.iter().map(|it| it.model.as_str());
         let may_hold: collections::BTreeSet<&str> = shown.chain(reported).chain(ordered).collect();
         let held: f64 = may_hold.into_iter().map(mb).sum();
-        let adapters = f64::from(offer.adapter_slots) * adapter_mb;
+        let adapters = f64::from(settings.adapter_slots) * adapter_mb;
         held + adapters
     }
 
@@ -522,9 +522,9 @@
 
     /// Whether it was ordered to unload the model.
     pub(super) fn unloads(&self, model: &str) -> bool {
-        let is_drop =
+        let is_unload =
             |it: &PendingOrder| matches!(&it.task, dialect::Task::Unload(m) if m == model);
-        self.pending.iter().any(is_drop)
+        self.pending.iter().any(is_unload)
     }
 
     /// The model whose weights it was ordered to load, if any.
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -8,7 +8,8 @@
 //! 1. [`first_routes`]: each model and adapter gets a route, critical ones first, base models before
 //!    adapters, large families first. If there is no room, spare replicas are evicted. If there are
 //!    none, the only replica of another model is first duplicated on another engine.
-//! 2. [`versions`]: outdated replicas are replaced one by one, while another route serves.
+//! 2. [`versions`]: pinned models are loaded on their engines. Then outdated replicas are replaced one
+//!    by one, while another route serves.
 //! 3. [`capacity`]: replicas are added by demand. If a plan has nothing else to do, the remaining
 //!    memory is used to place each model in two availability zones. This comes last, since replicas
 //!    added for redundancy while demand causes evictions would be the next to be evicted.
@@ -16,9 +17,9 @@
 //! Each plan is made from scratch from the ledger and the demand, and only as far as the budget of
 //! the weight store allows, since a load that can't start now needs no decision now. The cost of a
 //! plan is one pass over the engines and their models plus one scan of the engines for each load that
-//! starts, whether the cluster is empty or stable. All state between plans is in the ledger: a
-//! replica that was loaded elsewhere to free an engine makes the original one a spare for the next
-//! plan.
+//! starts, whether the cluster is empty or stable. Except for the [`move_limits`], all state between
+//! plans is in the ledger: a replica that was loaded elsewhere to free an engine makes the original
+//! one a spare for the next plan.
 //!
 //! # The value of a replica
 //!
@@ -158,11 +159,11 @@
         match self.inputs.policy.baseline {
             policy::PlannerKind::Planned => {
                 self.ensure_routes();
-                self.pins();
-                self.versions();
-                self.capacity();
+                self.load_pinned();
+                self.replace_outdated();
+                self.add_capacity();
                 if self.proposals.is_empty() && self.awaited_mib.iter().all(|mib| *mib == 0) {
-                    self.spread();
+                    self.spread_replicas();
                 }
             }
             policy::PlannerKind::OnDemandLru => self.load_requested(),
@@ -193,7 +194,7 @@
                     routes.push(engine.key);
                 }
             }
-            for model in self.arriving(engine) {
+            for model in self.loading_models(engine) {
                 let loading_on = &mut self.loading_on[model.index()];
                 if loading_on.last() != Some(&engine.key) {
                     loading_on.push(engine.key);
@@ -206,8 +207,8 @@
     }
 
     /// The models of the catalog that are being loaded on `engine`.
-    fn arriving(&self, engine: &Engine) -> Vec<ModelKey> {
-        let ordered = self.under_way(engine).filter_map(Task::loaded);
+    fn loading_models(&self, engine: &Engine) -> Vec<ModelKey> {
+        let ordered = self.expected_tasks(engine).filter_map(Task::loaded);
         let loading = engine
             .held
             .iter()
@@ -225,7 +226,7 @@
     /// An order that no report has shown for a long time is not included, although its memory stays
     /// reserved. A lost order to an engine that ignores fencing tokens is never sent again, so
     /// waiting for it would never end.
-    fn under_way<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
+    fn expected_tasks<'b>(&self, engine: &'b Engine) -> impl Iterator<Item = Task> + use<'b> {
         let now = self.inputs.now;
         let lost_after = self.inputs.policy.lost_after();
         let ordered = engine
--- a/crates/sageshed-place/src/planner/capacity.rs
+++ b/crates/sageshed-place/src/planner/capacity.rs
@@ -28,15 +28,15 @@
 
 impl Planner<'_> {
     /// Adds replicas of the models with the most unserved demand.
-    pub(super) fn capacity(&mut self) {
-        let mut lacking: Vec<(f64, ModelKey)> = (0..self.routes.len())
+    pub(super) fn add_capacity(&mut self) {
+        let mut underserved: Vec<(f64, ModelKey)> = (0..self.routes.len())
             .map(ModelKey::from_index)
             .filter(|m| !self.routes[m.index()].is_empty())
             .map(|m| (self.unserved(m), m))
             .filter(|(unserved, _)| *unserved > NEGLIGIBLE_SLOTS)
             .collect();
-        lacking.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        for (_, model) in lacking.into_iter().take(MAX_MODELS) {
+        underserved.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        for (_, model) in underserved.into_iter().take(MAX_MODELS) {
             if !self.inputs.budget.allows() {
                 return;
             }
@@ -77,7 +77,7 @@
             candidates.select_nth_unstable_by(MAX_EVICTION_PLANS, |a, b| self.compare(model, a, b));
             candidates.truncate(MAX_EVICTION_PLANS);
         }
-        self.displace(model, need_mib, &candidates)
+        self.evict_for_demand(model, need_mib, &candidates)
     }
 
     /// The engines on which another replica of `model` would be useful.
@@ -85,11 +85,11 @@
         let wanted = self.slots_wanted(model);
         let replicas = self.replicas(model) as f64;
         let share = wanted / (replicas + 1.0);
-        let relief = self.relief(model, share - wanted / replicas.max(1.0));
+        let change_elsewhere = self.change_on_routes(model, share - wanted / replicas.max(1.0));
         self.keys()
             .map(|key| Candidate {
                 key,
-                gain: self.served_change(key, share) + relief,
+                gain: self.served_change(key, share) + change_elsewhere,
             })
             .filter(|c| c.gain > NEGLIGIBLE_SLOTS)
             .filter(|c| self.can_host(c.key, model) && self.has_base(c.key, model))
@@ -105,11 +105,11 @@
             .then(a.key.cmp(&b.key))
     }
 
-    /// The additional load that is served in time on the engines that serve `model` when the demand of
-    /// each changes by `less`, which is negative; in slots.
-    fn relief(&self, model: ModelKey, less: f64) -> f64 {
+    /// How the load served in time changes on the engines that serve `model` when the load of each
+    /// changes by `change`, in slots. Negative or 0, since a new replica takes load from them.
+    fn change_on_routes(&self, model: ModelKey, change: f64) -> f64 {
         let routes = self.routes[model.index()].iter();
-        routes.map(|k| self.served_change(*k, less)).sum()
+        routes.map(|k| self.served_change(*k, change)).sum()
     }
 
     /// Converts load in slots into completed requests, from the end of a load of `model` to the horizon.
@@ -121,7 +121,12 @@
     }
 
     /// Evicts less useful replicas from one of the candidates, if this is worth the cost.
-    fn displace(&mut self, model: ModelKey, need_mib: u64, candidates: &[Candidate]) -> Attempt {
+    fn evict_for_demand(
+        &mut self,
+        model: ModelKey,
+        need_mib: u64,
+        candidates: &[Candidate],
+    ) -> Attempt {
         let policy = self.inputs.policy;
         let mut best: Option<(f64, planner::room::EvictionPlan)> = None;
         for candidate in candidates.iter().take(MAX_EVICTION_PLANS) {
@@ -165,7 +170,7 @@
 
     /// Uses free memory so that each model has `min_replicas` replicas, and replicas in two
     /// availability zones if the policy requires it. Nothing is evicted for this.
-    pub(super) fn spread(&mut self) {
+    pub(super) fn spread_replicas(&mut self) {
         let ranking = self.inputs.ranking;
         let wanting = ranking.iter().filter(|m| self.wants_spread(**m));
         let wanting: Vec<ModelKey> = wanting.copied().collect();
--- a/src/sageshed/control/fleet/hub.rs
+++ b/src/sageshed/control/fleet/hub.rs
@@ -20,7 +20,7 @@
 /// The known state, and the watchers that wait for a change of it. `W` is the handle that answers a watcher.
 #[derive(Debug)]
 pub struct Hub<W = sageshed_vms::Later> {
-    /// Samples the log of messages of endpoints and of other processes that could not be decoded.
+    /// Limits the log records about messages of endpoints and of other processes that could not be decoded.
     pub misread: sampler::Sampler,
     inner: sync::Mutex<Inner<W>>,
     /// Notified when a round of answers to watchers becomes due sooner.
@@ -46,7 +46,7 @@
     /// The availability zones that the other control processes have reported.
     control_zones: collections::BTreeMap<net::Ipv4Addr, String>,
     /// The demand of callers that was not reported to the leader yet.
-    tally: demand_counter::DemandCounter,
+    unreported_demand: demand_counter::DemandCounter,
     quarantine: quarantine::Quarantine,
     is_stopping: bool,
 }
@@ -82,8 +82,9 @@
 /// hundreds of models takes 15 KB.
 const MAX_RECORD_BYTES: usize = 64 * 1024;
 
-/// How long an encoded record is reused. It contains the age of the endpoint's announcement at the time of encoding;
-/// the shortest timeout that is checked against that age is several times as long.
+/// How long an encoded record is reused. It contains the age of the endpoint's announcement at the time of encoding, so
+/// reuse makes the announcement seem younger. The shortest timeout that is checked against this age is several times as
+/// long.
 const ENCODED_LIFETIME: time::Millis = time::Millis(500);
 
 /// A record encoded for the wire.
@@ -95,18 +96,18 @@
     record: messages::EncodedRecord,
 }
 
-/// The messages that could not be decoded and are logged per second.
+/// The most log records per second about messages that could not be decoded.
 const MISREAD_LOGGED_PER_SECOND: u64 = 5;
 
-/// The most inputs that wait for the planning thread. Those that are dropped are lost only for a while: entry processes
+/// The most inputs that wait for the planning thread. Further ones are dropped; what entry processes report, they
 /// report again.
-const PLANNING_QUEUE: usize = 4_096;
+const MAX_QUEUED_INPUTS: usize = 4_096;
 
 impl<W> Hub<W> {
     /// Creates an empty hub. `start` distinguishes this start of the process from others.
     #[must_use]
     pub fn new(start: u64) -> Self {
-        let (planning_tx, planning_rx) = mpsc::sync_channel(PLANNING_QUEUE);
+        let (planning_tx, planning_rx) = mpsc::sync_channel(MAX_QUEUED_INPUTS);
         Self {
             misread: sampler::Sampler::new(MISREAD_LOGGED_PER_SECOND),
             inner: sync::Mutex::new(Inner {
@@ -118,7 +119,7 @@
                 entries_elsewhere: collections::BTreeMap::new(),
                 peers: collections::BTreeMap::new(),
                 control_zones: collections::BTreeMap::new(),
-                tally: demand_counter::DemandCounter::default(),
+                unreported_demand: demand_counter::DemandCounter::default(),
                 quarantine: quarantine::Quarantine::new(start),
                 is_stopping: false,
             }),
@@ -378,7 +379,7 @@
 
     /// Runs `tell` on the demand that was not reported to the leader yet.
     pub fn with_demand<T>(&self, tell: impl FnOnce(&mut demand_counter::DemandCounter) -> T) -> T {
-        self.change(|inner| tell(&mut inner.tally))
+        self.change(|inner| tell(&mut inner.unreported_demand))
     }
 
     /// Merges crashes that another process reports, and answers watchers at once if they have to know.
