--- a/crates/sageshed-fleet/src/backlog.rs
+++ b/crates/sageshed-fleet/src/backlog.rs
@@ -4,10 +4,10 @@
 //!
 //! # Order
 //!
-//! Requests that can still be on time go first, urgent ones before others, and among equals by the earliest
-//! deadline. A request that is already late loses nothing more by waiting; if it went first, those behind
-//! it would all be late as well. A request for an adapter can go to fewer engines than one for the base
-//! model, so it does not hold that one back.
+//! Requests that can still be on time go first, urgent ones before others, and among equals the one that
+//! would be late first. A request that is already late loses nothing more by waiting; if it went first,
+//! those behind it would all be late as well. A request for an adapter can go to fewer engines than one for
+//! the base model, so it does not hold that one back.
 //!
 //! # Time
 //!
@@ -161,14 +161,16 @@
             .prefilled
             .iter()
             .filter(|(at, _)| now.since(*at) <= span);
-        let read: u64 = recent.map(|(_, tokens)| *tokens).sum();
+        let prefilled_tokens: u64 = recent.map(|(_, tokens)| *tokens).sum();
         let own = queue.waiting.get(&ticket)?.rank(now, ticket);
         let before = queue
             .waiting
             .iter()
             .filter(|(at, it)| it.rank(now, **at) <= own);
         let ahead: u64 = before.map(|(_, it)| it.tokens).sum();
-        (ahead * span.0).checked_div(read).map(time::Millis)
+        (ahead * span.0)
+            .checked_div(prefilled_tokens)
+            .map(time::Millis)
     }
 
     /// Number of waiting requests.
--- a/crates/sageshed-fleet/src/chooser/routing.rs
+++ b/crates/sageshed-fleet/src/chooser/routing.rs
@@ -96,8 +96,8 @@
     /// Whether there are so many entry processes that models have coordinators. Only coordinators receive
     /// timings, pauses and faults.
     ///
-    /// A small number of processes has enough requests to learn from their own, and one process's bad luck
-    /// with an engine would count against that engine for all.
+    /// Where all processes exchange observations directly, each has enough requests of its own to learn these
+    /// from; if they were shared, one process's bad luck with an engine would count against it on all.
     #[must_use]
     pub fn uses_coordinators(&self) -> bool {
         self.coordinators.are_used()
@@ -107,7 +107,7 @@
     /// itself.
     #[must_use]
     pub fn coordinators(&self, model: &str) -> Vec<net::Ipv4Addr> {
-        self.coordinators.to_query(model)
+        self.coordinators.query_order(model)
     }
 
     /// Decides, as the coordinator, where the process `to` sends a request, and counts the request as sent
--- a/crates/sageshed-state/src/claim_table.rs
+++ b/crates/sageshed-state/src/claim_table.rs
@@ -39,9 +39,10 @@
 //!
 //! The clock is the leader's wall clock, replicated by commands, and never goes back here. It stands
 //! still while there is no leader. If the retention of a claim settled right after an outage were
-//! counted from the last reading before the outage, the claim would expire at the next reading. So the
-//! retention of a settled claim is counted from the next reading. The claim is kept for up to one
-//! clock interval longer than its retention, and never shorter as measured by the leaders' wall clocks.
+//! counted from the last clock command before the outage, the claim would expire at the next one. So
+//! the retention of a settled claim is counted from the next clock command. The claim is kept for up
+//! to one interval between clock commands longer than its retention, and never shorter as measured by
+//! the leaders' wall clocks.
 //!
 //! # Limits
 //!
@@ -66,7 +67,8 @@
     /// The maximum total size of all stored response bodies in bytes.
     pub all_answer_bytes: usize,
     /// The maximum number of recorded holders that released their claims.
-    pub given_back: usize,
+    #[serde(rename = "given_back")]
+    pub released: usize,
 }
 
 impl Default for Limits {
@@ -75,7 +77,7 @@
             claims: 100_000,
             answer_bytes: 16 * 1024,
             all_answer_bytes: 64 * 1024 * 1024,
-            given_back: 10_000,
+            released: 10_000,
         }
     }
 }
@@ -104,7 +106,7 @@
         /// The response, if it was small enough to be stored.
         answer: Option<claims::RecordedAnswer>,
     },
-    /// The request may have run.
+    /// The request may have run: its holder could not tell, or was declared gone before it reported.
     Unknown,
 }
 
@@ -112,7 +114,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAttempt {
     /// The reply to the process that requested the claim.
-    Answer(claims::ClaimOutcome),
+    Reply(claims::ClaimOutcome),
     /// The holder has already released the claim, or its process has ended. Nothing was recorded.
     TooLate,
 }
@@ -125,11 +127,14 @@
     claims: collections::BTreeMap<claims::ClaimKey, ClaimEntry>,
     answer_bytes: usize,
     /// Claims settled since the last clock command, which have no expiry yet.
-    unstamped: Vec<claims::ClaimKey>,
+    #[serde(rename = "unstamped")]
+    without_expiry: Vec<claims::ClaimKey>,
     /// The expiries of settled claims, in milliseconds since 1970.
     expiries: collections::BTreeSet<(u64, claims::ClaimKey)>,
-    given_back: collections::BTreeSet<claims::Holder>,
-    given_back_oldest_first: collections::VecDeque<claims::Holder>,
+    #[serde(rename = "given_back")]
+    released: collections::BTreeSet<claims::Holder>,
+    #[serde(rename = "given_back_oldest_first")]
+    released_oldest_first: collections::VecDeque<claims::Holder>,
     /// By VM: the lowest incarnation that may still be running. Holds each entry VM of which a process
     /// has ever ended.
     alive_from: collections::BTreeMap<String, endpoints::Incarnation>,
@@ -144,10 +149,10 @@
             unix_ms: 0,
             claims: collections::BTreeMap::new(),
             answer_bytes: 0,
-            unstamped: Vec::new(),
+            without_expiry: Vec::new(),
             expiries: collections::BTreeSet::new(),
-            given_back: collections::BTreeSet::new(),
-            given_back_oldest_first: collections::VecDeque::new(),
+            released: collections::BTreeSet::new(),
+            released_oldest_first: collections::VecDeque::new(),
             alive_from: collections::BTreeMap::new(),
         }
     }
@@ -179,16 +184,19 @@
     /// Grants a claim, or returns why it is not granted.
     pub fn claim(&mut self, claim: claims::Claim) -> ClaimAttempt {
         match self.claims.get(&claim.key) {
-            Some(entry) => ClaimAttempt::Answer(reply_for_existing(entry, &claim)),
+            Some(entry) => ClaimAttempt::Reply(reply_for_existing(entry, &claim)),
             None if self.is_too_late(&claim.holder) => ClaimAttempt::TooLate,
             None if self.claims.len() >= self.limits.claims => {
-                ClaimAttempt::Answer(claims::ClaimOutcome::Full)
+                ClaimAttempt::Reply(claims::ClaimOutcome::Full)
             }
-            None => ClaimAttempt::Answer(self.grant(claim)),
+            None => ClaimAttempt::Reply(self.grant(claim)),
         }
     }
 
-    /// Records how a claimed request ended. Ignored unless it names the claim's holder.
+    /// Records how a claimed request ended.
+    ///
+    /// A report of another holder does not change the claim. If it says that the request did not run, a
+    /// late claim of that holder is not granted. Otherwise it is ignored.
     pub fn settle(&mut self, settle: claims::Settle) -> command::SettleOutcome {
         let claims::Settle { key, holder, end } = settle;
         if matches!(end, claims::ExecutionOutcome::NotRun) {
@@ -258,7 +266,7 @@
             .alive_from
             .get(&holder.vm)
             .is_some_and(|alive_from| holder.incarnation < *alive_from);
-        gone || self.given_back.contains(holder)
+        gone || self.released.contains(holder)
     }
 
     fn grant(&mut self, claim: claims::Claim) -> claims::ClaimOutcome {
@@ -288,12 +296,12 @@
             }
             _ => {}
         }
-        if self.given_back.insert(holder.clone()) {
-            self.given_back_oldest_first.push_back(holder);
+        if self.released.insert(holder.clone()) {
+            self.released_oldest_first.push_back(holder);
         }
-        while self.given_back.len() > self.limits.given_back {
-            if let Some(oldest) = self.given_back_oldest_first.pop_front() {
-                self.given_back.remove(&oldest);
+        while self.released.len() > self.limits.released {
+            if let Some(oldest) = self.released_oldest_first.pop_front() {
+                self.released.remove(&oldest);
             }
         }
         command::SettleOutcome::Settled
@@ -301,13 +309,13 @@
 
     fn record_ran(&mut self, key: claims::ClaimKey, answer: Option<claims::RecordedAnswer>) {
         self.store_answer(&key, answer);
-        self.unstamped.push(key);
+        self.without_expiry.push(key);
     }
 
     fn mark_unknown(&mut self, key: claims::ClaimKey) {
         if let Some(entry) = self.claims.get_mut(&key) {
             entry.state = ClaimState::Unknown;
-            self.unstamped.push(key);
+            self.without_expiry.push(key);
         }
     }
 
@@ -323,7 +331,7 @@
 
     /// Sets the expiries of the claims that were settled since the last clock command.
     fn set_expiries(&mut self) {
-        for key in std::mem::take(&mut self.unstamped) {
+        for key in std::mem::take(&mut self.without_expiry) {
             if let Some(entry) = self.claims.get(&key) {
                 let at = self.unix_ms.saturating_add(entry.retention.0);
                 self.expiries.insert((at, key));
--- a/spec/src/claims.rs
+++ b/spec/src/claims.rs
@@ -212,7 +212,7 @@
             digest: 1,
             retention: RETENTION,
         };
-        if let claim_table::ClaimAttempt::Answer(answer) = self.table.claim(claim) {
+        if let claim_table::ClaimAttempt::Reply(answer) = self.table.claim(claim) {
             self.answers.push((arrival, answer));
         }
     }
@@ -294,8 +294,8 @@
         // The first command sets the expiries of settled claims, the second is past them.
         let now = self.table.unix_ms() + 1;
         self.table.advance_clock(now);
-        let forgotten = self.table.advance_clock(now + RETENTION.0 + 1);
-        if forgotten > 0 {
+        let expired = self.table.advance_clock(now + RETENTION.0 + 1);
+        if expired > 0 {
             self.runs = 0;
         }
         for it in &mut self.arrivals {
--- a/spec/src/log/mod.rs
+++ b/spec/src/log/mod.rs
@@ -31,7 +31,7 @@
     /// Rounds of heartbeats besides the first round of each leader.
     pub heartbeats: u32,
     /// Leaders that step down because they lose contact to a majority.
-    pub quorums: u32,
+    pub quorum_losses: u32,
     /// Membership changes that may be requested, each once.
     pub changes: Vec<event::Change>,
 }
@@ -50,7 +50,7 @@
 pub struct Scenario {
     /// The initial state of the VMs and messages.
     pub world: world::World,
-    /// The numbers of events.
+    /// How many events of each kind may happen.
     pub budget: Budget,
     /// The VMs whose election timer may expire.
     pub may_campaign: Vec<u32>,
@@ -65,7 +65,7 @@
 pub struct State {
     /// The VMs and messages.
     pub world: world::World,
-    /// The remaining numbers of events.
+    /// How many more events of each kind may happen.
     pub budget: Budget,
 }
 
@@ -180,7 +180,7 @@
         self.push(all, Step::Heartbeats(vm), spend, |world| {
             world.step(vm, heartbeat);
         });
-        let spend = |budget: &mut Budget| take(&mut budget.quorums);
+        let spend = |budget: &mut Budget| take(&mut budget.quorum_losses);
         self.push(all, Step::QuorumLost(vm), spend, |world| {
             world.step(vm, event::Event::QuorumLost);
         });
--- a/spec/src/log/scenarios.rs
+++ b/spec/src/log/scenarios.rs
@@ -167,7 +167,7 @@
     script.elect(1, &[1, 2, 3]);
     let budget = Budget {
         elections: 1,
-        quorums: 1,
+        quorum_losses: 1,
         changes: vec![
             event::Change::Remove(id(2, 1)),
             event::Change::Remove(id(3, 1)),
@@ -354,7 +354,7 @@
         self.deliver_all(among);
     }
 
-    /// Runs the rounds of heartbeats after which leaders send their first messages, which were lost, again.
+    /// Runs so many rounds of heartbeats that leaders resend their first messages, which were lost.
     fn run_heartbeat_rounds(&mut self) {
         let vms = 1..=u32::try_from(self.world.vms.len()).unwrap_or(u32::MAX);
         let leaders: Vec<_> = vms.filter(|vm| self.world.leads(*vm)).collect();
--- a/src/sageshed/gateway/metrics.rs
+++ b/src/sageshed/gateway/metrics.rs
@@ -12,8 +12,8 @@
     0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0, 10.0, 20.0,
 ];
 
-/// The number of workspaces that are counted by name; the first ones to send requests are. With three results
-/// each they take 200 lines of output, as many as all other metrics.
+/// The most workspaces that are counted by name: the first ones that send requests. With three results each they
+/// take 200 lines of output, as many as all other metrics.
 const MAX_NAMED_WORKSPACES: usize = 64;
 
 /// The label of all other workspaces.
@@ -68,7 +68,7 @@
     repeats: metrics::Gauge,
     quotas: metrics::Gauge,
     idle: metrics::Gauge,
-    held: metrics::Gauge,
+    quarantined: metrics::Gauge,
 }
 
 impl Default for Metrics {
@@ -128,7 +128,7 @@
                 "What is left at once of a quota that this process keeps",
             ),
             idle: gauge("sageshed_gateway_idle", "Idle connections to endpoints"),
-            held: gauge(
+            quarantined: gauge(
                 "sageshed_gateway_requests_held",
                 "Requests that are passed on no more since endpoints ended under them",
             ),
@@ -213,8 +213,8 @@
         self.gauges.limited_endpoints.set(limited as f64);
         self.gauges.connections.set(shared.pool.opened() as f64);
         self.gauges.idle.set(shared.pool.idle() as f64);
-        let held = shared.with_core(|core| core.quarantine.count_quarantined(now));
-        self.gauges.held.set(held as f64);
+        let quarantined = shared.with_core(|core| core.quarantine.count_quarantined(now));
+        self.gauges.quarantined.set(quarantined as f64);
         self.registry.text()
     }
 }
--- a/src/sageshed/gateway/proxy/attempt.rs
+++ b/src/sageshed/gateway/proxy/attempt.rs
@@ -21,7 +21,7 @@
 /// How long a pooled connection may have been idle to be used for a request that may be retried.
 const MAX_IDLE_REPEATABLE: std_time::Duration = std_time::Duration::from_secs(10);
 
-/// An idempotent request is sent to another endpoint after silence for this many times its latency target.
+/// An idempotent request is sent to another endpoint after silence for its latency target times this.
 const SILENCE_PER_LATENCY_TARGET: u64 = 3;
 
 /// The shortest silence after which an idempotent request is sent to another endpoint.
@@ -209,13 +209,12 @@
             return self.handle_unusable_response(pick, sink, detail.to_owned());
         }
         let claims_not_run = matches!(head.status, 408 | 421 | 429 | 503);
-        let may_go_elsewhere =
-            self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        let may_retry = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         if !is_success && (claims_not_run || !is_verified) {
             let detail = format!("the endpoint answered with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
         }
-        if head.status >= 500 && may_go_elsewhere {
+        if head.status >= 500 && may_retry {
             let detail = format!("the endpoint failed with status {}", head.status);
             return self.handle_unusable_response(pick, sink, detail);
         }
@@ -229,12 +228,12 @@
             Ok(body) => {
                 self.record_start(pick, sent_at, response.load);
                 let failed = head.status >= 500;
-                let how = if failed {
+                let outcome = if failed {
                     chooser::AttemptOutcome::Failed
                 } else {
                     chooser::AttemptOutcome::Answered
                 };
-                self.end_attempt(pick, true, how);
+                self.end_attempt(pick, true, outcome);
                 self.shared.pool.keep(pick.address, exchange);
                 self.finish_answered(pick, head.status, body.len() as u64, sent_at);
                 AttemptResult::Done(sink.send_whole(&head, &body))
@@ -243,8 +242,8 @@
         }
     }
 
-    /// Records that the response of the endpoint of `pick` has started, which means that the prefill is done, and reports
-    /// it to entry peers.
+    /// Records that the endpoint of `pick` has started to respond, so that its prefill is done, and reports this to
+    /// entry peers.
     pub(super) fn record_start(
         &self,
         pick: &chooser::Pick,
@@ -270,25 +269,27 @@
         self.shared.wake_waiting();
     }
 
-    /// Records the end of the attempt at the endpoint of `pick`, whose response `began` or not, and reports it to entry
-    /// peers.
+    /// Records the end of the attempt at the endpoint of `pick`, and reports it to entry peers. `began` tells whether
+    /// the response had started.
     pub(super) fn end_attempt(
         &self,
         pick: &chooser::Pick,
         began: bool,
-        how: chooser::AttemptOutcome,
+        outcome: chooser::AttemptOutcome,
     ) {
         let now = self.shared.clock.now();
-        self.shared
-            .with_core(|core| core.chooser.record_end(now, pick, self.wanted, began, how));
-        entry_peers::report_end(self.shared, pick, began, self.fault_to_report(how));
+        self.shared.with_core(|core| {
+            core.chooser
+                .record_end(now, pick, self.wanted, began, outcome);
+        });
+        entry_peers::report_end(self.shared, pick, began, self.fault_to_report(outcome));
         self.shared.wake_waiting();
     }
 
-    /// The fault of the engine that is reported to entry peers after an attempt that ended `how`.
-    fn fault_to_report(&self, how: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
+    /// The fault of the engine that is reported to entry peers after an attempt with this `outcome`.
+    fn fault_to_report(&self, outcome: chooser::AttemptOutcome) -> Option<wire::EngineFault> {
         let model = self.wanted.map(|it| wire::name_key(&it.model))?;
-        match how {
+        match outcome {
             chooser::AttemptOutcome::Answered | chooser::AttemptOutcome::GivenUp => None,
             chooser::AttemptOutcome::Refused => Some(wire::EngineFault::Rejects(model)),
             chooser::AttemptOutcome::Misdirected if self.is_adapter() => None,
@@ -320,6 +321,7 @@
         self.attempt_log
             .record_outcome(verdict::Verdict::NotRun, &self.last_failure);
         self.restore_charge();
+        // An address may have been given to another endpoint, which rejects what is not meant for it.
         let is_replaced = response.endpoint.is_some_and(|it| it != pick.instance.name);
         if response.execution == dialect::ExecutionStatus::Misdirected && is_replaced {
             self.end_attempt(pick, false, chooser::AttemptOutcome::GivenUp);
@@ -404,16 +406,16 @@
             .record_outcome(verdict::Verdict::MayHaveRun, &self.last_failure);
         self.note_crash(pick, failure.cause);
         let is_over = self.time_left() == time::Millis(0);
-        let how = match failure.cause {
+        let outcome = match failure.cause {
             failure::Cause::Silent if !began => chooser::AttemptOutcome::Silent,
             _ => chooser::AttemptOutcome::Failed,
         };
-        self.end_attempt(pick, began, how);
+        self.end_attempt(pick, began, outcome);
         self.tried_endpoints.push(pick.key);
-        let goes_on = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
+        let may_retry = self.route.kind.is_retryable() && self.possible_runs < self.route.attempts;
         // Without the id of an event, no other endpoint can tell where to resume the stream.
         let can_resume = !sink.has_started() || sink.last_id().is_some();
-        if goes_on && can_resume && !is_over {
+        if may_retry && can_resume && !is_over {
             return AttemptResult::Retry(sink);
         }
         let refusal = if is_over {
