--- a/crates/sageshed-fleet/src/config.rs
+++ b/crates/sageshed-fleet/src/config.rs
@@ -106,7 +106,7 @@
     /// Target for the time to the response, or to the first event of a stream.
     pub latency_target: time::Millis,
     /// Target for the time between two events of a stream; none where it has no streams.
-    pub max_event_gap: Option<time::Millis>,
+    pub event_gap_target: Option<time::Millis>,
     /// The priority of its requests; zero is the most urgent.
     pub priority: u8,
     /// The services that its requests go to.
--- a/crates/sageshed-fleet/tests/support/mod.rs
+++ b/crates/sageshed-fleet/tests/support/mod.rs
@@ -22,7 +22,7 @@
         kind: config::RequestKind::Idempotent,
         timeout: time::Millis(5_000),
         latency_target: time::Millis(1_000),
-        max_event_gap: Some(time::Millis(400)),
+        event_gap_target: Some(time::Millis(400)),
         priority: 0,
         targets: vec![config::Target {
             service: ENGINES.to_owned(),
--- a/src/sageshed/gateway/proxy/stream.rs
+++ b/src/sageshed/gateway/proxy/stream.rs
@@ -129,7 +129,7 @@
 
     /// Reports the gaps between the events of a complete stream to the chooser and to entry peers.
     fn record_pauses(&self, pick: &chooser::Pick) {
-        let Some(limit) = self.route.max_event_gap else {
+        let Some(limit) = self.route.event_gap_target else {
             return;
         };
         let now = self.shared.clock.now();
