--- a/crates/sageshed-decide/src/fleet.rs
+++ b/crates/sageshed-decide/src/fleet.rs
@@ -235,7 +235,7 @@
     fn apply_models(
         &mut self,
         now: time::Instant,
-        resident: &[endpoints::ResidentModel],
+        resident: &[endpoints::Resident],
         names: &names::Names,
     ) {
         let mut ready = bits::BitSet::empty(names.models.len());
--- a/crates/sageshed-decide/tests/common/mod.rs
+++ b/crates/sageshed-decide/tests/common/mod.rs
@@ -63,7 +63,7 @@
 }
 
 pub fn report(name: &str, sequence: u64, slots: u32, models: &[&str]) -> endpoints::Report {
-    let resident = models.iter().map(|model| endpoints::ResidentModel {
+    let resident = models.iter().map(|model| endpoints::Resident {
         model: (*model).to_owned(),
         version: 1,
         phase: endpoints::Phase::Ready,
--- a/crates/sageshed-engines/tests/connections.rs
+++ b/crates/sageshed-engines/tests/connections.rs
@@ -163,7 +163,7 @@
         endpoint: "e1".to_owned(),
         incarnation: standin.identity("e1").incarnation,
         fence: endpoints::Fence(1),
-        task: endpoints::OrderTask::ChangeRole {
+        task: endpoints::Task::ChangeRole {
             pool: "other".to_owned(),
         },
     };
--- a/crates/sageshed-engines/tests/orders.rs
+++ b/crates/sageshed-engines/tests/orders.rs
@@ -14,7 +14,7 @@
         endpoint: endpoint.to_owned(),
         incarnation: standin.identity(endpoint).incarnation,
         fence: endpoints::Fence(fence),
-        task: endpoints::OrderTask::Load {
+        task: endpoints::Task::Load {
             model: format!("m{order}"),
             version: 1,
             memory_mib: 100,
--- a/crates/sageshed-place/examples/plan_time.rs
+++ b/crates/sageshed-place/examples/plan_time.rs
@@ -126,7 +126,7 @@
 
     fn carry_out(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
     ) {
         self.orders += 1;
         let order = endpoints::Order {
@@ -143,23 +143,23 @@
             .step(self.now, place::Event::OrderCommitted(order));
         let report = &mut self.reports[index];
         match task {
-            endpoints::OrderTask::Load {
+            endpoints::Task::Load {
                 model,
                 version,
                 memory_mib,
                 ..
             } => {
-                report.resident.push(endpoints::ResidentModel {
+                report.resident.push(endpoints::Resident {
                     model,
                     version,
                     phase: endpoints::Phase::Ready,
                     memory_mib,
                 });
             }
-            endpoints::OrderTask::Unload { model, .. } => {
+            endpoints::Task::Unload { model, .. } => {
                 report.resident.retain(|r| r.model != model);
             }
-            endpoints::OrderTask::ChangeRole { .. } => {}
+            endpoints::Task::ChangeRole { .. } => {}
         }
         report.orders.push(endpoints::OrderResult {
             order: endpoints::OrderId(self.orders),
@@ -175,7 +175,7 @@
             for model in (first..self.models.min(first + 4)).map(model) {
                 let resident = &mut self.reports[index].resident;
                 if resident.iter().all(|r| r.model != model.name) {
-                    resident.push(endpoints::ResidentModel {
+                    resident.push(endpoints::Resident {
                         model: model.name,
                         version: model.version,
                         phase: endpoints::Phase::Ready,
--- a/crates/sageshed-place/examples/policies.rs
+++ b/crates/sageshed-place/examples/policies.rs
@@ -197,9 +197,9 @@
         if server.until == 0 {
             server.engine.advance();
             let (name, load) = match &task {
-                endpoints::OrderTask::Load { model, .. } => (model, true),
-                endpoints::OrderTask::Unload { model, .. } => (model, false),
-                endpoints::OrderTask::ChangeRole { .. } => return,
+                endpoints::Task::Load { model, .. } => (model, true),
+                endpoints::Task::Unload { model, .. } => (model, false),
+                endpoints::Task::ChangeRole { .. } => return,
             };
             let model = self.models.iter().position(|m| m.name == *name);
             let model = model.expect("in the catalog");
--- a/crates/sageshed-place/src/ledger.rs
+++ b/crates/sageshed-place/src/ledger.rs
@@ -227,9 +227,9 @@
     }
 
     /// Replaces the names of a task by keys.
-    pub fn task(&mut self, task: &endpoints::OrderTask) -> Task {
+    pub fn task(&mut self, task: &endpoints::Task) -> Task {
         match task {
-            endpoints::OrderTask::Load {
+            endpoints::Task::Load {
                 model,
                 version,
                 memory_mib,
@@ -239,11 +239,11 @@
                 version: *version,
                 memory_mib: *memory_mib,
             },
-            endpoints::OrderTask::Unload { model, version } => Task::Unload {
+            endpoints::Task::Unload { model, version } => Task::Unload {
                 model: self.models.intern(model),
                 version: *version,
             },
-            endpoints::OrderTask::ChangeRole { .. } => Task::ChangeRole,
+            endpoints::Task::ChangeRole { .. } => Task::ChangeRole,
         }
     }
 
@@ -252,26 +252,26 @@
         &mut self,
         key: EndpointKey,
         task: Task,
-    ) -> Option<(String, endpoints::Incarnation, endpoints::OrderTask)> {
+    ) -> Option<(String, endpoints::Incarnation, endpoints::Task)> {
         let named = self.named(task)?;
         let engine = &mut self.engines[key.index()];
         engine.proposed.push(task);
         Some((engine.name.clone(), engine.incarnation, named))
     }
 
-    fn named(&self, task: Task) -> Option<endpoints::OrderTask> {
+    fn named(&self, task: Task) -> Option<endpoints::Task> {
         match task {
             Task::Load {
                 model,
                 version,
                 memory_mib,
-            } => Some(endpoints::OrderTask::Load {
+            } => Some(endpoints::Task::Load {
                 model: self.models.name(model).to_owned(),
                 version,
                 memory_mib,
                 base: self.offer(model)?.model.base.clone(),
             }),
-            Task::Unload { model, version } => Some(endpoints::OrderTask::Unload {
+            Task::Unload { model, version } => Some(endpoints::Task::Unload {
                 model: self.models.name(model).to_owned(),
                 version,
             }),
--- a/crates/sageshed-place/src/placement.rs
+++ b/crates/sageshed-place/src/placement.rs
@@ -74,7 +74,7 @@
 pub enum Action {
     /// Assign an id and a fencing token to each order, commit them, then pass in
     /// [`Event::OrderCommitted`] for each.
-    Propose(Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>),
+    Propose(Vec<(String, endpoints::Incarnation, endpoints::Task)>),
     /// Send the order, then pass in [`Event::OrderSent`] or [`Event::OrderNotSent`].
     SendOrder(endpoints::Order),
     /// Commit the removal of these orders from the table of open orders, since their outcome is known.
@@ -410,7 +410,7 @@
                 status.holders.push(messages::HolderStatus {
                     endpoint: engine.name.clone(),
                     availability_zone: self.ledger.zone_name(engine.zone).to_owned(),
-                    resident: endpoints::ResidentModel {
+                    resident: endpoints::Resident {
                         model: self.ledger.model_name(held.model).to_owned(),
                         version: held.version,
                         phase: held.phase,
--- a/crates/sageshed-place/src/planner.rs
+++ b/crates/sageshed-place/src/planner.rs
@@ -60,7 +60,7 @@
     /// The model.
     pub model: ModelKey,
     /// The name of the endpoint, its incarnation, and the task with names instead of keys.
-    pub named: (String, endpoints::Incarnation, endpoints::OrderTask),
+    pub named: (String, endpoints::Incarnation, endpoints::Task),
     /// The reason, shown to operators.
     pub reason: &'static str,
 }
--- a/crates/sageshed-place/tests/faults.rs
+++ b/crates/sageshed-place/tests/faults.rs
@@ -468,7 +468,7 @@
     placement: place::Placement,
     now: time::Instant,
     table: Table,
-    proposed: Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>,
+    proposed: Vec<(String, endpoints::Incarnation, endpoints::Task)>,
 }
 
 impl Run {
@@ -547,27 +547,27 @@
     }
 }
 
-fn describe(task: &endpoints::OrderTask) -> String {
+fn describe(task: &endpoints::Task) -> String {
     match task {
-        endpoints::OrderTask::Load { model, .. } => format!("load {model}"),
-        endpoints::OrderTask::Unload { model, .. } => format!("unload {model}"),
-        endpoints::OrderTask::ChangeRole { pool } => format!("role {pool}"),
+        endpoints::Task::Load { model, .. } => format!("load {model}"),
+        endpoints::Task::Unload { model, .. } => format!("unload {model}"),
+        endpoints::Task::ChangeRole { pool } => format!("role {pool}"),
     }
 }
 
 fn order((id, name, incarnation, what): &Found) -> endpoints::Order {
     let task = match what {
-        Load(name) => endpoints::OrderTask::Load {
+        Load(name) => endpoints::Task::Load {
             model: (*name).to_owned(),
             version: 1,
             memory_mib: model(name).memory_mib,
             base: None,
         },
-        Unload(name) => endpoints::OrderTask::Unload {
+        Unload(name) => endpoints::Task::Unload {
             model: (*name).to_owned(),
             version: 1,
         },
-        Role => endpoints::OrderTask::ChangeRole {
+        Role => endpoints::Task::ChangeRole {
             pool: "listings".to_owned(),
         },
     };
@@ -593,7 +593,7 @@
     let mut engine = support::Engine::new(name, "zone-0", memory_mib, name != "u");
     engine.identity.incarnation = endpoints::Incarnation(incarnation);
     engine.sequence = sequence - 1;
-    let resident = |(model_name, version, phase): &Held| endpoints::ResidentModel {
+    let resident = |(model_name, version, phase): &Held| endpoints::Resident {
         model: (*model_name).to_owned(),
         version: *version,
         phase: *phase,
--- a/crates/sageshed-place/tests/orders.rs
+++ b/crates/sageshed-place/tests/orders.rs
@@ -63,7 +63,7 @@
 
 /// A command that the leader has submitted to the control group.
 enum Pending {
-    Order((String, endpoints::Incarnation, endpoints::OrderTask)),
+    Order((String, endpoints::Incarnation, endpoints::Task)),
     Settle(Vec<endpoints::OrderId>),
 }
 
@@ -256,7 +256,7 @@
 
     fn send(&mut self, control: usize, order: endpoints::Order) {
         let id = order.order;
-        self.unloads += usize::from(matches!(order.task, endpoints::OrderTask::Unload { .. }));
+        self.unloads += usize::from(matches!(order.task, endpoints::Task::Unload { .. }));
         self.concurrent_orders += usize::from(self.is_concurrent(&order));
         if self.lossy && self.random.percent(10) {
             self.step_at(control, place::Event::OrderNotSent(id));
--- a/crates/sageshed-place/tests/planning.rs
+++ b/crates/sageshed-place/tests/planning.rs
@@ -64,9 +64,9 @@
         engine.advance();
         assert!(engine.used_mib() <= engine.total_mib(), "{order:?}");
         self.moves.push(match &order.task {
-            endpoints::OrderTask::Load { model, .. } => format!("+{model}"),
-            endpoints::OrderTask::Unload { model, .. } => format!("-{model}"),
-            endpoints::OrderTask::ChangeRole { pool } => pool.clone(),
+            endpoints::Task::Load { model, .. } => format!("+{model}"),
+            endpoints::Task::Unload { model, .. } => format!("-{model}"),
+            endpoints::Task::ChangeRole { pool } => pool.clone(),
         });
     }
 
--- a/crates/sageshed-place/tests/support/mod.rs
+++ b/crates/sageshed-place/tests/support/mod.rs
@@ -60,11 +60,11 @@
 pub struct Engine {
     pub identity: endpoints::Identity,
     pub sequence: u64,
-    pub resident: Vec<endpoints::ResidentModel>,
+    pub resident: Vec<endpoints::Resident>,
     pub orders: Vec<endpoints::OrderResult>,
     pub highest_fence: endpoints::Fence,
     pub leaving: bool,
-    accepted: Vec<(endpoints::OrderId, endpoints::OrderTask)>,
+    accepted: Vec<(endpoints::OrderId, endpoints::Task)>,
 }
 
 impl Engine {
@@ -154,7 +154,7 @@
     }
 
     /// The task that is being carried out.
-    pub fn task(&self) -> Option<&endpoints::OrderTask> {
+    pub fn task(&self) -> Option<&endpoints::Task> {
         self.accepted.first().map(|(_, task)| task)
     }
 
@@ -164,21 +164,21 @@
             return;
         };
         let (name, wanted, starts) = match &task {
-            endpoints::OrderTask::Load { model, version, .. } => {
+            endpoints::Task::Load { model, version, .. } => {
                 (model, *version, !self.holds(model, *version))
             }
-            endpoints::OrderTask::Unload { model, version } => {
+            endpoints::Task::Unload { model, version } => {
                 let ready = self.ready(model, *version);
                 (model, *version, ready)
             }
-            endpoints::OrderTask::ChangeRole { .. } => return,
+            endpoints::Task::ChangeRole { .. } => return,
         };
         if starts {
             self.start_task(&task);
             return;
         }
-        let unloads = matches!(task, endpoints::OrderTask::Unload { .. });
-        let this = |r: &endpoints::ResidentModel| r.model == *name && r.version == wanted;
+        let unloads = matches!(task, endpoints::Task::Unload { .. });
+        let this = |r: &endpoints::Resident| r.model == *name && r.version == wanted;
         if unloads {
             self.resident.retain(|r| !this(r));
         } else if let Some(resident) = self.resident.iter_mut().find(|r| this(r)) {
@@ -190,27 +190,27 @@
         }
     }
 
-    fn start_task(&mut self, task: &endpoints::OrderTask) {
+    fn start_task(&mut self, task: &endpoints::Task) {
         match task {
-            endpoints::OrderTask::Load {
+            endpoints::Task::Load {
                 model,
                 version,
                 memory_mib,
                 ..
-            } => self.resident.push(endpoints::ResidentModel {
+            } => self.resident.push(endpoints::Resident {
                 model: model.clone(),
                 version: *version,
                 phase: endpoints::Phase::Loading,
                 memory_mib: *memory_mib,
             }),
-            endpoints::OrderTask::Unload { model, version } => {
+            endpoints::Task::Unload { model, version } => {
                 for resident in &mut self.resident {
                     if resident.model == *model && resident.version == *version {
                         resident.phase = endpoints::Phase::Unloading;
                     }
                 }
             }
-            endpoints::OrderTask::ChangeRole { .. } => {}
+            endpoints::Task::ChangeRole { .. } => {}
         }
     }
 
@@ -247,7 +247,7 @@
 impl Table {
     pub fn commit(
         &mut self,
-        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::OrderTask),
+        (endpoint, incarnation, task): (String, endpoints::Incarnation, endpoints::Task),
     ) -> endpoints::Order {
         self.committed += 1;
         let order = endpoints::Order {
--- a/crates/sageshed-state/src/command.rs
+++ b/crates/sageshed-state/src/command.rs
@@ -92,7 +92,7 @@
     /// The incarnation it is addressed to.
     pub incarnation: endpoints::Incarnation,
     /// What the endpoint is to do.
-    pub task: endpoints::OrderTask,
+    pub task: endpoints::Task,
 }
 
 /// The location to which a model is pinned.
--- a/crates/sageshed-state/tests/control.rs
+++ b/crates/sageshed-state/tests/control.rs
@@ -7,7 +7,7 @@
     command::ProposedOrder {
         endpoint: endpoint.to_owned(),
         incarnation: endpoints::Incarnation(incarnation),
-        task: endpoints::OrderTask::Load {
+        task: endpoints::Task::Load {
             model: model.to_owned(),
             version: 1,
             memory_mib: 100,
--- a/crates/sageshed-test-support/src/endpoint.rs
+++ b/crates/sageshed-test-support/src/endpoint.rs
@@ -246,8 +246,8 @@
     }
 }
 
-fn ready(held: &config::Resident) -> endpoints::ResidentModel {
-    endpoints::ResidentModel {
+fn ready(held: &config::Resident) -> endpoints::Resident {
+    endpoints::Resident {
         model: held.model.clone(),
         version: held.version,
         phase: endpoints::Phase::Ready,
--- a/crates/sageshed-test-support/src/memory.rs
+++ b/crates/sageshed-test-support/src/memory.rs
@@ -10,7 +10,7 @@
 /// The models and orders of one incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Memory {
-    pub(crate) resident: Vec<endpoints::ResidentModel>,
+    pub(crate) resident: Vec<endpoints::Resident>,
     pub(crate) running: collections::HashMap<String, u32>,
     pub(crate) results: collections::VecDeque<endpoints::OrderResult>,
     highest_fence: endpoints::Fence,
@@ -80,9 +80,9 @@
     /// Begins a task: takes the memory of a load, stops new requests of an unload. Gives the problem
     /// if it cannot be done. Memory past the bound is not refused: a real engine would fail there,
     /// and the stand-in counts it.
-    pub(crate) fn begin(&mut self, task: &endpoints::OrderTask) -> Option<String> {
+    pub(crate) fn begin(&mut self, task: &endpoints::Task) -> Option<String> {
         match task {
-            endpoints::OrderTask::Load {
+            endpoints::Task::Load {
                 model,
                 version,
                 memory_mib,
@@ -94,7 +94,7 @@
                 if base.as_ref().is_some_and(|base| !self.serves(base)) {
                     return Some(format!("the base of {model} is not held"));
                 }
-                self.resident.push(endpoints::ResidentModel {
+                self.resident.push(endpoints::Resident {
                     model: model.clone(),
                     version: *version,
                     phase: endpoints::Phase::Loading,
@@ -102,14 +102,14 @@
                 });
                 None
             }
-            endpoints::OrderTask::Unload { model, version } => {
+            endpoints::Task::Unload { model, version } => {
                 if !self.holds(model, *version) {
                     return Some(format!("{model} version {version} is not held"));
                 }
                 self.set_phase(model, *version, endpoints::Phase::Unloading);
                 None
             }
-            endpoints::OrderTask::ChangeRole { .. } => None,
+            endpoints::Task::ChangeRole { .. } => None,
         }
     }
 
--- a/crates/sageshed-test-support/src/orders.rs
+++ b/crates/sageshed-test-support/src/orders.rs
@@ -65,34 +65,34 @@
 
 fn carry_out(holder: &endpoint::Endpoint, order: &endpoints::Order, incarnation: u64) {
     match &order.task {
-        endpoints::OrderTask::Load { model, .. } => {
+        endpoints::Task::Load { model, .. } => {
             let cfg = &holder.shared.cfg;
             let time = cfg.load_time(model, holder.cfg.load_ms);
             holder.shared.store.load(time);
         }
-        endpoints::OrderTask::Unload { model, .. } => {
+        endpoints::Task::Unload { model, .. } => {
             while holder.lock().memory.running_on(model) > 0 && !holder.shared.stopping() {
                 thread::sleep(engine::LOOK);
             }
         }
-        endpoints::OrderTask::ChangeRole { .. } => {}
+        endpoints::Task::ChangeRole { .. } => {}
     }
     let mut state = holder.lock();
     if state.incarnation != incarnation {
         return;
     }
     match &order.task {
-        endpoints::OrderTask::Load { model, version, .. } => {
+        endpoints::Task::Load { model, version, .. } => {
             state
                 .memory
                 .set_phase(model, *version, endpoints::Phase::Ready);
             state.stats.loads += 1;
         }
-        endpoints::OrderTask::Unload { model, version } => {
+        endpoints::Task::Unload { model, version } => {
             state.memory.remove(model, *version);
             state.stats.unloads += 1;
         }
-        endpoints::OrderTask::ChangeRole { pool } => state.pool.clone_from(pool),
+        endpoints::Task::ChangeRole { pool } => state.pool.clone_from(pool),
     }
     state
         .memory
--- a/crates/sageshed-test-support/tests/engine.rs
+++ b/crates/sageshed-test-support/tests/engine.rs
@@ -18,7 +18,7 @@
     standin::Standin::start(cfg).expect("a stand-in")
 }
 
-fn order(standin: &standin::Standin, id: u64, task: endpoints::OrderTask) -> orders::Sent {
+fn order(standin: &standin::Standin, id: u64, task: endpoints::Task) -> orders::Sent {
     let client = client::Client::new(transport::Settings::default());
     let order = endpoints::Order {
         order: endpoints::OrderId(id),
@@ -30,8 +30,8 @@
     client.order(&standin.address("e1"), &order)
 }
 
-fn load(model: &str, memory_mib: u64, base: Option<&str>) -> endpoints::OrderTask {
-    endpoints::OrderTask::Load {
+fn load(model: &str, memory_mib: u64, base: Option<&str>) -> endpoints::Task {
+    endpoints::Task::Load {
         model: model.to_owned(),
         version: 1,
         memory_mib,
@@ -80,7 +80,7 @@
 
 #[test]
 fn orders_that_cannot_be_carried_out_are_refused() {
-    let unload = endpoints::OrderTask::Unload {
+    let unload = endpoints::Task::Unload {
         model: "m9".to_owned(),
         version: 1,
     };
@@ -101,7 +101,7 @@
         orders::Sent::Accepted
     );
     wait(&standin, |standin| standin.stats().endpoints[0].loads == 1);
-    let unload = endpoints::OrderTask::Unload {
+    let unload = endpoints::Task::Unload {
         model: "m2".to_owned(),
         version: 1,
     };
--- a/crates/sageshed-types/src/endpoints.rs
+++ b/crates/sageshed-types/src/endpoints.rs
@@ -100,8 +100,10 @@
 }
 
 /// A model or adapter that an engine holds, is loading or is unloading.
+///
+/// The name stays, since serde prints it in decode errors that endpoints receive.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ResidentModel {
+pub struct Resident {
     /// The name of the model or adapter.
     pub model: String,
     /// Its version.
@@ -164,7 +166,7 @@
     /// Tokens generated per second over the last few seconds, summed over all requests.
     pub tokens_per_second: u32,
     /// The models and adapters in its memory.
-    pub resident: Vec<ResidentModel>,
+    pub resident: Vec<Resident>,
     /// The orders it received most recently, newest last. At least the last 32.
     pub orders: Vec<OrderResult>,
     /// Whether the endpoint accepts no new requests and is about to shut down.
@@ -184,13 +186,15 @@
     /// has seen.
     pub fence: Fence,
     /// What the endpoint is to do.
-    pub task: OrderTask,
+    pub task: Task,
 }
 
 /// The operation that an order requests.
+///
+/// The name stays, since serde prints it in decode errors that endpoints receive.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OrderTask {
+pub enum Task {
     /// Loads a version of a model or adapter.
     Load {
         /// The name of the model or adapter.
--- a/crates/sageshed-types/src/messages.rs
+++ b/crates/sageshed-types/src/messages.rs
@@ -294,7 +294,7 @@
     /// Its availability zone.
     pub availability_zone: String,
     /// The state of the model on the engine.
-    pub resident: endpoints::ResidentModel,
+    pub resident: endpoints::Resident,
 }
 
 /// The response at [`paths::EXPLAIN`]: none if the process has no record of the request.
--- a/examples/measure_slopes/main.rs
+++ b/examples/measure_slopes/main.rs
@@ -119,7 +119,7 @@
 }
 
 fn report(endpoint: usize, models: usize, held: usize, sequence: u64) -> endpoints::Report {
-    let resident = |n| endpoints::ResidentModel {
+    let resident = |n| endpoints::Resident {
         model: format!("model-{:03}", (endpoint * held + n) % models),
         version: 1,
         phase: endpoints::Phase::Ready,
--- a/spec/src/orders/leader.rs
+++ b/spec/src/orders/leader.rs
@@ -114,13 +114,13 @@
     pub fn may_propose(
         &self,
         endpoint: &str,
-        task: &endpoints::OrderTask,
+        task: &endpoints::Task,
     ) -> Option<(EndpointKey, orders::Task)> {
         self.term?;
         let key: EndpointKey = self.ledger.endpoint(endpoint)?;
         let engine = self.ledger.engine(key);
         let (task, wanted) = match task {
-            endpoints::OrderTask::Load { model, .. } => {
+            endpoints::Task::Load { model, .. } => {
                 let (version, memory_mib) = (1, memory_mib(model));
                 let model = self.ledger.offered(model)?;
                 let task = orders::Task::Load {
@@ -130,12 +130,12 @@
                 };
                 (task, !engine.has_or_awaits(model))
             }
-            endpoints::OrderTask::Unload { model, version } => {
+            endpoints::Task::Unload { model, version } => {
                 let (model, version) = (self.ledger.offered(model)?, *version);
                 let staying = engine.holds(model, version) && !engine.unloads(model, version);
                 (orders::Task::Unload { model, version }, staying)
             }
-            endpoints::OrderTask::ChangeRole { .. } => return None,
+            endpoints::Task::ChangeRole { .. } => return None,
         };
         (wanted && self.allows(engine, task)).then_some((key, task))
     }
@@ -306,11 +306,11 @@
     fn after(&self, order: &endpoints::Order) -> Vec<String> {
         let mut held = self.held().to_vec();
         match &order.task {
-            endpoints::OrderTask::Load { model, .. } if !held.contains(model) => {
+            endpoints::Task::Load { model, .. } if !held.contains(model) => {
                 held.push(model.clone());
                 held.sort();
             }
-            endpoints::OrderTask::Unload { model, .. } => held.retain(|it| it != model),
+            endpoints::Task::Unload { model, .. } => held.retain(|it| it != model),
             _ => {}
         }
         held
@@ -332,7 +332,7 @@
         held: &[String],
         checks_fence: bool,
     ) -> endpoints::Report {
-        let resident = held.iter().map(|model| endpoints::ResidentModel {
+        let resident = held.iter().map(|model| endpoints::Resident {
             model: model.clone(),
             version: 1,
             phase: endpoints::Phase::Ready,
--- a/spec/src/orders/mod.rs
+++ b/spec/src/orders/mod.rs
@@ -180,13 +180,7 @@
         rc::Rc::make_mut(&mut self.leaders[by])
     }
 
-    fn propose(
-        &mut self,
-        by: usize,
-        endpoint: &str,
-        task: endpoints::OrderTask,
-        spec: Orders,
-    ) -> bool {
+    fn propose(&mut self, by: usize, endpoint: &str, task: endpoints::Task, spec: Orders) -> bool {
         let leader = &self.leaders[by];
         let (Some(term), Some((key, keyed))) = (leader.term, leader.may_propose(endpoint, &task))
         else {
@@ -405,15 +399,15 @@
     }
 }
 
-fn tasks() -> impl Iterator<Item = endpoints::OrderTask> {
+fn tasks() -> impl Iterator<Item = endpoints::Task> {
     leader::MODELS.iter().flat_map(|(model, memory_mib)| {
-        let load = endpoints::OrderTask::Load {
+        let load = endpoints::Task::Load {
             model: (*model).to_owned(),
             version: 1,
             memory_mib: *memory_mib,
             base: None,
         };
-        let unload = endpoints::OrderTask::Unload {
+        let unload = endpoints::Task::Unload {
             model: (*model).to_owned(),
             version: 1,
         };
@@ -421,11 +415,11 @@
     })
 }
 
-fn describe(endpoint: &str, task: &endpoints::OrderTask) -> String {
+fn describe(endpoint: &str, task: &endpoints::Task) -> String {
     match task {
-        endpoints::OrderTask::Load { model, .. } => format!("load {model} on {endpoint}"),
-        endpoints::OrderTask::Unload { model, .. } => format!("unload {model} from {endpoint}"),
-        endpoints::OrderTask::ChangeRole { .. } => format!("change the role of {endpoint}"),
+        endpoints::Task::Load { model, .. } => format!("load {model} on {endpoint}"),
+        endpoints::Task::Unload { model, .. } => format!("unload {model} from {endpoint}"),
+        endpoints::Task::ChangeRole { .. } => format!("change the role of {endpoint}"),
     }
 }
 
--- a/src/sageshed/control/placing.rs
+++ b/src/sageshed/control/placing.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    fn propose(&mut self, wanted: Vec<(String, endpoints::Incarnation, endpoints::OrderTask)>) {
+    fn propose(&mut self, wanted: Vec<(String, endpoints::Incarnation, endpoints::Task)>) {
         let orders =
             wanted
                 .into_iter()
